--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -42,14 +42,14 @@
     /// When it arrived.
     pub arrived: Instant,
     /// When its time is up, by the caller's patience and the route's limit.
-    pub due: Instant,
+    pub deadline: Instant,
 }
 
 impl RoutedCall {
     /// Time that a target may still spend.
     #[must_use]
     pub fn time_left(&self) -> Duration {
-        self.due.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Time left for an answer of full worth.
@@ -74,10 +74,10 @@
 
     /// Plan of a send whose answer is waited for until `until`.
     #[must_use]
-    pub fn plan(&self, until: Instant) -> SendPlan<'_> {
+    pub fn plan(&self, deadline: Instant) -> SendPlan<'_> {
         SendPlan {
             call: self,
-            until: until.min(self.due),
+            deadline: deadline.min(self.deadline),
         }
     }
 
--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -26,12 +26,12 @@
 /// Time after which unacknowledged bytes end a connection. Within one region an
 /// acknowledgement takes milliseconds; a silent partition would otherwise hold the
 /// connection, and the request on it, for the kernel's quarter of an hour.
-const ACK_WAIT: Duration = Duration::from_millis(2_500);
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Idle time and interval of keep-alive probes; two lost ones end the connection.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-const PROBES_LOST: u32 = 2;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
 /// Largest head that a target may send, in bytes.
-const HEAD_BYTES: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// What a failed send means for the request.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
@@ -63,10 +63,10 @@
 }
 
 impl From<BodyFault> for SendFault {
-    fn from(fault: BodyFault) -> Self {
-        match fault {
+    fn from(error: BodyFault) -> Self {
+        match error {
             BodyFault::Cut(reason) => Self::Cut(reason),
-            BodyFault::TooLong(_) | BodyFault::Slow => Self::Unclear(fault.to_string()),
+            BodyFault::TooLong(_) | BodyFault::Slow => Self::Unclear(error.to_string()),
         }
     }
 }
@@ -121,7 +121,7 @@
             .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
         set_options(&stream).map_err(|e| SendFault::NotSent(format!("{address}: {e}")))?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(HEAD_BYTES);
+        builder.max_buf_size(MAX_HEAD_BYTES);
         let (sender, connection) = builder
             .handshake(TokioIo::new(stream))
             .await
@@ -163,7 +163,7 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => match error.take_message() {
                 Some(_) => Err(SendFault::NotSent(error.into_error().to_string())),
-                None => Err(lost_answer(&error.into_error())),
+                None => Err(answer_error(&error.into_error())),
             },
         }
     }
@@ -177,16 +177,16 @@
 pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(ACK_WAIT))?;
+    socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES_LOST);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&probes)
 }
 
 // A path that takes no bytes any more ends the connection here; the other side may go on.
-fn lost_answer(error: &hyper::Error) -> SendFault {
+fn answer_error(error: &hyper::Error) -> SendFault {
     if is_timeout(error) {
         SendFault::Unclear(error.to_string())
     } else {
@@ -208,20 +208,20 @@
     false
 }
 
-/// Reads a whole body of at most `most_bytes`, until `deadline`.
+/// Reads a whole body of at most `max_bytes`, until `deadline`.
 ///
 /// # Errors
 ///
 /// Returns what is wrong: cut short, too long, or too slow.
-pub async fn read_body<B>(body: B, most_bytes: usize, deadline: Instant) -> Result<Bytes, BodyFault>
+pub async fn read_body<B>(body: B, max_bytes: usize, deadline: Instant) -> Result<Bytes, BodyFault>
 where
     B: http_body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn error::Error + Send + Sync>>,
 {
-    let reading = Limited::new(body, most_bytes).collect();
+    let reading = Limited::new(body, max_bytes).collect();
     match timeout_at(deadline, reading).await {
         Err(_) => Err(BodyFault::Slow),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyFault::TooLong(most_bytes)),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyFault::TooLong(max_bytes)),
         Ok(Err(error)) if is_timeout(&*error) => Err(BodyFault::Slow),
         Ok(Err(error)) => Err(BodyFault::Cut(error.to_string())),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
@@ -236,12 +236,12 @@
 pub async fn call(
     link: &mut HttpLink,
     request: &OutgoingRequest,
-    most_bytes: usize,
+    max_bytes: usize,
     deadline: Instant,
 ) -> Result<(http::response::Parts, Bytes), SendFault> {
     let response = link.send(request, deadline).await?;
     let (head, body) = response.into_parts();
-    let body = read_body(body, most_bytes, deadline).await?;
+    let body = read_body(body, max_bytes, deadline).await?;
     link.idle_since = Instant::now();
     Ok((head, body))
 }
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -8,7 +8,7 @@
 /// Most addresses in an answer; callers count no more.
 pub const MOST_ADDRESSES: usize = 64;
 /// Fewest daemons of the caller's data centre that are worth naming alone.
-const FEWEST_NEAR: usize = 2;
+const MIN_LOCAL_DAEMONS: usize = 2;
 
 /// Chooses addresses for a caller in `centre`: the daemons there, or all where
 /// these are too few for one to fail. Daemons that leave or for which `usable`
@@ -21,19 +21,19 @@
     confirms_keys: impl Fn(&DaemonId) -> bool,
 ) -> Vec<SocketAddr> {
     let staying = daemons.iter().filter(|daemon| !daemon.leaving);
-    let mut good: Vec<&DaemonRecord> = staying.filter(|d| usable(&d.id)).collect();
-    if good.iter().any(|daemon| confirms_keys(&daemon.id)) {
-        good.retain(|daemon| confirms_keys(&daemon.id));
+    let mut eligible: Vec<&DaemonRecord> = staying.filter(|d| usable(&d.id)).collect();
+    if eligible.iter().any(|daemon| confirms_keys(&daemon.id)) {
+        eligible.retain(|daemon| confirms_keys(&daemon.id));
     }
-    let near: Vec<&DaemonRecord> = good
+    let local: Vec<&DaemonRecord> = eligible
         .iter()
         .copied()
         .filter(|daemon| daemon.centre == *centre)
         .collect();
-    let chosen = if near.len() >= FEWEST_NEAR {
-        near
+    let chosen = if local.len() >= MIN_LOCAL_DAEMONS {
+        local
     } else {
-        good
+        eligible
     };
     let addresses = chosen.into_iter().map(|daemon| daemon.callers);
     addresses.take(MOST_ADDRESSES).collect()
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -20,20 +20,20 @@
 
 use crate::gateway::daemon::Gateway;
 use crate::gateway::directory;
-use crate::gateway::head_clock::{HeadClock, TimedStream};
+use crate::gateway::head_clock::{HeaderTimer, TimedStream};
 use crate::gateway::reply::{Failure, FailureKind, FrameStream, Reply};
 
 /// Limits before the first configuration says otherwise.
-const FIRST_IDLE_TIME: Duration = Duration::from_secs(15);
-const FIRST_HEAD_TIME: Duration = Duration::from_secs(3);
-const FIRST_HEAD_BYTES: usize = 16 * 1024;
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 /// Smallest buffer of a connection, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// How long callers keep the directory's answer. Short, so that a daemon that
 /// stops loses its callers soon; each answer costs a caller one more call.
-const DIRECTORY_KEEP: Duration = Duration::from_secs(2);
+const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
 /// Pause after a failed accept, for instance when no descriptor is left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What a listener serves.
 #[derive(Clone)]
@@ -62,7 +62,7 @@
                 }
                 Err(error) => {
                     log::warn!("no connection accepted ({error}); trying again");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
         }
@@ -75,39 +75,43 @@
     kind: PageKind,
     mut closing: watch::Receiver<bool>,
 ) {
-    let _open = matches!(kind, PageKind::Callers).then(|| OpenCount::begin(&gateway));
+    let _open = matches!(kind, PageKind::Callers).then(|| ConnectionCount::begin(&gateway));
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("connection ended before it was served: {error}");
         return;
     }
     let view = gateway.view();
     let limits = view.routes.as_ref().map(|routes| routes.limits);
-    let idle = limits.map_or(FIRST_IDLE_TIME, |limits| limits.idle_time);
-    let head_bytes = limits.map_or(FIRST_HEAD_BYTES, |limits| limits.head_bytes);
-    let head_time = limits.map_or(FIRST_HEAD_TIME, |limits| limits.head_time);
-    let clock = Rc::new(HeadClock::default());
-    let (served, ticking) = (gateway.clone(), clock.clone());
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_time);
+    let head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.head_bytes);
+    let head_time = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.head_time);
+    let timer = Rc::new(HeaderTimer::default());
+    let (connection_gateway, connection_timer) = (gateway.clone(), timer.clone());
     let service = service_fn(move |request| {
-        let (gateway, kind, clock) = (served.clone(), kind.clone(), ticking.clone());
+        let (gateway, kind, timer) = (
+            connection_gateway.clone(),
+            kind.clone(),
+            connection_timer.clone(),
+        );
         async move {
-            clock.note_head();
+            timer.head_received();
             let reply = respond(gateway, kind, request).await;
-            Ok::<Reply, Infallible>(when_sent(reply, clock))
+            Ok::<Reply, Infallible>(restart_timer_after(reply, timer))
         }
     });
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .max_buf_size(head_bytes.max(LEAST_BUFFER));
+        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES));
     let connection = builder.serve_connection(
-        TokioIo::new(TimedStream::new(stream, clock.clone())),
+        TokioIo::new(TimedStream::new(stream, timer.clone())),
         service,
     );
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = clock.overdue(head_time) => {
+        () = timer.timed_out(head_time) => {
             log::info!(limit_ms = head_time.as_millis() as u64; "connection closed: its caller sent no whole head in time");
             return;
         }
@@ -123,15 +127,15 @@
 
 // The next head counts from the end of this answer, which for a stream is its last
 // event.
-fn when_sent(reply: Reply, clock: Rc<HeadClock>) -> Reply {
+fn restart_timer_after(reply: Reply, timer: Rc<HeaderTimer>) -> Reply {
     let (head, body) = reply.into_parts();
     let body = match body {
         Either::Left(whole) => {
-            clock.note_answered();
+            timer.answer_sent();
             Either::Left(whole)
         }
         Either::Right(frames) => {
-            let guard = AnswerGuard(clock);
+            let guard = AnswerEndGuard(timer);
             let frames: FrameStream = Box::pin(frames.inspect(move |_| {
                 let _held = &guard;
             }));
@@ -141,25 +145,25 @@
     Response::from_parts(head, body)
 }
 
-struct AnswerGuard(Rc<HeadClock>);
+struct AnswerEndGuard(Rc<HeaderTimer>);
 
-impl Drop for AnswerGuard {
+impl Drop for AnswerEndGuard {
     fn drop(&mut self) {
-        self.0.note_answered();
+        self.0.answer_sent();
     }
 }
 
 // Counts a caller's connection while it is open.
-struct OpenCount(Rc<Gateway>);
+struct ConnectionCount(Rc<Gateway>);
 
-impl OpenCount {
+impl ConnectionCount {
     fn begin(gateway: &Rc<Gateway>) -> Self {
         gateway.serving.set(gateway.serving.get() + 1);
         Self(gateway.clone())
     }
 }
 
-impl Drop for OpenCount {
+impl Drop for ConnectionCount {
     fn drop(&mut self) {
         self.0.serving.set(self.0.serving.get() - 1);
     }
@@ -180,7 +184,7 @@
 fn page(gateway: &Gateway, metrics: &PrometheusHandle, request: &Request<Incoming>) -> Reply {
     let path = request.uri().path();
     if (gateway.ports.wire.is_ready_path)(path) {
-        return ready_page(gateway);
+        return readiness_page(gateway);
     }
     if path == "/metrics" {
         return text_page(
@@ -199,15 +203,15 @@
                 |id| gateway.is_usable(id),
                 |id| gateway.daemon_confirms_keys(id),
             );
-            let keep = gateway.settings().bounds.directory_keep_s;
-            let keep = DIRECTORY_KEEP.min(Duration::from_secs_f64(keep));
-            let body = (gateway.ports.wire.directory_answer)(&addresses, keep);
+            let ttl = gateway.settings().bounds.directory_keep_s;
+            let ttl = MAX_DIRECTORY_TTL.min(Duration::from_secs_f64(ttl));
+            let body = (gateway.ports.wire.directory_answer)(&addresses, ttl);
             bytes_page(StatusCode::OK, "application/json", body)
         }
     }
 }
 
-fn ready_page(gateway: &Gateway) -> Reply {
+fn readiness_page(gateway: &Gateway) -> Reply {
     let ready = gateway.view().is_complete() && !gateway.stopping.get();
     let (status, text) = if ready {
         (StatusCode::OK, "ready")
--- a/src/gateway/event_split.rs
+++ b/src/gateway/event_split.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Largest event, in bytes; a longer one is taken for broken.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Whole events with the number of the last one.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -27,7 +27,7 @@
     /// Takes bytes and returns the whole events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<EventBatch> {
         self.pending.extend_from_slice(bytes);
-        let end = last_boundary(&self.pending)?;
+        let end = last_event_end(&self.pending)?;
         let whole = self.pending.split_to(end).freeze();
         let last_id = last_event_id(&whole);
         Some(EventBatch {
@@ -39,7 +39,7 @@
     /// Whether what is left over is too long for an event.
     #[must_use]
     pub fn is_overlong(&self) -> bool {
-        self.pending.len() > MOST_EVENT_BYTES
+        self.pending.len() > MAX_EVENT_BYTES
     }
 
     /// Takes what is left over after a clean end.
@@ -54,14 +54,16 @@
 }
 
 // An event ends with an empty line.
-fn last_boundary(bytes: &[u8]) -> Option<usize> {
-    let plain = find_last(bytes, b"\n\n").map(|at| at + 2);
-    let carriage = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
-    plain.max(carriage)
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let lf = find_last(bytes, b"\n\n").map(|at| at + 2);
+    let crlf = find_last(bytes, b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
 }
 
-fn find_last(bytes: &[u8], mark: &[u8]) -> Option<usize> {
-    bytes.windows(mark.len()).rposition(|window| window == mark)
+fn find_last(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes
+        .windows(pattern.len())
+        .rposition(|window| window == pattern)
 }
 
 fn last_event_id(bytes: &[u8]) -> Option<u64> {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -28,14 +28,14 @@
 use crate::names::ServiceName;
 
 /// Time to come back after a refusal for want of a configuration or a target.
-const NOTHING_YET_WAIT: Duration = Duration::from_millis(250);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// Largest answer of a plain service that is held until it is whole, in bytes.
-const MOST_ANSWER_BYTES: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 /// Answer times above which an idempotent request is asked for elsewhere, as a
 /// multiple of the route's objective: late already, and still in time to be served.
-const HEDGE_OBJECTIVES: u32 = 3;
+const HEDGE_AFTER_OBJECTIVES: u32 = 3;
 /// Sends that may fail before their first byte, for one request.
-const MOST_NOT_SENT: usize = 3;
+const MAX_UNSENT_ATTEMPTS: usize = 3;
 
 impl Gateway {
     /// Serves one request and logs how it ended.
@@ -93,19 +93,19 @@
         arrived: Instant,
     ) -> Result<RoutedCall, Failure> {
         let caller = (self.ports.wire.decode_caller)(&head.headers)
-            .map_err(|fault| Failure::new(FailureKind::BadRequest, fault.to_string()))?;
+            .map_err(|error| Failure::new(FailureKind::BadRequest, error.to_string()))?;
         let view = self.view();
         let routes = view
             .routes
             .clone()
             .filter(|_| view.targets_known)
-            .ok_or_else(|| Failure::refused("no configuration yet", NOTHING_YET_WAIT))?;
+            .ok_or_else(|| Failure::refused("no configuration yet", NOT_READY_RETRY_AFTER))?;
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
         let patience = caller.patience.unwrap_or(route.time_limit);
-        let due = arrived + patience.min(route.time_limit);
-        let body = read_request_body(body, &routes, due).await?;
+        let deadline = arrived + patience.min(route.time_limit);
+        let body = read_request_body(body, &routes, deadline).await?;
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
@@ -126,7 +126,7 @@
             digest: OnceCell::new(),
             on_trial: Cell::new(false),
             arrived,
-            due,
+            deadline,
         })
     }
 
@@ -150,40 +150,43 @@
     }
 
     async fn forward_plain(self: &Rc<Self>, call: &RoutedCall) -> Result<Reply, Failure> {
-        let mut trail = SendTrail::default();
-        let mut begun = false;
-        let mut last = Err(Failure::refused("no target is known", NOTHING_YET_WAIT));
-        while let Some(target) = self.choose_plain(&call.view, &call.service.name, &trail) {
-            let more = trail.may_add(call) && call.route.repeat.may_repeat();
-            let end = self.send_plain(&target, call, more).await;
-            let again = match &end {
-                PlainEnd::Whole(_) => false,
-                PlainEnd::FailedWhole(_) | PlainEnd::Unclear(_) => {
-                    trail.sent.push(target.id.clone());
-                    trail.may_have_run = true;
-                    more && self.may_repeat(call)
+        let mut history = SendTrail::default();
+        let mut started = false;
+        let mut last = Err(Failure::refused(
+            "no target is known",
+            NOT_READY_RETRY_AFTER,
+        ));
+        while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
+            let can_retry = history.may_add(call) && call.route.repeat.may_repeat();
+            let attempt = self.send_plain(&target, call, can_retry).await;
+            let retry = match &attempt {
+                PlainOutcome::Whole(_) => false,
+                PlainOutcome::FailedWhole(_) | PlainOutcome::Unclear(_) => {
+                    history.sent.push(target.id.clone());
+                    history.may_have_run = true;
+                    can_retry && self.may_repeat(call)
                 }
-                PlainEnd::Refused(_) => {
-                    trail.sent.push(target.id.clone());
-                    trail.may_send(call) && self.may_repeat(call)
+                PlainOutcome::Refused(_) => {
+                    history.sent.push(target.id.clone());
+                    history.may_send(call) && self.may_repeat(call)
                 }
-                PlainEnd::NotSent(_) => {
-                    trail.unreached.push(target.id.clone());
-                    trail.unreached.len() < MOST_NOT_SENT && Instant::now() < call.due
+                PlainOutcome::NotSent(_) => {
+                    history.unreached.push(target.id.clone());
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && Instant::now() < call.deadline
                 }
                 // It is no target of the request, but the request arrived there.
-                PlainEnd::Astray(_) => {
-                    trail.unreached.push(target.id.clone());
-                    trail.unreached.len() < MOST_NOT_SENT && self.may_repeat(call)
+                PlainOutcome::Misdirected(_) => {
+                    history.unreached.push(target.id.clone());
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_repeat(call)
                 }
             };
-            if !end.says_not_run() && !std::mem::replace(&mut begun, true) {
+            if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
                 self.note_begun(&call.access);
             }
-            if !(trail.may_have_run && end.says_not_run()) {
-                last = end.into_result(call);
+            if !(history.may_have_run && attempt.did_not_run()) {
+                last = attempt.into_result(call);
             }
-            if !again {
+            if !retry {
                 break;
             }
         }
@@ -194,20 +197,20 @@
         self: &Rc<Self>,
         target: &TargetRecord,
         call: &RoutedCall,
-        more: bool,
-    ) -> PlainEnd {
+        can_retry: bool,
+    ) -> PlainOutcome {
         let sent = Instant::now();
-        let until = if more {
-            sent + call.route.objective * HEDGE_OBJECTIVES
+        let deadline = if can_retry {
+            sent + call.route.objective * HEDGE_AFTER_OBJECTIVES
         } else {
-            call.due
+            call.deadline
         };
         let order = plain_order(target, call);
         let _work = WorkGuard::begin(self, &target.id, 0, 0);
-        let outcome = self.send(target, call.plan(until), &order).await;
-        let end = self.finish_plain(target, call, outcome).await;
-        call.log_send(target, "run", end.as_str(), sent);
-        end
+        let outcome = self.send(target, call.plan(deadline), &order).await;
+        let attempt = self.finish_plain(target, call, outcome).await;
+        call.log_send(target, "run", attempt.as_str(), sent);
+        attempt
     }
 
     /// Takes a repeat from the budget for a request that has time left and is not held.
@@ -219,7 +222,7 @@
         let daemons = self.daemon_count();
         let mut budget = self.budget.borrow_mut();
         let service = &call.service.name;
-        Instant::now() < call.due && budget.spend(service, daemons, clock::mono_now())
+        Instant::now() < call.deadline && budget.spend(service, daemons, clock::mono_now())
     }
 
     async fn finish_plain(
@@ -227,18 +230,18 @@
         target: &TargetRecord,
         call: &RoutedCall,
         outcome: SendOutcome,
-    ) -> PlainEnd {
+    ) -> PlainOutcome {
         let answer = match outcome {
             SendOutcome::Answered(answer) => answer,
-            SendOutcome::Refused(reason) => return PlainEnd::Refused(reason),
+            SendOutcome::Refused(reason) => return PlainOutcome::Refused(reason),
             SendOutcome::WrongTarget => {
-                return PlainEnd::Astray(format!("{} left its address", target.id));
+                return PlainOutcome::Misdirected(format!("{} left its address", target.id));
             }
             SendOutcome::WrongWork => {
-                return PlainEnd::Astray(format!("{} does other work now", target.id));
+                return PlainOutcome::Misdirected(format!("{} does other work now", target.id));
             }
-            SendOutcome::NotSent(reason) => return PlainEnd::NotSent(reason),
-            SendOutcome::Unclear(reason) => return PlainEnd::Unclear(reason),
+            SendOutcome::NotSent(reason) => return PlainOutcome::NotSent(reason),
+            SendOutcome::Unclear(reason) => return PlainOutcome::Unclear(reason),
         };
         let TargetAnswer {
             head,
@@ -246,10 +249,10 @@
             lease,
             times,
         } = *answer;
-        match client::read_body(body, MOST_ANSWER_BYTES, call.due).await {
-            Err(fault) => {
-                self.note_body_fault(call, target, &fault);
-                PlainEnd::Unclear(format!("{}: {fault}", target.id))
+        match client::read_body(body, MAX_ANSWER_BYTES, call.deadline).await {
+            Err(error) => {
+                self.note_body_fault(call, target, &error);
+                PlainOutcome::Unclear(format!("{}: {fault}", target.id))
             }
             Ok(body) => {
                 let failed = head.status.is_server_error();
@@ -266,9 +269,9 @@
                 lease.give_back(&head);
                 let reply = whole_reply(head, body);
                 if failed {
-                    PlainEnd::FailedWhole(reply)
+                    PlainOutcome::FailedWhole(reply)
                 } else {
-                    PlainEnd::Whole(reply)
+                    PlainOutcome::Whole(reply)
                 }
             }
         }
@@ -278,14 +281,14 @@
         &self,
         view: &FleetView,
         service: &ServiceName,
-        trail: &SendTrail,
+        history: &SendTrail,
     ) -> Option<Arc<TargetRecord>> {
-        let newest = self.view();
+        let current = self.view();
         let mut rng = self.rng.borrow_mut();
         let untried = view
             .of_service(service)
             .iter()
-            .filter(|t| !trail.has(&t.id) && newest.holds(&t.id));
+            .filter(|t| !history.has(&t.id) && current.holds(&t.id));
         let core = self.core.borrow();
         core.plain_target(untried, || rng.random(), clock::mono_now())
     }
@@ -303,28 +306,31 @@
     }
 }
 
-enum PlainEnd {
+enum PlainOutcome {
     Whole(Reply),
     FailedWhole(Reply),
     Refused(String),
     NotSent(String),
     // Another target answered at the address and did not run it.
-    Astray(String),
+    Misdirected(String),
     Unclear(String),
 }
 
-impl PlainEnd {
-    fn says_not_run(&self) -> bool {
-        matches!(self, Self::Refused(_) | Self::NotSent(_) | Self::Astray(_))
+impl PlainOutcome {
+    fn did_not_run(&self) -> bool {
+        matches!(
+            self,
+            Self::Refused(_) | Self::NotSent(_) | Self::Misdirected(_)
+        )
     }
 
     fn into_result(self, call: &RoutedCall) -> Result<Reply, Failure> {
         match self {
             Self::Whole(reply) | Self::FailedWhole(reply) => Ok(reply),
-            Self::Refused(reason) | Self::NotSent(reason) | Self::Astray(reason) => {
-                Err(Failure::refused(reason, NOTHING_YET_WAIT))
+            Self::Refused(reason) | Self::NotSent(reason) | Self::Misdirected(reason) => {
+                Err(Failure::refused(reason, NOT_READY_RETRY_AFTER))
             }
-            Self::Unclear(reason) => Err(lost(call, reason)),
+            Self::Unclear(reason) => Err(lost_answer(call, reason)),
         }
     }
 
@@ -334,7 +340,7 @@
             Self::FailedWhole(_) => "failed",
             Self::Refused(_) => "refused",
             Self::NotSent(_) => "not_sent",
-            Self::Astray(_) => "wrong_target",
+            Self::Misdirected(_) => "wrong_target",
             Self::Unclear(_) => "unclear",
         }
     }
@@ -342,8 +348,8 @@
 
 /// Failure for a request that may have run.
 #[must_use]
-pub fn lost(call: &RoutedCall, reason: String) -> Failure {
-    if Instant::now() >= call.due {
+pub fn lost_answer(call: &RoutedCall, reason: String) -> Failure {
+    if Instant::now() >= call.deadline {
         Failure::new(FailureKind::OutOfTime, reason)
     } else {
         Failure::new(FailureKind::Unclear, reason)
@@ -364,7 +370,7 @@
 async fn read_request_body(
     body: Incoming,
     routes: &RouteTable,
-    due: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, Failure> {
     let limit = routes.limits.body_bytes;
     if http_body::Body::is_end_stream(&body) {
@@ -374,10 +380,10 @@
     if announced > limit as u64 {
         return Err(too_large(limit));
     }
-    match client::read_body(body, limit, due).await {
+    match client::read_body(body, limit, deadline).await {
         Ok(bytes) => Ok(bytes),
-        Err(fault @ BodyFault::Slow) => {
-            Err(Failure::new(FailureKind::SlowCaller, fault.to_string()))
+        Err(error @ BodyFault::Slow) => {
+            Err(Failure::new(FailureKind::SlowCaller, error.to_string()))
         }
         Err(BodyFault::TooLong(_)) => Err(too_large(limit)),
         Err(BodyFault::Cut(reason)) => Err(Failure::new(FailureKind::BadRequest, reason)),
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -14,7 +14,7 @@
 use crate::gateway::deciding::engine_model::EngineWork;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::deciding::{EngineChoices, PlaceOrder, TimedWork};
-use crate::gateway::forward::lost;
+use crate::gateway::forward::lost_answer;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::port::{SendMode, SendOrder};
 use crate::gateway::reading::HandleGuard;
@@ -24,19 +24,19 @@
 use crate::target_life::TargetLife;
 
 /// Time to come back after a refusal by an engine.
-pub(super) const ENGINE_BUSY_WAIT: Duration = Duration::from_millis(200);
+pub(super) const ENGINE_BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Largest failure of an engine that is passed on, in bytes.
-const MOST_FAILURE_BYTES: usize = 1 << 20;
+const MAX_FAILURE_BYTES: usize = 1 << 20;
 /// Shortest time after which callers give up a stream without a first event, as the
 /// users state it; so are the two below.
-const SHORTEST_PATIENCE: Duration = Duration::from_secs(2);
-const PATIENCE_OBJECTIVES: u32 = 4;
-const PATIENCE_GAPS: u32 = 8;
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
+const CALLER_TIMEOUT_GAPS: u32 = 8;
 /// Part of that time which a request may spend waiting for others. Its own reading
 /// is not counted, or the largest prompts would be refused first.
-const LATE_SHARE: f64 = 0.7;
+const MAX_QUEUE_SHARE: f64 = 0.7;
 /// Time to come back after a refusal for overload.
-const OVERLOAD_WAIT: Duration = Duration::from_millis(900);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(900);
 
 impl Gateway {
     /// Runs a generation request up to the head of its answer.
@@ -45,50 +45,50 @@
     ///
     /// Returns the failure that the caller is told.
     pub async fn generate(self: Rc<Self>, call: Rc<RoutedCall>) -> Result<Reply, Failure> {
-        let mut trail = SendTrail::default();
-        let started = self.generate_along(&call, &mut trail).await;
+        let mut history = SendTrail::default();
+        let started = self.generate_with_history(&call, &mut history).await;
         started.map_err(|failure| match failure.retry_after {
-            Some(_) if trail.may_have_run => lost(&call, failure.reason),
+            Some(_) if history.may_have_run => lost_answer(&call, failure.reason),
             _ => failure,
         })
     }
 
-    async fn generate_along(
+    async fn generate_with_history(
         self: &Rc<Self>,
         call: &Rc<RoutedCall>,
-        trail: &mut SendTrail,
+        history: &mut SendTrail,
     ) -> Result<Reply, Failure> {
-        let mut last = Failure::refused("no engine is known", ENGINE_BUSY_WAIT);
-        while let Some(place) = self.place_by_fleet(call, trail).await {
+        let mut last = Failure::refused("no engine is known", ENGINE_BUSY_RETRY_AFTER);
+        while let Some(place) = self.place_by_fleet(call, history).await {
             self.check_still(&call.access)?;
             self.check_held(call)?;
-            if let Some(refusal) = too_late(call, &place) {
+            if let Some(refusal) = overload_refusal(call, &place) {
                 return Err(refusal);
             }
-            self.note_placed(call, &place);
-            let handle = self.read_ahead(call, &place, trail).await?;
-            let place = self.with_writer(call, place, handle.is_some(), trail);
-            match self.start(call, &place, handle, trail).await {
+            self.record_placement(call, &place);
+            let handle = self.read_ahead(call, &place, history).await?;
+            let place = self.reselect_decode_engine(call, place, handle.is_some(), history);
+            match self.start(call, &place, handle, history).await {
                 Started::Reply(reply) => return Ok(reply),
-                Started::Again(failure) => last = failure,
-                Started::Ended(failure) => return Err(failure),
+                Started::Retry(failure) => last = failure,
+                Started::Failed(failure) => return Err(failure),
             }
         }
         Err(last)
     }
 
-    fn with_writer(
+    fn reselect_decode_engine(
         &self,
         call: &RoutedCall,
         mut place: EnginePlace,
         was_read: bool,
-        trail: &SendTrail,
+        history: &SendTrail,
     ) -> EnginePlace {
         if place.reader.is_none() || !was_read {
             return place;
         }
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
-        let writer = self.with_choices(call, trail, |choices| {
+        let writer = self.with_choices(call, history, |choices| {
             let core = self.core.borrow();
             core.writer(&choices, &prompt, urgency, clock::mono_now())
         });
@@ -96,7 +96,7 @@
         place
     }
 
-    fn note_placed(&self, call: &RoutedCall, place: &EnginePlace) {
+    fn record_placement(&self, call: &RoutedCall, place: &EnginePlace) {
         let now = clock::mono_now();
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
@@ -133,7 +133,7 @@
         call: &Rc<RoutedCall>,
         place: &EnginePlace,
         mut handle: Option<HandleGuard>,
-        trail: &mut SendTrail,
+        history: &mut SendTrail,
     ) -> Started {
         let writer = &place.writer;
         let unread = match handle {
@@ -141,12 +141,12 @@
             None => place.unread_tokens,
         };
         let mut work = WorkGuard::begin(self, &writer.id, place.rank, unread);
-        let mut timed = self.timed_start(place, handle.is_some());
+        let mut timed = self.timed_work(place, handle.is_some());
         let fetch_from = place.fetch_from.as_deref().filter(|_| handle.is_none());
         let sent = Instant::now();
         let mode = handle.as_ref().map_or(SendMode::Run, HandleGuard::mode);
         let mut outcome = self
-            .send_writer(call, writer, mode, fetch_from, place.rank, sent)
+            .send_run(call, writer, mode, fetch_from, place.rank, sent)
             .await;
         if handle.is_some() && matches!(outcome, SendOutcome::Refused(_)) {
             // The memory could not be had. The same engine can still read by itself,
@@ -158,53 +158,53 @@
                 timed = None;
                 let fetch_from = Some(place.reader.as_deref().unwrap_or(writer));
                 outcome = self
-                    .send_writer(call, writer, SendMode::Run, fetch_from, place.rank, sent)
+                    .send_run(call, writer, SendMode::Run, fetch_from, place.rank, sent)
                     .await;
             }
         }
         let failure = match outcome {
             SendOutcome::Answered(answer) => {
-                trail.sent.push(writer.id.clone());
+                history.sent.push(writer.id.clone());
                 if let Some(handle) = &mut handle {
                     handle.forget();
                 }
                 if !answer.head.status.is_success() {
-                    return self.fail_with(call, writer, *answer).await;
+                    return self.pass_on_failure(call, writer, *answer).await;
                 }
                 self.note_held(call, writer);
                 work.note_read();
                 let watch = FirstEventWatch { sent, timed };
-                let relay = self.relay(call, place, *answer, trail.clone(), (work, watch));
+                let relay = self.relay(call, place, *answer, history.clone(), (work, watch));
                 return Started::Reply(relay);
             }
             SendOutcome::NotSent(reason) => {
-                trail.unreached.push(writer.id.clone());
-                return Started::Again(Failure::refused(reason, ENGINE_BUSY_WAIT));
+                history.unreached.push(writer.id.clone());
+                return Started::Retry(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
             }
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                trail.unreached.push(writer.id.clone());
+                history.unreached.push(writer.id.clone());
                 let reason = "the engine left its address or does other work now";
-                let failure = Failure::refused(reason, ENGINE_BUSY_WAIT);
+                let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
                 // The next send is a repeat, as this one arrived somewhere.
                 return if self.may_repeat(call) {
-                    Started::Again(failure)
+                    Started::Retry(failure)
                 } else {
-                    Started::Ended(failure)
+                    Started::Failed(failure)
                 };
             }
-            SendOutcome::Refused(reason) => Failure::refused(reason, ENGINE_BUSY_WAIT),
+            SendOutcome::Refused(reason) => Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER),
             SendOutcome::Unclear(reason) => {
-                trail.may_have_run = true;
-                lost(call, reason)
+                history.may_have_run = true;
+                lost_answer(call, reason)
             }
         };
-        trail.sent.push(writer.id.clone());
+        history.sent.push(writer.id.clone());
         let refused = failure.retry_after.is_some();
         let repeats = refused || call.route.repeat.may_repeat();
-        if repeats && trail.may_send(call) && self.may_repeat(call) {
-            return Started::Again(failure);
+        if repeats && history.may_send(call) && self.may_repeat(call) {
+            return Started::Retry(failure);
         }
-        Started::Ended(failure)
+        Started::Failed(failure)
     }
 
     /// Notes the time of work at an engine.
@@ -218,7 +218,7 @@
 
     // Other work that a writer takes up between the choice and the send is not in the
     // size, as it would not be for the next choice.
-    fn timed_start(&self, place: &EnginePlace, was_read: bool) -> Option<TimedWork> {
+    fn timed_work(&self, place: &EnginePlace, was_read: bool) -> Option<TimedWork> {
         let writer = &place.writer;
         if !was_read {
             let chosen = place.reader.is_none();
@@ -233,7 +233,7 @@
         })
     }
 
-    async fn send_writer(
+    async fn send_run(
         &self,
         call: &RoutedCall,
         writer: &TargetRecord,
@@ -248,7 +248,7 @@
         };
         let resume_after = call.caller.resume_after;
         let order = self.order(call, writer, mode, resume_after, fetch_from, rank);
-        let outcome = self.send(writer, call.plan(call.due), &order).await;
+        let outcome = self.send(writer, call.plan(call.deadline), &order).await;
         call.log_send(writer, step, outcome.as_str(), sent);
         outcome
     }
@@ -280,7 +280,7 @@
         call: &Rc<RoutedCall>,
         place: &EnginePlace,
         answer: TargetAnswer,
-        trail: SendTrail,
+        history: SendTrail,
         (work, watch): (WorkGuard, FirstEventWatch),
     ) -> Reply {
         let head = answer.head.clone();
@@ -289,31 +289,31 @@
             call.clone(),
             place.writer.clone(),
             answer,
-            trail,
+            history,
             work,
             watch,
         );
         stream_reply(head, relay.into_frames())
     }
 
-    async fn fail_with(
+    async fn pass_on_failure(
         &self,
         call: &RoutedCall,
         engine: &TargetRecord,
         answer: TargetAnswer,
     ) -> Started {
         self.note_result(engine, SendResult::Failed);
-        let body = client::read_body(answer.body, MOST_FAILURE_BYTES, call.due).await;
+        let body = client::read_body(answer.body, MAX_FAILURE_BYTES, call.deadline).await;
         match body {
             Ok(body) => {
                 answer.lease.give_back(&answer.head);
                 Started::Reply(whole_reply(answer.head, body))
             }
-            Err(fault) => {
-                if let BodyFault::Cut(reason) = &fault {
+            Err(error) => {
+                if let BodyFault::Cut(reason) = &error {
                     self.note_cut(call, engine, reason);
                 }
-                Started::Ended(lost(call, fault.to_string()))
+                Started::Failed(lost_answer(call, error.to_string()))
             }
         }
     }
@@ -330,9 +330,9 @@
 
     /// Chooses the engines of a request among those that its trail leaves.
     #[must_use]
-    pub fn place(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    pub fn place(&self, call: &RoutedCall, history: &SendTrail) -> Option<EnginePlace> {
         let prompt = call.prompt();
-        self.with_choices(call, trail, |choices| {
+        self.with_choices(call, history, |choices| {
             let order = PlaceOrder {
                 choices,
                 prompt: &prompt,
@@ -356,18 +356,18 @@
     /// changed its stage since a request arrived.
     #[must_use]
     pub fn staying(&self, engines: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>> {
-        let newest = self.view();
-        let staying = engines.iter().filter_map(|engine| newest.find(&engine.id));
+        let current = self.view();
+        let staying = engines.iter().filter_map(|engine| current.find(&engine.id));
         staying.cloned().collect()
     }
 
     pub(super) fn with_choices<T>(
         &self,
         call: &RoutedCall,
-        trail: &SendTrail,
+        history: &SendTrail,
         decide: impl FnOnce(EngineChoices<'_>) -> T,
     ) -> T {
-        let excluded: Vec<TargetLife> = trail.tried().cloned().collect();
+        let excluded: Vec<TargetLife> = history.tried().cloned().collect();
         decide(EngineChoices {
             engines: &self.staying(call.view.of_service(&call.service.name)),
             changing: &self.changing(),
@@ -378,22 +378,22 @@
 
 // A caller of a stream gives up when the first event does not come. Work for it
 // would be in vain and hold up others; told at once, it may come back in time.
-fn too_late(call: &RoutedCall, place: &EnginePlace) -> Option<Failure> {
+fn overload_refusal(call: &RoutedCall, place: &EnginePlace) -> Option<Failure> {
     let gap = call.route.gap_objective.unwrap_or_default();
-    let patience = SHORTEST_PATIENCE
-        .max(call.route.objective * PATIENCE_OBJECTIVES)
-        .max(gap * PATIENCE_GAPS);
-    let left = patience.saturating_sub(call.arrived.elapsed());
+    let caller_timeout = MIN_CALLER_TIMEOUT
+        .max(call.route.objective * CALLER_TIMEOUT_OBJECTIVES)
+        .max(gap * CALLER_TIMEOUT_GAPS);
+    let left = caller_timeout.saturating_sub(call.arrived.elapsed());
     let waiting_ms = place.expected_ms - place.own_ms;
-    let late = waiting_ms > left.as_secs_f64() * 1_000.0 * LATE_SHARE;
-    late.then(|| {
+    let overloaded = waiting_ms > left.as_secs_f64() * 1_000.0 * MAX_QUEUE_SHARE;
+    overloaded.then(|| {
         let reason = format!("the first event would take {:.0} ms", place.expected_ms);
-        Failure::refused(reason, OVERLOAD_WAIT)
+        Failure::refused(reason, OVERLOAD_RETRY_AFTER)
     })
 }
 
 enum Started {
     Reply(Reply),
-    Again(Failure),
-    Ended(Failure),
+    Retry(Failure),
+    Failed(Failure),
 }
--- a/src/gateway/head_clock.rs
+++ b/src/gateway/head_clock.rs
@@ -27,45 +27,45 @@
 
 /// Clock of one connection.
 #[derive(Debug)]
-pub struct HeadClock {
+pub struct HeaderTimer {
     phase: Cell<HeadPhase>,
-    begun: Notify,
+    head_started: Notify,
 }
 
-impl Default for HeadClock {
+impl Default for HeaderTimer {
     fn default() -> Self {
         Self {
             phase: Cell::new(HeadPhase::Idle),
-            begun: Notify::new(),
+            head_started: Notify::new(),
         }
     }
 }
 
-impl HeadClock {
+impl HeaderTimer {
     /// Notes that a head was read and its request is served.
-    pub fn note_head(&self) {
+    pub fn head_received(&self) {
         self.phase.set(HeadPhase::Serving);
     }
 
     /// Notes that a request was answered.
-    pub fn note_answered(&self) {
+    pub fn answer_sent(&self) {
         self.phase.set(HeadPhase::Idle);
     }
 
-    fn note_bytes(&self) {
+    fn bytes_received(&self) {
         if self.phase.get() == HeadPhase::Idle {
             self.phase.set(HeadPhase::ReadingHead(Instant::now()));
-            self.begun.notify_one();
+            self.head_started.notify_one();
         }
     }
 
     /// Completes when a head has been on its way for longer than `limit`.
-    pub async fn overdue(&self, limit: Duration) {
+    pub async fn timed_out(&self, limit: Duration) {
         loop {
             match self.phase.get() {
                 HeadPhase::ReadingHead(since) if since.elapsed() >= limit => return,
                 HeadPhase::ReadingHead(since) => sleep_until(since + limit).await,
-                HeadPhase::Idle | HeadPhase::Serving => self.begun.notified().await,
+                HeadPhase::Idle | HeadPhase::Serving => self.head_started.notified().await,
             }
         }
     }
@@ -74,14 +74,14 @@
 /// A caller's connection that tells its clock of each byte.
 pub struct TimedStream {
     inner: TcpStream,
-    clock: Rc<HeadClock>,
+    timer: Rc<HeaderTimer>,
 }
 
 impl TimedStream {
     /// Wraps a connection.
     #[must_use]
-    pub fn new(inner: TcpStream, clock: Rc<HeadClock>) -> Self {
-        Self { inner, clock }
+    pub fn new(inner: TcpStream, timer: Rc<HeaderTimer>) -> Self {
+        Self { inner, timer }
     }
 }
 
@@ -94,7 +94,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.clock.note_bytes();
+            self.timer.bytes_received();
         }
         polled
     }
--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -19,9 +19,9 @@
 const QUEUE_LINES: usize = 2_048;
 
 /// Longest wait for the last lines at the end of the process.
-const FLUSH_WAIT: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often it is looked whether they are written.
-const FLUSH_STEP: Duration = Duration::from_millis(2);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Lines handed over, written and dropped.
 #[derive(Debug, Default)]
@@ -41,10 +41,10 @@
     /// The writing thread ends with the process. Without this the last lines, which
     /// tell why a process ended, would be lost.
     pub fn flush(&self) {
-        let until = Instant::now() + FLUSH_WAIT;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let queued = self.0.queued.load(Ordering::Acquire);
-        while self.0.written.load(Ordering::Acquire) < queued && Instant::now() < until {
-            thread::sleep(FLUSH_STEP);
+        while self.0.written.load(Ordering::Acquire) < queued && Instant::now() < deadline {
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
     }
 }
@@ -83,12 +83,12 @@
     let (lines, queue) = sync_channel(QUEUE_LINES);
     let counts = Arc::new(LineCounts::default());
     let handle = JournalHandle(counts.clone());
-    let counted = counts.clone();
+    let thread_counts = counts.clone();
     // Without the thread there are no lines; the process itself can still serve.
     let _ = thread::Builder::new()
         .name("log".to_owned())
         .stack_size(128 * 1024)
-        .spawn(move || write_lines(&queue, &counted));
+        .spawn(move || write_lines(&queue, &thread_counts));
     let writer = QueueWriter { lines, counts };
     let boxed: Box<dyn Write + Send> = Box::new(writer);
     Dispatch::new()
@@ -107,7 +107,7 @@
 
 fn write_lines(queue: &Receiver<Vec<u8>>, counts: &LineCounts) {
     let mut out = BufWriter::new(io::stdout());
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(line) = queue.recv() {
         let mut batch = 1;
         let mut wrote = out.write_all(&line);
@@ -116,8 +116,8 @@
             wrote = wrote.and_then(|()| out.write_all(&line));
         }
         let lost = counts.dropped.load(Ordering::Relaxed);
-        if lost > told {
-            told = lost;
+        if lost > reported {
+            reported = lost;
             let line = format!("{{\"message\":\"log lines dropped\",\"count\":{lost}}}\n");
             wrote = wrote.and_then(|()| out.write_all(line.as_bytes()));
         }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -16,7 +16,7 @@
 pub const LONGEST_IDLE: Duration = Duration::from_millis(4_000);
 /// Taken from the keeping time that a target states, because its clock started
 /// before its answer arrived here.
-const KEEP_MARGIN: Duration = Duration::from_millis(600);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
 
 /// Idle connections by life of the target, newest last. A target that started again
 /// knows nothing of a connection from before; a request sent on one would be lost.
@@ -29,30 +29,33 @@
 impl LinkPool {
     /// Takes the most recently used connection that is still good.
     pub fn take(&mut self, target: &TargetLife, now: Instant) -> Option<HttpLink> {
-        let links = self.idle.get_mut(target)?;
-        while let Some(link) = links.pop() {
-            if is_fresh(&link, now) {
-                return Some(link);
+        let connections = self.idle.get_mut(target)?;
+        while let Some(connection) = connections.pop() {
+            if is_reusable(&connection, now) {
+                return Some(connection);
             }
         }
         None
     }
 
     /// Puts a connection back after a whole answer that lets it stay open.
-    pub fn put(&mut self, target: &TargetLife, mut link: HttpLink, headers: &HeaderMap) {
+    pub fn put(&mut self, target: &TargetLife, mut connection: HttpLink, headers: &HeaderMap) {
         let now = Instant::now();
-        if says_close(headers) {
+        if asks_to_close(headers) {
             return;
         }
-        link.idle_since = now;
-        link.kept_until = keeping_time(headers).map(|keep| now + keep);
-        self.idle.entry(target.clone()).or_default().push(link);
+        connection.idle_since = now;
+        connection.kept_until = keep_alive_timeout(headers).map(|keep| now + keep);
+        self.idle
+            .entry(target.clone())
+            .or_default()
+            .push(connection);
     }
 
     /// Notes a connection in use, or one given back.
-    pub fn note_busy(&mut self, target: &TargetLife, began: bool) {
+    pub fn note_busy(&mut self, target: &TargetLife, in_use: bool) {
         let busy = self.busy.entry(target.clone()).or_default();
-        *busy = if began {
+        *busy = if in_use {
             *busy + 1
         } else {
             busy.saturating_sub(1)
@@ -69,21 +72,21 @@
 
     /// Closes connections that have been idle for too long.
     pub fn sweep(&mut self, now: Instant) {
-        for links in self.idle.values_mut() {
-            links.retain(|link| is_fresh(link, now));
+        for connections in self.idle.values_mut() {
+            connections.retain(|connection| is_reusable(connection, now));
         }
-        self.idle.retain(|_, links| !links.is_empty());
+        self.idle.retain(|_, connections| !connections.is_empty());
         self.busy.retain(|_, busy| *busy > 0);
     }
 }
 
-fn is_fresh(link: &HttpLink, now: Instant) -> bool {
-    let rested = now.saturating_duration_since(link.idle_since) < LONGEST_IDLE;
-    let kept = link.kept_until.is_none_or(|until| now < until);
-    rested && kept && link.is_open()
+fn is_reusable(connection: &HttpLink, now: Instant) -> bool {
+    let recently_used = now.saturating_duration_since(connection.idle_since) < LONGEST_IDLE;
+    let kept = connection.kept_until.is_none_or(|until| now < until);
+    recently_used && kept && connection.is_open()
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn asks_to_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     values
         .filter_map(|value| value.to_str().ok())
@@ -92,11 +95,11 @@
 }
 
 // A target that keeps a connection for whole seconds says so as `timeout=N`.
-fn keeping_time(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
         .split(',')
         .filter_map(|part| part.trim().strip_prefix("timeout="))
         .find_map(|number| number.trim().parse().ok())?;
-    Some(Duration::from_secs(seconds).saturating_sub(KEEP_MARGIN))
+    Some(Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN))
 }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -13,7 +13,7 @@
 use crate::gateway::deciding::EngineChoices;
 use crate::gateway::deciding::engine_choice::EnginePlace;
 use crate::gateway::deciding::health::SendResult;
-use crate::gateway::generate::ENGINE_BUSY_WAIT;
+use crate::gateway::generate::ENGINE_BUSY_RETRY_AFTER;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::port::{CacheHandle, SendMode};
 use crate::gateway::reply::Failure;
@@ -21,13 +21,13 @@
 use crate::target_life::TargetLife;
 
 /// Largest answer to a reading of a prompt, in bytes.
-const MOST_READ_ANSWER: usize = 64 * 1024;
+const MAX_PREFILL_ANSWER_BYTES: usize = 64 * 1024;
 /// Shortest wait for a reading before it is asked for elsewhere.
-const SHORTEST_READ_WAIT: Duration = Duration::from_millis(1_500);
+const MIN_PREFILL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest time, in expected times, for a reading.
-const READ_PATIENCE: f64 = 4.0;
+const PREFILL_TIMEOUT_FACTOR: f64 = 4.0;
 /// Readings asked for before the decode engine reads itself.
-const MOST_READINGS: u32 = 2;
+const MAX_PREFILL_ATTEMPTS: u32 = 2;
 
 impl Gateway {
     // Reads the prompt where that pays. One reading that an engine takes up is no
@@ -38,26 +38,26 @@
         self: &Rc<Self>,
         call: &Rc<RoutedCall>,
         place: &EnginePlace,
-        trail: &mut SendTrail,
+        history: &mut SendTrail,
     ) -> Result<Option<HandleGuard>, Failure> {
         let Some(mut reader) = place.reader.clone() else {
             return Ok(None);
         };
-        if trail.prompt_read && !self.may_repeat(call) {
+        if history.prompt_read && !self.may_repeat(call) {
             return Ok(None);
         }
         let mut tried: Vec<TargetLife> = Vec::new();
-        for _ in 0..MOST_READINGS {
-            match self.read_prompt(call, &reader, place).await {
-                Reading::Kept(handle) => {
-                    trail.prompt_read = true;
+        for _ in 0..MAX_PREFILL_ATTEMPTS {
+            match self.send_prefill(call, &reader, place).await {
+                PrefillResult::Cached(handle) => {
+                    history.prompt_read = true;
                     return Ok(Some(handle));
                 }
-                Reading::NotSent => {}
-                Reading::Failed(reason) if !self.may_repeat(call) => {
-                    return Err(Failure::refused(reason, ENGINE_BUSY_WAIT));
+                PrefillResult::NotSent => {}
+                PrefillResult::Failed(reason) if !self.may_repeat(call) => {
+                    return Err(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
                 }
-                Reading::Failed(_) => {}
+                PrefillResult::Failed(_) => {}
             }
             tried.push(reader.id.clone());
             let Some(next) = self.another_reader(call, &tried) else {
@@ -79,16 +79,16 @@
         core.another_reader(&choices, &prompt, urgency, clock::mono_now())
     }
 
-    async fn read_prompt(
+    async fn send_prefill(
         self: &Rc<Self>,
         call: &Rc<RoutedCall>,
         reader: &Arc<TargetRecord>,
         place: &EnginePlace,
-    ) -> Reading {
+    ) -> PrefillResult {
         let sent = Instant::now();
         let _work = WorkGuard::begin(self, &reader.id, place.rank, place.unread_tokens);
-        let patience = Duration::from_secs_f64(place.expected_ms * READ_PATIENCE / 1_000.0);
-        let until = sent + patience.max(SHORTEST_READ_WAIT);
+        let timeout = Duration::from_secs_f64(place.expected_ms * PREFILL_TIMEOUT_FACTOR / 1_000.0);
+        let deadline = sent + timeout.max(MIN_PREFILL_TIMEOUT);
         let fetch_from = place.fetch_from.as_deref();
         let order = self.order(
             call,
@@ -98,55 +98,55 @@
             fetch_from,
             place.rank,
         );
-        let outcome = self.send(reader, call.plan(until), &order).await;
-        let until = until.min(call.due);
-        let reading = self.finish_reading(call, reader, outcome, until).await;
-        call.log_send(reader, "read_prompt", reading.as_str(), sent);
-        if let Reading::Kept(_) = reading {
+        let outcome = self.send(reader, call.plan(deadline), &order).await;
+        let deadline = deadline.min(call.deadline);
+        let prefill = self.finish_prefill(call, reader, outcome, deadline).await;
+        call.log_send(reader, "read_prompt", prefill.as_str(), sent);
+        if let PrefillResult::Cached(_) = prefill {
             self.note_held(call, reader);
             // What waits at a reader that was not chosen first is not known here.
             if place.reader.as_ref().is_some_and(|r| r.id == reader.id) {
                 self.note_time(&place.timed_reading(reader), sent.elapsed());
             }
         }
-        reading
+        prefill
     }
 
-    async fn finish_reading(
+    async fn finish_prefill(
         self: &Rc<Self>,
         call: &RoutedCall,
         reader: &Arc<TargetRecord>,
         outcome: SendOutcome,
-        until: Instant,
-    ) -> Reading {
+        deadline: Instant,
+    ) -> PrefillResult {
         let answer = match outcome {
             SendOutcome::Answered(answer) => answer,
-            SendOutcome::NotSent(_) => return Reading::NotSent,
+            SendOutcome::NotSent(_) => return PrefillResult::NotSent,
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
                 let reason = "left its address or does other work now";
-                return Reading::Failed(format!("{} {reason}", reader.id));
+                return PrefillResult::Failed(format!("{} {reason}", reader.id));
             }
             SendOutcome::Refused(reason) | SendOutcome::Unclear(reason) => {
-                return Reading::Failed(reason);
+                return PrefillResult::Failed(reason);
             }
         };
         if !answer.head.status.is_success() {
             self.note_result(reader, SendResult::Failed);
-            return Reading::Failed(format!("{} said {}", reader.id, answer.head.status));
+            return PrefillResult::Failed(format!("{} said {}", reader.id, answer.head.status));
         }
-        let read = client::read_body(answer.body, MOST_READ_ANSWER, until).await;
+        let read = client::read_body(answer.body, MAX_PREFILL_ANSWER_BYTES, deadline).await;
         let body = match read {
             Ok(body) => body,
-            Err(fault) => {
-                self.note_body_fault(call, reader, &fault);
-                return Reading::Failed(fault.to_string());
+            Err(error) => {
+                self.note_body_fault(call, reader, &error);
+                return PrefillResult::Failed(error.to_string());
             }
         };
         let name = match (self.ports.wire.decode_read)(&body) {
             Ok(name) => name,
-            Err(fault) => {
+            Err(error) => {
                 self.note_result(reader, SendResult::Failed);
-                return Reading::Failed(fault.to_string());
+                return PrefillResult::Failed(error.to_string());
             }
         };
         self.note_result(reader, SendResult::Answered);
@@ -156,23 +156,23 @@
             holder: reader.address,
             name,
         };
-        Reading::Kept(HandleGuard::new(self.clone(), reader.clone(), handle))
+        PrefillResult::Cached(HandleGuard::new(self.clone(), reader.clone(), handle))
     }
 }
 
 // What became of the reading of a prompt; nothing has run in any case.
-enum Reading {
-    Kept(HandleGuard),
+enum PrefillResult {
+    Cached(HandleGuard),
     // No byte left.
     NotSent,
     // It arrived at an engine and came to nothing.
     Failed(String),
 }
 
-impl Reading {
+impl PrefillResult {
     fn as_str(&self) -> &'static str {
         match self {
-            Self::Kept(_) => "read",
+            Self::Cached(_) => "read",
             Self::NotSent => "not_sent",
             Self::Failed(_) => "not_read",
         }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -50,7 +50,7 @@
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .filter_map(|word| word.trim().parse().ok())
+        .filter_map(|name| name.trim().parse().ok())
         .collect();
     for name in CONNECTION_HEADERS.iter().chain(&named) {
         headers.remove(name);
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -22,18 +22,18 @@
 
 /// Longest time for a new connection. Connections take a few milliseconds; a
 /// target that needs longer is away, and the request can still go elsewhere.
-const CONNECT_WAIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest idle time of a connection for a request that may not be repeated: if
 /// the target dropped the connection meanwhile, the request would be lost.
-const SURE_IDLE: Duration = Duration::from_millis(1_500);
+const MAX_IDLE_WITHOUT_RETRY: Duration = Duration::from_millis(1_500);
 
 /// Time to free a kept prompt; it expires by itself after some seconds.
-const FREE_WAIT: Duration = Duration::from_millis(800);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Largest answer to the freeing of a prompt, in bytes.
-const MOST_FREE_ANSWER: usize = 16 * 1024;
+const MAX_RELEASE_ANSWER_BYTES: usize = 16 * 1024;
 
 /// Connections to one target that a daemon may always have.
-const FEWEST_CONNECTIONS: u32 = 2;
+const MIN_CONNECTIONS: u32 = 2;
 
 /// What became of a send.
 #[derive(Debug)]
@@ -140,7 +140,7 @@
     /// The caller's request.
     pub call: &'a RoutedCall,
     /// Until when the head of the answer is waited for.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 impl Gateway {
@@ -166,14 +166,14 @@
         let mut lease = LinkLease::new(&self.pool, target);
         let sent = clock::mono_now();
         let outcome = tokio::select! {
-            outcome = self.send_on(&mut lease, &request, plan) => outcome,
+            outcome = self.send_over_connection(&mut lease, &request, plan) => outcome,
             // The target may not have begun it, and is spared then.
             () = self.until_held(plan.call) => {
                 return SendOutcome::Unclear("given up, as its work is held now".to_owned());
             }
         };
         let outcome = match outcome {
-            Ok(response) => self.judge(target, plan.call, order, response, (lease, sent)),
+            Ok(response) => self.classify_answer(target, plan.call, order, response, (lease, sent)),
             Err(SendFault::NotSent(reason)) => SendOutcome::NotSent(reason),
             Err(SendFault::Unclear(reason)) => SendOutcome::Unclear(reason),
             Err(SendFault::Cut(reason)) => {
@@ -185,22 +185,24 @@
         outcome
     }
 
-    async fn send_on(
+    async fn send_over_connection(
         &self,
         lease: &mut LinkLease,
         request: &OutgoingRequest,
         plan: SendPlan<'_>,
     ) -> Result<http::Response<Incoming>, SendFault> {
         let address = lease.record.address;
-        while let Some(mut kept) = self.take_kept(&lease.record.id) {
-            if !plan.call.route.repeat.may_repeat() && kept.idle_since.elapsed() > SURE_IDLE {
+        while let Some(mut idle) = self.take_idle(&lease.record.id) {
+            if !plan.call.route.repeat.may_repeat()
+                && idle.idle_since.elapsed() > MAX_IDLE_WITHOUT_RETRY
+            {
                 continue;
             }
-            match kept.send(request, plan.until).await {
+            match idle.send(request, plan.deadline).await {
                 // Closed before the first byte: a new connection is no second send.
                 Err(SendFault::NotSent(_)) => {}
                 other => {
-                    lease.link = Some(kept);
+                    lease.link = Some(idle);
                     return other;
                 }
             }
@@ -210,10 +212,10 @@
                 "{address} has this daemon's share of connections"
             )));
         }
-        let until = plan.until.min(Instant::now() + CONNECT_WAIT);
+        let deadline = plan.deadline.min(Instant::now() + CONNECT_TIMEOUT);
         metrics::counter!("pistachiowick_target_connections_total").increment(1);
-        let mut link = HttpLink::open(address, until).await?;
-        let answer = link.send(request, plan.until).await;
+        let mut link = HttpLink::open(address, deadline).await?;
+        let answer = link.send(request, plan.deadline).await;
         lease.link = Some(link);
         answer
     }
@@ -226,15 +228,15 @@
         let rule = routes.and_then(|routes| routes.service(&target.service));
         let accepted = rule.map_or(u32::MAX, |rule| rule.most_connections);
         let daemons = u32::try_from(self.daemon_count()).unwrap_or(u32::MAX);
-        (accepted / daemons).max(FEWEST_CONNECTIONS)
+        (accepted / daemons).max(MIN_CONNECTIONS)
     }
 
     // A step of its own, so that the pool is not borrowed across a wait.
-    fn take_kept(&self, target: &TargetLife) -> Option<HttpLink> {
+    fn take_idle(&self, target: &TargetLife) -> Option<HttpLink> {
         self.pool.borrow_mut().take(target, Instant::now())
     }
 
-    fn judge(
+    fn classify_answer(
         &self,
         target: &TargetRecord,
         call: &RoutedCall,
@@ -244,15 +246,15 @@
     ) -> SendOutcome {
         let (head, body) = response.into_parts();
         let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
-        let foreign = marks.request_id.as_deref();
-        if foreign.is_some_and(|answered| answered != call.caller.id) {
+        let answered_id = marks.request_id.as_deref();
+        if answered_id.is_some_and(|answered| answered != call.caller.id) {
             return SendOutcome::Unclear(format!("{} answered another request", target.id));
         }
         if marks.misdirected {
             // An engine that changed its stage refuses in the same way as another target
             // at its address. It has not left: taking it for gone kept it idle for minutes.
-            let by_other = marks.answered_by.is_some_and(|by| by != *target.id.name());
-            return if by_other {
+            let other_target = marks.answered_by.is_some_and(|by| by != *target.id.name());
+            return if other_target {
                 SendOutcome::WrongTarget
             } else {
                 SendOutcome::WrongWork
@@ -296,31 +298,31 @@
     /// Frees a prompt that an engine keeps and that nobody will take.
     pub async fn free_handle(&self, reader: &TargetRecord, name: &str) {
         let query = (self.ports.wire.free_handle)(name);
-        let until = Instant::now() + FREE_WAIT;
+        let deadline = Instant::now() + RELEASE_TIMEOUT;
         let request = query_request(reader, query);
         let mut lease = LinkLease::new(&self.pool, reader);
-        let link = match self.take_kept(&reader.id) {
+        let link = match self.take_idle(&reader.id) {
             Some(link) => Ok(link),
-            None => HttpLink::open(reader.address, until).await,
+            None => HttpLink::open(reader.address, deadline).await,
         };
-        let called = match link {
+        let result = match link {
             Ok(link) => {
                 let link = lease.link.insert(link);
-                client::call(link, &request, MOST_FREE_ANSWER, until).await
+                client::call(link, &request, MAX_RELEASE_ANSWER_BYTES, deadline).await
             }
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
-        match called {
+        match result {
             Ok((head, _)) => lease.give_back(&head),
-            Err(fault) => {
+            Err(error) => {
                 log::debug!(target_id = reader.id.as_str(); "kept prompt not freed, it expires: {fault}");
             }
         }
     }
 
     /// Notes that the body of a target's answer was not read to its end.
-    pub fn note_body_fault(&self, call: &RoutedCall, target: &TargetRecord, fault: &BodyFault) {
-        if let BodyFault::Cut(reason) = fault {
+    pub fn note_body_fault(&self, call: &RoutedCall, target: &TargetRecord, error: &BodyFault) {
+        if let BodyFault::Cut(reason) = error {
             self.note_cut(call, target, reason);
         }
         self.note_result(target, SendResult::Failed);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -24,9 +24,9 @@
 
 /// Silence of an engine after which a resumable stream is continued elsewhere, in
 /// longest allowed pauses. Callers give up after two seconds or more.
-const STALL_GAPS: u32 = 4;
+const STALL_TIMEOUT_GAPS: u32 = 4;
 /// Longest allowed pause where the route states none.
-const DEFAULT_GAP: Duration = Duration::from_millis(300);
+const DEFAULT_GAP_OBJECTIVE: Duration = Duration::from_millis(300);
 
 /// Takes the time to the first event of a stream.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     answer: Option<TargetAnswer>,
     splitter: EventSplitter,
     last_id: Option<u64>,
-    trail: SendTrail,
+    history: SendTrail,
     work: Option<WorkGuard>,
     watch: FirstEventWatch,
     first_event: Option<Instant>,
@@ -70,7 +70,7 @@
         call: Rc<RoutedCall>,
         engine: Arc<TargetRecord>,
         answer: TargetAnswer,
-        trail: SendTrail,
+        history: SendTrail,
         work: WorkGuard,
         watch: FirstEventWatch,
     ) -> Self {
@@ -82,7 +82,7 @@
             answer: Some(answer),
             splitter: EventSplitter::default(),
             last_id,
-            trail,
+            history,
             work: Some(work),
             watch,
             first_event: None,
@@ -131,30 +131,34 @@
     }
 
     async fn step(&mut self) -> RelayStep {
-        let stall = self.stall_limit();
+        let stall_deadline = self.stall_deadline();
         let Some(answer) = &mut self.answer else {
             return RelayStep::Broken("the engine is gone".to_owned());
         };
-        let until = self.call.due.min(stall);
-        match timeout_at(until, answer.body.frame()).await {
-            Err(_) if Instant::now() >= self.call.due => RelayStep::OutOfTime,
+        let deadline = self.call.deadline.min(stall_deadline);
+        match timeout_at(deadline, answer.body.frame()).await {
+            Err(_) if Instant::now() >= self.call.deadline => RelayStep::OutOfTime,
             Err(_) => RelayStep::Broken("the engine stalled".to_owned()),
-            Ok(None) => self.take_end(),
+            Ok(None) => self.finish_body(),
             Ok(Some(Err(error))) if is_timeout(&error) => RelayStep::Broken(error.to_string()),
             Ok(Some(Err(error))) => RelayStep::Cut(error.to_string()),
             Ok(Some(Ok(frame))) => self.take_frame(frame),
         }
     }
 
-    fn stall_limit(&self) -> Instant {
+    fn stall_deadline(&self) -> Instant {
         let now = Instant::now();
         if !self.may_resume() {
-            return self.call.due;
+            return self.call.deadline;
         }
-        let gap = self.call.route.gap_objective.unwrap_or(DEFAULT_GAP);
+        let gap = self
+            .call
+            .route
+            .gap_objective
+            .unwrap_or(DEFAULT_GAP_OBJECTIVE);
         let wait = match self.first_event {
-            Some(_) => gap * STALL_GAPS,
-            None => (gap * STALL_GAPS).max(self.call.route.objective * 2),
+            Some(_) => gap * STALL_TIMEOUT_GAPS,
+            None => (gap * STALL_TIMEOUT_GAPS).max(self.call.route.objective * 2),
         };
         now + wait
     }
@@ -184,7 +188,7 @@
         RelayStep::Bytes(batch.bytes)
     }
 
-    fn take_end(&mut self) -> RelayStep {
+    fn finish_body(&mut self) -> RelayStep {
         let rest = self.splitter.take_rest();
         if rest.is_empty() {
             return RelayStep::Ended;
@@ -193,7 +197,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RepeatRule::ResumableStream && self.trail.may_send(&self.call)
+        self.call.route.repeat == RepeatRule::ResumableStream && self.history.may_send(&self.call)
     }
 
     // Continues after the last whole event that the caller has. The answer keeps
@@ -207,14 +211,14 @@
         self.watch.timed = None;
         self.work = None;
         self.splitter.clear();
-        let Some(place) = self.gateway.place(&self.call, &self.trail) else {
+        let Some(place) = self.gateway.place(&self.call, &self.history) else {
             return false;
         };
         if !self.gateway.may_repeat(&self.call) {
             return false;
         }
         let engine = place.writer;
-        self.trail.sent.push(engine.id.clone());
+        self.history.sent.push(engine.id.clone());
         let mut work = WorkGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
         let order = self.gateway.order(
             &self.call,
@@ -225,7 +229,7 @@
             place.rank,
         );
         let sent = Instant::now();
-        let plan = self.call.plan(self.call.due);
+        let plan = self.call.plan(self.call.deadline);
         let outcome = self.gateway.send(&engine, plan, &order).await;
         log::info!(
             request = self.call.caller.id.as_str(),
