--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,18 +1,19 @@
-//! Which addresses callers are told to use.
+//! Chooses the daemon addresses that callers receive from the directory.
 
 use std::net::SocketAddr;
 
 use crate::gateway::members::DaemonRecord;
 use crate::names::{CentreName, DaemonId};
 
-/// Most addresses in an answer; callers count no more.
+/// Most addresses in a response; callers ignore any beyond these.
 pub const MOST_ADDRESSES: usize = 64;
-/// Fewest daemons of the caller's data centre that are worth naming alone.
+/// Fewest daemons of the caller's data centre for which others are left out.
 const MIN_LOCAL_DAEMONS: usize = 2;
 
-/// Chooses addresses for a caller in `centre`: the daemons there, or all where
-/// these are too few for one to fail. Daemons that leave or for which `usable`
-/// is false are left out; so are those that refuse keys while others do not.
+/// Returns the addresses for a caller in `centre`: those of the daemons there, or of all
+/// daemons where there are too few to survive the failure of one. Leaves out daemons that
+/// are leaving or not `usable`, and those that cannot confirm workspace keys while others
+/// can.
 #[must_use]
 pub fn addresses_for(
     daemons: &[DaemonRecord],
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! Listens for callers, questions to the directory, readiness and metrics.
+//! Listeners for callers' requests, the daemon directory, readiness and metrics.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -23,16 +23,16 @@
 use crate::gateway::head_clock::{HeaderTimer, TimedStream};
 use crate::gateway::reply::{Failure, FailureKind, FrameStream, Reply};
 
-/// Limits before the first configuration says otherwise.
+/// Limits that apply until the first configuration is received.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Smallest buffer of a connection, in bytes.
+
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
-/// How long callers keep the directory's answer. Short, so that a daemon that
-/// stops loses its callers soon; each answer costs a caller one more call.
+/// Longest time for which callers may cache a directory response. Kept short so that
+/// callers soon leave a daemon that stops; each expiry costs a caller one more request.
 const MAX_DIRECTORY_TTL: Duration = Duration::from_secs(2);
-/// Pause after a failed accept, for instance when no descriptor is left.
+/// Pause after a failed accept, for instance when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What a listener serves.
@@ -40,11 +40,11 @@
 pub enum PageKind {
     /// Callers' requests.
     Callers,
-    /// The directory, readiness and metrics.
+    /// Directory, readiness and metrics pages.
     Pages(PrometheusHandle),
 }
 
-/// Accepts connections until the listener is told to stop.
+/// Accepts connections until `closing` becomes true.
 pub async fn accept_loop(
     gateway: Rc<Gateway>,
     listener: TcpListener,
@@ -61,7 +61,7 @@
                     spawn_local(serving);
                 }
                 Err(error) => {
-                    log::warn!("no connection accepted ({error}); trying again");
+                    log::warn!("cannot accept a connection: {error}; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -77,7 +77,7 @@
 ) {
     let _open = matches!(kind, PageKind::Callers).then(|| ConnectionCount::begin(&gateway));
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("connection ended before it was served: {error}");
+        log::debug!("connection closed before its first request: {error}");
         return;
     }
     let view = gateway.view();
@@ -112,7 +112,7 @@
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
         () = timer.timed_out(head_time) => {
-            log::info!(limit_ms = head_time.as_millis() as u64; "connection closed: its caller sent no whole head in time");
+            log::info!(limit_ms = head_time.as_millis() as u64; "connection closed: the caller did not send a complete request head within the limit");
             return;
         }
         _ = closing.wait_for(|close| *close) => {
@@ -121,12 +121,12 @@
         }
     };
     if let Err(error) = ended {
-        log::debug!("caller's connection ended: {error}");
+        log::debug!("caller's connection closed with an error: {error}");
     }
 }
 
-// The next head counts from the end of this answer, which for a stream is its last
-// event.
+// The time limit of the next request head starts when this response ends; for a stream,
+// after its last event.
 fn restart_timer_after(reply: Reply, timer: Rc<HeaderTimer>) -> Reply {
     let (head, body) = reply.into_parts();
     let body = match body {
@@ -153,7 +153,7 @@
     }
 }
 
-// Counts a caller's connection while it is open.
+// Counts an open caller connection until dropped.
 struct ConnectionCount(Rc<Gateway>);
 
 impl ConnectionCount {
--- a/src/gateway/event_split.rs
+++ b/src/gateway/event_split.rs
@@ -1,30 +1,30 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a byte stream into whole server-sent events.
 //!
-//! A target may stop in the middle of an event. What is passed on ends with a
-//! whole event, so that a continuation by another target joins without a seam.
+//! A target may stop in the middle of an event. Only whole events are forwarded, so that
+//! another target can continue the stream exactly after the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, in bytes; a longer one is taken for broken.
+/// A longer event counts as malformed.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events with the number of the last one.
+/// Whole events and the id of the last one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EventBatch {
-    /// Their bytes, unchanged.
+    /// Bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// Number of the last event that bears one.
+    /// Id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Bytes that are not yet a whole event.
+/// Buffers the bytes of an incomplete event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns the whole events that they complete.
+    /// Appends `bytes` and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<EventBatch> {
         self.pending.extend_from_slice(bytes);
         let end = last_event_end(&self.pending)?;
@@ -36,18 +36,18 @@
         })
     }
 
-    /// Whether what is left over is too long for an event.
+    /// Returns whether the incomplete event exceeds the size limit.
     #[must_use]
     pub fn is_overlong(&self) -> bool {
         self.pending.len() > MAX_EVENT_BYTES
     }
 
-    /// Takes what is left over after a clean end.
+    /// Removes and returns the bytes of the incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
-    /// Forgets what is left over.
+    /// Discards the bytes of the incomplete event.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/src/gateway/head_clock.rs
+++ b/src/gateway/head_clock.rs
@@ -1,9 +1,9 @@
-//! Bounds the time in which a caller sends the head of a request.
+//! Time limit for receiving the head of a request.
 //!
-//! The HTTP library has one limit for waiting and for reading a head. Callers may
-//! leave a connection idle for long but, once they begin, have to send the head
-//! soon: a connection that trickles bytes would otherwise be held for the whole
-//! idle time, and a few thousand of them take all descriptors.
+//! The HTTP library applies a single time-out to idle waiting and to reading a head.
+//! Callers may leave a connection idle for long, but must send a head quickly once they
+//! have started it. Otherwise a connection that trickles bytes stays open for the whole
+//! idle time-out, and a few thousand of them exhaust the file descriptors.
 
 use std::cell::Cell;
 use std::io;
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// What a connection is doing.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum HeadPhase {
     Idle,
@@ -25,7 +25,7 @@
     Serving,
 }
 
-/// Clock of one connection.
+/// Measures how long one connection takes to send a request head.
 #[derive(Debug)]
 pub struct HeaderTimer {
     phase: Cell<HeadPhase>,
@@ -42,12 +42,12 @@
 }
 
 impl HeaderTimer {
-    /// Notes that a head was read and its request is served.
+    /// Records that a whole head was received and its request is being served.
     pub fn head_received(&self) {
         self.phase.set(HeadPhase::Serving);
     }
 
-    /// Notes that a request was answered.
+    /// Records that the response was sent and the connection is idle.
     pub fn answer_sent(&self) {
         self.phase.set(HeadPhase::Idle);
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Completes when a head has been on its way for longer than `limit`.
+    /// Completes when a head has been incomplete for longer than `limit`.
     pub async fn timed_out(&self, limit: Duration) {
         loop {
             match self.phase.get() {
@@ -71,14 +71,14 @@
     }
 }
 
-/// A caller's connection that tells its clock of each byte.
+/// A caller's connection that reports received bytes to its [`HeaderTimer`].
 pub struct TimedStream {
     inner: TcpStream,
     timer: Rc<HeaderTimer>,
 }
 
 impl TimedStream {
-    /// Wraps a connection.
+    /// Wraps `inner`.
     #[must_use]
     pub fn new(inner: TcpStream, timer: Rc<HeaderTimer>) -> Self {
         Self { inner, timer }
--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -1,7 +1,7 @@
-//! Log lines on standard output that never hold up the work they tell of.
+//! Non-blocking logging to standard output.
 //!
-//! Lines go through a bounded queue to a thread of their own. A reader that does
-//! not keep up costs lines, which are counted, and never a request its time.
+//! A separate thread writes the lines from a bounded queue. If the reader of standard
+//! output does not keep up, lines are dropped and counted; requests are never delayed.
 
 use std::io::{self, BufWriter, Write};
 use std::sync::Arc;
@@ -15,15 +15,15 @@
 
 use crate::logging::{self, LogError};
 
-/// Lines that may wait to be written; about half a megabyte.
+/// Capacity of the line queue; about half a megabyte.
 const QUEUE_LINES: usize = 2_048;
 
-/// Longest wait for the last lines at the end of the process.
+/// Longest wait for queued lines at process exit.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often it is looked whether they are written.
+
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Lines handed over, written and dropped.
+/// Numbers of lines queued, written and dropped.
 #[derive(Debug, Default)]
 struct LineCounts {
     queued: AtomicU64,
@@ -31,15 +31,15 @@
     dropped: AtomicU64,
 }
 
-/// Handle of the log.
+/// Handle for flushing the log.
 #[derive(Debug)]
 pub struct JournalHandle(Arc<LineCounts>);
 
 impl JournalHandle {
-    /// Waits until the lines so far are written, for half a second at most.
+    /// Waits until the lines queued so far are written, for half a second at most.
     ///
-    /// The writing thread ends with the process. Without this the last lines, which
-    /// tell why a process ended, would be lost.
+    /// The writer thread ends with the process, so without a flush the last lines, which
+    /// say why the process ended, would be lost.
     pub fn flush(&self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         let queued = self.0.queued.load(Ordering::Acquire);
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writer that hands each line to the queue.
+/// Writer that queues each line.
 struct QueueWriter {
     lines: SyncSender<Vec<u8>>,
     counts: Arc<LineCounts>,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Starts logging for the process.
+/// Installs the logger of the process.
 ///
 /// # Errors
 ///
@@ -84,7 +84,7 @@
     let counts = Arc::new(LineCounts::default());
     let handle = JournalHandle(counts.clone());
     let thread_counts = counts.clone();
-    // Without the thread there are no lines; the process itself can still serve.
+    // If the thread cannot be started, the process serves requests without logging.
     let _ = thread::Builder::new()
         .name("log".to_owned())
         .stack_size(128 * 1024)
@@ -95,7 +95,7 @@
         .format(|out, message, record| {
             out.finish(format_args!("{}", logging::json_line(message, record)));
         })
-        // Libraries report their inner workings at lower levels.
+        // Libraries log internal details below `warn`.
         .level(level.min(LevelFilter::Warn))
         .level_for("pistachiowick", level)
         .level_for("pistachiowick_platform", level)
@@ -121,7 +121,7 @@
             let line = format!("{{\"message\":\"log lines dropped\",\"count\":{lost}}}\n");
             wrote = wrote.and_then(|()| out.write_all(line.as_bytes()));
         }
-        // Standard output that is gone leaves nowhere to say so.
+        // If standard output is closed, there is nowhere to report the error.
         let _ = wrote.and_then(|()| out.flush());
         counts.written.fetch_add(batch, Ordering::Release);
     }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to targets, within what each target accepts.
+//! Pool of connections to targets.
 
 use std::time::Duration;
 
@@ -10,16 +10,17 @@
 use crate::gateway::client::HttpLink;
 use crate::target_life::TargetLife;
 
-/// Longest idle time of a kept connection. Targets may drop an idle one without
-/// notice, and a request that must not run twice is lost with it; one that was
-/// used within the last seconds is almost always still there.
+/// Longest idle time of a pooled connection. Targets may close an idle connection without
+/// notice, and a request sent on it that must not run twice is lost. A connection used
+/// within the last few seconds is almost always still open.
 pub const LONGEST_IDLE: Duration = Duration::from_millis(4_000);
-/// Taken from the keeping time that a target states, because its clock started
-/// before its answer arrived here.
+/// Subtracted from a target's keep-alive timeout, which started before its response
+/// arrived here.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
 
-/// Idle connections by life of the target, newest last. A target that started again
-/// knows nothing of a connection from before; a request sent on one would be lost.
+/// Idle connections, most recently used last, and numbers of busy ones, by incarnation of
+/// the target. Connections do not survive a restart of the target; a request sent on an
+/// old one would be lost.
 #[derive(Debug, Default)]
 pub struct LinkPool {
     idle: IndexMap<TargetLife, Vec<HttpLink>>,
@@ -27,7 +28,7 @@
 }
 
 impl LinkPool {
-    /// Takes the most recently used connection that is still good.
+    /// Takes the most recently used connection that can be reused.
     pub fn take(&mut self, target: &TargetLife, now: Instant) -> Option<HttpLink> {
         let connections = self.idle.get_mut(target)?;
         while let Some(connection) = connections.pop() {
@@ -38,7 +39,7 @@
         None
     }
 
-    /// Puts a connection back after a whole answer that lets it stay open.
+    /// Returns a connection to the pool after a whole answer, unless `headers` ask to close it.
     pub fn put(&mut self, target: &TargetLife, mut connection: HttpLink, headers: &HeaderMap) {
         let now = Instant::now();
         if asks_to_close(headers) {
@@ -52,7 +53,7 @@
             .push(connection);
     }
 
-    /// Notes a connection in use, or one given back.
+    /// Counts a connection that is now in use, or no longer in use.
     pub fn note_busy(&mut self, target: &TargetLife, in_use: bool) {
         let busy = self.busy.entry(target.clone()).or_default();
         *busy = if in_use {
@@ -62,7 +63,7 @@
         };
     }
 
-    /// Connections open to a target, busy and idle.
+    /// Returns the number of open connections to a target, busy and idle.
     #[must_use]
     pub fn open(&self, target: &TargetLife) -> u32 {
         let busy = self.busy.get(target).copied().unwrap_or(0);
@@ -70,7 +71,7 @@
         busy + u32::try_from(idle).unwrap_or(u32::MAX)
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that can no longer be reused.
     pub fn sweep(&mut self, now: Instant) {
         for connections in self.idle.values_mut() {
             connections.retain(|connection| is_reusable(connection, now));
@@ -94,7 +95,7 @@
         .any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-// A target that keeps a connection for whole seconds says so as `timeout=N`.
+// Parses `timeout=N`, in seconds.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a target's own, or a failure of the gateway.
+//! Answers to callers: those of targets, and failures reported by the gateway.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use hyper::body::Frame;
 use thiserror::Error;
 
-/// A stream that ended before its last byte; the caller's connection is broken, so
-/// that a short answer never looks whole.
+/// An answer that ended before its last byte. The caller's connection is aborted, so that
+/// a truncated answer never looks complete.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("the answer was cut: {0}; ask again if the request may be repeated")]
+#[error("the answer was truncated: {0}; retry if the request may run twice")]
 pub struct AnswerCut(pub String);
 
-/// Frames of a body that is passed on as it arrives.
+/// Frames of a body that is forwarded as it arrives.
 pub type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, AnswerCut>>>>;
 
 /// Body of an answer to a caller.
@@ -30,7 +30,7 @@
 pub type Reply = Response<ReplyBody>;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -42,8 +42,7 @@
     UPGRADE,
 ];
 
-/// Removes headers that concern one connection only, also those that the
-/// connection header names.
+/// Removes hop-by-hop headers, including those named in the `Connection` header.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -57,29 +56,29 @@
     }
 }
 
-/// A failure that the gateway itself answers with.
+/// Kind of a failure that the gateway reports to a caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureKind {
-    /// The caller's bytes cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// The caller shows no key of a workspace.
+    /// The request has no valid workspace key.
     UnknownKey,
-    /// No route for host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The body is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The caller did not send its request in time. It has not run.
+    /// The caller did not send its whole request in time. The request has not run.
     SlowCaller,
-    /// Nothing was run; the caller may come back.
+    /// The request has not run; the caller may retry later.
     Refused,
-    /// The request may have run, and its answer is lost.
+    /// The request may have run, but its answer was lost.
     Unclear,
-    /// The time is up.
+    /// The deadline has passed.
     OutOfTime,
 }
 
 impl FailureKind {
-    /// Returns the status that callers get.
+    /// Returns the HTTP status of the answer.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Returns the outcome's name in logs and metrics.
+    /// Returns the name of the outcome in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -110,20 +109,20 @@
     }
 }
 
-/// A failure with its reason.
+/// A failure that the gateway reports to a caller.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{reason}")]
 pub struct Failure {
-    /// Kind.
+    /// What failed.
     pub kind: FailureKind,
-    /// What happened and what to do.
+    /// What happened, and the remedy.
     pub reason: String,
-    /// When to come back, for what was refused.
+    /// When to retry, if the request was refused.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// Creates a failure.
+    /// Creates a failure without a retry time.
     #[must_use]
     pub fn new(kind: FailureKind, reason: impl Into<String>) -> Self {
         Self {
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Makes the answer.
+    /// Returns the answer that reports the failure.
     #[must_use]
     pub fn reply(&self) -> Reply {
         let text = serde_json::json!({ "error": self.reason }).to_string();
@@ -161,7 +160,7 @@
     }
 }
 
-/// Makes an answer from a target's head and whole body.
+/// Returns an answer with a target's head and whole body.
 #[must_use]
 pub fn whole_reply(head: http::response::Parts, body: Bytes) -> Reply {
     let mut reply = Response::new(Either::Left(Full::new(body)));
@@ -169,7 +168,7 @@
     reply
 }
 
-/// Makes an answer whose body is passed on as it arrives.
+/// Returns an answer with a target's head and a body that is forwarded as it arrives.
 #[must_use]
 pub fn stream_reply(head: http::response::Parts, frames: FrameStream) -> Reply {
     let mut reply = Response::new(Either::Right(StreamBody::new(frames)));
