--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way, and the targets that it was sent to.
+//! A caller's routed request, and the targets that it was sent to.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -19,60 +19,61 @@
 use crate::names::millis;
 use crate::target_life::TargetLife;
 
-/// A caller's request, routed and read.
+/// A caller's request with its route, service and access.
 pub struct RoutedCall {
-    /// Picture of the fleet when it arrived.
+    /// Snapshot of the fleet when the request arrived.
     pub view: Arc<FleetView>,
-    /// Its route.
+    /// Route of the request.
     pub route: RouteRule,
-    /// Service chosen for it.
+    /// Service chosen for the request.
     pub service: ServiceRule,
-    /// What its head says.
+    /// Contents of the request head.
     pub caller: CallerRequest,
-    /// Whom it is for.
+    /// Workspace that the request is for.
     pub access: CallerAccess,
-    /// What is sent on.
+    /// Request to forward.
     pub request: OutgoingRequest,
-    /// Host that it was sent to.
+    /// Host in the request.
     pub host: String,
-    /// Its digest, once it was asked for.
+    /// Digest of the work, computed when first needed.
     pub digest: OnceCell<WorkDigest>,
-    /// Whether it is sent though its work is held, to see whether targets withstand it.
+    /// Whether it is sent although its work is quarantined, to find out whether it still
+    /// crashes targets.
     pub on_trial: Cell<bool>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When its time is up, by the caller's patience and the route's limit.
+    /// Earlier of the caller's deadline and the route's time limit.
     pub deadline: Instant,
 }
 
 impl RoutedCall {
-    /// Time that a target may still spend.
+    /// Returns the time until the deadline.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Time left for an answer of full worth.
+    /// Returns the time left for an answer within the latency objective.
     #[must_use]
     pub fn objective_left(&self) -> Duration {
         let waited = self.arrived.elapsed();
         self.route.objective.saturating_sub(waited)
     }
 
-    /// Its prompt; an empty one where it states none.
+    /// Returns the prompt, or an empty one if the request has none.
     #[must_use]
     pub fn prompt(&self) -> PromptShape {
         self.caller.prompt.clone().unwrap_or_default()
     }
 
-    /// Digest of the work, which attempts of it share.
+    /// Returns the digest of the work, which all its attempts share.
     #[must_use]
     pub fn work(&self) -> WorkDigest {
         let digest = || work_digest(&self.host, &self.request, &self.access);
         *self.digest.get_or_init(digest)
     }
 
-    /// Plan of a send whose answer is waited for until `until`.
+    /// Returns the plan of a send whose answer head is awaited until `deadline`.
     #[must_use]
     pub fn plan(&self, deadline: Instant) -> SendPlan<'_> {
         SendPlan {
@@ -81,14 +82,14 @@
         }
     }
 
-    /// Logs one send with what decided it.
+    /// Logs one send and its outcome.
     pub fn log_send(&self, target: &TargetRecord, step: &str, outcome: &str, sent: Instant) {
         if let Some(missing) = self.view.missing.get(&target.id) {
             log::info!(
                 request = self.caller.id.as_str(),
                 target_id = target.id.as_str(),
                 missing_ms = millis(clock::mono_now().since(missing.since));
-                "sent to a target without an entry"
+                "request sent to a target whose entry is missing from the store"
             );
         }
         log::info!(
@@ -100,13 +101,13 @@
             outcome = outcome,
             took_ms = sent.elapsed().as_millis() as u64,
             left_ms = self.time_left().as_millis() as u64;
-            "sent"
+            "request sent to target"
         );
     }
 }
 
-/// Returns the digest of a request that was sent to `host`: attempts of one work have
-/// method, host, path, whom they are for, and body in common.
+/// Returns the digest of a request to `host`. Attempts of the same work have the same
+/// method, host, path, workspace and body.
 #[must_use]
 pub fn work_digest(host: &str, request: &OutgoingRequest, access: &CallerAccess) -> WorkDigest {
     let workspace = match access {
@@ -122,79 +123,86 @@
     WorkDigest::of(&[method, host, path, workspace, &request.body])
 }
 
-/// Targets that one request was sent to, or could not be sent to.
+/// Targets that a request was sent to or could not be sent to.
 #[derive(Clone, Debug, Default)]
 pub struct SendTrail {
-    /// Targets that got the request.
+    /// Targets that received the request.
     pub sent: Vec<TargetLife>,
-    /// Targets that no byte reached.
+    /// Targets that could not be reached, or where the request arrived at another target
+    /// or at an engine in another stage.
     pub unreached: Vec<TargetLife>,
-    /// Whether one of them ran the request or may have. Whatever a later target says,
-    /// the caller must not be told then that nothing ran.
+    /// Whether a target ran the request or may have run it. If so, the caller must not be
+    /// told that it has not run, whatever later targets answer.
     pub may_have_run: bool,
-    /// Whether an engine has read the prompt for another one. The fleet's budget of
-    /// repeats allows that once.
+    /// Whether an engine has prefilled the prompt for another one. That is free once;
+    /// afterwards it takes a retry from the fleet's budget.
     pub prompt_read: bool,
 }
 
 impl SendTrail {
-    /// Whether a target was tried.
+    /// Returns whether a target was tried.
     #[must_use]
     pub fn has(&self, target: &TargetLife) -> bool {
         self.sent.contains(target) || self.unreached.contains(target)
     }
 
-    /// Targets that were tried.
+    /// Returns the targets that were tried.
     pub fn tried(&self) -> impl Iterator<Item = &TargetLife> {
         self.sent.iter().chain(&self.unreached)
     }
 
-    /// Whether the route allows one more target.
+    /// Returns whether the route allows one more target.
     #[must_use]
     pub fn may_send(&self, call: &RoutedCall) -> bool {
         (self.sent.len() as u32) < call.route.most_targets
     }
 
-    /// Whether the route allows another target after the next one.
+    /// Returns whether the route allows another target after the next one.
     #[must_use]
     pub fn may_add(&self, call: &RoutedCall) -> bool {
         (self.sent.len() as u32) + 1 < call.route.most_targets
     }
 }
 
-/// Work counted at a target until it is dropped.
+/// Counts a request as in flight at a target until dropped.
 pub struct WorkGuard {
     gateway: Rc<Gateway>,
     target: TargetLife,
     rank: u8,
-    unread_tokens: u32,
+    pending_prefill_tokens: u32,
 }
 
 impl WorkGuard {
-    /// Counts a request of a rank with `unread_tokens` to read.
-    pub fn begin(gateway: &Rc<Gateway>, target: &TargetLife, rank: u8, unread_tokens: u32) -> Self {
+    /// Counts a request of a rank with `pending_prefill_tokens` to prefill.
+    pub fn begin(
+        gateway: &Rc<Gateway>,
+        target: &TargetLife,
+        rank: u8,
+        pending_prefill_tokens: u32,
+    ) -> Self {
         let mut core = gateway.core.borrow_mut();
-        core.load.begin(target, rank, unread_tokens);
+        core.load.begin(target, rank, pending_prefill_tokens);
         Self {
             gateway: gateway.clone(),
             target: target.clone(),
             rank,
-            unread_tokens,
+            pending_prefill_tokens,
         }
     }
 
-    /// Notes that the prompt was read.
-    pub fn note_read(&mut self) {
+    /// Records that the prompt was prefilled.
+    pub fn note_prefilled(&mut self) {
         let mut core = self.gateway.core.borrow_mut();
         core.load
-            .note_read(&self.target, self.rank, self.unread_tokens);
-        self.unread_tokens = 0;
+            .note_read(&self.target, self.rank, self.pending_prefill_tokens);
+        self.pending_prefill_tokens = 0;
     }
 }
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
         let mut core = self.gateway.core.borrow_mut();
-        core.load.end(&self.target, self.rank, self.unread_tokens);
+        core.load
+            .end(&self.target, self.rank, self.pending_prefill_tokens);
     }
 }
--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 client for one request on one connection, with honest outcomes.
+//! HTTP/1.1 client for one request at a time on one connection.
 //!
-//! It never sends a request twice. What became of a send is a type, because the
-//! difference decides whether another target may be asked: only what certainly
-//! did not run may go elsewhere when it must not run twice.
+//! It never sends a request twice. Its errors distinguish requests that certainly did not
+//! run from those that may have run: a request that must not run twice may go to another
+//! target only if it certainly did not run.
 
 use std::error;
 use std::io;
@@ -24,41 +24,44 @@
 use crate::names::MonoTime;
 
 /// Time after which unacknowledged bytes end a connection. Within one region an
-/// acknowledgement takes milliseconds; a silent partition would otherwise hold the
-/// connection, and the request on it, for the kernel's quarter of an hour.
+/// acknowledgement takes milliseconds. Without this limit, a silent network partition would
+/// hold the connection and its request for about 15 minutes, the kernel's default.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Idle time and interval of keep-alive probes; two lost ones end the connection.
+/// Idle time before the first TCP keep-alive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keep-alive probes that end a connection.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Largest head that a target may send, in bytes.
+/// Largest response head that a target may send, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// What a failed send means for the request.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum SendFault {
-    /// No byte of the request left: it has not run.
-    #[error("not sent: {0}; another target may be asked")]
+    /// No byte of the request was sent: it has not run.
+    #[error("request not sent: {0}; it can be sent to another target")]
     NotSent(String),
-    /// The request left and no answer came in time: it may have run.
-    #[error("no answer: {0}; the request may have run")]
+    /// The request was sent and not answered in time: it may have run.
+    #[error("request not answered: {0}; it may have run, so retry only if it may run twice")]
     Unclear(String),
-    /// The request left and the other side ended the connection before a whole answer: it
-    /// may have run.
-    #[error("connection ended: {0}; the request may have run")]
+    /// The request was sent and the other side closed the connection before the end of the
+    /// answer: it may have run.
+    #[error(
+        "connection closed before the end of the answer: {0}; the request may have run, so retry only if it may run twice"
+    )]
     Cut(String),
 }
 
 /// Why a body was not read to its end.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum BodyFault {
-    /// The other side ended the connection, or its framing cannot be read.
-    #[error("the body was cut: {0}; ask again if the request may be repeated")]
+    /// The other side closed the connection, or sent invalid framing.
+    #[error("the body was truncated: {0}; retry if the request may run twice")]
     Cut(String),
-    /// It is larger than allowed.
-    #[error("the body is larger than {0} bytes; send less")]
+    /// The body exceeds the size limit.
+    #[error("the body is larger than the limit of {0} bytes; send a smaller one")]
     TooLong(usize),
-    /// It did not end in time.
-    #[error("the body did not end in time; allow more time")]
+    /// The body did not end before the deadline.
+    #[error("the body did not end before the deadline; send it faster or allow more time")]
     Slow,
 }
 
@@ -71,14 +74,14 @@
     }
 }
 
-/// A request as it goes out.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers, without those of one connection.
+    /// Headers, without hop-by-hop ones.
     pub headers: HeaderMap,
     /// Whole body.
     pub body: Bytes,
@@ -94,30 +97,32 @@
     }
 }
 
-/// An open connection; dropping it closes it and with it what runs on it.
+/// An open connection. Dropping it closes it, which cancels the request in progress on it.
 #[derive(Debug)]
 pub struct HttpLink {
     sender: SendRequest<Full<Bytes>>,
-    /// When it was opened.
+    /// When the connection was opened.
     pub opened: MonoTime,
-    /// When its last answer ended.
+    /// When the last answer on it ended.
     pub idle_since: Instant,
-    /// Until when the other side keeps it, where it says so.
+    /// Until when the other side keeps it open, if stated.
     pub kept_until: Option<Instant>,
-    /// Whether a request was sent on it before.
+    /// Whether a request was already sent on it.
     pub used: bool,
 }
 
 impl HttpLink {
-    /// Opens a connection, until `deadline` at the latest.
+    /// Opens a connection to `address` before `deadline`.
     ///
     /// # Errors
     ///
-    /// Returns [`SendFault::NotSent`] where none can be had.
+    /// Returns [`SendFault::NotSent`] if the connection cannot be opened.
     pub async fn open(address: SocketAddr, deadline: Instant) -> Result<Self, SendFault> {
         let connected = timeout_at(deadline, TcpStream::connect(address)).await;
         let stream = connected
-            .map_err(|_| SendFault::NotSent(format!("{address} took no connection in time")))?
+            .map_err(|_| {
+                SendFault::NotSent(format!("{address} did not accept a connection in time"))
+            })?
             .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
         set_options(&stream).map_err(|e| SendFault::NotSent(format!("{address}: {e}")))?;
         let mut builder = http1::Builder::new();
@@ -128,7 +133,7 @@
             .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to {address} ended: {error}");
+                log::debug!("connection to {address} closed with an error: {error}");
             }
         });
         Ok(Self {
@@ -140,17 +145,17 @@
         })
     }
 
-    /// Whether a request could be sent now.
+    /// Returns whether a request can be sent now.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
     ///
-    /// Returns what became of the request.
+    /// Returns whether the request was not sent or may have run.
     pub async fn send(
         &mut self,
         request: &OutgoingRequest,
@@ -159,7 +164,9 @@
         self.used = true;
         let sending = self.sender.try_send_request(request.to_http());
         match timeout_at(deadline, sending).await {
-            Err(_) => Err(SendFault::Unclear("no answer in time".to_owned())),
+            Err(_) => Err(SendFault::Unclear(
+                "no answer before the deadline".to_owned(),
+            )),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => match error.take_message() {
                 Some(_) => Err(SendFault::NotSent(error.into_error().to_string())),
@@ -169,7 +176,8 @@
     }
 }
 
-/// Sets what notices a silent partition soon, and sends small messages at once.
+/// Sets the time-outs that detect a silent network partition quickly, and disables Nagle's
+/// algorithm.
 ///
 /// # Errors
 ///
@@ -185,7 +193,8 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-// A path that takes no bytes any more ends the connection here; the other side may go on.
+// If the network stops acknowledging bytes, only this side closes the connection; the
+// target may still be running the request.
 fn answer_error(error: &hyper::Error) -> SendFault {
     if is_timeout(error) {
         SendFault::Unclear(error.to_string())
@@ -194,7 +203,7 @@
     }
 }
 
-/// Whether a connection ended because nothing was acknowledged on it for too long.
+/// Returns whether a connection ended because sent bytes were not acknowledged in time.
 #[must_use]
 pub fn is_timeout(error: &(dyn error::Error + 'static)) -> bool {
     let mut cause = Some(error);
@@ -208,11 +217,11 @@
     false
 }
 
-/// Reads a whole body of at most `max_bytes`, until `deadline`.
+/// Reads a whole body of at most `max_bytes` before `deadline`.
 ///
 /// # Errors
 ///
-/// Returns what is wrong: cut short, too long, or too slow.
+/// Returns an error if the body is truncated, too long or too slow.
 pub async fn read_body<B>(body: B, max_bytes: usize, deadline: Instant) -> Result<Bytes, BodyFault>
 where
     B: http_body::Body<Data = Bytes>,
@@ -228,11 +237,11 @@
     }
 }
 
-/// Makes one call on a link and reads its whole answer.
+/// Sends one request on a connection and reads the whole answer.
 ///
 /// # Errors
 ///
-/// Returns what became of the call.
+/// Returns whether the request was not sent or may have run.
 pub async fn call(
     link: &mut HttpLink,
     request: &OutgoingRequest,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,5 +1,5 @@
-//! Takes one caller's request through routing to its answer; plain services here,
-//! model engines in [`crate::gateway::generate`].
+//! Routes one caller's request and returns its answer. Requests to plain services are
+//! forwarded here, generation requests in [`crate::gateway::generate`].
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -27,18 +27,19 @@
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 use crate::names::ServiceName;
 
-/// Time to come back after a refusal for want of a configuration or a target.
+/// Retry time after a refusal because no configuration or target is available.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Largest answer of a plain service that is held until it is whole, in bytes.
+/// Largest answer of a plain service, in bytes; it is buffered until complete.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Answer times above which an idempotent request is asked for elsewhere, as a
-/// multiple of the route's objective: late already, and still in time to be served.
+/// Time after which an unanswered idempotent request is sent to another target, as a
+/// multiple of the route's latency objective: it is late by then, and can still be served
+/// before its deadline.
 const HEDGE_AFTER_OBJECTIVES: u32 = 3;
-/// Sends that may fail before their first byte, for one request.
+/// Most targets of one request that may be unreachable or misdirect it.
 const MAX_UNSENT_ATTEMPTS: usize = 3;
 
 impl Gateway {
-    /// Serves one request and logs how it ended.
+    /// Serves one request and logs a failure.
     pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
@@ -82,7 +83,7 @@
             reason = failure.reason.as_str(),
             retry_after_ms = failure.retry_after.map_or(0, |w| w.as_millis() as u64),
             took_ms = arrived.elapsed().as_millis() as u64;
-            "request failed"
+            "request failed in the gateway"
         );
     }
 
@@ -99,7 +100,12 @@
             .routes
             .clone()
             .filter(|_| view.targets_known)
-            .ok_or_else(|| Failure::refused("no configuration yet", NOT_READY_RETRY_AFTER))?;
+            .ok_or_else(|| {
+                Failure::refused(
+                    "the daemon has no configuration or target list yet; retry later",
+                    NOT_READY_RETRY_AFTER,
+                )
+            })?;
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
@@ -139,7 +145,7 @@
         let path = head.uri.path();
         let no_route = || {
             let version = routes.version;
-            let reason = format!("no route for {path} in configuration {version}");
+            let reason = format!("no route matches path {path} in configuration version {version}");
             Failure::new(FailureKind::NoRoute, reason)
         };
         let route = routes.find(host, path).ok_or_else(no_route)?;
@@ -153,7 +159,7 @@
         let mut history = SendTrail::default();
         let mut started = false;
         let mut last = Err(Failure::refused(
-            "no target is known",
+            "no target of the service is available; retry later",
             NOT_READY_RETRY_AFTER,
         ));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
@@ -174,7 +180,7 @@
                     history.unreached.push(target.id.clone());
                     history.unreached.len() < MAX_UNSENT_ATTEMPTS && Instant::now() < call.deadline
                 }
-                // It is no target of the request, but the request arrived there.
+                // Another target received the request, so the next send is a retry.
                 PlainOutcome::Misdirected(_) => {
                     history.unreached.push(target.id.clone());
                     history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_repeat(call)
@@ -213,7 +219,8 @@
         attempt
     }
 
-    /// Takes a repeat from the budget for a request that has time left and is not held.
+    /// Takes a retry from the budget for a request that has time left and is not quarantined.
+    /// Returns whether it may be sent again.
     #[must_use]
     pub fn may_repeat(&self, call: &RoutedCall) -> bool {
         if self.is_held(call) {
@@ -235,10 +242,16 @@
             SendOutcome::Answered(answer) => answer,
             SendOutcome::Refused(reason) => return PlainOutcome::Refused(reason),
             SendOutcome::WrongTarget => {
-                return PlainOutcome::Misdirected(format!("{} left its address", target.id));
+                return PlainOutcome::Misdirected(format!(
+                    "{} no longer has its address",
+                    target.id
+                ));
             }
             SendOutcome::WrongWork => {
-                return PlainOutcome::Misdirected(format!("{} does other work now", target.id));
+                return PlainOutcome::Misdirected(format!(
+                    "{} no longer does this kind of work",
+                    target.id
+                ));
             }
             SendOutcome::NotSent(reason) => return PlainOutcome::NotSent(reason),
             SendOutcome::Unclear(reason) => return PlainOutcome::Unclear(reason),
@@ -252,7 +265,7 @@
         match client::read_body(body, MAX_ANSWER_BYTES, call.deadline).await {
             Err(error) => {
                 self.note_body_fault(call, target, &error);
-                PlainOutcome::Unclear(format!("{}: {fault}", target.id))
+                PlainOutcome::Unclear(format!("{}: {error}", target.id))
             }
             Ok(body) => {
                 let failed = head.status.is_server_error();
@@ -311,7 +324,7 @@
     FailedWhole(Reply),
     Refused(String),
     NotSent(String),
-    // Another target answered at the address and did not run it.
+    // Another target, or an engine in another stage, refused the request.
     Misdirected(String),
     Unclear(String),
 }
@@ -346,7 +359,7 @@
     }
 }
 
-/// Failure for a request that may have run.
+/// Returns the failure of a request that may have run.
 #[must_use]
 pub fn lost_answer(call: &RoutedCall, reason: String) -> Failure {
     if Instant::now() >= call.deadline {
@@ -360,7 +373,7 @@
     let mut hosts = head.headers.get_all(HOST).iter();
     let host = hosts.next().and_then(|value| value.to_str().ok());
     let (Some(host), None) = (host, hosts.next()) else {
-        let reason = "the request needs exactly one host header";
+        let reason = "the request must have exactly one Host header";
         return Err(Failure::new(FailureKind::BadRequest, reason));
     };
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -391,6 +404,7 @@
 }
 
 fn too_large(limit: usize) -> Failure {
-    let reason = format!("the body is larger than {limit} bytes");
+    let reason =
+        format!("the request body is larger than the limit of {limit} bytes; send a smaller one");
     Failure::new(FailureKind::TooLarge, reason)
 }
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -172,7 +172,7 @@
                     return self.pass_on_failure(call, writer, *answer).await;
                 }
                 self.note_held(call, writer);
-                work.note_read();
+                work.note_prefilled();
                 let watch = FirstEventWatch { sent, timed };
                 let relay = self.relay(call, place, *answer, history.clone(), (work, watch));
                 return Started::Reply(relay);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -246,7 +246,7 @@
         if !answer.head.status.is_success() {
             return false;
         }
-        work.note_read();
+        work.note_prefilled();
         self.work = Some(work);
         self.engine = engine;
         self.answer = Some(*answer);
