--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -1,4 +1,4 @@
-//! Generation on model engines: where the prompt is read, where tokens are made.
+//! Generation on model engines: placement of the prefill and decode phases.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -23,27 +23,29 @@
 use crate::gateway::stream::{EventRelay, FirstEventWatch};
 use crate::target_life::TargetLife;
 
-/// Time to come back after a refusal by an engine.
+/// Retry time after a refusal by an engine.
 pub(super) const ENGINE_BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Largest failure of an engine that is passed on, in bytes.
+/// Largest failure answer of an engine that is forwarded, in bytes.
 const MAX_FAILURE_BYTES: usize = 1 << 20;
-/// Shortest time after which callers give up a stream without a first event, as the
-/// users state it; so are the two below.
+/// Callers abandon a stream without a first event after the longest of this time and the
+/// two multiples below; users of the service state all three values.
 const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// In latency objectives of the route.
 const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
+/// In gap objectives of the route.
 const CALLER_TIMEOUT_GAPS: u32 = 8;
-/// Part of that time which a request may spend waiting for others. Its own reading
-/// is not counted, or the largest prompts would be refused first.
+/// Share of the caller's time-out that a request may wait for other requests. Its own
+/// prefill time is not counted; otherwise the largest prompts would be refused first.
 const MAX_QUEUE_SHARE: f64 = 0.7;
-/// Time to come back after a refusal for overload.
+/// Retry time after a refusal because of overload.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(900);
 
 impl Gateway {
-    /// Runs a generation request up to the head of its answer.
+    /// Runs a generation request until the head of its answer.
     ///
     /// # Errors
     ///
-    /// Returns the failure that the caller is told.
+    /// Returns the failure to report to the caller.
     pub async fn generate(self: Rc<Self>, call: Rc<RoutedCall>) -> Result<Reply, Failure> {
         let mut history = SendTrail::default();
         let started = self.generate_with_history(&call, &mut history).await;
@@ -58,7 +60,10 @@
         call: &Rc<RoutedCall>,
         history: &mut SendTrail,
     ) -> Result<Reply, Failure> {
-        let mut last = Failure::refused("no engine is known", ENGINE_BUSY_RETRY_AFTER);
+        let mut last = Failure::refused(
+            "no engine of the service is available; retry later",
+            ENGINE_BUSY_RETRY_AFTER,
+        );
         while let Some(place) = self.place_by_fleet(call, history).await {
             self.check_still(&call.access)?;
             self.check_held(call)?;
@@ -124,7 +129,7 @@
             running = load.total(&place.writer.id).running,
             others_known = load.others(),
             expected_ms = place.expected_ms as u64;
-            "placed"
+            "request placed on engines"
         );
     }
 
@@ -149,8 +154,8 @@
             .send_run(call, writer, mode, fetch_from, place.rank, sent)
             .await;
         if handle.is_some() && matches!(outcome, SendOutcome::Refused(_)) {
-            // The memory could not be had. The same engine can still read by itself,
-            // which is no further target.
+            // The decode engine could not import the KV cache. It can still prefill the
+            // prompt itself, which does not count as another target.
             if let Some(handle) = &mut handle {
                 handle.forget();
             }
@@ -183,9 +188,10 @@
             }
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
                 history.unreached.push(writer.id.clone());
-                let reason = "the engine left its address or does other work now";
+                let reason =
+                    "the engine no longer has its address or does this kind of work; retry later";
                 let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
-                // The next send is a repeat, as this one arrived somewhere.
+                // This send arrived at a target, so the next one is a retry.
                 return if self.may_repeat(call) {
                     Started::Retry(failure)
                 } else {
@@ -207,7 +213,7 @@
         Started::Failed(failure)
     }
 
-    /// Notes the time of work at an engine.
+    /// Records how long work at an engine took.
     pub fn note_time(&self, timed: &TimedWork, taken: Duration) {
         let taken_ms = taken.as_secs_f64() * 1_000.0;
         let mut core = self.core.borrow_mut();
@@ -216,8 +222,8 @@
             .record(ratio);
     }
 
-    // Other work that a writer takes up between the choice and the send is not in the
-    // size, as it would not be for the next choice.
+    // The size leaves out other work that the decode engine starts between placement and
+    // send, since the next placement will not know such work either.
     fn timed_work(&self, place: &EnginePlace, was_read: bool) -> Option<TimedWork> {
         let writer = &place.writer;
         if !was_read {
@@ -253,7 +259,7 @@
         outcome
     }
 
-    /// Makes the order of a send to an engine.
+    /// Returns the parameters of a send to an engine.
     #[must_use]
     pub fn order(
         &self,
@@ -328,7 +334,7 @@
         peers.note_held(&engine.id, &prompt.parts, true);
     }
 
-    /// Chooses the engines of a request among those that its trail leaves.
+    /// Chooses the engines of a request among those that it was not sent to yet.
     #[must_use]
     pub fn place(&self, call: &RoutedCall, history: &SendTrail) -> Option<EnginePlace> {
         let prompt = call.prompt();
@@ -343,7 +349,7 @@
         })
     }
 
-    /// Engines that are being changed, by this daemon or another one.
+    /// Returns the engines whose stage is being changed, by this daemon or a peer.
     #[must_use]
     pub fn changing(&self) -> Vec<TargetLife> {
         let peers = self.peers.borrow();
@@ -352,8 +358,8 @@
         all.cloned().collect()
     }
 
-    /// Engines of a list that still may get work, as they are now: an engine may have
-    /// changed its stage since a request arrived.
+    /// Returns the current records of the engines in a list that may still receive work:
+    /// an engine may have changed its stage since a request arrived.
     #[must_use]
     pub fn staying(&self, engines: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>> {
         let current = self.view();
@@ -376,8 +382,9 @@
     }
 }
 
-// A caller of a stream gives up when the first event does not come. Work for it
-// would be in vain and hold up others; told at once, it may come back in time.
+// Refuses a stream whose first event would come after the caller's time-out. Its work
+// would be wasted and delay other requests; after an early refusal the caller can still
+// retry in time.
 fn overload_refusal(call: &RoutedCall, place: &EnginePlace) -> Option<Failure> {
     let gap = call.route.gap_objective.unwrap_or_default();
     let caller_timeout = MIN_CALLER_TIMEOUT
@@ -387,7 +394,10 @@
     let waiting_ms = place.expected_ms - place.own_ms;
     let overloaded = waiting_ms > left.as_secs_f64() * 1_000.0 * MAX_QUEUE_SHARE;
     overloaded.then(|| {
-        let reason = format!("the first event would take {:.0} ms", place.expected_ms);
+        let reason = format!(
+            "overloaded: the first event would take {:.0} ms; retry later",
+            place.expected_ms
+        );
         Failure::refused(reason, OVERLOAD_RETRY_AFTER)
     })
 }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -1,4 +1,4 @@
-//! Reads a prompt at one engine for another one that makes the tokens.
+//! Prefills a prompt on one engine for another one that generates the tokens.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,20 +20,20 @@
 use crate::gateway::sending::SendOutcome;
 use crate::target_life::TargetLife;
 
-/// Largest answer to a reading of a prompt, in bytes.
+/// Largest answer to a prefill request, in bytes.
 const MAX_PREFILL_ANSWER_BYTES: usize = 64 * 1024;
-/// Shortest wait for a reading before it is asked for elsewhere.
+/// Shortest time before an unanswered prefill is requested from another engine.
 const MIN_PREFILL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time, in expected times, for a reading.
+/// Longest time for a prefill, as a multiple of the expected time.
 const PREFILL_TIMEOUT_FACTOR: f64 = 4.0;
-/// Readings asked for before the decode engine reads itself.
+/// Prefill engines to try before the decode engine prefills the prompt itself.
 const MAX_PREFILL_ATTEMPTS: u32 = 2;
 
 impl Gateway {
-    // Reads the prompt where that pays. One reading that an engine takes up is no
-    // repeat. Any send after one that came to nothing is, also the run: without a
-    // repeat left the request is refused, or failing readers would have the fleet
-    // send every request twice.
+    // Prefills the prompt on another engine if the placement says so. The first prefill
+    // that an engine accepts is not a retry. Any send after a failed one is, including
+    // the run itself: without a retry left the request is refused, since otherwise failing
+    // prefill engines would make the fleet send every request twice.
     pub(super) async fn read_ahead(
         self: &Rc<Self>,
         call: &Rc<RoutedCall>,
@@ -104,7 +104,7 @@
         call.log_send(reader, "read_prompt", prefill.as_str(), sent);
         if let PrefillResult::Cached(_) = prefill {
             self.note_held(call, reader);
-            // What waits at a reader that was not chosen first is not known here.
+            // The work queued at a prefill engine other than the first choice is unknown here.
             if place.reader.as_ref().is_some_and(|r| r.id == reader.id) {
                 self.note_time(&place.timed_reading(reader), sent.elapsed());
             }
@@ -123,7 +123,7 @@
             SendOutcome::Answered(answer) => answer,
             SendOutcome::NotSent(_) => return PrefillResult::NotSent,
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                let reason = "left its address or does other work now";
+                let reason = "no longer has its address or does this kind of work";
                 return PrefillResult::Failed(format!("{} {reason}", reader.id));
             }
             SendOutcome::Refused(reason) | SendOutcome::Unclear(reason) => {
@@ -132,7 +132,10 @@
         };
         if !answer.head.status.is_success() {
             self.note_result(reader, SendResult::Failed);
-            return PrefillResult::Failed(format!("{} said {}", reader.id, answer.head.status));
+            return PrefillResult::Failed(format!(
+                "{} answered the prefill with status {}",
+                reader.id, answer.head.status
+            ));
         }
         let read = client::read_body(answer.body, MAX_PREFILL_ANSWER_BYTES, deadline).await;
         let body = match read {
@@ -160,12 +163,12 @@
     }
 }
 
-// What became of the reading of a prompt; nothing has run in any case.
+// Outcome of a prefill. No generation has started in any case.
 enum PrefillResult {
     Cached(HandleGuard),
-    // No byte left.
+    // No byte of the request was sent.
     NotSent,
-    // It arrived at an engine and came to nothing.
+    // An engine received the request, but the prefill failed.
     Failed(String),
 }
 
@@ -179,7 +182,7 @@
     }
 }
 
-/// A kept prompt that is freed unless another engine took it.
+/// A KV cache handle that is released on drop unless another engine took it.
 pub struct HandleGuard {
     gateway: Rc<Gateway>,
     reader: Arc<TargetRecord>,
@@ -195,14 +198,15 @@
         }
     }
 
-    /// How the prompt is sent to the engine that takes it.
+    /// Returns how the request is sent to the decode engine.
     #[must_use]
     pub fn mode(&self) -> SendMode {
         let handle = self.handle.clone();
         handle.map_or(SendMode::Run, SendMode::TakeOver)
     }
 
-    /// Leaves the prompt to the engine that took it, or that found it gone.
+    /// Drops the handle without releasing it, after the decode engine took it or found it
+    /// gone.
     pub fn forget(&mut self) {
         self.handle = None;
     }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a caller's request to one target, over a kept or a new connection.
+//! Sends a caller's request to one target, over an idle or a new connection.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,40 +20,40 @@
 use crate::names::MonoTime;
 use crate::target_life::TargetLife;
 
-/// Longest time for a new connection. Connections take a few milliseconds; a
-/// target that needs longer is away, and the request can still go elsewhere.
+/// Longest time to open a connection. This normally takes a few milliseconds; a slower
+/// target is unreachable, and the request can still be sent to another one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest idle time of a connection for a request that may not be repeated: if
-/// the target dropped the connection meanwhile, the request would be lost.
+/// Longest idle time of a connection on which a request that must not be retried is sent:
+/// if the target has closed the connection meanwhile, the request is lost.
 const MAX_IDLE_WITHOUT_RETRY: Duration = Duration::from_millis(1_500);
 
-/// Time to free a kept prompt; it expires by itself after some seconds.
+/// Longest time to release a KV cache handle, which also expires after some seconds.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Largest answer to the freeing of a prompt, in bytes.
+/// Largest answer to the release of a KV cache handle, in bytes.
 const MAX_RELEASE_ANSWER_BYTES: usize = 16 * 1024;
 
-/// Connections to one target that a daemon may always have.
+/// Connections that a daemon may always open to one target.
 const MIN_CONNECTIONS: u32 = 2;
 
-/// What became of a send.
+/// Outcome of a send.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The target answered, with a success or a failure of its own.
+    /// The target answered, with a success or with its own failure.
     Answered(Box<TargetAnswer>),
     /// The target states that it did not run the request.
     Refused(String),
     /// Another target answered at the address and did not run the request.
     WrongTarget,
-    /// The target meant does other work now and did not run the request.
+    /// The intended target does another kind of work now and did not run the request.
     WrongWork,
-    /// No byte left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It may have run.
+    /// The request may have run.
     Unclear(String),
 }
 
 impl SendOutcome {
-    /// Returns the outcome's name in logs.
+    /// Returns the name of the outcome in logs.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -67,21 +67,21 @@
     }
 }
 
-/// The head of an answer, with the body still to be read.
+/// An answer whose body is still to be read.
 #[derive(Debug)]
 pub struct TargetAnswer {
     /// Status and headers.
     pub head: Parts,
     /// Body as it arrives.
     pub body: Incoming,
-    /// The connection that it arrives on.
+    /// Connection that the answer arrives on.
     pub lease: LinkLease,
-    /// What it takes for a proof that the target lives.
+    /// Times from which to tell whether the answer shows that the target is alive.
     pub times: AnswerTimes,
 }
 
-/// A connection in use. Dropped before [`LinkLease::give_back`] it is closed, by
-/// which the target learns that nobody waits any more.
+/// A connection in use. If dropped before [`LinkLease::give_back`], it is closed, so that
+/// the target sees that the request was abandoned.
 #[derive(Debug)]
 pub struct LinkLease {
     link: Option<HttpLink>,
@@ -103,7 +103,7 @@
         self.link.as_ref().map(|link| link.opened)
     }
 
-    /// Keeps the connection for later requests, after a whole answer.
+    /// Returns the connection to the pool after a whole answer.
     pub fn give_back(mut self, head: &Parts) {
         if let Some(link) = self.link.take() {
             let target = &self.record.id;
@@ -118,7 +118,7 @@
     }
 }
 
-/// Makes the request of a call that carries no caller's request.
+/// Returns the HTTP request for a query that the daemon itself sends to a target.
 #[must_use]
 pub fn query_request(target: &TargetRecord, query: TargetQuery) -> OutgoingRequest {
     let mut headers = query.headers;
@@ -127,24 +127,24 @@
     }
     OutgoingRequest {
         method: query.method,
-        // The adapter's paths are constants and names that engines gave.
+        // The paths are constants of the adapter and names assigned by engines.
         uri: query.path.parse().unwrap_or_default(),
         headers,
         body: query.body,
     }
 }
 
-/// A caller's request as it is sent on, and until when.
+/// One send of a caller's request.
 #[derive(Clone, Copy)]
 pub struct SendPlan<'a> {
     /// The caller's request.
     pub call: &'a RoutedCall,
-    /// Until when the head of the answer is waited for.
+    /// Deadline for the head of the answer.
     pub deadline: Instant,
 }
 
 impl Gateway {
-    /// Sends a request to a target and waits for the head of its answer.
+    /// Sends a request to a target and waits for the head of the answer.
     pub async fn send(
         &self,
         target: &TargetRecord,
@@ -152,14 +152,16 @@
         order: &SendOrder,
     ) -> SendOutcome {
         if !self.view().holds(&target.id) {
-            // It may have announced its departure since it was chosen.
-            return SendOutcome::NotSent(format!("{} has left", target.id));
+            // It may have announced its departure after it was selected.
+            return SendOutcome::NotSent(format!("{} is leaving or gone", target.id));
         }
         if self.is_held(plan.call) {
-            return SendOutcome::NotSent("its work is held".to_owned());
+            return SendOutcome::NotSent("its work is quarantined".to_owned());
         }
         if !self.may_still_send(&order.access) {
-            return SendOutcome::NotSent("the caller's key cannot be confirmed".to_owned());
+            return SendOutcome::NotSent(
+                "the daemon cannot confirm that the workspace key is still valid".to_owned(),
+            );
         }
         let mut request = plan.call.request.clone();
         request.headers = (self.ports.wire.encode_send)(&plan.call.request.headers, order);
@@ -167,9 +169,9 @@
         let sent = clock::mono_now();
         let outcome = tokio::select! {
             outcome = self.send_over_connection(&mut lease, &request, plan) => outcome,
-            // The target may not have begun it, and is spared then.
+            // If the target has not started the request yet, cancelling it spares the target.
             () = self.until_held(plan.call) => {
-                return SendOutcome::Unclear("given up, as its work is held now".to_owned());
+                return SendOutcome::Unclear("cancelled: its work was quarantined meanwhile".to_owned());
             }
         };
         let outcome = match outcome {
@@ -199,7 +201,8 @@
                 continue;
             }
             match idle.send(request, plan.deadline).await {
-                // Closed before the first byte: a new connection is no second send.
+                // The connection was closed before the first byte, so using a new one is not a
+                // second send.
                 Err(SendFault::NotSent(_)) => {}
                 other => {
                     lease.link = Some(idle);
@@ -209,7 +212,7 @@
         }
         if self.pool.borrow().open(&lease.record.id) > self.connection_share(&lease.record) {
             return Err(SendFault::NotSent(format!(
-                "{address} has this daemon's share of connections"
+                "this daemon already has its share of the connections to {address}"
             )));
         }
         let deadline = plan.deadline.min(Instant::now() + CONNECT_TIMEOUT);
@@ -220,8 +223,8 @@
         answer
     }
 
-    // Targets reset connections beyond what they accept from all daemons together, and
-    // the requests on them with it. Staying within one's part needs no message.
+    // Targets reset connections, and the requests on them, above a limit for all daemons
+    // together. Equal shares keep the daemons within it without coordination.
     fn connection_share(&self, target: &TargetRecord) -> u32 {
         let view = self.view();
         let routes = view.routes.as_ref();
@@ -231,7 +234,7 @@
         (accepted / daemons).max(MIN_CONNECTIONS)
     }
 
-    // A step of its own, so that the pool is not borrowed across a wait.
+    // A separate function, so that the pool is not borrowed across an `await`.
     fn take_idle(&self, target: &TargetLife) -> Option<HttpLink> {
         self.pool.borrow_mut().take(target, Instant::now())
     }
@@ -248,11 +251,14 @@
         let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
         let answered_id = marks.request_id.as_deref();
         if answered_id.is_some_and(|answered| answered != call.caller.id) {
-            return SendOutcome::Unclear(format!("{} answered another request", target.id));
+            return SendOutcome::Unclear(format!(
+                "{} sent the answer of another request",
+                target.id
+            ));
         }
         if marks.misdirected {
-            // An engine that changed its stage refuses in the same way as another target
-            // at its address. It has not left: taking it for gone kept it idle for minutes.
+            // An engine in another stage refuses in the same way as another target at its
+            // address, but it has not departed: marking it departed left it idle for minutes.
             let other_target = marks.answered_by.is_some_and(|by| by != *target.id.name());
             return if other_target {
                 SendOutcome::WrongTarget
@@ -261,13 +267,16 @@
             };
         }
         if marks.not_run {
-            // The short body of a refusal is not awaited; the connection goes with it.
-            return SendOutcome::Refused(format!("{} said {}", target.id, head.status));
+            // The connection is closed instead of reading the refusal's body.
+            return SendOutcome::Refused(format!(
+                "{} refused the request with status {}",
+                target.id, head.status
+            ));
         }
-        // The answer to a reading is for this daemon alone; callers get signed ones only.
+        // Answers to callers must be signed; the answer to a prefill stays in this daemon.
         let is_run = order.mode != SendMode::ReadPrompt;
         if is_run && head.status.is_success() && !marks.signed {
-            return SendOutcome::Unclear(format!("{} did not sign its answer", target.id));
+            return SendOutcome::Unclear(format!("{} sent an unsigned answer", target.id));
         }
         let times = AnswerTimes {
             opened: lease.opened().unwrap_or(sent),
@@ -283,8 +292,8 @@
 
     fn note_outcome(&self, target: &TargetRecord, outcome: &SendOutcome) {
         let result = match outcome {
-            // Whether the answer is whole is known at its end only.
-            // Nor does an engine fail that was asked for what it does no more.
+            // Whether the answer is complete is only known at its end, and an engine that
+            // changed its stage has not failed.
             SendOutcome::Answered(_) | SendOutcome::WrongWork => return,
             SendOutcome::Refused(_) | SendOutcome::WrongTarget => SendResult::Failed,
             SendOutcome::NotSent(_) | SendOutcome::Unclear(_) => SendResult::Silent,
@@ -295,7 +304,7 @@
         }
     }
 
-    /// Frees a prompt that an engine keeps and that nobody will take.
+    /// Releases a KV cache handle that no other engine will use.
     pub async fn free_handle(&self, reader: &TargetRecord, name: &str) {
         let query = (self.ports.wire.free_handle)(name);
         let deadline = Instant::now() + RELEASE_TIMEOUT;
@@ -315,12 +324,12 @@
         match result {
             Ok((head, _)) => lease.give_back(&head),
             Err(error) => {
-                log::debug!(target_id = reader.id.as_str(); "kept prompt not freed, it expires: {fault}");
+                log::debug!(target_id = reader.id.as_str(); "cannot release a KV cache handle, which will expire: {error}");
             }
         }
     }
 
-    /// Notes that the body of a target's answer was not read to its end.
+    /// Records that the body of a target's answer was not read to its end.
     pub fn note_body_fault(&self, call: &RoutedCall, target: &TargetRecord, error: &BodyFault) {
         if let BodyFault::Cut(reason) = error {
             self.note_cut(call, target, reason);
@@ -328,7 +337,8 @@
         self.note_result(target, SendResult::Failed);
     }
 
-    /// Notes what came of a send, and logs a target that is avoided from now on.
+    /// Records the result of a send, and logs whether the target is now avoided or answers
+    /// again.
     pub fn note_result(&self, target: &TargetRecord, result: SendResult) {
         let now = clock::mono_now();
         if self.is_placed_for() {
@@ -337,7 +347,7 @@
         let changed = self.core.borrow_mut().note_result(&target.id, result, now);
         match changed {
             Some(HealthChange::Avoided) => {
-                log::warn!(target_id = target.id.as_str(), address = target.address.to_string(); "target gives no answers; avoided for a while");
+                log::warn!(target_id = target.id.as_str(), address = target.address.to_string(); "target does not answer; avoiding it for a while");
             }
             Some(HealthChange::Proved) => {
                 log::info!(target_id = target.id.as_str(), address = target.address.to_string(); "target answers again");
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Passes a stream of events on to the caller, and continues it elsewhere when
-//! its engine breaks it off and the route allows that.
+//! Forwards a stream of events to the caller, and resumes it on another engine if its
+//! engine fails and the route allows it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,22 +22,23 @@
 use crate::gateway::reply::{AnswerCut, FrameStream};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 
-/// Silence of an engine after which a resumable stream is continued elsewhere, in
-/// longest allowed pauses. Callers give up after two seconds or more.
+/// Silence of an engine after which a resumable stream is resumed on another one, in gap
+/// objectives. Callers time out after two seconds or more.
 const STALL_TIMEOUT_GAPS: u32 = 4;
-/// Longest allowed pause where the route states none.
+/// Gap objective of routes that state none.
 const DEFAULT_GAP_OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// Takes the time to the first event of a stream.
+/// Measures the time to the first event of a stream.
 #[derive(Debug)]
 pub struct FirstEventWatch {
     /// When the request was sent to the engine.
     pub sent: Instant,
-    /// What the time is of; `None` where it tells nothing of the engine.
+    /// Work that the time is recorded for; `None` if it says nothing about the engine's
+    /// speed.
     pub timed: Option<TimedWork>,
 }
 
-/// A stream on its way to the caller. Dropping it ends the engine's work.
+/// A stream that is being forwarded. Dropping it cancels the work on the engine.
 pub struct EventRelay {
     gateway: Rc<Gateway>,
     call: Rc<RoutedCall>,
@@ -56,14 +57,14 @@
     Bytes(Bytes),
     Partial,
     Ended,
-    // The engine ended the connection.
+    // The engine closed the connection.
     Cut(String),
     Broken(String),
     OutOfTime,
 }
 
 impl EventRelay {
-    /// Starts passing on an answer of `engine`.
+    /// Creates a relay for an answer of `engine`.
     #[must_use]
     pub fn new(
         gateway: Rc<Gateway>,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Turns the relay into frames of a body.
+    /// Returns the events as frames of a body.
     #[must_use]
     pub fn into_frames(self) -> FrameStream {
         Box::pin(stream::unfold(Some(self), |relay| async move {
@@ -118,7 +119,9 @@
                 }
                 RelayStep::OutOfTime => {
                     self.end("out_of_time", SendResult::Failed);
-                    return Err(AnswerCut("its time is up".to_owned()));
+                    return Err(AnswerCut(
+                        "the deadline of the request has passed".to_owned(),
+                    ));
                 }
                 RelayStep::Cut(reason) | RelayStep::Broken(reason) => {
                     if !self.resume(&reason).await {
@@ -133,12 +136,12 @@
     async fn step(&mut self) -> RelayStep {
         let stall_deadline = self.stall_deadline();
         let Some(answer) = &mut self.answer else {
-            return RelayStep::Broken("the engine is gone".to_owned());
+            return RelayStep::Broken("no engine is serving the stream".to_owned());
         };
         let deadline = self.call.deadline.min(stall_deadline);
         match timeout_at(deadline, answer.body.frame()).await {
             Err(_) if Instant::now() >= self.call.deadline => RelayStep::OutOfTime,
-            Err(_) => RelayStep::Broken("the engine stalled".to_owned()),
+            Err(_) => RelayStep::Broken("the engine sent nothing within the time limit".to_owned()),
             Ok(None) => self.finish_body(),
             Ok(Some(Err(error))) if is_timeout(&error) => RelayStep::Broken(error.to_string()),
             Ok(Some(Err(error))) => RelayStep::Cut(error.to_string()),
@@ -169,7 +172,7 @@
         };
         let Some(batch) = self.splitter.push(&data) else {
             return if self.splitter.is_overlong() {
-                RelayStep::Broken("an event is too long".to_owned())
+                RelayStep::Broken("the engine sent an event that is too long".to_owned())
             } else {
                 RelayStep::Partial
             };
@@ -193,15 +196,15 @@
         if rest.is_empty() {
             return RelayStep::Ended;
         }
-        RelayStep::Cut("the engine stopped in the middle of an event".to_owned())
+        RelayStep::Cut("the engine ended the stream in the middle of an event".to_owned())
     }
 
     fn may_resume(&self) -> bool {
         self.call.route.repeat == RepeatRule::ResumableStream && self.history.may_send(&self.call)
     }
 
-    // Continues after the last whole event that the caller has. The answer keeps
-    // the head of its first engine.
+    // Resumes after the last event forwarded to the caller. The answer keeps the head from
+    // the first engine.
     async fn resume(&mut self, reason: &str) -> bool {
         if !self.may_resume() {
             return false;
@@ -238,7 +241,7 @@
             target_id = engine.id.as_str(),
             outcome = outcome.as_str(),
             took_ms = sent.elapsed().as_millis() as u64;
-            "stream continued"
+            "tried to resume the stream on another engine"
         );
         let SendOutcome::Answered(answer) = outcome else {
             return false;
