--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -120,9 +120,7 @@
     pub async fn open(address: SocketAddr, deadline: Instant) -> Result<Self, SendFault> {
         let connected = timeout_at(deadline, TcpStream::connect(address)).await;
         let stream = connected
-            .map_err(|_| {
-                SendFault::NotSent(format!("{address} did not accept a connection in time"))
-            })?
+            .map_err(|_| SendFault::NotSent(format!("{address}: connection timed out")))?
             .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
         set_options(&stream).map_err(|e| SendFault::NotSent(format!("{address}: {e}")))?;
         let mut builder = http1::Builder::new();
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -28,7 +28,7 @@
 use crate::names::ServiceName;
 
 /// Retry time after a refusal because no configuration or target is available.
-const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(250);
+const NOT_READY_WAIT: Duration = Duration::from_millis(250);
 /// Largest answer of a plain service, in bytes; it is buffered until complete.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 /// Time after which an unanswered idempotent request is sent to another target, as a
@@ -100,12 +100,7 @@
             .routes
             .clone()
             .filter(|_| view.targets_known)
-            .ok_or_else(|| {
-                Failure::refused(
-                    "the daemon has no configuration or target list yet; retry later",
-                    NOT_READY_RETRY_AFTER,
-                )
-            })?;
+            .ok_or_else(|| Failure::refused("no configuration yet; retry later", NOT_READY_WAIT))?;
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
@@ -160,7 +155,7 @@
         let mut started = false;
         let mut last = Err(Failure::refused(
             "no target of the service is available; retry later",
-            NOT_READY_RETRY_AFTER,
+            NOT_READY_WAIT,
         ));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
             let can_retry = history.may_add(call) && call.route.repeat.may_repeat();
@@ -341,7 +336,7 @@
         match self {
             Self::Whole(reply) | Self::FailedWhole(reply) => Ok(reply),
             Self::Refused(reason) | Self::NotSent(reason) | Self::Misdirected(reason) => {
-                Err(Failure::refused(reason, NOT_READY_RETRY_AFTER))
+                Err(Failure::refused(reason, NOT_READY_WAIT))
             }
             Self::Unclear(reason) => Err(lost_answer(call, reason)),
         }
