--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -136,7 +136,7 @@
     pub may_have_run: bool,
     /// Whether an engine has prefilled the prompt for another one. That is free once;
     /// afterwards it takes a retry from the fleet's budget.
-    pub prompt_read: bool,
+    pub prompt_prefilled: bool,
 }
 
 impl SendTrail {
@@ -159,7 +159,7 @@
 
     /// Returns whether the route allows another target after the next one.
     #[must_use]
-    pub fn may_add(&self, call: &RoutedCall) -> bool {
+    pub fn may_send_after_next(&self, call: &RoutedCall) -> bool {
         (self.sent.len() as u32) + 1 < call.route.most_targets
     }
 }
--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -106,7 +106,7 @@
     /// When the last answer on it ended.
     pub idle_since: Instant,
     /// Until when the other side keeps it open, if stated.
-    pub kept_until: Option<Instant>,
+    pub keep_alive_until: Option<Instant>,
     /// Whether a request was already sent on it.
     pub used: bool,
 }
@@ -138,7 +138,7 @@
             sender,
             opened: clock::mono_now(),
             idle_since: Instant::now(),
-            kept_until: None,
+            keep_alive_until: None,
             used: false,
         })
     }
@@ -225,8 +225,8 @@
     B: http_body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn error::Error + Send + Sync>>,
 {
-    let reading = Limited::new(body, max_bytes).collect();
-    match timeout_at(deadline, reading).await {
+    let collecting = Limited::new(body, max_bytes).collect();
+    match timeout_at(deadline, collecting).await {
         Err(_) => Err(BodyFault::Slow),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyFault::TooLong(max_bytes)),
         Ok(Err(error)) if is_timeout(&*error) => Err(BodyFault::Slow),
@@ -241,14 +241,14 @@
 ///
 /// Returns whether the request was not sent or may have run.
 pub async fn call(
-    link: &mut HttpLink,
+    connection: &mut HttpLink,
     request: &OutgoingRequest,
     max_bytes: usize,
     deadline: Instant,
 ) -> Result<(http::response::Parts, Bytes), SendFault> {
-    let response = link.send(request, deadline).await?;
+    let response = connection.send(request, deadline).await?;
     let (head, body) = response.into_parts();
     let body = read_body(body, max_bytes, deadline).await?;
-    link.idle_since = Instant::now();
+    connection.idle_since = Instant::now();
     Ok((head, body))
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -104,8 +104,8 @@
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
-        let patience = caller.patience.unwrap_or(route.time_limit);
-        let deadline = arrived + patience.min(route.time_limit);
+        let timeout = caller.timeout.unwrap_or(route.time_limit);
+        let deadline = arrived + timeout.min(route.time_limit);
         let body = read_request_body(body, &routes, deadline).await?;
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
@@ -158,7 +158,7 @@
             NOT_READY_WAIT,
         ));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
-            let can_retry = history.may_add(call) && call.route.repeat.may_repeat();
+            let can_retry = history.may_send_after_next(call) && call.route.repeat.may_repeat();
             let attempt = self.send_plain(&target, call, can_retry).await;
             let retry = match &attempt {
                 PlainOutcome::Whole(_) => false,
@@ -254,7 +254,7 @@
         let TargetAnswer {
             head,
             body,
-            lease,
+            connection,
             times,
         } = *answer;
         match client::read_body(body, MAX_ANSWER_BYTES, call.deadline).await {
@@ -274,7 +274,7 @@
                 if head.status.is_success() {
                     self.note_completed(call, &head.headers);
                 }
-                lease.give_back(&head);
+                connection.return_to_pool(&head);
                 let reply = whole_reply(head, body);
                 if failed {
                     PlainOutcome::FailedWhole(reply)
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -86,18 +86,18 @@
         &self,
         call: &RoutedCall,
         mut place: EnginePlace,
-        was_read: bool,
+        was_prefilled: bool,
         history: &SendTrail,
     ) -> EnginePlace {
-        if place.reader.is_none() || !was_read {
+        if place.reader.is_none() || !was_prefilled {
             return place;
         }
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
-        let writer = self.with_choices(call, history, |choices| {
+        let decode_engine = self.with_choices(call, history, |choices| {
             let core = self.core.borrow();
             core.writer(&choices, &prompt, urgency, clock::mono_now())
         });
-        place.writer = writer.unwrap_or(place.writer);
+        place.writer = decode_engine.unwrap_or(place.writer);
         place
     }
 
@@ -106,25 +106,25 @@
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
         core.work.note(place.unread_tokens, written, now);
-        let reader = place.reader.as_ref().unwrap_or(&place.writer);
+        let prefill_engine = place.reader.as_ref().unwrap_or(&place.writer);
         if let Some(prompt) = &call.caller.prompt {
-            core.note_parts(&reader.id, &prompt.parts, false, now);
+            core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
             let mut peers = self.peers.borrow_mut();
-            peers.note_held(&reader.id, &prompt.parts, false);
+            peers.note_held(&prefill_engine.id, &prompt.parts, false);
         }
         let load = &core.load;
         let prompt = call.caller.prompt.as_ref();
         log::info!(
             request = call.caller.id.as_str(),
             route = call.route.name.as_str(),
-            reader = reader.id.as_str(),
+            reader = prefill_engine.id.as_str(),
             writer = place.writer.id.as_str(),
             hand_over = place.reader.is_some(),
             prompt_tokens = prompt.map_or(0, |p| p.prompt_tokens),
             unread_tokens = place.unread_tokens,
             reread_tokens = place.reread_tokens,
             rank = place.rank,
-            waiting_tokens = load.total(&reader.id).unread_before(place.rank),
+            waiting_tokens = load.total(&prefill_engine.id).unread_before(place.rank),
             fetch_from = place.fetch_from.as_ref().map_or("", |holder| holder.id.as_str()),
             running = load.total(&place.writer.id).running,
             others_known = load.others(),
@@ -140,18 +140,18 @@
         mut handle: Option<HandleGuard>,
         history: &mut SendTrail,
     ) -> Started {
-        let writer = &place.writer;
-        let unread = match handle {
+        let decode_engine = &place.writer;
+        let pending_tokens = match handle {
             Some(_) => 0,
             None => place.unread_tokens,
         };
-        let mut work = WorkGuard::begin(self, &writer.id, place.rank, unread);
+        let mut work = WorkGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
         let mut timed = self.timed_work(place, handle.is_some());
         let fetch_from = place.fetch_from.as_deref().filter(|_| handle.is_none());
         let sent = Instant::now();
         let mode = handle.as_ref().map_or(SendMode::Run, HandleGuard::mode);
         let mut outcome = self
-            .send_run(call, writer, mode, fetch_from, place.rank, sent)
+            .send_run(call, decode_engine, mode, fetch_from, place.rank, sent)
             .await;
         if handle.is_some() && matches!(outcome, SendOutcome::Refused(_)) {
             // The decode engine could not import the KV cache. It can still prefill the
@@ -161,35 +161,47 @@
             }
             if self.may_repeat(call) {
                 timed = None;
-                let fetch_from = Some(place.reader.as_deref().unwrap_or(writer));
+                let fetch_from = Some(place.reader.as_deref().unwrap_or(decode_engine));
                 outcome = self
-                    .send_run(call, writer, SendMode::Run, fetch_from, place.rank, sent)
+                    .send_run(
+                        call,
+                        decode_engine,
+                        SendMode::Run,
+                        fetch_from,
+                        place.rank,
+                        sent,
+                    )
                     .await;
             }
         }
         let failure = match outcome {
             SendOutcome::Answered(answer) => {
-                history.sent.push(writer.id.clone());
+                history.sent.push(decode_engine.id.clone());
                 if let Some(handle) = &mut handle {
                     handle.forget();
                 }
                 if !answer.head.status.is_success() {
-                    return self.pass_on_failure(call, writer, *answer).await;
+                    return self.pass_on_failure(call, decode_engine, *answer).await;
                 }
-                self.note_held(call, writer);
+                self.note_held(call, decode_engine);
                 work.note_prefilled();
-                let watch = FirstEventWatch { sent, timed };
-                let relay = self.relay(call, place, *answer, history.clone(), (work, watch));
+                let first_event_timer = FirstEventWatch { sent, timed };
+                let relay = self.relay(
+                    call,
+                    place,
+                    *answer,
+                    history.clone(),
+                    (work, first_event_timer),
+                );
                 return Started::Reply(relay);
             }
             SendOutcome::NotSent(reason) => {
-                history.unreached.push(writer.id.clone());
+                history.unreached.push(decode_engine.id.clone());
                 return Started::Retry(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
             }
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                history.unreached.push(writer.id.clone());
-                let reason =
-                    "the engine no longer has its address or does this kind of work; retry later";
+                history.unreached.push(decode_engine.id.clone());
+                let reason = "the engine left its address or changed its stage; retry later";
                 let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
                 // This send arrived at a target, so the next one is a retry.
                 return if self.may_repeat(call) {
@@ -204,10 +216,10 @@
                 lost_answer(call, reason)
             }
         };
-        history.sent.push(writer.id.clone());
+        history.sent.push(decode_engine.id.clone());
         let refused = failure.retry_after.is_some();
-        let repeats = refused || call.route.repeat.may_repeat();
-        if repeats && history.may_send(call) && self.may_repeat(call) {
+        let can_retry = refused || call.route.repeat.may_repeat();
+        if can_retry && history.may_send(call) && self.may_repeat(call) {
             return Started::Retry(failure);
         }
         Started::Failed(failure)
@@ -224,16 +236,16 @@
 
     // The size leaves out other work that the decode engine starts between placement and
     // send, since the next placement will not know such work either.
-    fn timed_work(&self, place: &EnginePlace, was_read: bool) -> Option<TimedWork> {
-        let writer = &place.writer;
-        if !was_read {
+    fn timed_work(&self, place: &EnginePlace, was_prefilled: bool) -> Option<TimedWork> {
+        let decode_engine = &place.writer;
+        if !was_prefilled {
             let chosen = place.reader.is_none();
-            return chosen.then(|| place.timed_reading(writer));
+            return chosen.then(|| place.timed_reading(decode_engine));
         }
         let core = self.core.borrow();
-        let waiting = core.load.total(&writer.id).unread_before(place.rank);
+        let waiting = core.load.total(&decode_engine.id).unread_before(place.rank);
         Some(TimedWork {
-            engine: writer.clone(),
+            engine: decode_engine.clone(),
             work: EngineWork::TakeOver,
             tokens: f64::from(waiting),
         })
@@ -242,7 +254,7 @@
     async fn send_run(
         &self,
         call: &RoutedCall,
-        writer: &TargetRecord,
+        decode_engine: &TargetRecord,
         mode: SendMode,
         fetch_from: Option<&TargetRecord>,
         rank: u8,
@@ -253,9 +265,11 @@
             _ => "run",
         };
         let resume_after = call.caller.resume_after;
-        let order = self.order(call, writer, mode, resume_after, fetch_from, rank);
-        let outcome = self.send(writer, call.plan(call.deadline), &order).await;
-        call.log_send(writer, step, outcome.as_str(), sent);
+        let order = self.order(call, decode_engine, mode, resume_after, fetch_from, rank);
+        let outcome = self
+            .send(decode_engine, call.plan(call.deadline), &order)
+            .await;
+        call.log_send(decode_engine, step, outcome.as_str(), sent);
         outcome
     }
 
@@ -287,7 +301,7 @@
         place: &EnginePlace,
         answer: TargetAnswer,
         history: SendTrail,
-        (work, watch): (WorkGuard, FirstEventWatch),
+        (work, first_event_timer): (WorkGuard, FirstEventWatch),
     ) -> Reply {
         let head = answer.head.clone();
         let relay = EventRelay::new(
@@ -297,7 +311,7 @@
             answer,
             history,
             work,
-            watch,
+            first_event_timer,
         );
         stream_reply(head, relay.into_frames())
     }
@@ -312,7 +326,7 @@
         let body = client::read_body(answer.body, MAX_FAILURE_BYTES, call.deadline).await;
         match body {
             Ok(body) => {
-                answer.lease.give_back(&answer.head);
+                answer.connection.return_to_pool(&answer.head);
                 Started::Reply(whole_reply(answer.head, body))
             }
             Err(error) => {
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -46,7 +46,7 @@
             return;
         }
         connection.idle_since = now;
-        connection.kept_until = keep_alive_timeout(headers).map(|keep| now + keep);
+        connection.keep_alive_until = keep_alive_timeout(headers).map(|timeout| now + timeout);
         self.idle
             .entry(target.clone())
             .or_default()
@@ -83,8 +83,8 @@
 
 fn is_reusable(connection: &HttpLink, now: Instant) -> bool {
     let recently_used = now.saturating_duration_since(connection.idle_since) < LONGEST_IDLE;
-    let kept = connection.kept_until.is_none_or(|until| now < until);
-    recently_used && kept && connection.is_open()
+    let within_keep_alive = connection.keep_alive_until.is_none_or(|until| now < until);
+    recently_used && within_keep_alive && connection.is_open()
 }
 
 fn asks_to_close(headers: &HeaderMap) -> bool {
@@ -92,7 +92,7 @@
     values
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .any(|word| word.trim().eq_ignore_ascii_case("close"))
+        .any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
 // Parses `timeout=N`, in seconds.
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -40,17 +40,17 @@
         place: &EnginePlace,
         history: &mut SendTrail,
     ) -> Result<Option<HandleGuard>, Failure> {
-        let Some(mut reader) = place.reader.clone() else {
+        let Some(mut prefill_engine) = place.reader.clone() else {
             return Ok(None);
         };
-        if history.prompt_read && !self.may_repeat(call) {
+        if history.prompt_prefilled && !self.may_repeat(call) {
             return Ok(None);
         }
         let mut tried: Vec<TargetLife> = Vec::new();
         for _ in 0..MAX_PREFILL_ATTEMPTS {
-            match self.send_prefill(call, &reader, place).await {
+            match self.send_prefill(call, &prefill_engine, place).await {
                 PrefillResult::Cached(handle) => {
-                    history.prompt_read = true;
+                    history.prompt_prefilled = true;
                     return Ok(Some(handle));
                 }
                 PrefillResult::NotSent => {}
@@ -59,11 +59,11 @@
                 }
                 PrefillResult::Failed(_) => {}
             }
-            tried.push(reader.id.clone());
+            tried.push(prefill_engine.id.clone());
             let Some(next) = self.another_reader(call, &tried) else {
                 break;
             };
-            reader = next;
+            prefill_engine = next;
         }
         Ok(None)
     }
@@ -82,31 +82,37 @@
     async fn send_prefill(
         self: &Rc<Self>,
         call: &Rc<RoutedCall>,
-        reader: &Arc<TargetRecord>,
+        prefill_engine: &Arc<TargetRecord>,
         place: &EnginePlace,
     ) -> PrefillResult {
         let sent = Instant::now();
-        let _work = WorkGuard::begin(self, &reader.id, place.rank, place.unread_tokens);
+        let _work = WorkGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
         let timeout = Duration::from_secs_f64(place.expected_ms * PREFILL_TIMEOUT_FACTOR / 1_000.0);
         let deadline = sent + timeout.max(MIN_PREFILL_TIMEOUT);
         let fetch_from = place.fetch_from.as_deref();
         let order = self.order(
             call,
-            reader,
+            prefill_engine,
             SendMode::ReadPrompt,
             None,
             fetch_from,
             place.rank,
         );
-        let outcome = self.send(reader, call.plan(deadline), &order).await;
+        let outcome = self.send(prefill_engine, call.plan(deadline), &order).await;
         let deadline = deadline.min(call.deadline);
-        let prefill = self.finish_prefill(call, reader, outcome, deadline).await;
-        call.log_send(reader, "read_prompt", prefill.as_str(), sent);
+        let prefill = self
+            .finish_prefill(call, prefill_engine, outcome, deadline)
+            .await;
+        call.log_send(prefill_engine, "read_prompt", prefill.as_str(), sent);
         if let PrefillResult::Cached(_) = prefill {
-            self.note_held(call, reader);
+            self.note_held(call, prefill_engine);
             // The work queued at a prefill engine other than the first choice is unknown here.
-            if place.reader.as_ref().is_some_and(|r| r.id == reader.id) {
-                self.note_time(&place.timed_reading(reader), sent.elapsed());
+            if place
+                .reader
+                .as_ref()
+                .is_some_and(|r| r.id == prefill_engine.id)
+            {
+                self.note_time(&place.timed_reading(prefill_engine), sent.elapsed());
             }
         }
         prefill
@@ -115,7 +121,7 @@
     async fn finish_prefill(
         self: &Rc<Self>,
         call: &RoutedCall,
-        reader: &Arc<TargetRecord>,
+        prefill_engine: &Arc<TargetRecord>,
         outcome: SendOutcome,
         deadline: Instant,
     ) -> PrefillResult {
@@ -123,43 +129,47 @@
             SendOutcome::Answered(answer) => answer,
             SendOutcome::NotSent(_) => return PrefillResult::NotSent,
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                let reason = "no longer has its address or does this kind of work";
-                return PrefillResult::Failed(format!("{} {reason}", reader.id));
+                let reason = "left its address or changed its stage";
+                return PrefillResult::Failed(format!("{} {reason}", prefill_engine.id));
             }
             SendOutcome::Refused(reason) | SendOutcome::Unclear(reason) => {
                 return PrefillResult::Failed(reason);
             }
         };
         if !answer.head.status.is_success() {
-            self.note_result(reader, SendResult::Failed);
+            self.note_result(prefill_engine, SendResult::Failed);
             return PrefillResult::Failed(format!(
                 "{} answered the prefill with status {}",
-                reader.id, answer.head.status
+                prefill_engine.id, answer.head.status
             ));
         }
         let read = client::read_body(answer.body, MAX_PREFILL_ANSWER_BYTES, deadline).await;
         let body = match read {
             Ok(body) => body,
             Err(error) => {
-                self.note_body_fault(call, reader, &error);
+                self.note_body_fault(call, prefill_engine, &error);
                 return PrefillResult::Failed(error.to_string());
             }
         };
         let name = match (self.ports.wire.decode_read)(&body) {
             Ok(name) => name,
             Err(error) => {
-                self.note_result(reader, SendResult::Failed);
+                self.note_result(prefill_engine, SendResult::Failed);
                 return PrefillResult::Failed(error.to_string());
             }
         };
-        self.note_result(reader, SendResult::Answered);
-        self.note_answered(reader, answer.times);
-        answer.lease.give_back(&answer.head);
+        self.note_result(prefill_engine, SendResult::Answered);
+        self.note_answered(prefill_engine, answer.times);
+        answer.connection.return_to_pool(&answer.head);
         let handle = CacheHandle {
-            holder: reader.address,
+            holder: prefill_engine.address,
             name,
         };
-        PrefillResult::Cached(HandleGuard::new(self.clone(), reader.clone(), handle))
+        PrefillResult::Cached(HandleGuard::new(
+            self.clone(),
+            prefill_engine.clone(),
+            handle,
+        ))
     }
 }
 
@@ -185,15 +195,15 @@
 /// A KV cache handle that is released on drop unless another engine took it.
 pub struct HandleGuard {
     gateway: Rc<Gateway>,
-    reader: Arc<TargetRecord>,
+    prefill_engine: Arc<TargetRecord>,
     handle: Option<CacheHandle>,
 }
 
 impl HandleGuard {
-    fn new(gateway: Rc<Gateway>, reader: Arc<TargetRecord>, handle: CacheHandle) -> Self {
+    fn new(gateway: Rc<Gateway>, prefill_engine: Arc<TargetRecord>, handle: CacheHandle) -> Self {
         Self {
             gateway,
-            reader,
+            prefill_engine,
             handle: Some(handle),
         }
     }
@@ -218,7 +228,9 @@
             return;
         };
         let gateway = self.gateway.clone();
-        let reader = self.reader.clone();
-        tokio::task::spawn_local(async move { gateway.free_handle(&reader, &handle.name).await });
+        let prefill_engine = self.prefill_engine.clone();
+        tokio::task::spawn_local(async move {
+            gateway.free_handle(&prefill_engine, &handle.name).await
+        });
     }
 }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -75,16 +75,16 @@
     /// Body as it arrives.
     pub body: Incoming,
     /// Connection that the answer arrives on.
-    pub lease: LinkLease,
+    pub connection: LinkLease,
     /// Times from which to tell whether the answer shows that the target is alive.
     pub times: AnswerTimes,
 }
 
-/// A connection in use. If dropped before [`LinkLease::give_back`], it is closed, so that
+/// A connection in use. If dropped before [`LinkLease::return_to_pool`], it is closed, so that
 /// the target sees that the request was abandoned.
 #[derive(Debug)]
 pub struct LinkLease {
-    link: Option<HttpLink>,
+    inner: Option<HttpLink>,
     record: Rc<TargetRecord>,
     pool: Rc<RefCell<LinkPool>>,
 }
@@ -93,21 +93,21 @@
     fn new(pool: &Rc<RefCell<LinkPool>>, record: &TargetRecord) -> Self {
         pool.borrow_mut().note_busy(&record.id, true);
         Self {
-            link: None,
+            inner: None,
             record: Rc::new(record.clone()),
             pool: pool.clone(),
         }
     }
 
     fn opened(&self) -> Option<MonoTime> {
-        self.link.as_ref().map(|link| link.opened)
+        self.inner.as_ref().map(|inner| inner.opened)
     }
 
     /// Returns the connection to the pool after a whole answer.
-    pub fn give_back(mut self, head: &Parts) {
-        if let Some(link) = self.link.take() {
+    pub fn return_to_pool(mut self, head: &Parts) {
+        if let Some(inner) = self.inner.take() {
             let target = &self.record.id;
-            self.pool.borrow_mut().put(target, link, &head.headers);
+            self.pool.borrow_mut().put(target, inner, &head.headers);
         }
     }
 }
@@ -165,17 +165,19 @@
         }
         let mut request = plan.call.request.clone();
         request.headers = (self.ports.wire.encode_send)(&plan.call.request.headers, order);
-        let mut lease = LinkLease::new(&self.pool, target);
+        let mut connection = LinkLease::new(&self.pool, target);
         let sent = clock::mono_now();
         let outcome = tokio::select! {
-            outcome = self.send_over_connection(&mut lease, &request, plan) => outcome,
+            outcome = self.send_over_connection(&mut connection, &request, plan) => outcome,
             // If the target has not started the request yet, cancelling it spares the target.
             () = self.until_held(plan.call) => {
                 return SendOutcome::Unclear("cancelled: its work was quarantined meanwhile".to_owned());
             }
         };
         let outcome = match outcome {
-            Ok(response) => self.classify_answer(target, plan.call, order, response, (lease, sent)),
+            Ok(response) => {
+                self.classify_answer(target, plan.call, order, response, (connection, sent))
+            }
             Err(SendFault::NotSent(reason)) => SendOutcome::NotSent(reason),
             Err(SendFault::Unclear(reason)) => SendOutcome::Unclear(reason),
             Err(SendFault::Cut(reason)) => {
@@ -189,12 +191,12 @@
 
     async fn send_over_connection(
         &self,
-        lease: &mut LinkLease,
+        connection: &mut LinkLease,
         request: &OutgoingRequest,
         plan: SendPlan<'_>,
     ) -> Result<http::Response<Incoming>, SendFault> {
-        let address = lease.record.address;
-        while let Some(mut idle) = self.take_idle(&lease.record.id) {
+        let address = connection.record.address;
+        while let Some(mut idle) = self.take_idle(&connection.record.id) {
             if !plan.call.route.repeat.may_repeat()
                 && idle.idle_since.elapsed() > MAX_IDLE_WITHOUT_RETRY
             {
@@ -205,21 +207,23 @@
                 // second send.
                 Err(SendFault::NotSent(_)) => {}
                 other => {
-                    lease.link = Some(idle);
+                    connection.inner = Some(idle);
                     return other;
                 }
             }
         }
-        if self.pool.borrow().open(&lease.record.id) > self.connection_share(&lease.record) {
+        if self.pool.borrow().open(&connection.record.id)
+            > self.connection_share(&connection.record)
+        {
             return Err(SendFault::NotSent(format!(
                 "this daemon already has its share of the connections to {address}"
             )));
         }
         let deadline = plan.deadline.min(Instant::now() + CONNECT_TIMEOUT);
         metrics::counter!("pistachiowick_target_connections_total").increment(1);
-        let mut link = HttpLink::open(address, deadline).await?;
-        let answer = link.send(request, plan.deadline).await;
-        lease.link = Some(link);
+        let mut inner = HttpLink::open(address, deadline).await?;
+        let answer = inner.send(request, plan.deadline).await;
+        connection.inner = Some(inner);
         answer
     }
 
@@ -245,7 +249,7 @@
         call: &RoutedCall,
         order: &SendOrder,
         response: http::Response<Incoming>,
-        (lease, sent): (LinkLease, MonoTime),
+        (connection, sent): (LinkLease, MonoTime),
     ) -> SendOutcome {
         let (head, body) = response.into_parts();
         let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
@@ -279,13 +283,13 @@
             return SendOutcome::Unclear(format!("{} sent an unsigned answer", target.id));
         }
         let times = AnswerTimes {
-            opened: lease.opened().unwrap_or(sent),
+            opened: connection.opened().unwrap_or(sent),
             sent,
         };
         SendOutcome::Answered(Box::new(TargetAnswer {
             head,
             body,
-            lease,
+            connection,
             times,
         }))
     }
@@ -305,26 +309,26 @@
     }
 
     /// Releases a KV cache handle that no other engine will use.
-    pub async fn free_handle(&self, reader: &TargetRecord, name: &str) {
+    pub async fn free_handle(&self, prefill_engine: &TargetRecord, name: &str) {
         let query = (self.ports.wire.free_handle)(name);
         let deadline = Instant::now() + RELEASE_TIMEOUT;
-        let request = query_request(reader, query);
-        let mut lease = LinkLease::new(&self.pool, reader);
-        let link = match self.take_idle(&reader.id) {
-            Some(link) => Ok(link),
-            None => HttpLink::open(reader.address, deadline).await,
+        let request = query_request(prefill_engine, query);
+        let mut connection = LinkLease::new(&self.pool, prefill_engine);
+        let inner = match self.take_idle(&prefill_engine.id) {
+            Some(inner) => Ok(inner),
+            None => HttpLink::open(prefill_engine.address, deadline).await,
         };
-        let result = match link {
-            Ok(link) => {
-                let link = lease.link.insert(link);
-                client::call(link, &request, MAX_RELEASE_ANSWER_BYTES, deadline).await
+        let result = match inner {
+            Ok(inner) => {
+                let inner = connection.inner.insert(inner);
+                client::call(inner, &request, MAX_RELEASE_ANSWER_BYTES, deadline).await
             }
             Err(error) => Err(error),
         };
         match result {
-            Ok((head, _)) => lease.give_back(&head),
+            Ok((head, _)) => connection.return_to_pool(&head),
             Err(error) => {
-                log::debug!(target_id = reader.id.as_str(); "cannot release a KV cache handle, which will expire: {error}");
+                log::debug!(target_id = prefill_engine.id.as_str(); "cannot release a KV cache handle, which will expire: {error}");
             }
         }
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -48,7 +48,7 @@
     last_id: Option<u64>,
     history: SendTrail,
     work: Option<WorkGuard>,
-    watch: FirstEventWatch,
+    first_event_timer: FirstEventWatch,
     first_event: Option<Instant>,
     ended: bool,
 }
@@ -73,7 +73,7 @@
         answer: TargetAnswer,
         history: SendTrail,
         work: WorkGuard,
-        watch: FirstEventWatch,
+        first_event_timer: FirstEventWatch,
     ) -> Self {
         let last_id = call.caller.resume_after;
         Self {
@@ -85,7 +85,7 @@
             last_id,
             history,
             work: Some(work),
-            watch,
+            first_event_timer,
             first_event: None,
             ended: false,
         }
@@ -180,8 +180,9 @@
         if self.first_event.is_none() {
             self.first_event = Some(Instant::now());
             self.gateway.note_begun(&self.call.access);
-            if let Some(timed) = self.watch.timed.take() {
-                self.gateway.note_time(&timed, self.watch.sent.elapsed());
+            if let Some(timed) = self.first_event_timer.timed.take() {
+                self.gateway
+                    .note_time(&timed, self.first_event_timer.sent.elapsed());
             }
             let waited = self.call.arrived.elapsed();
             metrics::histogram!("pistachiowick_gateway_first_event_seconds", "route" => self.call.route.name.clone())
@@ -211,7 +212,7 @@
         }
         self.gateway.note_result(&self.engine, SendResult::Failed);
         self.answer = None;
-        self.watch.timed = None;
+        self.first_event_timer.timed = None;
         self.work = None;
         self.splitter.clear();
         let Some(place) = self.gateway.place(&self.call, &self.history) else {
@@ -285,7 +286,7 @@
             self.gateway.note_answered(&self.engine, answer.times);
             self.gateway
                 .note_completed(&self.call, &answer.head.headers);
-            answer.lease.give_back(&answer.head);
+            answer.connection.return_to_pool(&answer.head);
         }
     }
 }
