--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -104,7 +104,7 @@
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
-        let timeout = caller.timeout.unwrap_or(route.time_limit);
+        let timeout = caller.patience.unwrap_or(route.time_limit);
         let deadline = arrived + timeout.min(route.time_limit);
         let body = read_request_body(body, &routes, deadline).await?;
         let mut headers = head.headers;
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -175,9 +175,7 @@
             }
         };
         let outcome = match outcome {
-            Ok(response) => {
-                self.classify_answer(target, plan.call, order, response, (connection, sent))
-            }
+            Ok(response) => self.classify(target, plan.call, order, response, (connection, sent)),
             Err(SendFault::NotSent(reason)) => SendOutcome::NotSent(reason),
             Err(SendFault::Unclear(reason)) => SendOutcome::Unclear(reason),
             Err(SendFault::Cut(reason)) => {
@@ -243,7 +241,7 @@
         self.pool.borrow_mut().take(target, Instant::now())
     }
 
-    fn classify_answer(
+    fn classify(
         &self,
         target: &TargetRecord,
         call: &RoutedCall,
