--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -101,7 +101,7 @@
             outcome = outcome,
             took_ms = sent.elapsed().as_millis() as u64,
             left_ms = self.time_left().as_millis() as u64;
-            "request sent to target"
+            "sent"
         );
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -207,7 +207,7 @@
             call.deadline
         };
         let order = plain_order(target, call);
-        let _work = WorkGuard::begin(self, &target.id, 0, 0);
+        let _in_flight = WorkGuard::begin(self, &target.id, 0, 0);
         let outcome = self.send(target, call.plan(deadline), &order).await;
         let attempt = self.finish_plain(target, call, outcome).await;
         call.log_send(target, "run", attempt.as_str(), sent);
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -129,7 +129,7 @@
             running = load.total(&place.writer.id).running,
             others_known = load.others(),
             expected_ms = place.expected_ms as u64;
-            "request placed on engines"
+            "placed"
         );
     }
 
@@ -145,7 +145,7 @@
             Some(_) => 0,
             None => place.unread_tokens,
         };
-        let mut work = WorkGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
+        let mut in_flight = WorkGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
         let mut timed = self.timed_work(place, handle.is_some());
         let fetch_from = place.fetch_from.as_deref().filter(|_| handle.is_none());
         let sent = Instant::now();
@@ -184,14 +184,14 @@
                     return self.pass_on_failure(call, decode_engine, *answer).await;
                 }
                 self.note_held(call, decode_engine);
-                work.note_prefilled();
+                in_flight.note_prefilled();
                 let first_event_timer = FirstEventWatch { sent, timed };
                 let relay = self.relay(
                     call,
                     place,
                     *answer,
                     history.clone(),
-                    (work, first_event_timer),
+                    (in_flight, first_event_timer),
                 );
                 return Started::Reply(relay);
             }
@@ -301,7 +301,7 @@
         place: &EnginePlace,
         answer: TargetAnswer,
         history: SendTrail,
-        (work, first_event_timer): (WorkGuard, FirstEventWatch),
+        (in_flight, first_event_timer): (WorkGuard, FirstEventWatch),
     ) -> Reply {
         let head = answer.head.clone();
         let relay = EventRelay::new(
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -86,7 +86,8 @@
         place: &EnginePlace,
     ) -> PrefillResult {
         let sent = Instant::now();
-        let _work = WorkGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
+        let _in_flight =
+            WorkGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
         let timeout = Duration::from_secs_f64(place.expected_ms * PREFILL_TIMEOUT_FACTOR / 1_000.0);
         let deadline = sent + timeout.max(MIN_PREFILL_TIMEOUT);
         let fetch_from = place.fetch_from.as_deref();
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -47,7 +47,7 @@
     splitter: EventSplitter,
     last_id: Option<u64>,
     history: SendTrail,
-    work: Option<WorkGuard>,
+    in_flight: Option<WorkGuard>,
     first_event_timer: FirstEventWatch,
     first_event: Option<Instant>,
     ended: bool,
@@ -72,7 +72,7 @@
         engine: Arc<TargetRecord>,
         answer: TargetAnswer,
         history: SendTrail,
-        work: WorkGuard,
+        in_flight: WorkGuard,
         first_event_timer: FirstEventWatch,
     ) -> Self {
         let last_id = call.caller.resume_after;
@@ -84,7 +84,7 @@
             splitter: EventSplitter::default(),
             last_id,
             history,
-            work: Some(work),
+            in_flight: Some(in_flight),
             first_event_timer,
             first_event: None,
             ended: false,
@@ -213,7 +213,7 @@
         self.gateway.note_result(&self.engine, SendResult::Failed);
         self.answer = None;
         self.first_event_timer.timed = None;
-        self.work = None;
+        self.in_flight = None;
         self.splitter.clear();
         let Some(place) = self.gateway.place(&self.call, &self.history) else {
             return false;
@@ -223,7 +223,8 @@
         }
         let engine = place.writer;
         self.history.sent.push(engine.id.clone());
-        let mut work = WorkGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
+        let mut in_flight =
+            WorkGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
         let order = self.gateway.order(
             &self.call,
             &engine,
@@ -250,8 +251,8 @@
         if !answer.head.status.is_success() {
             return false;
         }
-        work.note_prefilled();
-        self.work = Some(work);
+        in_flight.note_prefilled();
+        self.in_flight = Some(in_flight);
         self.engine = engine;
         self.answer = Some(*answer);
         true
@@ -278,7 +279,7 @@
         self.gateway.note_result(&self.engine, result);
         self.log_end(outcome);
         self.ended = true;
-        self.work = None;
+        self.in_flight = None;
         let Some(answer) = self.answer.take() else {
             return;
         };
