--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -310,7 +310,7 @@
             place.writer.clone(),
             answer,
             history,
-            work,
+            in_flight,
             first_event_timer,
         );
         stream_reply(head, relay.into_frames())
