--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -17,10 +17,10 @@
 };
 use crate::gateway::sending::SendPlan;
 use crate::names::millis;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// A caller's request with its route, service and access.
-pub struct RoutedCall {
+pub struct RoutedRequest {
     /// Snapshot of the fleet when the request arrived.
     pub view: Arc<FleetView>,
     /// Route of the request.
@@ -46,7 +46,7 @@
     pub deadline: Instant,
 }
 
-impl RoutedCall {
+impl RoutedRequest {
     /// Returns the time until the deadline.
     #[must_use]
     pub fn time_left(&self) -> Duration {
@@ -125,12 +125,12 @@
 
 /// Targets that a request was sent to or could not be sent to.
 #[derive(Clone, Debug, Default)]
-pub struct SendTrail {
+pub struct SendHistory {
     /// Targets that received the request.
-    pub sent: Vec<TargetLife>,
+    pub sent: Vec<TargetIncarnation>,
     /// Targets that could not be reached, or where the request arrived at another target
     /// or at an engine in another stage.
-    pub unreached: Vec<TargetLife>,
+    pub unreached: Vec<TargetIncarnation>,
     /// Whether a target ran the request or may have run it. If so, the caller must not be
     /// told that it has not run, whatever later targets answer.
     pub may_have_run: bool,
@@ -139,44 +139,44 @@
     pub prompt_prefilled: bool,
 }
 
-impl SendTrail {
+impl SendHistory {
     /// Returns whether a target was tried.
     #[must_use]
-    pub fn has(&self, target: &TargetLife) -> bool {
+    pub fn has(&self, target: &TargetIncarnation) -> bool {
         self.sent.contains(target) || self.unreached.contains(target)
     }
 
     /// Returns the targets that were tried.
-    pub fn tried(&self) -> impl Iterator<Item = &TargetLife> {
+    pub fn tried(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.sent.iter().chain(&self.unreached)
     }
 
     /// Returns whether the route allows one more target.
     #[must_use]
-    pub fn may_send(&self, call: &RoutedCall) -> bool {
-        (self.sent.len() as u32) < call.route.most_targets
+    pub fn may_send(&self, call: &RoutedRequest) -> bool {
+        (self.sent.len() as u32) < call.route.max_targets
     }
 
     /// Returns whether the route allows another target after the next one.
     #[must_use]
-    pub fn may_send_after_next(&self, call: &RoutedCall) -> bool {
-        (self.sent.len() as u32) + 1 < call.route.most_targets
+    pub fn may_send_after_next(&self, call: &RoutedRequest) -> bool {
+        (self.sent.len() as u32) + 1 < call.route.max_targets
     }
 }
 
 /// Counts a request as in flight at a target until dropped.
-pub struct WorkGuard {
+pub struct InFlightGuard {
     gateway: Rc<Gateway>,
-    target: TargetLife,
+    target: TargetIncarnation,
     rank: u8,
     pending_prefill_tokens: u32,
 }
 
-impl WorkGuard {
+impl InFlightGuard {
     /// Counts a request of a rank with `pending_prefill_tokens` to prefill.
     pub fn begin(
         gateway: &Rc<Gateway>,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         rank: u8,
         pending_prefill_tokens: u32,
     ) -> Self {
@@ -199,7 +199,7 @@
     }
 }
 
-impl Drop for WorkGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut core = self.gateway.core.borrow_mut();
         core.load
--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -36,7 +36,7 @@
 
 /// What a failed send means for the request.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum SendFault {
+pub enum SendError {
     /// No byte of the request was sent: it has not run.
     #[error("request not sent: {0}; it can be sent to another target")]
     NotSent(String),
@@ -53,7 +53,7 @@
 
 /// Why a body was not read to its end.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// The other side closed the connection, or sent invalid framing.
     #[error("the body was truncated: {0}; retry if the request may run twice")]
     Cut(String),
@@ -65,11 +65,11 @@
     Slow,
 }
 
-impl From<BodyFault> for SendFault {
-    fn from(error: BodyFault) -> Self {
+impl From<BodyError> for SendError {
+    fn from(error: BodyError) -> Self {
         match error {
-            BodyFault::Cut(reason) => Self::Cut(reason),
-            BodyFault::TooLong(_) | BodyFault::Slow => Self::Unclear(error.to_string()),
+            BodyError::Cut(reason) => Self::Cut(reason),
+            BodyError::TooLong(_) | BodyError::Slow => Self::Unclear(error.to_string()),
         }
     }
 }
@@ -99,7 +99,7 @@
 
 /// An open connection. Dropping it closes it, which cancels the request in progress on it.
 #[derive(Debug)]
-pub struct HttpLink {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     /// When the connection was opened.
     pub opened: MonoTime,
@@ -111,24 +111,24 @@
     pub used: bool,
 }
 
-impl HttpLink {
+impl HttpConnection {
     /// Opens a connection to `address` before `deadline`.
     ///
     /// # Errors
     ///
-    /// Returns [`SendFault::NotSent`] if the connection cannot be opened.
-    pub async fn open(address: SocketAddr, deadline: Instant) -> Result<Self, SendFault> {
+    /// Returns [`SendError::NotSent`] if the connection cannot be opened.
+    pub async fn open(address: SocketAddr, deadline: Instant) -> Result<Self, SendError> {
         let connected = timeout_at(deadline, TcpStream::connect(address)).await;
         let stream = connected
-            .map_err(|_| SendFault::NotSent(format!("{address}: connection timed out")))?
-            .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
-        set_options(&stream).map_err(|e| SendFault::NotSent(format!("{address}: {e}")))?;
+            .map_err(|_| SendError::NotSent(format!("{address}: connection timed out")))?
+            .map_err(|error| SendError::NotSent(format!("{address}: {error}")))?;
+        set_socket_options(&stream).map_err(|e| SendError::NotSent(format!("{address}: {e}")))?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES);
         let (sender, connection) = builder
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
+            .map_err(|error| SendError::NotSent(format!("{address}: {error}")))?;
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to {address} closed with an error: {error}");
@@ -158,16 +158,16 @@
         &mut self,
         request: &OutgoingRequest,
         deadline: Instant,
-    ) -> Result<Response<Incoming>, SendFault> {
+    ) -> Result<Response<Incoming>, SendError> {
         self.used = true;
         let sending = self.sender.try_send_request(request.to_http());
         match timeout_at(deadline, sending).await {
-            Err(_) => Err(SendFault::Unclear(
+            Err(_) => Err(SendError::Unclear(
                 "no answer before the deadline".to_owned(),
             )),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => match error.take_message() {
-                Some(_) => Err(SendFault::NotSent(error.into_error().to_string())),
+                Some(_) => Err(SendError::NotSent(error.into_error().to_string())),
                 None => Err(answer_error(&error.into_error())),
             },
         }
@@ -180,7 +180,7 @@
 /// # Errors
 ///
 /// Returns the error of the socket.
-pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
@@ -193,11 +193,11 @@
 
 // If the network stops acknowledging bytes, only this side closes the connection; the
 // target may still be running the request.
-fn answer_error(error: &hyper::Error) -> SendFault {
+fn answer_error(error: &hyper::Error) -> SendError {
     if is_timeout(error) {
-        SendFault::Unclear(error.to_string())
+        SendError::Unclear(error.to_string())
     } else {
-        SendFault::Cut(error.to_string())
+        SendError::Cut(error.to_string())
     }
 }
 
@@ -220,17 +220,17 @@
 /// # Errors
 ///
 /// Returns an error if the body is truncated, too long or too slow.
-pub async fn read_body<B>(body: B, max_bytes: usize, deadline: Instant) -> Result<Bytes, BodyFault>
+pub async fn read_body<B>(body: B, max_bytes: usize, deadline: Instant) -> Result<Bytes, BodyError>
 where
     B: http_body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn error::Error + Send + Sync>>,
 {
     let collecting = Limited::new(body, max_bytes).collect();
     match timeout_at(deadline, collecting).await {
-        Err(_) => Err(BodyFault::Slow),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyFault::TooLong(max_bytes)),
-        Ok(Err(error)) if is_timeout(&*error) => Err(BodyFault::Slow),
-        Ok(Err(error)) => Err(BodyFault::Cut(error.to_string())),
+        Err(_) => Err(BodyError::Slow),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLong(max_bytes)),
+        Ok(Err(error)) if is_timeout(&*error) => Err(BodyError::Slow),
+        Ok(Err(error)) => Err(BodyError::Cut(error.to_string())),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
     }
 }
@@ -241,11 +241,11 @@
 ///
 /// Returns whether the request was not sent or may have run.
 pub async fn call(
-    connection: &mut HttpLink,
+    connection: &mut HttpConnection,
     request: &OutgoingRequest,
     max_bytes: usize,
     deadline: Instant,
-) -> Result<(http::response::Parts, Bytes), SendFault> {
+) -> Result<(http::response::Parts, Bytes), SendError> {
     let response = connection.send(request, deadline).await?;
     let (head, body) = response.into_parts();
     let body = read_body(body, max_bytes, deadline).await?;
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -6,7 +6,7 @@
 use crate::names::{CentreName, DaemonId};
 
 /// Most addresses in a response; callers ignore any beyond these.
-pub const MOST_ADDRESSES: usize = 64;
+pub const MAX_ADDRESSES: usize = 64;
 /// Fewest daemons of the caller's data centre for which others are left out.
 const MIN_LOCAL_DAEMONS: usize = 2;
 
@@ -37,5 +37,5 @@
         eligible
     };
     let addresses = chosen.into_iter().map(|daemon| daemon.callers);
-    addresses.take(MOST_ADDRESSES).collect()
+    addresses.take(MAX_ADDRESSES).collect()
 }
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -37,7 +37,7 @@
 
 /// What a listener serves.
 #[derive(Clone)]
-pub enum PageKind {
+pub enum ListenerKind {
     /// Callers' requests.
     Callers,
     /// Directory, readiness and metrics pages.
@@ -48,7 +48,7 @@
 pub async fn accept_loop(
     gateway: Rc<Gateway>,
     listener: TcpListener,
-    kind: PageKind,
+    kind: ListenerKind,
     closing: watch::Receiver<bool>,
 ) {
     let mut closed = closing.clone();
@@ -72,19 +72,19 @@
 async fn serve_stream(
     gateway: Rc<Gateway>,
     stream: TcpStream,
-    kind: PageKind,
+    kind: ListenerKind,
     mut closing: watch::Receiver<bool>,
 ) {
-    let _open = matches!(kind, PageKind::Callers).then(|| ConnectionCount::begin(&gateway));
+    let _open = matches!(kind, ListenerKind::Callers).then(|| ConnectionCount::begin(&gateway));
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("connection closed before its first request: {error}");
         return;
     }
     let view = gateway.view();
     let limits = view.routes.as_ref().map(|routes| routes.limits);
-    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_time);
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
     let head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.head_bytes);
-    let head_time = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.head_time);
+    let header_timeout = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout);
     let timer = Rc::new(HeaderTimer::default());
     let (connection_gateway, connection_timer) = (gateway.clone(), timer.clone());
     let service = service_fn(move |request| {
@@ -111,8 +111,8 @@
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = timer.timed_out(head_time) => {
-            log::info!(limit_ms = head_time.as_millis() as u64; "connection closed: the caller did not send a complete request head within the limit");
+        () = timer.timed_out(header_timeout) => {
+            log::info!(limit_ms = header_timeout.as_millis() as u64; "connection closed: the caller did not send a complete request head within the limit");
             return;
         }
         _ = closing.wait_for(|close| *close) => {
@@ -169,10 +169,10 @@
     }
 }
 
-async fn respond(gateway: Rc<Gateway>, kind: PageKind, request: Request<Incoming>) -> Reply {
+async fn respond(gateway: Rc<Gateway>, kind: ListenerKind, request: Request<Incoming>) -> Reply {
     let mut reply = match kind {
-        PageKind::Callers => gateway.clone().serve(request).await,
-        PageKind::Pages(metrics) => page(&gateway, &metrics, &request),
+        ListenerKind::Callers => gateway.clone().serve(request).await,
+        ListenerKind::Pages(metrics) => page(&gateway, &metrics, &request),
     };
     if gateway.stopping.get() {
         let headers = reply.headers_mut();
@@ -193,7 +193,7 @@
             metrics.render(),
         );
     }
-    match (gateway.ports.wire.directory_question)(request.uri()) {
+    match (gateway.ports.wire.decode_directory_query)(request.uri()) {
         None => Failure::new(FailureKind::NoRoute, "no such page").reply(),
         Some(question) => {
             let view = gateway.view();
@@ -205,7 +205,7 @@
             );
             let ttl = gateway.settings().bounds.directory_keep_s;
             let ttl = MAX_DIRECTORY_TTL.min(Duration::from_secs_f64(ttl));
-            let body = (gateway.ports.wire.directory_answer)(&addresses, ttl);
+            let body = (gateway.ports.wire.encode_directory_answer)(&addresses, ttl);
             bytes_page(StatusCode::OK, "application/json", body)
         }
     }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
-use crate::gateway::client::{self, BodyFault, OutgoingRequest};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
+use crate::gateway::client::{self, BodyError, OutgoingRequest};
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::fleet::FleetView;
@@ -52,9 +52,9 @@
         }
     }
 
-    async fn run(self: Rc<Self>, call: RoutedCall) -> Reply {
+    async fn run(self: Rc<Self>, call: RoutedRequest) -> Reply {
         let call = Rc::new(call);
-        if let Err(refusal) = self.check_held(&call) {
+        if let Err(refusal) = self.check_quarantine(&call) {
             self.log_failure(&call.caller.id, &call.route.name, &refusal, call.arrived);
             return refusal.reply();
         }
@@ -92,7 +92,7 @@
         head: Parts,
         body: Incoming,
         arrived: Instant,
-    ) -> Result<RoutedCall, Failure> {
+    ) -> Result<RoutedRequest, Failure> {
         let caller = (self.ports.wire.decode_caller)(&head.headers)
             .map_err(|error| Failure::new(FailureKind::BadRequest, error.to_string()))?;
         let view = self.view();
@@ -111,7 +111,7 @@
         strip_connection_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
-        Ok(RoutedCall {
+        Ok(RoutedRequest {
             view,
             route,
             service,
@@ -150,26 +150,26 @@
         Ok((route.clone(), service.clone()))
     }
 
-    async fn forward_plain(self: &Rc<Self>, call: &RoutedCall) -> Result<Reply, Failure> {
-        let mut history = SendTrail::default();
+    async fn forward_plain(self: &Rc<Self>, call: &RoutedRequest) -> Result<Reply, Failure> {
+        let mut history = SendHistory::default();
         let mut started = false;
         let mut last = Err(Failure::refused(
             "no target of the service is available; retry later",
             NOT_READY_WAIT,
         ));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
-            let can_retry = history.may_send_after_next(call) && call.route.repeat.may_repeat();
+            let can_retry = history.may_send_after_next(call) && call.route.repeat.may_retry();
             let attempt = self.send_plain(&target, call, can_retry).await;
             let retry = match &attempt {
                 PlainOutcome::Whole(_) => false,
                 PlainOutcome::FailedWhole(_) | PlainOutcome::Unclear(_) => {
                     history.sent.push(target.id.clone());
                     history.may_have_run = true;
-                    can_retry && self.may_repeat(call)
+                    can_retry && self.may_retry(call)
                 }
                 PlainOutcome::Refused(_) => {
                     history.sent.push(target.id.clone());
-                    history.may_send(call) && self.may_repeat(call)
+                    history.may_send(call) && self.may_retry(call)
                 }
                 PlainOutcome::NotSent(_) => {
                     history.unreached.push(target.id.clone());
@@ -178,7 +178,7 @@
                 // Another target received the request, so the next send is a retry.
                 PlainOutcome::Misdirected(_) => {
                     history.unreached.push(target.id.clone());
-                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_repeat(call)
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_retry(call)
                 }
             };
             if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
@@ -197,7 +197,7 @@
     async fn send_plain(
         self: &Rc<Self>,
         target: &TargetRecord,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         can_retry: bool,
     ) -> PlainOutcome {
         let sent = Instant::now();
@@ -207,7 +207,7 @@
             call.deadline
         };
         let order = plain_order(target, call);
-        let _in_flight = WorkGuard::begin(self, &target.id, 0, 0);
+        let _in_flight = InFlightGuard::begin(self, &target.id, 0, 0);
         let outcome = self.send(target, call.plan(deadline), &order).await;
         let attempt = self.finish_plain(target, call, outcome).await;
         call.log_send(target, "run", attempt.as_str(), sent);
@@ -217,7 +217,7 @@
     /// Takes a retry from the budget for a request that has time left and is not quarantined.
     /// Returns whether it may be sent again.
     #[must_use]
-    pub fn may_repeat(&self, call: &RoutedCall) -> bool {
+    pub fn may_retry(&self, call: &RoutedRequest) -> bool {
         if self.is_held(call) {
             return false;
         }
@@ -230,7 +230,7 @@
     async fn finish_plain(
         &self,
         target: &TargetRecord,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         outcome: SendOutcome,
     ) -> PlainOutcome {
         let answer = match outcome {
@@ -259,7 +259,7 @@
         } = *answer;
         match client::read_body(body, MAX_ANSWER_BYTES, call.deadline).await {
             Err(error) => {
-                self.note_body_fault(call, target, &error);
+                self.record_body_error(call, target, &error);
                 PlainOutcome::Unclear(format!("{}: {error}", target.id))
             }
             Ok(body) => {
@@ -272,7 +272,7 @@
                 self.note_result(target, result);
                 self.note_answered(target, times);
                 if head.status.is_success() {
-                    self.note_completed(call, &head.headers);
+                    self.record_completion(call, &head.headers);
                 }
                 connection.return_to_pool(&head);
                 let reply = whole_reply(head, body);
@@ -289,12 +289,12 @@
         &self,
         view: &FleetView,
         service: &ServiceName,
-        history: &SendTrail,
+        history: &SendHistory,
     ) -> Option<Arc<TargetRecord>> {
         let current = self.view();
         let mut rng = self.rng.borrow_mut();
         let untried = view
-            .of_service(service)
+            .service_targets(service)
             .iter()
             .filter(|t| !history.has(&t.id) && current.holds(&t.id));
         let core = self.core.borrow();
@@ -302,7 +302,7 @@
     }
 }
 
-fn plain_order(target: &TargetRecord, call: &RoutedCall) -> SendOrder {
+fn plain_order(target: &TargetRecord, call: &RoutedRequest) -> SendOrder {
     SendOrder {
         target: target.id.clone(),
         time_left: call.time_left(),
@@ -332,7 +332,7 @@
         )
     }
 
-    fn into_result(self, call: &RoutedCall) -> Result<Reply, Failure> {
+    fn into_result(self, call: &RoutedRequest) -> Result<Reply, Failure> {
         match self {
             Self::Whole(reply) | Self::FailedWhole(reply) => Ok(reply),
             Self::Refused(reason) | Self::NotSent(reason) | Self::Misdirected(reason) => {
@@ -356,7 +356,7 @@
 
 /// Returns the failure of a request that may have run.
 #[must_use]
-pub fn lost_answer(call: &RoutedCall, reason: String) -> Failure {
+pub fn lost_answer(call: &RoutedRequest, reason: String) -> Failure {
     if Instant::now() >= call.deadline {
         Failure::new(FailureKind::OutOfTime, reason)
     } else {
@@ -390,11 +390,11 @@
     }
     match client::read_body(body, limit, deadline).await {
         Ok(bytes) => Ok(bytes),
-        Err(error @ BodyFault::Slow) => {
+        Err(error @ BodyError::Slow) => {
             Err(Failure::new(FailureKind::SlowCaller, error.to_string()))
         }
-        Err(BodyFault::TooLong(_)) => Err(too_large(limit)),
-        Err(BodyFault::Cut(reason)) => Err(Failure::new(FailureKind::BadRequest, reason)),
+        Err(BodyError::TooLong(_)) => Err(too_large(limit)),
+        Err(BodyError::Cut(reason)) => Err(Failure::new(FailureKind::BadRequest, reason)),
     }
 }
 
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -7,21 +7,21 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
-use crate::gateway::client::{self, BodyFault};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
+use crate::gateway::client::{self, BodyError};
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::engine_choice::EnginePlace;
+use crate::gateway::deciding::engine_choice::EnginePlacement;
 use crate::gateway::deciding::engine_model::EngineWork;
 use crate::gateway::deciding::health::SendResult;
-use crate::gateway::deciding::{EngineChoices, PlaceOrder, TimedWork};
+use crate::gateway::deciding::{EngineCandidates, PlacementQuery, TimedWork};
 use crate::gateway::forward::lost_answer;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::port::{SendMode, SendOrder};
-use crate::gateway::reading::HandleGuard;
+use crate::gateway::reading::CacheHandleGuard;
 use crate::gateway::reply::{Failure, Reply, stream_reply, whole_reply};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
-use crate::gateway::stream::{EventRelay, FirstEventWatch};
-use crate::target_life::TargetLife;
+use crate::gateway::stream::{EventRelay, FirstEventTimer};
+use crate::target_incarnation::TargetIncarnation;
 
 /// Retry time after a refusal by an engine.
 pub(super) const ENGINE_BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -46,8 +46,8 @@
     /// # Errors
     ///
     /// Returns the failure to report to the caller.
-    pub async fn generate(self: Rc<Self>, call: Rc<RoutedCall>) -> Result<Reply, Failure> {
-        let mut history = SendTrail::default();
+    pub async fn generate(self: Rc<Self>, call: Rc<RoutedRequest>) -> Result<Reply, Failure> {
+        let mut history = SendHistory::default();
         let started = self.generate_with_history(&call, &mut history).await;
         started.map_err(|failure| match failure.retry_after {
             Some(_) if history.may_have_run => lost_answer(&call, failure.reason),
@@ -57,16 +57,16 @@
 
     async fn generate_with_history(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        history: &mut SendTrail,
+        call: &Rc<RoutedRequest>,
+        history: &mut SendHistory,
     ) -> Result<Reply, Failure> {
         let mut last = Failure::refused(
             "no engine of the service is available; retry later",
             ENGINE_BUSY_RETRY_AFTER,
         );
-        while let Some(place) = self.place_by_fleet(call, history).await {
-            self.check_still(&call.access)?;
-            self.check_held(call)?;
+        while let Some(place) = self.place_request(call, history).await {
+            self.recheck_access(&call.access)?;
+            self.check_quarantine(call)?;
             if let Some(refusal) = overload_refusal(call, &place) {
                 return Err(refusal);
             }
@@ -84,11 +84,11 @@
 
     fn reselect_decode_engine(
         &self,
-        call: &RoutedCall,
-        mut place: EnginePlace,
+        call: &RoutedRequest,
+        mut place: EnginePlacement,
         was_prefilled: bool,
-        history: &SendTrail,
-    ) -> EnginePlace {
+        history: &SendHistory,
+    ) -> EnginePlacement {
         if place.reader.is_none() || !was_prefilled {
             return place;
         }
@@ -101,7 +101,7 @@
         place
     }
 
-    fn record_placement(&self, call: &RoutedCall, place: &EnginePlace) {
+    fn record_placement(&self, call: &RoutedRequest, place: &EnginePlacement) {
         let now = clock::mono_now();
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
@@ -110,7 +110,7 @@
         if let Some(prompt) = &call.caller.prompt {
             core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
             let mut peers = self.peers.borrow_mut();
-            peers.note_held(&prefill_engine.id, &prompt.parts, false);
+            peers.note_cached(&prefill_engine.id, &prompt.parts, false);
         }
         let load = &core.load;
         let prompt = call.caller.prompt.as_ref();
@@ -124,7 +124,7 @@
             unread_tokens = place.unread_tokens,
             reread_tokens = place.reread_tokens,
             rank = place.rank,
-            waiting_tokens = load.total(&prefill_engine.id).unread_before(place.rank),
+            waiting_tokens = load.total(&prefill_engine.id).prefill_tokens_before(place.rank),
             fetch_from = place.fetch_from.as_ref().map_or("", |holder| holder.id.as_str()),
             running = load.total(&place.writer.id).running,
             others_known = load.others(),
@@ -135,21 +135,24 @@
 
     async fn start(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        place: &EnginePlace,
-        mut handle: Option<HandleGuard>,
-        history: &mut SendTrail,
+        call: &Rc<RoutedRequest>,
+        place: &EnginePlacement,
+        mut handle: Option<CacheHandleGuard>,
+        history: &mut SendHistory,
     ) -> Started {
         let decode_engine = &place.writer;
         let pending_tokens = match handle {
             Some(_) => 0,
             None => place.unread_tokens,
         };
-        let mut in_flight = WorkGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
+        let mut in_flight =
+            InFlightGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
         let mut timed = self.timed_work(place, handle.is_some());
         let fetch_from = place.fetch_from.as_deref().filter(|_| handle.is_none());
         let sent = Instant::now();
-        let mode = handle.as_ref().map_or(SendMode::Run, HandleGuard::mode);
+        let mode = handle
+            .as_ref()
+            .map_or(SendMode::Run, CacheHandleGuard::mode);
         let mut outcome = self
             .send_run(call, decode_engine, mode, fetch_from, place.rank, sent)
             .await;
@@ -159,7 +162,7 @@
             if let Some(handle) = &mut handle {
                 handle.forget();
             }
-            if self.may_repeat(call) {
+            if self.may_retry(call) {
                 timed = None;
                 let fetch_from = Some(place.reader.as_deref().unwrap_or(decode_engine));
                 outcome = self
@@ -183,9 +186,9 @@
                 if !answer.head.status.is_success() {
                     return self.pass_on_failure(call, decode_engine, *answer).await;
                 }
-                self.note_held(call, decode_engine);
+                self.note_cached(call, decode_engine);
                 in_flight.note_prefilled();
-                let first_event_timer = FirstEventWatch { sent, timed };
+                let first_event_timer = FirstEventTimer { sent, timed };
                 let relay = self.relay(
                     call,
                     place,
@@ -204,7 +207,7 @@
                 let reason = "the engine left its address or changed its stage; retry later";
                 let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
                 // This send arrived at a target, so the next one is a retry.
-                return if self.may_repeat(call) {
+                return if self.may_retry(call) {
                     Started::Retry(failure)
                 } else {
                     Started::Failed(failure)
@@ -218,8 +221,8 @@
         };
         history.sent.push(decode_engine.id.clone());
         let refused = failure.retry_after.is_some();
-        let can_retry = refused || call.route.repeat.may_repeat();
-        if can_retry && history.may_send(call) && self.may_repeat(call) {
+        let can_retry = refused || call.route.repeat.may_retry();
+        if can_retry && history.may_send(call) && self.may_retry(call) {
             return Started::Retry(failure);
         }
         Started::Failed(failure)
@@ -236,14 +239,17 @@
 
     // The size leaves out other work that the decode engine starts between placement and
     // send, since the next placement will not know such work either.
-    fn timed_work(&self, place: &EnginePlace, was_prefilled: bool) -> Option<TimedWork> {
+    fn timed_work(&self, place: &EnginePlacement, was_prefilled: bool) -> Option<TimedWork> {
         let decode_engine = &place.writer;
         if !was_prefilled {
             let chosen = place.reader.is_none();
-            return chosen.then(|| place.timed_reading(decode_engine));
+            return chosen.then(|| place.timed_prefill(decode_engine));
         }
         let core = self.core.borrow();
-        let waiting = core.load.total(&decode_engine.id).unread_before(place.rank);
+        let waiting = core
+            .load
+            .total(&decode_engine.id)
+            .prefill_tokens_before(place.rank);
         Some(TimedWork {
             engine: decode_engine.clone(),
             work: EngineWork::TakeOver,
@@ -253,7 +259,7 @@
 
     async fn send_run(
         &self,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         decode_engine: &TargetRecord,
         mode: SendMode,
         fetch_from: Option<&TargetRecord>,
@@ -277,7 +283,7 @@
     #[must_use]
     pub fn order(
         &self,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         engine: &TargetRecord,
         mode: SendMode,
         resume_after: Option<u64>,
@@ -297,11 +303,11 @@
 
     fn relay(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        place: &EnginePlace,
+        call: &Rc<RoutedRequest>,
+        place: &EnginePlacement,
         answer: TargetAnswer,
-        history: SendTrail,
-        (in_flight, first_event_timer): (WorkGuard, FirstEventWatch),
+        history: SendHistory,
+        (in_flight, first_event_timer): (InFlightGuard, FirstEventTimer),
     ) -> Reply {
         let head = answer.head.clone();
         let relay = EventRelay::new(
@@ -318,7 +324,7 @@
 
     async fn pass_on_failure(
         &self,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         engine: &TargetRecord,
         answer: TargetAnswer,
     ) -> Started {
@@ -330,30 +336,30 @@
                 Started::Reply(whole_reply(answer.head, body))
             }
             Err(error) => {
-                if let BodyFault::Cut(reason) = &error {
-                    self.note_cut(call, engine, reason);
+                if let BodyError::Cut(reason) = &error {
+                    self.record_connection_loss(call, engine, reason);
                 }
                 Started::Failed(lost_answer(call, error.to_string()))
             }
         }
     }
 
-    pub(super) fn note_held(&self, call: &RoutedCall, engine: &TargetRecord) {
+    pub(super) fn note_cached(&self, call: &RoutedRequest, engine: &TargetRecord) {
         let Some(prompt) = &call.caller.prompt else {
             return;
         };
         let mut core = self.core.borrow_mut();
         core.note_parts(&engine.id, &prompt.parts, true, clock::mono_now());
         let mut peers = self.peers.borrow_mut();
-        peers.note_held(&engine.id, &prompt.parts, true);
+        peers.note_cached(&engine.id, &prompt.parts, true);
     }
 
     /// Chooses the engines of a request among those that it was not sent to yet.
     #[must_use]
-    pub fn place(&self, call: &RoutedCall, history: &SendTrail) -> Option<EnginePlace> {
+    pub fn place(&self, call: &RoutedRequest, history: &SendHistory) -> Option<EnginePlacement> {
         let prompt = call.prompt();
         self.with_choices(call, history, |choices| {
-            let order = PlaceOrder {
+            let order = PlacementQuery {
                 choices,
                 prompt: &prompt,
                 urgency: call.route.urgency,
@@ -365,9 +371,9 @@
 
     /// Returns the engines whose stage is being changed, by this daemon or a peer.
     #[must_use]
-    pub fn changing(&self) -> Vec<TargetLife> {
+    pub fn changing(&self) -> Vec<TargetIncarnation> {
         let peers = self.peers.borrow();
-        let own = self.own_changing.borrow();
+        let own = self.local_stage_changes.borrow();
         let all = peers.changing(clock::mono_now()).chain(own.iter());
         all.cloned().collect()
     }
@@ -383,13 +389,13 @@
 
     pub(super) fn with_choices<T>(
         &self,
-        call: &RoutedCall,
-        history: &SendTrail,
-        decide: impl FnOnce(EngineChoices<'_>) -> T,
+        call: &RoutedRequest,
+        history: &SendHistory,
+        decide: impl FnOnce(EngineCandidates<'_>) -> T,
     ) -> T {
-        let excluded: Vec<TargetLife> = history.tried().cloned().collect();
-        decide(EngineChoices {
-            engines: &self.staying(call.view.of_service(&call.service.name)),
+        let excluded: Vec<TargetIncarnation> = history.tried().cloned().collect();
+        decide(EngineCandidates {
+            engines: &self.staying(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: &excluded,
         })
@@ -399,7 +405,7 @@
 // Refuses a stream whose first event would come after the caller's time-out. Its work
 // would be wasted and delay other requests; after an early refusal the caller can still
 // retry in time.
-fn overload_refusal(call: &RoutedCall, place: &EnginePlace) -> Option<Failure> {
+fn overload_refusal(call: &RoutedRequest, place: &EnginePlacement) -> Option<Failure> {
     let gap = call.route.gap_objective.unwrap_or_default();
     let caller_timeout = MIN_CALLER_TIMEOUT
         .max(call.route.objective * CALLER_TIMEOUT_OBJECTIVES)
--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -33,9 +33,9 @@
 
 /// Handle for flushing the log.
 #[derive(Debug)]
-pub struct JournalHandle(Arc<LineCounts>);
+pub struct LogHandle(Arc<LineCounts>);
 
-impl JournalHandle {
+impl LogHandle {
     /// Waits until the lines queued so far are written, for half a second at most.
     ///
     /// The writer thread ends with the process, so without a flush the last lines, which
@@ -76,13 +76,13 @@
 /// # Errors
 ///
 /// Returns an error for an unknown level, or when a logger is already installed.
-pub fn install(level: &str) -> Result<JournalHandle, LogError> {
+pub fn install(level: &str) -> Result<LogHandle, LogError> {
     let level: LevelFilter = level.parse().map_err(|_| LogError::Level {
         found: level.to_owned(),
     })?;
     let (lines, queue) = sync_channel(QUEUE_LINES);
     let counts = Arc::new(LineCounts::default());
-    let handle = JournalHandle(counts.clone());
+    let handle = LogHandle(counts.clone());
     let thread_counts = counts.clone();
     // If the thread cannot be started, the process serves requests without logging.
     let _ = thread::Builder::new()
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -7,13 +7,13 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-use crate::gateway::client::HttpLink;
-use crate::target_life::TargetLife;
+use crate::gateway::client::HttpConnection;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Longest idle time of a pooled connection. Targets may close an idle connection without
 /// notice, and a request sent on it that must not run twice is lost. A connection used
 /// within the last few seconds is almost always still open.
-pub const LONGEST_IDLE: Duration = Duration::from_millis(4_000);
+pub const MAX_IDLE: Duration = Duration::from_millis(4_000);
 /// Subtracted from a target's keep-alive timeout, which started before its response
 /// arrived here.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
@@ -23,13 +23,13 @@
 /// old one would be lost.
 #[derive(Debug, Default)]
 pub struct LinkPool {
-    idle: IndexMap<TargetLife, Vec<HttpLink>>,
-    busy: IndexMap<TargetLife, u32>,
+    idle: IndexMap<TargetIncarnation, Vec<HttpConnection>>,
+    busy: IndexMap<TargetIncarnation, u32>,
 }
 
 impl LinkPool {
     /// Takes the most recently used connection that can be reused.
-    pub fn take(&mut self, target: &TargetLife, now: Instant) -> Option<HttpLink> {
+    pub fn take(&mut self, target: &TargetIncarnation, now: Instant) -> Option<HttpConnection> {
         let connections = self.idle.get_mut(target)?;
         while let Some(connection) = connections.pop() {
             if is_reusable(&connection, now) {
@@ -40,7 +40,12 @@
     }
 
     /// Returns a connection to the pool after a whole answer, unless `headers` ask to close it.
-    pub fn put(&mut self, target: &TargetLife, mut connection: HttpLink, headers: &HeaderMap) {
+    pub fn put(
+        &mut self,
+        target: &TargetIncarnation,
+        mut connection: HttpConnection,
+        headers: &HeaderMap,
+    ) {
         let now = Instant::now();
         if asks_to_close(headers) {
             return;
@@ -54,7 +59,7 @@
     }
 
     /// Counts a connection that is now in use, or no longer in use.
-    pub fn note_busy(&mut self, target: &TargetLife, in_use: bool) {
+    pub fn note_busy(&mut self, target: &TargetIncarnation, in_use: bool) {
         let busy = self.busy.entry(target.clone()).or_default();
         *busy = if in_use {
             *busy + 1
@@ -65,7 +70,7 @@
 
     /// Returns the number of open connections to a target, busy and idle.
     #[must_use]
-    pub fn open(&self, target: &TargetLife) -> u32 {
+    pub fn open(&self, target: &TargetIncarnation) -> u32 {
         let busy = self.busy.get(target).copied().unwrap_or(0);
         let idle = self.idle.get(target).map_or(0, Vec::len);
         busy + u32::try_from(idle).unwrap_or(u32::MAX)
@@ -81,8 +86,8 @@
     }
 }
 
-fn is_reusable(connection: &HttpLink, now: Instant) -> bool {
-    let recently_used = now.saturating_duration_since(connection.idle_since) < LONGEST_IDLE;
+fn is_reusable(connection: &HttpConnection, now: Instant) -> bool {
+    let recently_used = now.saturating_duration_since(connection.idle_since) < MAX_IDLE;
     let within_keep_alive = connection.keep_alive_until.is_none_or(|until| now < until);
     recently_used && within_keep_alive && connection.is_open()
 }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -7,18 +7,18 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
 use crate::gateway::client;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::EngineChoices;
-use crate::gateway::deciding::engine_choice::EnginePlace;
+use crate::gateway::deciding::EngineCandidates;
+use crate::gateway::deciding::engine_choice::EnginePlacement;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::generate::ENGINE_BUSY_RETRY_AFTER;
 use crate::gateway::model::TargetRecord;
-use crate::gateway::port::{CacheHandle, SendMode};
+use crate::gateway::port::{KvCacheHandle, SendMode};
 use crate::gateway::reply::Failure;
 use crate::gateway::sending::SendOutcome;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Largest answer to a prefill request, in bytes.
 const MAX_PREFILL_ANSWER_BYTES: usize = 64 * 1024;
@@ -36,17 +36,17 @@
     // prefill engines would make the fleet send every request twice.
     pub(super) async fn read_ahead(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        place: &EnginePlace,
-        history: &mut SendTrail,
-    ) -> Result<Option<HandleGuard>, Failure> {
+        call: &Rc<RoutedRequest>,
+        place: &EnginePlacement,
+        history: &mut SendHistory,
+    ) -> Result<Option<CacheHandleGuard>, Failure> {
         let Some(mut prefill_engine) = place.reader.clone() else {
             return Ok(None);
         };
-        if history.prompt_prefilled && !self.may_repeat(call) {
+        if history.prompt_prefilled && !self.may_retry(call) {
             return Ok(None);
         }
-        let mut tried: Vec<TargetLife> = Vec::new();
+        let mut tried: Vec<TargetIncarnation> = Vec::new();
         for _ in 0..MAX_PREFILL_ATTEMPTS {
             match self.send_prefill(call, &prefill_engine, place).await {
                 PrefillResult::Cached(handle) => {
@@ -54,13 +54,13 @@
                     return Ok(Some(handle));
                 }
                 PrefillResult::NotSent => {}
-                PrefillResult::Failed(reason) if !self.may_repeat(call) => {
+                PrefillResult::Failed(reason) if !self.may_retry(call) => {
                     return Err(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
                 }
                 PrefillResult::Failed(_) => {}
             }
             tried.push(prefill_engine.id.clone());
-            let Some(next) = self.another_reader(call, &tried) else {
+            let Some(next) = self.choose_other_prefill_engine(call, &tried) else {
                 break;
             };
             prefill_engine = next;
@@ -68,26 +68,30 @@
         Ok(None)
     }
 
-    fn another_reader(&self, call: &RoutedCall, tried: &[TargetLife]) -> Option<Arc<TargetRecord>> {
-        let choices = EngineChoices {
-            engines: &self.staying(call.view.of_service(&call.service.name)),
+    fn choose_other_prefill_engine(
+        &self,
+        call: &RoutedRequest,
+        tried: &[TargetIncarnation],
+    ) -> Option<Arc<TargetRecord>> {
+        let choices = EngineCandidates {
+            engines: &self.staying(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: tried,
         };
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
         let core = self.core.borrow();
-        core.another_reader(&choices, &prompt, urgency, clock::mono_now())
+        core.choose_other_prefill_engine(&choices, &prompt, urgency, clock::mono_now())
     }
 
     async fn send_prefill(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
+        call: &Rc<RoutedRequest>,
         prefill_engine: &Arc<TargetRecord>,
-        place: &EnginePlace,
+        place: &EnginePlacement,
     ) -> PrefillResult {
         let sent = Instant::now();
         let _in_flight =
-            WorkGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
+            InFlightGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
         let timeout = Duration::from_secs_f64(place.expected_ms * PREFILL_TIMEOUT_FACTOR / 1_000.0);
         let deadline = sent + timeout.max(MIN_PREFILL_TIMEOUT);
         let fetch_from = place.fetch_from.as_deref();
@@ -106,14 +110,14 @@
             .await;
         call.log_send(prefill_engine, "read_prompt", prefill.as_str(), sent);
         if let PrefillResult::Cached(_) = prefill {
-            self.note_held(call, prefill_engine);
+            self.note_cached(call, prefill_engine);
             // The work queued at a prefill engine other than the first choice is unknown here.
             if place
                 .reader
                 .as_ref()
                 .is_some_and(|r| r.id == prefill_engine.id)
             {
-                self.note_time(&place.timed_reading(prefill_engine), sent.elapsed());
+                self.note_time(&place.timed_prefill(prefill_engine), sent.elapsed());
             }
         }
         prefill
@@ -121,7 +125,7 @@
 
     async fn finish_prefill(
         self: &Rc<Self>,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         prefill_engine: &Arc<TargetRecord>,
         outcome: SendOutcome,
         deadline: Instant,
@@ -148,7 +152,7 @@
         let body = match read {
             Ok(body) => body,
             Err(error) => {
-                self.note_body_fault(call, prefill_engine, &error);
+                self.record_body_error(call, prefill_engine, &error);
                 return PrefillResult::Failed(error.to_string());
             }
         };
@@ -162,11 +166,11 @@
         self.note_result(prefill_engine, SendResult::Answered);
         self.note_answered(prefill_engine, answer.times);
         answer.connection.return_to_pool(&answer.head);
-        let handle = CacheHandle {
+        let handle = KvCacheHandle {
             holder: prefill_engine.address,
             name,
         };
-        PrefillResult::Cached(HandleGuard::new(
+        PrefillResult::Cached(CacheHandleGuard::new(
             self.clone(),
             prefill_engine.clone(),
             handle,
@@ -176,7 +180,7 @@
 
 // Outcome of a prefill. No generation has started in any case.
 enum PrefillResult {
-    Cached(HandleGuard),
+    Cached(CacheHandleGuard),
     // No byte of the request was sent.
     NotSent,
     // An engine received the request, but the prefill failed.
@@ -194,14 +198,14 @@
 }
 
 /// A KV cache handle that is released on drop unless another engine took it.
-pub struct HandleGuard {
+pub struct CacheHandleGuard {
     gateway: Rc<Gateway>,
     prefill_engine: Arc<TargetRecord>,
-    handle: Option<CacheHandle>,
+    handle: Option<KvCacheHandle>,
 }
 
-impl HandleGuard {
-    fn new(gateway: Rc<Gateway>, prefill_engine: Arc<TargetRecord>, handle: CacheHandle) -> Self {
+impl CacheHandleGuard {
+    fn new(gateway: Rc<Gateway>, prefill_engine: Arc<TargetRecord>, handle: KvCacheHandle) -> Self {
         Self {
             gateway,
             prefill_engine,
@@ -223,7 +227,7 @@
     }
 }
 
-impl Drop for HandleGuard {
+impl Drop for CacheHandleGuard {
     fn drop(&mut self) {
         let Some(handle) = self.handle.take() else {
             return;
@@ -231,7 +235,7 @@
         let gateway = self.gateway.clone();
         let prefill_engine = self.prefill_engine.clone();
         tokio::task::spawn_local(async move {
-            gateway.free_handle(&prefill_engine, &handle.name).await
+            gateway.release_handle(&prefill_engine, &handle.name).await
         });
     }
 }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -18,10 +18,10 @@
 /// a truncated answer never looks complete.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("the answer was truncated: {0}; retry if the request may run twice")]
-pub struct AnswerCut(pub String);
+pub struct AnswerTruncated(pub String);
 
 /// Frames of a body that is forwarded as it arrives.
-pub type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, AnswerCut>>>>;
+pub type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, AnswerTruncated>>>>;
 
 /// Body of an answer to a caller.
 pub type ReplyBody = Either<Full<Bytes>, StreamBody<FrameStream>>;
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -9,16 +9,16 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::crashes::book::AnswerTimes;
-use crate::gateway::call::RoutedCall;
-use crate::gateway::client::{self, BodyFault, HttpLink, OutgoingRequest, SendFault};
+use crate::crashes::tracker::ExchangeTimes;
+use crate::gateway::call::RoutedRequest;
+use crate::gateway::client::{self, BodyError, HttpConnection, OutgoingRequest, SendError};
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::{HealthChange, SendResult};
 use crate::gateway::model::TargetRecord;
 use crate::gateway::pool::LinkPool;
 use crate::gateway::port::{SendMode, SendOrder, TargetQuery};
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Longest time to open a connection. This normally takes a few milliseconds; a slower
 /// target is unreachable, and the request can still be sent to another one.
@@ -75,21 +75,21 @@
     /// Body as it arrives.
     pub body: Incoming,
     /// Connection that the answer arrives on.
-    pub connection: LinkLease,
+    pub connection: PooledConnection,
     /// Times from which to tell whether the answer shows that the target is alive.
-    pub times: AnswerTimes,
+    pub times: ExchangeTimes,
 }
 
-/// A connection in use. If dropped before [`LinkLease::return_to_pool`], it is closed, so that
+/// A connection in use. If dropped before [`PooledConnection::return_to_pool`], it is closed, so that
 /// the target sees that the request was abandoned.
 #[derive(Debug)]
-pub struct LinkLease {
-    inner: Option<HttpLink>,
+pub struct PooledConnection {
+    inner: Option<HttpConnection>,
     record: Rc<TargetRecord>,
     pool: Rc<RefCell<LinkPool>>,
 }
 
-impl LinkLease {
+impl PooledConnection {
     fn new(pool: &Rc<RefCell<LinkPool>>, record: &TargetRecord) -> Self {
         pool.borrow_mut().note_busy(&record.id, true);
         Self {
@@ -112,7 +112,7 @@
     }
 }
 
-impl Drop for LinkLease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.pool.borrow_mut().note_busy(&self.record.id, false);
     }
@@ -138,7 +138,7 @@
 #[derive(Clone, Copy)]
 pub struct SendPlan<'a> {
     /// The caller's request.
-    pub call: &'a RoutedCall,
+    pub call: &'a RoutedRequest,
     /// Deadline for the head of the answer.
     pub deadline: Instant,
 }
@@ -165,21 +165,21 @@
         }
         let mut request = plan.call.request.clone();
         request.headers = (self.ports.wire.encode_send)(&plan.call.request.headers, order);
-        let mut connection = LinkLease::new(&self.pool, target);
+        let mut connection = PooledConnection::new(&self.pool, target);
         let sent = clock::mono_now();
         let outcome = tokio::select! {
             outcome = self.send_over_connection(&mut connection, &request, plan) => outcome,
             // If the target has not started the request yet, cancelling it spares the target.
-            () = self.until_held(plan.call) => {
+            () = self.until_quarantined(plan.call) => {
                 return SendOutcome::Unclear("cancelled: its work was quarantined meanwhile".to_owned());
             }
         };
         let outcome = match outcome {
             Ok(response) => self.classify(target, plan.call, order, response, (connection, sent)),
-            Err(SendFault::NotSent(reason)) => SendOutcome::NotSent(reason),
-            Err(SendFault::Unclear(reason)) => SendOutcome::Unclear(reason),
-            Err(SendFault::Cut(reason)) => {
-                self.note_cut(plan.call, target, &reason);
+            Err(SendError::NotSent(reason)) => SendOutcome::NotSent(reason),
+            Err(SendError::Unclear(reason)) => SendOutcome::Unclear(reason),
+            Err(SendError::Cut(reason)) => {
+                self.record_connection_loss(plan.call, target, &reason);
                 SendOutcome::Unclear(reason)
             }
         };
@@ -189,13 +189,13 @@
 
     async fn send_over_connection(
         &self,
-        connection: &mut LinkLease,
+        connection: &mut PooledConnection,
         request: &OutgoingRequest,
         plan: SendPlan<'_>,
-    ) -> Result<http::Response<Incoming>, SendFault> {
+    ) -> Result<http::Response<Incoming>, SendError> {
         let address = connection.record.address;
         while let Some(mut idle) = self.take_idle(&connection.record.id) {
-            if !plan.call.route.repeat.may_repeat()
+            if !plan.call.route.repeat.may_retry()
                 && idle.idle_since.elapsed() > MAX_IDLE_WITHOUT_RETRY
             {
                 continue;
@@ -203,7 +203,7 @@
             match idle.send(request, plan.deadline).await {
                 // The connection was closed before the first byte, so using a new one is not a
                 // second send.
-                Err(SendFault::NotSent(_)) => {}
+                Err(SendError::NotSent(_)) => {}
                 other => {
                     connection.inner = Some(idle);
                     return other;
@@ -213,13 +213,13 @@
         if self.pool.borrow().open(&connection.record.id)
             > self.connection_share(&connection.record)
         {
-            return Err(SendFault::NotSent(format!(
+            return Err(SendError::NotSent(format!(
                 "this daemon already has its share of the connections to {address}"
             )));
         }
         let deadline = plan.deadline.min(Instant::now() + CONNECT_TIMEOUT);
         metrics::counter!("pistachiowick_target_connections_total").increment(1);
-        let mut inner = HttpLink::open(address, deadline).await?;
+        let mut inner = HttpConnection::open(address, deadline).await?;
         let answer = inner.send(request, plan.deadline).await;
         connection.inner = Some(inner);
         answer
@@ -231,23 +231,23 @@
         let view = self.view();
         let routes = view.routes.as_ref();
         let rule = routes.and_then(|routes| routes.service(&target.service));
-        let accepted = rule.map_or(u32::MAX, |rule| rule.most_connections);
+        let accepted = rule.map_or(u32::MAX, |rule| rule.max_connections);
         let daemons = u32::try_from(self.daemon_count()).unwrap_or(u32::MAX);
         (accepted / daemons).max(MIN_CONNECTIONS)
     }
 
     // A separate function, so that the pool is not borrowed across an `await`.
-    fn take_idle(&self, target: &TargetLife) -> Option<HttpLink> {
+    fn take_idle(&self, target: &TargetIncarnation) -> Option<HttpConnection> {
         self.pool.borrow_mut().take(target, Instant::now())
     }
 
     fn classify(
         &self,
         target: &TargetRecord,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         order: &SendOrder,
         response: http::Response<Incoming>,
-        (connection, sent): (LinkLease, MonoTime),
+        (connection, sent): (PooledConnection, MonoTime),
     ) -> SendOutcome {
         let (head, body) = response.into_parts();
         let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
@@ -280,7 +280,7 @@
         if is_run && head.status.is_success() && !marks.signed {
             return SendOutcome::Unclear(format!("{} sent an unsigned answer", target.id));
         }
-        let times = AnswerTimes {
+        let times = ExchangeTimes {
             opened: connection.opened().unwrap_or(sent),
             sent,
         };
@@ -302,19 +302,19 @@
         };
         self.note_result(target, result);
         if matches!(outcome, SendOutcome::WrongTarget) {
-            self.tell_departed(&target.id);
+            self.notify_departed(&target.id);
         }
     }
 
     /// Releases a KV cache handle that no other engine will use.
-    pub async fn free_handle(&self, prefill_engine: &TargetRecord, name: &str) {
-        let query = (self.ports.wire.free_handle)(name);
+    pub async fn release_handle(&self, prefill_engine: &TargetRecord, name: &str) {
+        let query = (self.ports.wire.release_handle)(name);
         let deadline = Instant::now() + RELEASE_TIMEOUT;
         let request = query_request(prefill_engine, query);
-        let mut connection = LinkLease::new(&self.pool, prefill_engine);
+        let mut connection = PooledConnection::new(&self.pool, prefill_engine);
         let inner = match self.take_idle(&prefill_engine.id) {
             Some(inner) => Ok(inner),
-            None => HttpLink::open(prefill_engine.address, deadline).await,
+            None => HttpConnection::open(prefill_engine.address, deadline).await,
         };
         let result = match inner {
             Ok(inner) => {
@@ -332,9 +332,14 @@
     }
 
     /// Records that the body of a target's answer was not read to its end.
-    pub fn note_body_fault(&self, call: &RoutedCall, target: &TargetRecord, error: &BodyFault) {
-        if let BodyFault::Cut(reason) = error {
-            self.note_cut(call, target, reason);
+    pub fn record_body_error(
+        &self,
+        call: &RoutedRequest,
+        target: &TargetRecord,
+        error: &BodyError,
+    ) {
+        if let BodyError::Cut(reason) = error {
+            self.record_connection_loss(call, target, reason);
         }
         self.note_result(target, SendResult::Failed);
     }
@@ -343,7 +348,7 @@
     /// again.
     pub fn note_result(&self, target: &TargetRecord, result: SendResult) {
         let now = clock::mono_now();
-        if self.is_placed_for() {
+        if self.uses_remote_placement() {
             self.seen.borrow_mut().note_result(&target.id, result);
         }
         let changed = self.core.borrow_mut().note_result(&target.id, result, now);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -11,15 +11,15 @@
 use hyper::body::Frame;
 use tokio::time::{Instant, timeout_at};
 
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
 use crate::gateway::client::is_timeout;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::TimedWork;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::event_split::EventSplitter;
-use crate::gateway::model::{RepeatRule, TargetRecord};
+use crate::gateway::model::{RetryRule, TargetRecord};
 use crate::gateway::port::SendMode;
-use crate::gateway::reply::{AnswerCut, FrameStream};
+use crate::gateway::reply::{AnswerTruncated, FrameStream};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 
 /// Silence of an engine after which a resumable stream is resumed on another one, in gap
@@ -30,7 +30,7 @@
 
 /// Measures the time to the first event of a stream.
 #[derive(Debug)]
-pub struct FirstEventWatch {
+pub struct FirstEventTimer {
     /// When the request was sent to the engine.
     pub sent: Instant,
     /// Work that the time is recorded for; `None` if it says nothing about the engine's
@@ -41,14 +41,14 @@
 /// A stream that is being forwarded. Dropping it cancels the work on the engine.
 pub struct EventRelay {
     gateway: Rc<Gateway>,
-    call: Rc<RoutedCall>,
+    call: Rc<RoutedRequest>,
     engine: Arc<TargetRecord>,
     answer: Option<TargetAnswer>,
     splitter: EventSplitter,
     last_id: Option<u64>,
-    history: SendTrail,
-    in_flight: Option<WorkGuard>,
-    first_event_timer: FirstEventWatch,
+    history: SendHistory,
+    in_flight: Option<InFlightGuard>,
+    first_event_timer: FirstEventTimer,
     first_event: Option<Instant>,
     ended: bool,
 }
@@ -68,12 +68,12 @@
     #[must_use]
     pub fn new(
         gateway: Rc<Gateway>,
-        call: Rc<RoutedCall>,
+        call: Rc<RoutedRequest>,
         engine: Arc<TargetRecord>,
         answer: TargetAnswer,
-        history: SendTrail,
-        in_flight: WorkGuard,
-        first_event_timer: FirstEventWatch,
+        history: SendHistory,
+        in_flight: InFlightGuard,
+        first_event_timer: FirstEventTimer,
     ) -> Self {
         let last_id = call.caller.resume_after;
         Self {
@@ -104,11 +104,12 @@
         }))
     }
 
-    async fn next(&mut self) -> Result<Option<Bytes>, AnswerCut> {
+    async fn next(&mut self) -> Result<Option<Bytes>, AnswerTruncated> {
         loop {
             let step = self.step().await;
             if let RelayStep::Cut(reason) = &step {
-                self.gateway.note_cut(&self.call, &self.engine, reason);
+                self.gateway
+                    .record_connection_loss(&self.call, &self.engine, reason);
             }
             match step {
                 RelayStep::Bytes(bytes) => return Ok(Some(bytes)),
@@ -119,14 +120,14 @@
                 }
                 RelayStep::OutOfTime => {
                     self.end("out_of_time", SendResult::Failed);
-                    return Err(AnswerCut(
+                    return Err(AnswerTruncated(
                         "the deadline of the request has passed".to_owned(),
                     ));
                 }
                 RelayStep::Cut(reason) | RelayStep::Broken(reason) => {
                     if !self.resume(&reason).await {
                         self.end("cut", SendResult::Failed);
-                        return Err(AnswerCut(reason));
+                        return Err(AnswerTruncated(reason));
                     }
                 }
             }
@@ -201,7 +202,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RepeatRule::ResumableStream && self.history.may_send(&self.call)
+        self.call.route.repeat == RetryRule::ResumableStream && self.history.may_send(&self.call)
     }
 
     // Resumes after the last event forwarded to the caller. The answer keeps the head from
@@ -218,13 +219,13 @@
         let Some(place) = self.gateway.place(&self.call, &self.history) else {
             return false;
         };
-        if !self.gateway.may_repeat(&self.call) {
+        if !self.gateway.may_retry(&self.call) {
             return false;
         }
         let engine = place.writer;
         self.history.sent.push(engine.id.clone());
         let mut in_flight =
-            WorkGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
+            InFlightGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
         let order = self.gateway.order(
             &self.call,
             &engine,
@@ -286,7 +287,7 @@
         if result == SendResult::Answered {
             self.gateway.note_answered(&self.engine, answer.times);
             self.gateway
-                .note_completed(&self.call, &answer.head.headers);
+                .record_completion(&self.call, &answer.head.headers);
             answer.connection.return_to_pool(&answer.head);
         }
     }
