--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -39,7 +39,7 @@
     pub digest: OnceCell<WorkDigest>,
     /// Whether it is sent although its work is quarantined, to find out whether it still
     /// crashes targets.
-    pub on_trial: Cell<bool>,
+    pub is_probe: Cell<bool>,
     /// When the request arrived.
     pub arrived: Instant,
     /// Earlier of the caller's deadline and the route's time limit.
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -35,7 +35,7 @@
 use crate::gateway::peers::placing::{PlacementClient, PlacementOutbox};
 use crate::gateway::peers::seen::ObservedResults;
 use crate::gateway::peers::{self, PeerTable};
-use crate::gateway::pool::LinkPool;
+use crate::gateway::pool::ConnectionPool;
 use crate::gateway::port::GatewayPorts;
 use crate::gateway::quarantine::{self, QuarantineStore};
 use crate::gateway::reload;
@@ -59,7 +59,7 @@
     /// What the control thread published.
     pub fleet: FleetCell,
     /// Kept connections.
-    pub pool: Rc<RefCell<LinkPool>>,
+    pub pool: Rc<RefCell<ConnectionPool>>,
     /// What decisions rest on.
     pub core: RefCell<DecisionCore>,
     /// The other daemons.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -125,7 +125,7 @@
             },
             host,
             digest: OnceCell::new(),
-            on_trial: Cell::new(false),
+            is_probe: Cell::new(false),
             arrived,
             deadline,
         })
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -71,7 +71,7 @@
                 return Err(refusal);
             }
             self.record_placement(call, &place);
-            let handle = self.read_ahead(call, &place, history).await?;
+            let handle = self.prefill_remotely(call, &place, history).await?;
             let place = self.reselect_decode_engine(call, place, handle.is_some(), history);
             match self.start(call, &place, handle, history).await {
                 Started::Reply(reply) => return Ok(reply),
@@ -381,10 +381,10 @@
     /// Returns the current records of the engines in a list that may still receive work:
     /// an engine may have changed its stage since a request arrived.
     #[must_use]
-    pub fn staying(&self, engines: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>> {
+    pub fn eligible(&self, engines: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>> {
         let current = self.view();
-        let staying = engines.iter().filter_map(|engine| current.find(&engine.id));
-        staying.cloned().collect()
+        let eligible = engines.iter().filter_map(|engine| current.find(&engine.id));
+        eligible.cloned().collect()
     }
 
     pub(super) fn with_choices<T>(
@@ -395,7 +395,7 @@
     ) -> T {
         let excluded: Vec<TargetIncarnation> = history.tried().cloned().collect();
         decide(EngineCandidates {
-            engines: &self.staying(call.view.service_targets(&call.service.name)),
+            engines: &self.eligible(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: &excluded,
         })
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -22,12 +22,12 @@
 /// the target. Connections do not survive a restart of the target; a request sent on an
 /// old one would be lost.
 #[derive(Debug, Default)]
-pub struct LinkPool {
+pub struct ConnectionPool {
     idle: IndexMap<TargetIncarnation, Vec<HttpConnection>>,
     busy: IndexMap<TargetIncarnation, u32>,
 }
 
-impl LinkPool {
+impl ConnectionPool {
     /// Takes the most recently used connection that can be reused.
     pub fn take(&mut self, target: &TargetIncarnation, now: Instant) -> Option<HttpConnection> {
         let connections = self.idle.get_mut(target)?;
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -96,7 +96,7 @@
         match standing {
             WorkStatus::Free => Ok(()),
             WorkStatus::Trial => {
-                call.on_trial.set(true);
+                call.is_probe.set(true);
                 log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "held work is tried once");
                 Ok(())
             }
@@ -111,7 +111,7 @@
     #[must_use]
     pub fn is_held(&self, call: &RoutedRequest) -> bool {
         let crashes = self.crashes.borrow();
-        !crashes.is_empty() && !call.on_trial.get() && crashes.is_held(call.work())
+        !crashes.is_empty() && !call.is_probe.get() && crashes.is_held(call.work())
     }
 
     /// Completes when a request's work is held.
@@ -130,7 +130,7 @@
     ) {
         let (work, now) = (call.work(), clock::mono_now());
         // A trial is one run.
-        call.on_trial.set(false);
+        call.is_probe.set(false);
         let holds = self.crashes.borrow_mut().note_end(work, &target.id, now);
         metrics::counter!("pistachiowick_answers_cut_total", "route" => call.route.name.clone())
             .increment(1);
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -34,7 +34,7 @@
     // that an engine accepts is not a retry. Any send after a failed one is, including
     // the run itself: without a retry left the request is refused, since otherwise failing
     // prefill engines would make the fleet send every request twice.
-    pub(super) async fn read_ahead(
+    pub(super) async fn prefill_remotely(
         self: &Rc<Self>,
         call: &Rc<RoutedRequest>,
         place: &EnginePlacement,
@@ -74,7 +74,7 @@
         tried: &[TargetIncarnation],
     ) -> Option<Arc<TargetRecord>> {
         let choices = EngineCandidates {
-            engines: &self.staying(call.view.service_targets(&call.service.name)),
+            engines: &self.eligible(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: tried,
         };
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -15,7 +15,7 @@
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::{HealthChange, SendResult};
 use crate::gateway::model::TargetRecord;
-use crate::gateway::pool::LinkPool;
+use crate::gateway::pool::ConnectionPool;
 use crate::gateway::port::{SendMode, SendOrder, TargetQuery};
 use crate::names::MonoTime;
 use crate::target_incarnation::TargetIncarnation;
@@ -86,11 +86,11 @@
 pub struct PooledConnection {
     inner: Option<HttpConnection>,
     record: Rc<TargetRecord>,
-    pool: Rc<RefCell<LinkPool>>,
+    pool: Rc<RefCell<ConnectionPool>>,
 }
 
 impl PooledConnection {
-    fn new(pool: &Rc<RefCell<LinkPool>>, record: &TargetRecord) -> Self {
+    fn new(pool: &Rc<RefCell<ConnectionPool>>, record: &TargetRecord) -> Self {
         pool.borrow_mut().note_busy(&record.id, true);
         Self {
             inner: None,
