--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -233,9 +233,9 @@
             return;
         };
         let gateway = self.gateway.clone();
-        let prefill_engine = self.prefill_engine.clone();
-        tokio::task::spawn_local(async move {
-            gateway.release_handle(&prefill_engine, &handle.name).await
-        });
+        let engine = self.prefill_engine.clone();
+        tokio::task::spawn_local(
+            async move { gateway.release_handle(&engine, &handle.name).await },
+        );
     }
 }
