--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -59,7 +59,7 @@
     }
 
     /// Counts a connection that is now in use, or no longer in use.
-    pub fn note_busy(&mut self, target: &TargetIncarnation, in_use: bool) {
+    pub fn count_busy(&mut self, target: &TargetIncarnation, in_use: bool) {
         let busy = self.busy.entry(target.clone()).or_default();
         *busy = if in_use {
             *busy + 1
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -91,7 +91,7 @@
 
 impl PooledConnection {
     fn new(pool: &Rc<RefCell<ConnectionPool>>, record: &TargetRecord) -> Self {
-        pool.borrow_mut().note_busy(&record.id, true);
+        pool.borrow_mut().count_busy(&record.id, true);
         Self {
             inner: None,
             record: Rc::new(record.clone()),
@@ -114,7 +114,7 @@
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        self.pool.borrow_mut().note_busy(&self.record.id, false);
+        self.pool.borrow_mut().count_busy(&self.record.id, false);
     }
 }
 
