--- a/src/authority/actions.rs
+++ b/src/authority/actions.rs
@@ -1,4 +1,4 @@
-//! What the authority of a daemon wants done outside.
+//! Platform calls and orders that the authority state asks its ports to carry out.
 
 use crate::authority::lease_record::lease_object;
 use crate::authority::lease_state::LeaseAction;
@@ -10,7 +10,7 @@
 /// Kind of the objects that record how many groups a data centre has.
 pub const COUNT_KIND: &str = "groups";
 
-/// Which part a platform call belongs to.
+/// Part of the authority state that a platform call belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallTag {
     /// Number of groups of a data centre.
@@ -23,21 +23,23 @@
     Plan,
 }
 
-/// What is to be done outside.
+/// A platform call or an order to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AuthorityAction {
-    /// Read an object; answered by [`crate::authority::AuthorityState::note_read`].
+    /// Read an object; the result goes to
+    /// [`crate::authority::AuthorityState::note_read`].
     Read {
-        /// Who asks.
+        /// Part that makes the call.
         tag: CallTag,
         /// Object to read.
         object: ObjectName,
     },
-    /// Write an object; answered by [`crate::authority::AuthorityState::note_write`].
+    /// Write an object; the result goes to
+    /// [`crate::authority::AuthorityState::note_write`].
     Write {
-        /// Who asks.
+        /// Part that makes the call.
         tag: CallTag,
-        /// Mark of the write.
+        /// Unique id of the write.
         mark: String,
         /// The conditional update.
         write: ConditionalWrite,
--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -1,9 +1,10 @@
-//! Decides when this daemon may order the engines of a group.
+//! Decides when this daemon may send orders to the engines of a group.
 //!
-//! A group has one lease object. Its holder renews it by conditional update and
-//! stops ordering a guard time before the lease ends. Other daemons never compare
-//! wall clocks: they take over after they have seen the record unchanged, by their
-//! own monotonic clock, for as long as it lasts and an order may fly.
+//! A group has one lease object. Its holder renews it by conditional update and stops
+//! sending orders a guard time before the lease expires. Other daemons never compare
+//! wall clocks: they take over once the record has stayed unchanged, by their own
+//! monotonic clock, for the duration of a lease plus the longest time that an order may
+//! be in flight.
 
 use std::time::Duration;
 
@@ -50,9 +51,11 @@
         }
     }
 
-    /// Takes the groups this daemon may lead, with its rank for each; 0 leads.
+    /// Sets the groups that this daemon is a candidate for, with its rank in each; rank
+    /// 0 should hold the lease.
     ///
-    /// A group that disappears is given up when held and forgotten once released.
+    /// The lease of a group that is missing is released if held, and the group is then
+    /// forgotten.
     pub fn set_groups(&mut self, ranks: &IndexMap<GroupName, usize>, now: MonoTime) {
         for (group, rank) in ranks {
             let lease = self.groups.entry(group.clone()).or_default();
@@ -72,7 +75,7 @@
             .retain(|_, lease| lease.rank.is_some() || lease.held.is_some() || lease.busy);
     }
 
-    /// Returns the authority over a group, if there is any left now.
+    /// Returns the right to order a group's engines, unless this daemon lacks it now.
     #[must_use]
     pub fn authority(&self, group: &GroupName, now: MonoTime) -> Option<LeaseAuthority> {
         let lease = self.groups.get(group)?;
@@ -88,7 +91,7 @@
         millis(self.times.guard)
     }
 
-    /// Gives up a group because an engine has seen a later fence.
+    /// Gives up a group's lease because an engine has seen a later fence.
     pub fn give_up(&mut self, group: &GroupName, seen: FenceNumber, now: MonoTime) {
         let duration = self.times.duration;
         let Some(lease) = self.groups.get_mut(group) else {
@@ -97,19 +100,20 @@
         lease.least_fence = lease.least_fence.max(seen);
         lease.try_at = now.plus(duration);
         if lease.held.take().is_some() {
-            let reason = format!("an engine has seen fence {}", seen.0);
+            let reason = format!("an engine has seen the later fence {}", seen.0);
             self.tell(group, false, reason);
         }
     }
 
-    /// Tells whether orders of a group may still be under way, for its release.
+    /// Sets whether an order of a group may be in flight, for the record of its
+    /// release.
     pub fn set_unsettled(&mut self, group: &GroupName, unsettled: bool) {
         if let Some(lease) = self.groups.get_mut(group) {
             lease.unsettled = unsettled;
         }
     }
 
-    /// Begins a planned stop: hands over every lease and takes no more.
+    /// Starts a planned stop: releases every lease and acquires no more.
     pub fn stop(&mut self) {
         self.stopping = true;
         for lease in self.groups.values_mut() {
@@ -117,24 +121,24 @@
         }
     }
 
-    /// Tells whether a planned stop has handed over everything.
+    /// Returns whether a planned stop has released every lease.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
         self.stopping && self.groups.values().all(|l| l.held.is_none() && !l.busy)
     }
 
-    /// Returns the changes of authority since the last call.
+    /// Returns the leases acquired and lost since the last call.
     pub fn take_news(&mut self) -> Vec<LeaseNews> {
         std::mem::take(&mut self.news)
     }
 
-    /// Returns the groups with a lease held now, whether or not orders may be sent.
+    /// Returns the groups whose lease is held now, whether or not orders may be sent.
     pub fn held_groups(&self) -> impl Iterator<Item = &GroupName> {
         let held = self.groups.iter().filter(|(_, l)| l.held.is_some());
         held.map(|(group, _)| group)
     }
 
-    /// Returns what is known of each lease.
+    /// Returns the last known record of each lease.
     #[must_use]
     pub fn views(&self, now: MonoTime) -> Vec<LeaseView> {
         let known = self.groups.iter().filter_map(|(group, lease)| {
@@ -149,7 +153,7 @@
         known.collect()
     }
 
-    /// Lets time pass.
+    /// Expires leases and returns the platform calls that are due.
     pub fn tick(&mut self, now: MonoTime) -> Vec<LeaseAction> {
         let names: Vec<GroupName> = self.groups.keys().cloned().collect();
         let mut actions = Vec::new();
@@ -167,7 +171,7 @@
         if lease.held.is_some_and(|held| now >= held.expires_at) {
             lease.held = None;
             lease.releasing = false;
-            self.tell(group, false, "it ended without a renewal".to_owned());
+            self.tell(group, false, "it expired without a renewal".to_owned());
         }
     }
 
@@ -178,7 +182,7 @@
             return None;
         }
         if lease.busy {
-            // The answer never came; a write may have landed.
+            // The call timed out; a write may have taken effect.
             lease.busy = false;
             lease.must_read = true;
             lease.open_writes = true;
@@ -201,7 +205,8 @@
         }
     }
 
-    // Long against the duration, so that a daemon that comes and goes moves no lease.
+    // Much longer than a lease, so that a daemon that joins and leaves repeatedly moves
+    // no lease.
     fn handover_wait(&self) -> Duration {
         self.times.duration * 10
     }
@@ -212,12 +217,13 @@
         left + step <= self.times.duration
     }
 
-    /// Whether a record may be overwritten by this daemon now.
+    /// Returns whether this daemon may overwrite a lease record now.
     ///
-    /// A holder counts its time from before its write left, and the write was seen here
-    /// after it took effect: once the record has been unchanged here for its duration,
-    /// the holder has stopped by its own clock, and after one order flight none of its
-    /// orders is under way. A holder that renewed unseen makes the update fail.
+    /// A holder counts its lease from before it sent the write, and this daemon saw the
+    /// write after it took effect. Once the record has stayed unchanged here for the
+    /// duration of a lease, the holder has therefore stopped by its own clock, and
+    /// `order_flight` later none of its orders is in flight. If it renewed in the
+    /// meantime, the conditional update fails.
     fn may_acquire(&self, group: &GroupName, now: MonoTime) -> bool {
         let Some(lease) = self.groups.get(group) else {
             return false;
@@ -302,7 +308,7 @@
         })
     }
 
-    /// Notes what a read found.
+    /// Handles the result of a read.
     pub fn note_read(
         &mut self,
         group: &GroupName,
@@ -322,7 +328,8 @@
                 lease.must_read = false;
                 lease.absent_since.get_or_insert(now);
             }
-            // Only a holder in doubt is in a hurry; the others spare a failing platform.
+            // Only a holder that doubts its lease retries soon; other daemons don't add
+            // load to a failing platform.
             Err(_) if lease.held.is_some() => lease.read_at = now.plus(WRITE_PAUSE),
             Err(_) => {}
         }
@@ -332,7 +339,7 @@
         let record = match LeaseRecord::decode(stored) {
             Ok(record) => record,
             Err(error) => {
-                log::error!("lease not usable: {error}");
+                log::error!("lease record unusable: {error}");
                 return;
             }
         };
@@ -340,8 +347,8 @@
             return;
         };
         let known = lease.observed.as_ref().map(|o| o.version);
-        // A stale read shows an older record; taking it would restart no clock but
-        // could bring back a fence already passed.
+        // A stale read shows an older record. Applying it would restart the wait for a
+        // takeover and could bring back an earlier fence.
         if known.is_some_and(|version| stored.version <= version) {
             return;
         }
@@ -359,7 +366,7 @@
         }
     }
 
-    // An own write is now known to have landed.
+    // Applies a write of this daemon that is now known to have taken effect.
     fn landed(
         &mut self,
         group: &GroupName,
@@ -376,7 +383,7 @@
             lease.held = None;
             lease.releasing = false;
             lease.try_at = now.plus(self.times.duration);
-            self.tell(group, false, "handed over".to_owned());
+            self.tell(group, false, "released".to_owned());
             return;
         }
         if now >= expires_at {
@@ -390,8 +397,8 @@
         });
         lease.releasing |= self.stopping;
         if !had {
-            // A daemon that took over because those before it were away has not held the
-            // lease beside them yet.
+            // A daemon that took over while those ranked before it were unreachable has
+            // not held the lease alongside them yet, so the handover wait starts now.
             lease.outranked_since = lease.outranked_since.map(|_| now);
             let reason = format!("acquired with fence {}", sent.fence.0);
             self.tell(group, true, reason);
@@ -404,11 +411,11 @@
         };
         if lease.held.take_if(|held| held.version < version).is_some() {
             lease.releasing = false;
-            self.tell(group, false, "another daemon has taken it".to_owned());
+            self.tell(group, false, "another daemon has acquired it".to_owned());
         }
     }
 
-    /// Notes the answer to a write.
+    /// Handles the result of a write.
     pub fn note_write(
         &mut self,
         group: &GroupName,
@@ -441,11 +448,12 @@
         }
     }
 
-    /// The record has another version than expected.
+    /// Handles a write that failed because the record has another version than
+    /// expected.
     ///
-    /// It may be an own write whose answer was lost: then nobody else can have taken
-    /// the lease before its end, and the record tells. Otherwise it is another's, and
-    /// ordering stops at once.
+    /// The record may be this daemon's own write whose response was lost: then no other
+    /// daemon can have taken the lease before it expires, and a read of the record
+    /// settles it. Otherwise another daemon wrote it, and ordering stops at once.
     fn conflicted(&mut self, group: &GroupName, now: MonoTime) {
         let Some(lease) = self.groups.get_mut(group) else {
             return;
@@ -458,7 +466,7 @@
             self.tell(
                 group,
                 false,
-                "its record changed under a renewal".to_owned(),
+                "its record changed before the renewal".to_owned(),
             );
         }
     }
--- a/src/authority/lease_groups.rs
+++ b/src/authority/lease_groups.rs
@@ -1,4 +1,4 @@
-//! Divides engines into groups and ranks the daemons that may lead each.
+//! Divides engines into groups and ranks the daemons that may hold each group's lease.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -10,22 +10,23 @@
 /// Group whose holder plans roles for the whole fleet; it has no engines.
 pub const PLAN_GROUP: &str = "plan";
 
-/// Daemons that watch a group's lease; others leave it to them.
+/// Number of daemons that are candidates for a group's lease.
 pub const CANDIDATES: usize = 3;
 
 const SPREAD_PERCENT: usize = 125;
 
-/// Groups per data centre, as recorded in the platform.
+/// Number of groups per data centre, as stored in the platform.
 ///
-/// Daemons see different instance lists. Were the number of groups worked out from
-/// the list, two daemons could hold one engine in two groups and order it at the same
-/// time, each with a lease; so the first daemon records the number for good.
+/// Daemons see different instance lists. If each derived the number of groups from its
+/// own list, two daemons could assign one engine to two groups and order it at the same
+/// time, each under a lease. The first daemon therefore stores the number permanently.
 pub type GroupCounts = IndexMap<CentreName, u32>;
 
 /// Returns how many groups a data centre starts with.
 #[must_use]
 pub fn initial_count(engines: usize, group_engines: usize) -> u32 {
-    // Hashing spreads unevenly: leave room, or the largest group passes the bound.
+    // Hashing distributes engines unevenly; without padding, the largest group would
+    // exceed the limit.
     let padded = (engines * SPREAD_PERCENT).div_ceil(100);
     let groups = if engines <= group_engines {
         1
@@ -70,11 +71,11 @@
     counts
 }
 
-/// Returns the groups that a daemon is a candidate for, with its rank.
+/// Returns the groups that a daemon is a candidate for, with its rank in each.
 ///
-/// Daemons of the group's data centre come first, in rendezvous order; those of
-/// others stand in only where it has no daemon, for no latencies are known to tell
-/// near from far.
+/// The candidates are daemons of the group's data centre, in rendezvous order. Daemons
+/// of other data centres are candidates only if it has none, all alike, because no
+/// latencies are known by which to prefer the near ones.
 #[must_use]
 pub fn own_ranks(
     fleet: &FleetView,
@@ -115,7 +116,7 @@
     (rank < CANDIDATES).then_some(rank)
 }
 
-/// Scores a daemon for a group; the highest score leads.
+/// Scores a daemon for a group; the highest score ranks first.
 #[must_use]
 pub fn rendezvous(group: &GroupName, daemon: &DaemonId) -> u64 {
     xxh3_64(format!("{group}\u{0}{daemon}").as_bytes())
--- a/src/authority/lease_record.rs
+++ b/src/authority/lease_record.rs
@@ -1,4 +1,4 @@
-//! The lease object of a group of engines, as the platform holds it.
+//! The lease object of a group of engines, as stored in the platform.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -9,20 +9,20 @@
 /// Kind of the lease objects.
 pub const LEASE_KIND: &str = "leases";
 
-/// What a lease object says.
+/// Contents of a lease object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseRecord {
     /// Daemon that holds or held the lease.
     pub holder: DaemonId,
-    /// Life of the holder's process.
+    /// Incarnation of the holder's process.
     pub incarnation: ProcessIncarnation,
-    /// Rises with each acquisition.
+    /// Fencing number, which rises with each acquisition.
     pub fence: FenceNumber,
-    /// Unique mark of the write.
+    /// Unique id of the write.
     pub mark: String,
-    /// Whether the holder gave it up.
+    /// Whether the holder has released the lease.
     pub released: bool,
-    /// Whether an order may still be under way after the release.
+    /// Whether an order may still be in flight after the release.
     pub unsettled: bool,
 }
 
@@ -81,12 +81,13 @@
         serde_json::to_vec(&LeaseWire::from(self)).unwrap_or_default()
     }
 
-    /// Reads a record from its object.
+    /// Decodes a record from its object.
     ///
     /// # Errors
     ///
-    /// Fails when the object was deleted or its value is not a lease's: a fence taken
-    /// up from nothing could fall below one that engines have seen.
+    /// Returns an error if the object was deleted or its value is not a lease record:
+    /// counting fences from zero again could yield one below those that engines have
+    /// seen.
     pub fn decode(stored: &StoredObject) -> Result<Self, LeaseRecordError> {
         let refuse = |reason: String| LeaseRecordError {
             name: stored.object.name.clone(),
--- a/src/authority/lease_state.rs
+++ b/src/authority/lease_state.rs
@@ -1,4 +1,4 @@
-//! Types of the lease table: its times, actions and what it keeps of each group.
+//! Types of the lease table: durations, actions and the state of each group.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use crate::ports::{ConditionalWrite, ObjectVersion};
 use crate::settings::LeaseSettings;
 
-/// Times of leases.
+/// Durations of leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
     /// How long a lease lasts.
     pub duration: Duration,
-    /// How long before its end the holder stops ordering.
+    /// How long before the lease expires the holder stops ordering.
     pub guard: Duration,
-    /// Longest time an order may be under way.
+    /// Longest time that an order may be in flight.
     pub order_flight: Duration,
 }
 
@@ -28,37 +28,39 @@
     }
 }
 
-/// What the table wants done.
+/// A platform call that the table asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseAction {
-    /// Read a lease object; answered by [`LeaseTable::note_read`].
+    /// Read a lease object; the result goes to
+    /// [`crate::authority::lease::LeaseTable::note_read`].
     Read(GroupName),
-    /// Write a lease object; answered by [`LeaseTable::note_write`].
+    /// Write a lease object; the result goes to
+    /// [`crate::authority::lease::LeaseTable::note_write`].
     Write {
         /// Group concerned.
         group: GroupName,
-        /// Mark of the write.
+        /// Unique id of the write.
         mark: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
 }
 
-/// A change of authority, for the journal.
+/// A lease acquired or lost, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseNews {
     /// Group concerned.
     pub group: GroupName,
-    /// Whether this daemon now has the lease.
+    /// Whether this daemon now holds the lease.
     pub held: bool,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
 }
 
-/// The right to order the engines of a group.
+/// The right to send orders to the engines of a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseAuthority {
-    /// Fence that goes on each order.
+    /// Fence to send with each order.
     pub fence: FenceNumber,
     /// When ordering must have stopped, on this daemon's clock.
     pub until: MonoTime,
@@ -78,8 +80,8 @@
     pub(crate) expires_at: MonoTime,
 }
 
-// A write that was sent. Authority counts from before it left: counted from the
-// answer it would outlast the record that others watch.
+// A write that was sent. The lease counts from before that: counted from the response,
+// it would outlast the time that other daemons wait before they take over.
 #[derive(Clone, Debug)]
 pub(crate) struct SentWrite {
     pub(crate) mark: String,
--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -1,4 +1,5 @@
-//! Joins leases, orders and the plan of one daemon into one decision.
+//! Combines the leases, orders and plan of one daemon into its platform calls and
+//! orders.
 
 pub mod actions;
 pub mod lease;
@@ -38,17 +39,18 @@
 const GROUPS_PACE: Duration = Duration::from_millis(500);
 const PLAN_PACE: Duration = Duration::from_secs(1);
 const WISH_AGE: Duration = Duration::from_secs(600);
-// A drain whose holder vanished must not keep an engine out of use for good.
+// After this time, a drain whose lease holder has failed no longer keeps an engine out
+// of use.
 const DRAIN_AGE: Duration = Duration::from_secs(400);
 
-/// What the decisions look at.
+/// Inputs of the decisions.
 #[derive(Clone, Copy)]
 pub struct AuthorityInputs<'a> {
-    /// Fleet and daemons.
+    /// Targets and daemons.
     pub fleet: &'a FleetView,
     /// Configuration in force.
     pub config: &'a ConfigView,
-    /// Forecast of the mix.
+    /// Forecast of the workload mix.
     pub mix: &'a MixForecast,
 }
 
@@ -80,7 +82,7 @@
 }
 
 impl AuthorityState {
-    /// Creates the state of a daemon that holds nothing.
+    /// Creates the state of a daemon that holds no leases.
     #[must_use]
     pub fn new(
         settings: &DaemonSettings,
@@ -108,18 +110,18 @@
         }
     }
 
-    /// Returns the leases as known.
+    /// Returns the last known record of each lease.
     #[must_use]
     pub fn views(&self, now: MonoTime) -> Vec<LeaseView> {
         self.leases.views(now)
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     pub fn stop(&mut self) {
         self.leases.stop();
     }
 
-    /// Tells whether a planned stop has handed over every lease.
+    /// Returns whether a planned stop has released every lease.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
         self.leases.is_handed_over()
@@ -143,9 +145,10 @@
         changing
     }
 
-    /// Takes a newer object of the kind [`ORDER_KIND`], from a watch or a peer.
+    /// Applies an object of the kind [`ORDER_KIND`], from a watch or a peer, if it is
+    /// newer than the known one.
     ///
-    /// Returns whether it was news.
+    /// Returns whether it was applied.
     pub fn note_object(&mut self, stored: &StoredObject, now: MonoTime) -> bool {
         let known = self.seen.get(&stored.object.name);
         if stored.object.kind != ORDER_KIND || known.is_some_and(|s| s.version >= stored.version) {
@@ -167,7 +170,7 @@
         true
     }
 
-    /// Returns the objects of orders and the plan held here, for peers.
+    /// Returns the known objects of orders and of the plan, for peers.
     #[must_use]
     pub fn objects(&self) -> Vec<StoredObject> {
         let held = self.seen.iter();
@@ -179,14 +182,14 @@
         .collect()
     }
 
-    /// Tells whether this daemon leads an engine's group.
+    /// Returns whether this daemon holds the lease of an engine's group.
     #[must_use]
     pub fn leads(&self, target: &TargetId) -> bool {
         let group = self.groups.get(target);
         group.is_some_and(|group| self.books.contains_key(group))
     }
 
-    /// Lets time pass.
+    /// Advances leases, orders and the plan; returns the actions that are due.
     pub fn tick(&mut self, inputs: AuthorityInputs<'_>, now: MonoTime) -> Vec<AuthorityAction> {
         let mut actions = self.update_groups(inputs.fleet, now);
         self.tell_unsettled();
@@ -247,8 +250,8 @@
         }
     }
 
-    // A book lives as long as the lease it was opened for: another acquisition, though
-    // by the same daemon, has to look at the engines anew.
+    // An order manager lives as long as the lease it was created for: after another
+    // acquisition, even by the same daemon, the engines' states must be read again.
     fn open_books(&mut self, now: MonoTime) {
         let held: Vec<GroupName> = self.leases.held_groups().cloned().collect();
         self.books.retain(|group, _| held.contains(group));
@@ -368,7 +371,7 @@
         }
     }
 
-    /// Notes what a read found; returns a write that follows from it.
+    /// Handles the result of a read; returns a write that it calls for.
     pub fn note_read(
         &mut self,
         tag: &CallTag,
@@ -410,7 +413,7 @@
                     self.counts.insert(centre.clone(), count);
                 }
                 Err(error) => {
-                    log::error!("{COUNT_KIND}/{centre} is no number ({error}); correct it");
+                    log::error!("{COUNT_KIND}/{centre} is not a number ({error}); correct it");
                 }
             }
             return None;
@@ -418,7 +421,7 @@
         let engines = lease_groups::engines_per_centre(fleet);
         let engines = engines.get(centre).copied().unwrap_or(0);
         let count = lease_groups::initial_count(engines, self.group_engines);
-        // Whoever writes first decides; the next read shows it to all.
+        // The first write wins; every daemon finds its value with the next read.
         Some(AuthorityAction::Write {
             tag: CallTag::Count(centre.clone()),
             mark: String::new(),
@@ -430,7 +433,7 @@
         })
     }
 
-    /// Notes the answer to a write.
+    /// Handles the result of a write.
     pub fn note_write(
         &mut self,
         tag: &CallTag,
@@ -465,7 +468,8 @@
         }
     }
 
-    /// Returns the order to send, checked at the last moment, with the engine's address.
+    /// Returns the engine's address and the order to send, after a last check of the
+    /// lease.
     pub fn begin_send(
         &mut self,
         group: &GroupName,
@@ -482,7 +486,7 @@
         Some((address, body))
     }
 
-    /// Notes an engine's answer to an order.
+    /// Handles an engine's answer to an order.
     pub fn note_answer(
         &mut self,
         group: &GroupName,
@@ -495,7 +499,7 @@
         }
     }
 
-    /// Notes an engine's state.
+    /// Applies an engine's state.
     pub fn note_state(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
         for book in self.books.values_mut() {
             book.note_state(target, state, taken_at);
--- a/src/authority/order_record.rs
+++ b/src/authority/order_record.rs
@@ -1,4 +1,4 @@
-//! The object that records a group's orders before they are sent.
+//! The object that stores a group's orders before they are sent.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -10,45 +10,45 @@
 /// Kind of the order objects, and of the plan.
 pub const ORDER_KIND: &str = "orders";
 
-/// Absolute state an engine is to have.
+/// State that an engine is to have, given in full rather than as a difference.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineWish {
-    /// Role to have.
+    /// Planned role.
     pub role: EngineRole,
-    /// Models to hold.
+    /// Models to have loaded.
     pub models: Vec<String>,
-    /// Why, for operators.
+    /// Reason, for operators.
     pub reason: String,
 }
 
-/// How far a change of an engine has come.
+/// Progress of an engine's change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderPhase {
-    /// Out of use; running work finishes before the order.
+    /// The engine gets no new work; running work finishes before the order.
     Draining,
-    /// Recorded, and sent or about to be.
+    /// The order is stored, and sent or about to be sent.
     Ordered(OrderMark),
 }
 
 /// A change of one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderEntry {
-    /// State to have.
+    /// Planned state.
     pub wish: EngineWish,
-    /// How far it has come.
+    /// Progress.
     pub phase: OrderPhase,
 }
 
-/// Orders of a group as recorded.
+/// Orders of a group as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct OrderRecord {
     /// Fence of the holder that wrote it.
     pub fence: FenceNumber,
-    /// Unique mark of the write.
+    /// Unique id of the write.
     pub mark: String,
     /// Number of the last order; never reused.
     pub last_order: u64,
-    /// Changes under way, at most one an engine.
+    /// Changes in progress, at most one per engine.
     pub entries: IndexMap<TargetId, OrderEntry>,
 }
 
@@ -111,14 +111,14 @@
         serde_json::to_vec(&RecordWire::from(self)).unwrap_or_default()
     }
 
-    /// Drops the drains of an earlier holder: a drain is only a promise to order, and
-    /// who gave it is gone.
+    /// Drops the drains of an earlier holder: a drain only announces an order, and that
+    /// holder sends none any more.
     pub fn drop_drains(&mut self) {
         self.entries
             .retain(|_, entry| entry.phase != OrderPhase::Draining);
     }
 
-    /// Reads a record; `None` when the value is not one.
+    /// Decodes a record; `None` if the value is not one.
     #[must_use]
     pub fn decode(stored: &StoredObject) -> Option<Self> {
         let value = stored.value.as_deref()?;
--- a/src/authority/order_types.rs
+++ b/src/authority/order_types.rs
@@ -1,4 +1,4 @@
-//! Times, actions and news of engine changes.
+//! Durations, actions and events of engine changes.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use crate::names::{MonoTime, TargetId};
 use crate::ports::ConditionalWrite;
 
-/// Times of a change.
+/// Durations of a change.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderTimes {
-    /// Longest time an order may be under way.
+    /// Longest time that an order may be in flight.
     pub flight: Duration,
     /// Time for all daemons to learn that an engine is out of use.
     pub spread: Duration,
-    /// Longest wait for running work; the change is then given up.
+    /// Longest wait for running work, after which the change is abandoned.
     pub drain: Duration,
     /// Longest wait for an engine to finish a change.
     pub change: Duration,
 }
 
 impl OrderTimes {
-    /// Derives the times from those of leases and the expected length of a change.
+    /// Derives the durations from those of leases and the expected length of a change.
     #[must_use]
     pub fn new(lease: LeaseTimes, change: Duration) -> Self {
         Self {
@@ -33,23 +33,26 @@
     }
 }
 
-/// What the book wants done.
+/// An action that the order manager asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderAction {
-    /// Read the group's object; answered by [`crate::authority::orders::OrderBook::note_read`].
+    /// Read the group's object; the result goes to
+    /// [`crate::authority::orders::OrderBook::note_read`].
     Read,
-    /// Write it; answered by [`crate::authority::orders::OrderBook::note_write`].
+    /// Write it; the result goes to
+    /// [`crate::authority::orders::OrderBook::note_write`].
     Write {
-        /// Mark of the write.
+        /// Unique id of the write.
         mark: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
-    /// Send the recorded order of an engine, if [`crate::authority::orders::OrderBook::begin_send`] still allows it.
+    /// Send the stored order of an engine, if
+    /// [`crate::authority::orders::OrderBook::begin_send`] still allows it.
     Send(TargetId),
 }
 
-/// An event of a change, for the journal.
+/// A step of an engine's change, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderNews {
     /// Engine concerned.
--- a/src/authority/orders.rs
+++ b/src/authority/orders.rs
@@ -1,16 +1,18 @@
 //! Carries out changes of a group's engines under a lease.
 //!
-//! Each change is recorded in the group's object by conditional update before its
-//! order leaves, names the engine's whole state, and has an identity. An engine has at
-//! most one. A holder that lost its lease finds its update refused, because a successor
-//! writes the object first; and engines that check fences refuse its orders.
+//! Each change is stored in the group's object by conditional update before its order
+//! is sent, gives the engine's whole state, and has an identity. An engine has at most
+//! one change at a time. A holder that has lost its lease gets a conflict on its
+//! update, because a successor writes the object first, and engines that check fences
+//! refuse its orders.
 //!
-//! What no check here can close: a process paused after [`OrderBook::begin_send`] has
-//! looked at the lease and before the bytes leave. It stops ordering a guard time before
-//! the lease ends, and a successor waits for one order flight past the end, so the pause
-//! must outlast guard plus flight to do harm. An engine that ignores fences then obeys
-//! the late order. Only an engine that checks them closes the gap; the next read of the
-//! engine's state shows the role it took, and the plan starts from there.
+//! One gap cannot be closed here: the process may be paused after
+//! [`OrderBook::begin_send`] has checked the lease and before the bytes are sent. A
+//! holder stops ordering a guard time before the lease expires, and a successor waits
+//! until `order_flight` after it, so only a pause longer than both together does harm.
+//! An engine that ignores fences then obeys the late order; only an engine that checks
+//! them closes the gap. The next read of the engine's state shows the role that it took
+//! on, and planning continues from there.
 
 use std::time::Duration;
 
@@ -55,7 +57,7 @@
 }
 
 impl OrderBook {
-    /// Opens the book of a group for a lease just acquired.
+    /// Creates the manager of a group for a lease that was just acquired.
     #[must_use]
     pub fn new(group: GroupName, fence: FenceNumber, times: OrderTimes) -> Self {
         Self {
@@ -81,13 +83,14 @@
         }
     }
 
-    /// Returns the fence the book was opened with.
+    /// Returns the fence of the lease.
     #[must_use]
     pub fn fence(&self) -> FenceNumber {
         self.fence
     }
 
-    /// Returns a later fence met in the object or at an engine; the lease is lost then.
+    /// Returns a later fence found in the object or reported by an engine, which means
+    /// that the lease is lost.
     #[must_use]
     pub fn fenced_by(&self) -> Option<FenceNumber> {
         self.fenced_by
@@ -98,26 +101,26 @@
         std::mem::take(&mut self.news)
     }
 
-    /// Tells whether an order may be under way now.
+    /// Returns whether an order may be in flight now.
     #[must_use]
     pub fn is_unsettled(&self) -> bool {
         let flying = |s: &SendState| matches!(s, SendState::Out { .. } | SendState::Unsure { .. });
         self.sends.values().any(flying)
     }
 
-    /// Returns the changes recorded.
+    /// Returns the stored changes.
     #[must_use]
     pub fn entries(&self) -> &IndexMap<TargetId, OrderEntry> {
         &self.record.entries
     }
 
-    /// Asks for a state of an engine; the newest wish counts. A change whose order is
-    /// recorded runs to its end first.
+    /// Requests a change of an engine, replacing an earlier request. A change whose
+    /// order is already stored is finished first.
     pub fn want(&mut self, target: TargetId, wish: EngineWish) {
         self.wishes.insert(target, wish);
     }
 
-    /// Takes wishes back that are not in `wanted`, and drains begun for them.
+    /// Drops requested changes that are not in `wanted`, and cancels their drains.
     pub fn keep_wishes(&mut self, wanted: &IndexMap<TargetId, EngineWish>) {
         self.wishes.retain(|target, _| wanted.contains_key(target));
         let draining = self.record.entries.iter().filter(|(target, entry)| {
@@ -125,12 +128,12 @@
         });
         let dropped: Vec<TargetId> = draining.map(|(target, _)| target.clone()).collect();
         for target in dropped {
-            let reason = "no longer wanted".to_owned();
+            let reason = "no longer planned".to_owned();
             self.finish(&target, ChangeEnd::Withdrawn, reason);
         }
     }
 
-    /// Lets time pass.
+    /// Returns the sends, and the read or write, that are due.
     pub fn tick(&mut self, now: MonoTime) -> Vec<OrderAction> {
         let mut actions = self.due_sends(now);
         if self.busy || now < self.call_at {
@@ -160,7 +163,7 @@
             None => false,
             Some(SendState::Waiting) => true,
             Some(SendState::Out { .. } | SendState::Taken { .. }) => false,
-            // Sent again with the same identity once no copy can be under way.
+            // Sent again with the same identity once no earlier copy can be in flight.
             Some(SendState::Unsure { at }) => {
                 let shown = self.seen.get(target).map(|seen| seen.taken_at);
                 let quiet = at.plus(self.times.flight);
@@ -170,7 +173,8 @@
         fits && self.is_surveyed(target)
     }
 
-    /// Whether the engine's state was read after this book was opened.
+    /// Returns whether the engine's state was read after this manager first wrote its
+    /// record.
     fn is_surveyed(&self, target: &TargetId) -> bool {
         let claimed_at = self.claimed_at;
         let seen = self.seen.get(target);
@@ -179,8 +183,8 @@
             .is_some_and(|(at, seen)| seen.taken_at >= at)
     }
 
-    /// Returns the order to send, checked at the last moment; `None` when it must not
-    /// leave.
+    /// Returns the order to send, after a last check of the lease; `None` if it must
+    /// not be sent.
     pub fn begin_send(
         &mut self,
         target: &TargetId,
@@ -206,13 +210,13 @@
             .insert(target.clone(), SendState::Out { at: now });
         let single = !matches!(before, Some(SendState::Out { .. }));
         invariants::check(single, Invariant::OneOrder, || {
-            format!("two orders out for {target} in {}", self.group)
+            format!("two orders in flight for {target} in {}", self.group)
         });
         self.tell(target, format!("order {} sent", body.mark.id));
         Some(body)
     }
 
-    /// Notes an engine's answer to an order.
+    /// Handles an engine's answer to an order.
     pub fn note_answer(
         &mut self,
         target: &TargetId,
@@ -226,25 +230,31 @@
             Ok(_) => {
                 self.sends
                     .insert(target.clone(), SendState::Taken { at: now });
-                self.tell(target, "order taken".to_owned());
+                self.tell(target, "order accepted".to_owned());
             }
             Err(TargetError::Fenced { current }) => {
                 self.fenced_by = self.fenced_by.max(Some(*current));
                 self.sends.swap_remove(target);
-                self.tell(target, format!("order refused, fence {} seen", current.0));
+                self.tell(
+                    target,
+                    format!("order refused: the engine has seen fence {}", current.0),
+                );
             }
             Err(TargetError::Lost { reason }) => {
                 self.sends.insert(target.clone(), SendState::Unsure { at });
-                self.tell(target, format!("answer lost: {reason}"));
+                self.tell(
+                    target,
+                    format!("order sent, but its answer was lost: {reason}"),
+                );
             }
             Err(error) => {
                 self.sends.swap_remove(target);
-                self.finish(target, ChangeEnd::Failed, format!("given up: {error}"));
+                self.finish(target, ChangeEnd::Failed, format!("abandoned: {error}"));
             }
         }
     }
 
-    /// Notes an engine's state; `taken_at` is when the engine took it.
+    /// Applies an engine's state; `taken_at` is when the engine reported it.
     pub fn note_state(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
         let known = self.seen.get(target);
         if known.is_some_and(|seen| seen.taken_at > taken_at) {
@@ -257,7 +267,7 @@
         self.follow(target, state, taken_at);
     }
 
-    // Compares a recorded order with what the engine says of itself.
+    // Compares a stored order with the state that the engine reports.
     fn follow(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
         let Some(entry) = self.record.entries.get(target) else {
             return;
@@ -280,10 +290,10 @@
                 .or_insert(SendState::Taken { at });
             self.confirm(target, taken_at);
         } else if inherited && taken_at >= claimed_at.plus(self.times.flight) {
-            let reason = "the last holder's order never arrived".to_owned();
+            let reason = "the previous holder's order never arrived".to_owned();
             self.finish(target, ChangeEnd::Withdrawn, reason);
         } else if self.is_forgotten(target, taken_at) {
-            let reason = "the engine restarted or took another order".to_owned();
+            let reason = "the engine restarted or accepted another order".to_owned();
             self.finish(target, ChangeEnd::Failed, reason);
         }
     }
@@ -363,7 +373,8 @@
         changed
     }
 
-    /// Whether no work is left and none can still be on its way to the engine.
+    /// Returns whether the engine has no work left and none can still be in flight to
+    /// it.
     fn is_drained(&self, target: &TargetId, now: MonoTime) -> bool {
         let Some(since) = self.since.get(target) else {
             return false;
@@ -389,7 +400,7 @@
         changed
     }
 
-    // A change that failed is not tried again at once: the engine would stay out of use.
+    // A failed change is not retried at once, because the engine would stay out of use.
     fn may_begin(&self, target: &TargetId, now: MonoTime) -> bool {
         let rest_until = self.rest_until.get(target);
         let rested = rest_until.is_none_or(|until| now >= *until);
@@ -416,7 +427,7 @@
         }
     }
 
-    /// Notes what a read of the group's object found.
+    /// Handles the result of a read of the group's object.
     pub fn note_read(
         &mut self,
         result: &Result<Option<StoredObject>, PlatformError>,
@@ -432,7 +443,7 @@
 
     fn take(&mut self, stored: &StoredObject, now: MonoTime) {
         let Some(record) = OrderRecord::decode(stored) else {
-            log::error!("orders/{} cannot be read; restore it", self.group);
+            log::error!("orders/{} cannot be decoded; restore it", self.group);
             self.call_at = now.plus(CALL_PAUSE * 10);
             return;
         };
@@ -442,7 +453,8 @@
             return;
         }
         self.version = stored.version;
-        // Nobody else writes under this fence: an own write, known or forgotten.
+        // Only this daemon writes under this fence, so the record is its own, even if
+        // the write is no longer pending.
         if record.fence == self.fence {
             self.installed(record, now);
         } else {
@@ -450,7 +462,7 @@
         }
     }
 
-    /// Notes the answer to a write.
+    /// Handles the result of a write.
     pub fn note_write(
         &mut self,
         mark: &str,
@@ -473,7 +485,7 @@
         }
     }
 
-    // The record is known to be stored: from here on its orders may be sent.
+    // Applies a record that is known to be stored; its orders may be sent from now on.
     fn installed(&mut self, record: OrderRecord, now: MonoTime) {
         self.claimed_at.get_or_insert(now);
         let mut begun = Vec::new();
--- a/src/membership/addressing.rs
+++ b/src/membership/addressing.rs
@@ -1,4 +1,4 @@
-//! Tells callers which daemons to use.
+//! Selects the daemon addresses that callers are given.
 
 use rand::Rng;
 
@@ -6,7 +6,7 @@
 use crate::membership::fleet::{DaemonView, UseState};
 use crate::names::{CentreName, DaemonId};
 
-/// Most addresses in one answer.
+/// Maximum number of addresses in one answer.
 pub const MAX_ADDRESSES: usize = 8;
 
 const LIVE_WEIGHT: u32 = 100;
@@ -17,9 +17,9 @@
 pub struct AddressEntry {
     /// IP number and port.
     pub address: String,
-    /// Data centre it stands in.
+    /// Data centre of the daemon.
     pub data_centre: CentreName,
-    /// Share of calls it should get relative to the others.
+    /// Share of requests it should get, relative to the others.
     pub weight: u32,
 }
 
@@ -34,10 +34,10 @@
 
 /// Chooses addresses from the fleet as seen by this daemon.
 ///
-/// Those in the caller's data centre come first; within a data centre the order is
-/// drawn by weight, so that callers who take the first one spread. A daemon that is
-/// leaving is never named: a caller may keep the answer for `keep_ms`, and a planned
-/// stop waits that long before it turns callers away.
+/// Those in the caller's data centre come first; apart from that, the order is random
+/// by weight, so that callers who use the first address are spread over the daemons. A
+/// daemon that is leaving is never included: a caller may keep the answer for
+/// `keep_ms`, and a planned stop waits that long before it refuses callers.
 pub fn locate(
     snapshot: &ControlSnapshot,
     own: &DaemonId,
@@ -74,7 +74,7 @@
     }
 }
 
-// Exponential draws order entries as repeated weighted draws without return do.
+// Sorting by these exponential draws amounts to weighted sampling without replacement.
 fn draw(weight: u32, rng: &mut impl Rng) -> f64 {
     let uniform: f64 = rng.random();
     -(1.0 - uniform).ln() / f64::from(weight)
--- a/src/membership/departures.rs
+++ b/src/membership/departures.rs
@@ -1,4 +1,5 @@
-//! Remembers what has begun to leave, so that no older word puts it back into use.
+//! Remembers the processes that are leaving, so that no older report puts them back
+//! into use.
 
 use std::time::Duration;
 
@@ -7,10 +8,11 @@
 use crate::names::{MonoTime, ProcessIncarnation};
 use crate::store::wire::InstanceState;
 
-/// Most departures remembered; beyond it the one unheard of for longest is dropped.
+/// Maximum number of departures; beyond it, the one not reported for the longest time
+/// is dropped.
 pub const MOST_DEPARTURES: usize = 20_000;
 
-/// One life of a process: its name and address, since each life has but one.
+/// Identifies a process by its name and address, which stay the same while it runs.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct LifeKey {
     /// Name of the daemon or target.
@@ -23,16 +25,17 @@
 struct DepartureRecord {
     incarnation: Option<ProcessIncarnation>,
     heard_at: MonoTime,
-    // A newer life was seen; the word "leaving" may still be about the older one.
+    // A newer incarnation was seen; a report of "leaving" may still be about the older
+    // one.
     superseded: bool,
 }
 
-/// Everything known to be leaving.
+/// Processes known to be leaving.
 ///
-/// The instance list lags and is read from replicas, so a list that still says
-/// "live" may be older than the one that said "leaving". Taking it at its word would
-/// send new work to a process about to end. A departure therefore stands until a
-/// newer incarnation is seen, or until no source names the process for a while.
+/// The instance list lags and is read from replicas, so a list that still says "live"
+/// may be older than the one that said "leaving". Trusting it would send new work to a
+/// process that is about to exit. A departure therefore stays in force until a newer
+/// incarnation is seen, or until no source has reported the process for some time.
 #[derive(Clone, Debug)]
 pub struct DepartureTable {
     forget: Duration,
@@ -40,7 +43,7 @@
 }
 
 impl DepartureTable {
-    /// Creates a table that forgets what was not heard of for `forget`.
+    /// Creates a table that drops departures not reported for `retention`.
     #[must_use]
     pub fn new(forget: Duration) -> Self {
         Self {
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Notes word that a process is leaving.
+    /// Records a report that a process is leaving.
     pub fn note_leaving(
         &mut self,
         life: &LifeKey,
@@ -71,7 +74,7 @@
         self.records.insert(life.clone(), record);
     }
 
-    /// Notes a row of the instance list.
+    /// Applies a row of the instance list.
     pub fn note_row(
         &mut self,
         life: &LifeKey,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Notes the incarnation that a process itself reported.
+    /// Records the incarnation that a process itself reported.
     pub fn note_incarnation(&mut self, life: &LifeKey, incarnation: ProcessIncarnation) {
         let Some(record) = self.records.get_mut(life) else {
             return;
@@ -105,13 +108,13 @@
         }
     }
 
-    /// Tells whether a process is leaving.
+    /// Returns whether a process is leaving.
     #[must_use]
     pub fn is_leaving(&self, life: &LifeKey) -> bool {
         self.records.get(life).is_some_and(|r| !r.superseded)
     }
 
-    /// Forgets what was not heard of for long.
+    /// Drops departures that have not been reported for the retention time.
     pub fn expire(&mut self, now: MonoTime) {
         let forget = self.forget;
         self.records.retain(|_, r| now.since(r.heard_at) < forget);
@@ -123,7 +126,7 @@
         self.records.len()
     }
 
-    /// Tells whether nothing is leaving.
+    /// Returns whether no departures are remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
--- a/src/membership/fleet.rs
+++ b/src/membership/fleet.rs
@@ -6,19 +6,20 @@
 use crate::store::wire::InstanceKind;
 use crate::targets::wire::EngineRole;
 
-/// Whether something may receive new work. Later variants win when views are merged.
+/// Whether a daemon or target may receive new work. Later variants win when views are
+/// merged.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum UseState {
-    /// In use.
+    /// Receives new work.
     #[default]
     Live,
-    /// Failing for this daemon; probed before new work.
+    /// Calls from this daemon fail; probed before it gets new work.
     Suspect,
-    /// Held by an operator.
+    /// Out of use by an operator's hold or for a planned change.
     Drained,
-    /// Told to leave by the platform or by itself.
+    /// About to leave, as reported by the platform or by itself.
     Leaving,
-    /// No longer in the list.
+    /// No longer in the instance list.
     Gone,
 }
 
@@ -36,10 +37,10 @@
     }
 }
 
-/// A load report, aged by the time it was taken.
+/// A target's load report; its age counts from `taken_at`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Life of the target's process.
+    /// Incarnation of the target's process.
     pub incarnation: ProcessIncarnation,
     /// Role in force.
     pub role: EngineRole,
@@ -49,9 +50,9 @@
     pub models: Vec<String>,
     /// Streams running and waiting.
     pub in_flight: u32,
-    /// Prompt tokens not yet read.
+    /// Prompt tokens still to be prefilled.
     pub prefill_backlog_tokens: u64,
-    /// Output tokens promised and not yet generated.
+    /// Output tokens of accepted requests that are still to be generated.
     pub decode_backlog_tokens: u64,
     /// KV cache in use, in tokens.
     pub kv_used_tokens: u64,
@@ -64,13 +65,13 @@
 /// A target as this daemon sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetView {
-    /// Its name.
+    /// Name.
     pub id: TargetId,
     /// Engine or service.
     pub kind: InstanceKind,
     /// IP number and port.
     pub address: String,
-    /// Where it stands.
+    /// Data centre it runs in.
     pub data_centre: CentreName,
     /// Service offered, for plain services.
     pub service: Option<ServiceName>,
@@ -85,15 +86,15 @@
 /// A daemon as this daemon sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DaemonView {
-    /// Its name.
+    /// Name.
     pub id: DaemonId,
     /// Address for callers.
     pub address: String,
     /// Address for peers.
     pub peer_address: String,
-    /// Where it stands.
+    /// Data centre it runs in.
     pub data_centre: CentreName,
-    /// Life of its process; zero while unknown.
+    /// Incarnation of its process; zero while unknown.
     pub incarnation: ProcessIncarnation,
     /// Whether callers may be sent there.
     pub state: UseState,
@@ -102,7 +103,7 @@
 /// The fleet as one daemon sees it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FleetView {
-    /// Rises with each change.
+    /// Version, which rises with each change.
     pub version: u64,
     /// Targets by name.
     pub targets: IndexMap<TargetId, TargetView>,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,8 @@
-//! Merges what is known of daemons and targets into one view.
+//! Merges what several sources report about daemons and targets into one view.
 //!
-//! Sources are the instance list, which lags, the calls this daemon makes itself,
-//! what peers and targets say of themselves, and the holds of the configuration.
+//! The sources are the instance list, which lags, the outcome of this daemon's own
+//! calls, what peers and targets report about themselves, and the holds in the
+//! configuration.
 
 pub mod addressing;
 pub mod departures;
@@ -26,14 +27,14 @@
 use crate::store::wire::{InstanceKind, InstanceRow, InstanceState};
 use crate::targets::wire::EngineState;
 
-/// Bounds of the merged view.
+/// Limits of the merged view.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipLimits {
-    /// Lists that must lack an instance before it counts as gone.
+    /// Number of lists in a row without an instance after which it counts as gone.
     pub absent_lists: u32,
-    /// Time after which something gone is forgotten.
+    /// Time after which an instance that is no longer listed is forgotten.
     pub forget: Duration,
-    /// Silence after which a peer is suspected.
+    /// Time without contact after which a peer is suspected.
     pub peer_silence: Duration,
 }
 
@@ -47,18 +48,18 @@
     }
 }
 
-/// What a peer says of itself.
+/// What a peer reports about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerWord {
-    /// Daemon that speaks.
+    /// Daemon that sends the report.
     pub daemon: DaemonId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// A change of state, for the journal.
+/// A change of state, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StateChange {
     /// Daemon or target concerned.
@@ -69,7 +70,7 @@
     pub after: UseState,
 }
 
-/// The merged view and what it was merged from.
+/// The merged view and its sources.
 #[derive(Clone, Debug)]
 pub struct MembershipState {
     limits: MembershipLimits,
@@ -86,7 +87,7 @@
 }
 
 impl MembershipState {
-    /// Creates a view that knows only this daemon.
+    /// Creates a view that contains only this daemon.
     #[must_use]
     pub fn new(own: DaemonView, limits: MembershipLimits) -> Self {
         let mut state = Self {
@@ -106,22 +107,22 @@
         state
     }
 
-    /// Returns the view as last refreshed.
+    /// Returns the view as of the last refresh.
     #[must_use]
     pub fn fleet(&self) -> &Arc<FleetView> {
         &self.fleet
     }
 
-    /// Returns how many departures are remembered.
+    /// Returns the number of remembered departures.
     #[must_use]
     pub fn departures(&self) -> usize {
         self.departures.len()
     }
 
-    /// Merges an instance list; returns whether it was taken.
+    /// Merges an instance list; returns whether it was applied.
     ///
-    /// An empty list while targets are known is left out: the platform answers so
-    /// while it restarts, and obeying it would take the whole fleet out of use.
+    /// An empty list is ignored while targets are known: the platform returns one while
+    /// it restarts, and applying it would take the whole fleet out of use.
     pub fn apply_list(&mut self, rows: &[InstanceRow], now: MonoTime) -> bool {
         if rows.is_empty() && !self.targets.is_empty() {
             return false;
@@ -150,7 +151,7 @@
     fn apply_target(&mut self, row: &InstanceRow, now: MonoTime) {
         let id = TargetId::from(row.id.as_str());
         let known = self.targets.get(&id);
-        // Another address is another process, of which nothing is known yet.
+        // Another address means another process, about which nothing is known yet.
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| TargetRecord::new(row, now));
         self.departures
@@ -179,8 +180,8 @@
         self.daemons.insert(id, record);
     }
 
-    // A row that says "leaving" before any said "live" is about this daemon's
-    // previous life; obeying it would keep a restarted daemon out of use.
+    // A row that says "leaving" before any said "live" is about this daemon's previous
+    // incarnation; applying it would keep a restarted daemon out of use.
     fn apply_own(&mut self, row: &InstanceRow) {
         match row.state {
             InstanceState::Live => self.own_listed = true,
@@ -199,7 +200,7 @@
         self.changing.retain(|id, _| targets.contains_key(id));
     }
 
-    /// Notes that a call to a target failed or worked.
+    /// Records whether a call to a target was answered or failed.
     pub fn note_call(
         &mut self,
         target: &TargetId,
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Notes an engine's own report; one of another target is left out.
+    /// Applies an engine's own report; one that names another target is ignored.
     pub fn note_state(
         &mut self,
         target: &TargetId,
@@ -241,7 +242,7 @@
         self.reports_dirty = true;
     }
 
-    /// Notes what a peer says of itself.
+    /// Applies what a peer reports about itself.
     pub fn note_peer(&mut self, word: &PeerWord, now: MonoTime) {
         let Some(record) = self.daemons.get_mut(&word.daemon) else {
             return;
@@ -261,7 +262,8 @@
         }
     }
 
-    /// Notes that a link to a peer ended; its silence no longer means anything.
+    /// Records that the link to a peer was closed, after which a lack of contact no
+    /// longer counts against the peer.
     pub fn forget_peer(&mut self, daemon: &DaemonId) {
         if let Some(record) = self.daemons.get_mut(daemon) {
             record.heard_at = None;
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Notes a peer's word that a target is leaving.
+    /// Records a peer's report that a target is leaving.
     pub fn note_target_leaving(&mut self, target: &TargetId, address: &str, now: MonoTime) {
         let known = self.targets.get(target);
         let Some(record) = known.filter(|r| r.view.address == address) else {
@@ -280,7 +282,7 @@
         self.departures.note_leaving(&life, incarnation, now);
     }
 
-    /// Takes the holds of the configuration in force.
+    /// Sets the holds of the configuration in force.
     pub fn set_holds(&mut self, holds: &IndexMap<TargetId, String>) {
         if self.holds != *holds {
             self.holds.clone_from(holds);
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Takes the engines that wait for a planned change, with its reason.
+    /// Sets the engines that are out of use for a planned change, with the reason.
     pub fn set_changing(&mut self, changing: IndexMap<TargetId, String>) {
         if self.changing != changing {
             self.changing = changing;
@@ -296,14 +298,15 @@
         }
     }
 
-    /// Notes that this daemon is leaving.
+    /// Records that this daemon is leaving.
     pub fn set_stopping(&mut self) {
         self.own.state = UseState::Leaving;
         self.dirty = true;
     }
 
-    /// Lets time pass: suspicions become due for a probe, peers fall silent, and
-    /// reports since the last tick enter the view together.
+    /// Updates what depends on time: suspected targets become due for a probe, peers
+    /// without recent contact become suspect, and the reports since the last tick enter
+    /// the view together.
     pub fn tick(&mut self, now: MonoTime) {
         self.dirty |= std::mem::take(&mut self.reports_dirty);
         for record in self.targets.values_mut() {
@@ -321,7 +324,7 @@
         }
     }
 
-    /// Returns the engines whose state should be read now: all in the list, the
+    /// Returns the engines whose state should be read now: all listed ones, but
     /// suspected ones only when their probe is due.
     #[must_use]
     pub fn engines_to_poll(&self, now: MonoTime) -> Vec<(TargetId, String)> {
@@ -424,7 +427,7 @@
     }
 }
 
-/// Returns the age of a report by wall clock; a report from the future is fresh.
+/// Returns the age of a report by wall clock; a report from the future has age zero.
 #[must_use]
 pub fn report_age(report: &EngineState, now: UnixTime) -> Duration {
     now.since(UnixTime(report.at_ms))
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -1,4 +1,4 @@
-//! Records that the merged view of membership is made of.
+//! Records from which the merged view of the fleet is built.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 use crate::store::wire::{InstanceRow, InstanceState};
 use crate::targets::wire::EngineState;
 
-/// Whether the instance list names something.
+/// When a daemon or target was last in an instance list.
 #[derive(Clone, Debug)]
 pub struct PresenceRecord {
-    /// State in the newest list that named it.
+    /// State in the newest list that contained it.
     pub row_state: InstanceState,
-    /// Lists since then.
+    /// Number of lists since then.
     pub absent_lists: u32,
-    /// When it was named last.
+    /// When it was last listed.
     pub seen_at: MonoTime,
 }
 
 /// What is known of a target.
 #[derive(Clone, Debug)]
 pub struct TargetRecord {
-    /// View published, but for its state.
+    /// Published view, except for its state.
     pub view: TargetView,
-    /// Presence in the list.
+    /// Presence in the instance lists.
     pub presence: PresenceRecord,
-    /// Life of its process, as it reported.
+    /// Incarnation that its process reported.
     pub incarnation: Option<ProcessIncarnation>,
     /// Failures seen by this daemon.
     pub suspicion: SuspicionRecord,
@@ -36,11 +36,11 @@
 /// What is known of a daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonRecord {
-    /// View published; its state tells whether it is silent.
+    /// Published view; its state is suspect if the daemon is unreachable.
     pub view: DaemonView,
-    /// Presence in the list.
+    /// Presence in the instance lists.
     pub presence: PresenceRecord,
-    /// When it was last heard over a link.
+    /// When a message last came from it over a link.
     pub heard_at: Option<MonoTime>,
 }
 
@@ -114,14 +114,14 @@
         }
     }
 
-    /// Returns the life of its process, once known.
+    /// Returns the incarnation of its process, once known.
     #[must_use]
     pub fn incarnation(&self) -> Option<ProcessIncarnation> {
         let incarnation = self.view.incarnation;
         (incarnation != ProcessIncarnation::default()).then_some(incarnation)
     }
 
-    /// Tells whether a linked peer has been silent for `silence`.
+    /// Returns whether there has been no contact with a linked peer for `timeout`.
     #[must_use]
     pub fn is_silent(&self, now: MonoTime, silence: Duration) -> bool {
         self.heard_at.is_some_and(|at| now.since(at) >= silence)
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns an engine's report as published.
+/// Converts an engine's state to the load report of the published view.
 #[must_use]
 pub fn load_report(report: &EngineState, taken_at: MonoTime) -> LoadReport {
     LoadReport {
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -8,7 +8,7 @@
 const FIRST_PROBE: Duration = Duration::from_millis(500);
 const LONGEST_PROBE: Duration = Duration::from_secs(8);
 
-/// Where a sign of life or failure came from.
+/// Kind of call that was answered or failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallSource {
     /// A read of the target's state.
@@ -26,8 +26,8 @@
 
 /// Failures of one target as seen by this daemon.
 ///
-/// Polls and work are counted apart: a target that answers polls and fails all work
-/// would otherwise be cleared by each poll and get new work for as long as it fails.
+/// Polls and work are counted separately. Otherwise each answered poll would clear a
+/// target that fails all work, and the target would keep getting new work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuspicionRecord {
     poll_failures: u32,
@@ -37,19 +37,19 @@
 }
 
 impl SuspicionRecord {
-    /// Tells whether the target is suspected.
+    /// Returns whether the target is suspected.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
         self.open.is_some()
     }
 
-    /// Tells whether the target's state may be read now.
+    /// Returns whether the target's state may be read now.
     #[must_use]
     pub fn may_poll(&self, now: MonoTime) -> bool {
         self.open.is_none_or(|open| now >= open.probe_at)
     }
 
-    /// Notes a call; returns whether the target's state changed.
+    /// Records a call; returns whether the target's state changed.
     pub fn note(&mut self, source: CallSource, answered: bool, now: MonoTime) -> bool {
         let before = self.is_suspect();
         if answered {
@@ -97,10 +97,11 @@
         });
     }
 
-    /// Lets time pass; returns whether the target's state changed.
+    /// Ends a suspicion whose time is over; returns whether the target's state changed.
     ///
-    /// A suspicion raised by work ends when its probe is due, for nothing but work
-    /// can show that work is done again. One more failure raises it for twice as long.
+    /// A suspicion raised by failed work ends when its probe is due, because only new
+    /// work can show that the target handles work again. One more failure raises the
+    /// suspicion for twice as long.
     pub fn tick(&mut self, now: MonoTime) -> bool {
         let Some(open) = self.open else {
             return false;
--- a/src/targets/call.rs
+++ b/src/targets/call.rs
@@ -1,4 +1,5 @@
-//! What the adapters of engines and plain services share: sending and judging answers.
+//! Sends requests and classifies responses, for the adapters of engines and plain
+//! services.
 
 use std::time::Duration;
 
@@ -7,18 +8,18 @@
 use crate::names::FenceNumber;
 use crate::ports::TargetError;
 
-/// Time to open a connection; beyond it a target counts as not reached.
+/// Time-out for opening a connection; after it, a target counts as not reached.
 const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// Header in which targets say when to come back, in milliseconds.
+/// Header with the time after which a target may be tried again, in milliseconds.
 const RETRY_AFTER: &str = "retry-after-ms";
 const DEFAULT_RETRY: Duration = Duration::from_millis(500);
 /// Body of a refusal by a target that is leaving.
 const LEAVING: &str = "leaving";
-/// Longest wait for the body of a refusal, and most characters kept of it.
+/// Time-out for the body of a refusal, and maximum number of characters kept of it.
 const REASON_WAIT: Duration = Duration::from_millis(500);
 const REASON_LENGTH: usize = 200;
 
-/// Builds the client that all calls to targets share.
+/// Builds the HTTP client that all requests to targets share.
 ///
 /// # Errors
 ///
@@ -31,12 +32,12 @@
         .build()
 }
 
-/// Sends a call and waits for the head of the answer.
+/// Sends a request and waits for the header of the response.
 ///
 /// # Errors
 ///
-/// Returns `NotDelivered` only when no connection came about, so that nothing can
-/// have run; every later failure is `Lost`.
+/// Returns `NotDelivered` only if no connection was established, so that nothing can
+/// have run; every later failure to get a response is `Lost`.
 pub async fn send(call: RequestBuilder, patience: Duration) -> Result<Response, TargetError> {
     let sent = tokio::time::timeout(patience, call.send()).await;
     let response = match sent {
@@ -47,13 +48,13 @@
     judge_status(response).await
 }
 
-/// Turns a failed read of a body into an error.
+/// Returns the error for a response body that could not be read.
 #[must_use]
 pub fn broken(error: &reqwest::Error) -> TargetError {
-    lost(format!("the answer broke off: {error}"))
+    lost(format!("the response body could not be read: {error}"))
 }
 
-/// Turns an answer that makes no sense into an error.
+/// Returns the error for a request whose outcome is unknown.
 #[must_use]
 pub fn lost(reason: String) -> TargetError {
     TargetError::Lost { reason }
--- a/src/targets/engine_http.rs
+++ b/src/targets/engine_http.rs
@@ -1,4 +1,4 @@
-//! Adapter for model engines: JSON over HTTP, streams as one JSON object a line.
+//! Adapter for model engines: JSON over HTTP, streams as one JSON object per line.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::targets::call::{self, broken, lost, send};
 use crate::targets::wire::{CacheEvent, CacheEvents, EngineState, OrderBody, StreamLine};
 
-/// Longest line accepted from an engine, in bytes.
+/// Maximum length of a line from an engine.
 const LONGEST_LINE: usize = 4 << 20;
 
 /// Builds the port to model engines.
@@ -96,7 +96,8 @@
     fetch(client.post(url).json(&call.body), call.patience)
 }
 
-/// Sends a call and reads its whole answer as JSON within `patience`.
+/// Sends a request and reads its complete response as JSON; header and body may take
+/// `timeout` each.
 fn fetch<T: DeserializeOwned + Send + 'static>(
     request: RequestBuilder,
     patience: Duration,
@@ -105,7 +106,7 @@
         let response = send(request, patience).await?;
         let body = tokio::time::timeout(patience, response.json()).await;
         match body {
-            Err(_) => Err(lost(format!("no whole answer within {patience:?}"))),
+            Err(_) => Err(lost(format!("no complete answer within {patience:?}"))),
             Ok(Err(error)) => Err(broken(&error)),
             Ok(Ok(value)) => Ok(value),
         }
@@ -145,7 +146,7 @@
         }
         if reader.buffer.len() > LONGEST_LINE {
             reader.ended = true;
-            let reason = format!("a line of more than {LONGEST_LINE} bytes");
+            let reason = format!("a line is longer than {LONGEST_LINE} bytes");
             return Some((Err(lost(reason)), reader));
         }
     }
@@ -161,5 +162,6 @@
 }
 
 fn parse_line(line: &[u8]) -> Result<StreamLine, TargetError> {
-    serde_json::from_slice(line).map_err(|error| lost(format!("an unreadable line: {error}")))
+    serde_json::from_slice(line)
+        .map_err(|error| lost(format!("a line could not be decoded: {error}")))
 }
--- a/src/targets/service_http.rs
+++ b/src/targets/service_http.rs
@@ -1,4 +1,4 @@
-//! Adapter for plain services: one JSON call, one JSON answer.
+//! Adapter for plain services: one JSON request, one JSON response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     let response = send(request, patience).await?;
     let body = tokio::time::timeout(patience, response.json()).await;
     match body {
-        Err(_) => Err(lost(format!("no whole answer within {patience:?}"))),
+        Err(_) => Err(lost(format!("no complete answer within {patience:?}"))),
         Ok(Err(error)) => Err(broken(&error)),
         Ok(Ok(reply)) => Ok(reply),
     }
--- a/src/targets/wire.rs
+++ b/src/targets/wire.rs
@@ -7,29 +7,29 @@
     WorkspaceName,
 };
 
-/// What an engine does best at the moment.
+/// Kind of work that an engine is currently set up for.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Generates output quickly.
+    /// Fast at generating output.
     Decode,
-    /// Does both equally.
+    /// Balanced between both.
     #[default]
     Mixed,
-    /// Reads prompts quickly.
+    /// Fast at prefilling prompts.
     Prefill,
 }
 
 /// Starts a stream: `POST /v1/streams`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GenerateBody {
-    /// Request the stream answers.
+    /// Request that the stream answers.
     pub request_id: RequestId,
     /// Number of this attempt, from 1.
     pub attempt: u32,
-    /// Workspace that pays for the work.
+    /// Workspace that the work is charged to.
     pub workspace: WorkspaceName,
     /// Model to use.
     pub model: ModelName,
@@ -37,7 +37,7 @@
     pub adapter: String,
     /// Version; empty for the one loaded.
     pub version: String,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Milliseconds left for the whole answer.
     pub deadline_ms: u64,
@@ -45,7 +45,7 @@
     pub prompt: String,
     /// Prompt length in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens in the whole answer.
     pub max_output_tokens: u32,
     /// Answer bytes delivered by earlier attempts; the stream starts after them.
     pub offset: u64,
@@ -88,13 +88,14 @@
 pub struct EngineState {
     /// Engine that reports.
     pub target: TargetId,
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: ProcessIncarnation,
     /// Unix time of the report in milliseconds.
     pub at_ms: u64,
     /// Role in force.
     pub role: EngineRole,
-    /// Whether a change of role or models is under way; the engine serves nothing then.
+    /// Whether a change of role or models is in progress, during which the engine
+    /// serves nothing.
     pub changing: bool,
     /// Models loaded, as `MODEL`, `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
     pub models: Vec<String>,
@@ -102,15 +103,16 @@
     pub running: u32,
     /// Streams waiting.
     pub waiting: u32,
-    /// Prompt tokens not yet read.
+    /// Prompt tokens still to be prefilled.
     pub prefill_backlog_tokens: u64,
-    /// Output tokens promised and not yet generated, at most.
+    /// Maximum number of output tokens of accepted requests that are still to be
+    /// generated.
     pub decode_backlog_tokens: u64,
-    /// KV cache in use and its limit, in tokens.
+    /// KV cache in use, in tokens.
     pub kv_used_tokens: u64,
     /// Limit of the KV cache in tokens.
     pub kv_limit_tokens: u64,
-    /// Last order taken.
+    /// Last order accepted.
     pub last_order: Option<OrderMark>,
     /// Number of the newest cache event.
     pub cache_sequence: u64,
@@ -125,16 +127,17 @@
     pub fence: FenceNumber,
 }
 
-/// An absolute order: `POST /v1/orders`. 409 answers one with an old fence.
+/// An order that gives the engine's whole state: `POST /v1/orders`. An order with an
+/// old fence is answered with 409.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderBody {
     /// Identity; the same order sent twice has one effect.
     pub mark: OrderMark,
     /// Group whose lease covers the engine.
     pub group: GroupName,
-    /// Role to have.
+    /// Role to take on.
     pub role: EngineRole,
-    /// Models to hold, in the form of [`EngineState::models`].
+    /// Models to load, in the form of [`EngineState::models`].
     pub models: Vec<String>,
 }
 
@@ -165,7 +168,7 @@
     pub workspace: WorkspaceName,
     /// Key within the workspace.
     pub key: RequestKey,
-    /// Whether the call may run more than once.
+    /// Whether the call may be executed more than once.
     pub repeatable: bool,
     /// Body in base64.
     pub data: String,
--- a/tests/control_authority.rs
+++ b/tests/control_authority.rs
@@ -1,4 +1,5 @@
-//! Two daemons over one platform and engines: who leads, orders and takes over.
+//! Two daemons with one platform and its engines: which one holds leases, sends orders
+//! and takes over.
 
 mod control_fakes;
 
@@ -110,8 +111,8 @@
         .unwrap();
 }
 
-/// The holder's process dies without a word. The other daemon takes both leases over,
-/// with a later fence, and only one ever holds one.
+/// The holder's process is killed. The other daemon takes both leases over, with a
+/// later fence, and no lease has two holders.
 #[tokio::test]
 async fn a_killed_holder_is_succeeded() {
     let bench = Bench::new(&["a", "b"], 2);
@@ -157,8 +158,9 @@
     end(second).await;
 }
 
-/// Long prompts flood in. One daemon plans, the group's holder takes engines out of use
-/// everywhere, orders them, and puts them back; never all at once, each order once.
+/// Many long prompts arrive. One daemon plans role changes; the group's holder takes
+/// engines out of use on all daemons, orders them to change, and puts them back, never
+/// all at once and with each order sent once.
 #[tokio::test]
 async fn a_swing_of_the_mix_changes_roles() {
     let bench = Bench::new(&["a", "b"], 4);
@@ -184,7 +186,11 @@
         bench.engines.orders.lock().unwrap().len() >= 2
     })
     .await;
-    assert_eq!(drained, [true, true], "a daemon never heard of the change");
+    assert_eq!(
+        drained,
+        [true, true],
+        "a daemon did not learn of the change"
+    );
     let orders = bench.engines.orders.lock().unwrap().clone();
     for (address, body) in &orders {
         assert_eq!(body.role, EngineRole::Prefill, "{address}");
@@ -206,15 +212,15 @@
     assert_eq!(violations(Invariant::OneOrder), 0);
     assert!(
         !bench.journal.recent("gains", 10).is_empty(),
-        "no reason kept"
+        "no reason in the journal"
     );
     for handle in handles {
         end(handle).await;
     }
 }
 
-/// The platform goes down for longer than the leases last: nobody orders, everybody goes
-/// on serving, and when it is back there is one holder again.
+/// The platform is down for longer than the leases last: no daemon orders, all go on
+/// serving, and afterwards there is one holder again.
 #[tokio::test]
 async fn an_outage_ends_leases_and_heals() {
     let bench = Bench::new(&["a", "b"], 2);
--- a/tests/control_fakes/mod.rs
+++ b/tests/control_fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Small in-memory stand-ins at the ports of the control plane.
+//! In-memory fakes for the ports of the control plane.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -14,16 +14,16 @@
 };
 use pistachiowick::store::wire::InstanceRow;
 
-/// What happens to the next write.
+/// Fault injected into the next write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteFault {
-    /// It takes effect; the answer is lost.
+    /// The write takes effect; the response is lost.
     AnswerLost,
-    /// It is lost on the way; so is the answer.
+    /// Both the write and the response are lost.
     NeverArrives,
-    /// It takes effect when `land_delayed` is called; the answer is lost.
+    /// The write takes effect when `land_delayed` is called; the response is lost.
     Delayed,
-    /// The platform refuses it as busy.
+    /// The platform refuses the write as busy.
     Busy,
 }
 
@@ -41,9 +41,9 @@
     pub reads: u32,
     pub lists: u32,
     pub watches: u32,
-    /// Run before the next write is judged.
+    /// Writes by others; one is applied before each write is checked.
     pub before_write: VecDeque<ConditionalWrite>,
-    /// Delayed writes land right after the next read.
+    /// Whether delayed writes take effect right after the next read.
     pub land_after_read: bool,
 }
 
@@ -254,7 +254,7 @@
     }
 }
 
-/// An engine port whose states come from a shared table.
+/// Engine states by address.
 pub type StateTable = Arc<Mutex<IndexMap<String, pistachiowick::targets::wire::EngineState>>>;
 
 fn not_reached() -> pistachiowick::ports::TargetError {
@@ -263,7 +263,8 @@
     }
 }
 
-/// Engines that answer with the state found under their address, and note orders.
+/// Engines that answer with the state stored under their address, and keep the orders
+/// they accept.
 #[derive(Clone, Default)]
 pub struct FakeEngines {
     pub states: StateTable,
@@ -279,7 +280,7 @@
             .insert(address.to_owned(), state);
     }
 
-    /// Takes an order as an engine does.
+    /// Handles an order as an engine does.
     pub fn take(
         &self,
         address: &str,
@@ -324,7 +325,7 @@
     }
 }
 
-/// Settings of a daemon with times short enough for tests.
+/// Settings of a daemon with intervals short enough for tests.
 pub fn settings(id: &str, centre: &str) -> pistachiowick::settings::DaemonSettings {
     serde_json::from_value(serde_json::json!({
         "daemon_id": id,
@@ -337,7 +338,7 @@
     .unwrap()
 }
 
-/// Waits for a condition; the generous limit is for a hang, not a verdict on speed.
+/// Waits for a condition; the long limit only catches a hang and does not test speed.
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..6_000 {
         if holds() {
@@ -345,5 +346,5 @@
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("never came about: {what}");
+    panic!("timed out waiting for: {what}");
 }
--- a/tests/control_leases.rs
+++ b/tests/control_leases.rs
@@ -1,4 +1,4 @@
-//! Leases: when a daemon may order, take over and hand over.
+//! When a daemon may send orders under a lease, take a lease over, and release it.
 
 use std::time::Duration;
 
@@ -58,7 +58,8 @@
     }
 }
 
-/// Ticks until a write comes out, answering reads with `found`; returns when and what.
+/// Ticks until a write is due, answering reads with `found`; returns its time, id and
+/// object.
 fn write_after(
     table: &mut LeaseTable,
     found: Option<&StoredObject>,
@@ -106,8 +107,8 @@
     found: foreign(3, 4, true, true), rank: 0, earliest: 1_000, latest: 1_100,
 })]
 #[case::released_second(TakeOverCase { found: foreign(3, 4, true, false), rank: 1, earliest: 6_000, latest: 6_100 })]
-/// A lease lapses or is handed over. Taken too early, the last holder may still believe
-/// in it and its orders may be under way; too late, engines stay without a planner.
+/// A lease expires or is released. If it is acquired too early, the last holder may
+/// still rely on it and have orders in flight; if too late, nobody orders the engines.
 fn takes_over_when_nothing_can_be_under_way(#[case] case: TakeOverCase) {
     let mut table = table("a", case.rank);
     let (at, mark, stored) = write_after(&mut table, Some(&case.found), 0, 60_000).unwrap();
@@ -119,8 +120,8 @@
     assert_eq!(authority.fence, FenceNumber(5));
 }
 
-/// The holder renews while a candidate watches: each new version starts the wait anew,
-/// also when a stale read in between shows an older one.
+/// The holder renews while a candidate watches: each new version restarts the wait,
+/// even if a stale read in between shows an older one.
 #[test]
 fn a_renewed_lease_is_never_taken() {
     let mut table = table("a", 0);
@@ -133,8 +134,8 @@
     }
 }
 
-/// The answer to a renewal comes late. Authority counts from before the write left, or it
-/// would outlast what others watch.
+/// The response to a write comes late. The lease must count from before the write was
+/// sent, or it would outlast the time that other daemons wait.
 #[test]
 fn authority_counts_from_before_the_write() {
     let mut table = table("a", 0);
@@ -145,8 +146,8 @@
     assert!(table.authority(&group(), MonoTime(last)).is_none());
 }
 
-/// The process is paused past the end of its lease and goes on: the first thing it asks
-/// is whether it may order, before any tick has noticed that time passed.
+/// The process is paused until after its lease expires, and checks the lease before the
+/// first tick since then.
 #[test]
 fn a_pause_ends_authority_without_a_tick() {
     let mut table = table("a", 0);
@@ -167,8 +168,9 @@
     keeps: bool,
 }
 
-/// A renewal's answer is lost. If it landed, the lease goes on; if another daemon's record
-/// is found in its place, ordering stops at once, before the old time is over.
+/// The response to a renewal is lost. If the renewal took effect, the lease goes on; if
+/// the write met another daemon's record, ordering stops at once, before the old lease
+/// expires.
 #[rstest]
 #[case::landed(RenewCase { answer: Answer::LostAndLanded, keeps: true })]
 #[case::gone(RenewCase { answer: Answer::LostAndGone, keeps: true })]
@@ -226,8 +228,9 @@
     assert_eq!(table.authority(&group(), later).is_some(), case.keeps);
 }
 
-/// Two renewals are sent, the first one's answer is lost and it lands late: the second
-/// fails its condition. That is no rival, and the lease must not be dropped for it.
+/// Two renewals are sent; the response to the first is lost and it takes effect late,
+/// so the second meets a conflict. The conflict is with this daemon's own write, and
+/// the lease must not be dropped for it.
 #[test]
 fn its_own_late_renewal_is_no_rival() {
     let mut table = table("a", 0);
@@ -283,8 +286,8 @@
     );
 }
 
-/// An engine refuses an order for a later fence. The lease is given up and taken again
-/// only with a fence above the one met.
+/// An engine refuses an order because it has seen a later fence. The lease is given up,
+/// and acquired again only with a fence above that one.
 #[test]
 fn a_fenced_holder_gives_up() {
     let mut table = table("a", 0);
@@ -296,8 +299,8 @@
     assert_eq!(LeaseRecord::decode(&stored).unwrap().fence, FenceNumber(41));
 }
 
-/// A planned stop: ordering ends first, then the record tells the successor, and the
-/// daemon takes the lease no more.
+/// In a planned stop, ordering ends first, then the record shows the release, and the
+/// daemon does not acquire the lease again.
 #[test]
 fn a_planned_stop_hands_over() {
     let mut table = table("a", 0);
@@ -314,8 +317,8 @@
     assert!(write_after(&mut table, Some(&stored), now, now + 60_000).is_none());
 }
 
-/// Another daemon ranks first for long: the lease moves to it, but a daemon that comes
-/// and goes moves nothing.
+/// The lease moves to a daemon that has ranked first for long, but not to one that
+/// joins and leaves again.
 #[test]
 fn a_lease_moves_to_who_ranks_first_for_long() {
     let mut table = table("a", 0);
@@ -347,9 +350,10 @@
     assert!((150_000..=150_200).contains(&released), "{released}");
 }
 
-/// A daemon ranks second for a minute, the first one is cut off, and it takes the lease
-/// over. It keeps it: handed back at once, as if it had held it all that time beside the
-/// first one, nobody would act while that one is away.
+/// A daemon ranks second for a minute, the first one is cut off, and the second
+/// acquires the lease. It must keep it: if the minute counted as time held while
+/// outranked, it would release the lease at once, and nobody would hold it while the
+/// first daemon is unreachable.
 #[test]
 fn who_takes_over_late_keeps_the_lease() {
     let mut table = table("a", 1);
@@ -413,7 +417,10 @@
         .values()
         .flat_map(|c| c.iter().filter(|(rank, _)| *rank == 0).map(|(_, id)| *id))
         .collect();
-    assert!(first.iter().any(|id| *id != first[0]), "all on one daemon");
+    assert!(
+        first.iter().any(|id| *id != first[0]),
+        "one daemon ranks first in every group"
+    );
 }
 
 #[rstest]
@@ -435,9 +442,9 @@
     assert!(sizes.values().all(|size| *size <= most), "{sizes:?}");
 }
 
-/// A dead holder's lease is watched through reads of which every other one is stale.
-/// Were the older record taken for a change, the wait would start anew each time and the
-/// group stay without a holder.
+/// The lease of a failed holder is read, and every other read is stale. If the older
+/// record counted as a change, the wait would restart each time and the group would
+/// stay without a holder.
 #[test]
 fn stale_reads_do_not_restart_the_wait() {
     let mut table = table("a", 0);
--- a/tests/control_membership.rs
+++ b/tests/control_membership.rs
@@ -86,7 +86,7 @@
     fleet.daemons.get(&DaemonId::from(id)).map(|d| d.state)
 }
 
-/// What happens to one engine, a second apart.
+/// Events of one engine, a second apart.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Live,
@@ -146,9 +146,10 @@
 #[case::back_after_being_forgotten(LeavingCase {
     steps: &[Step::Leaving, Step::Absent, Step::Wait(61), Step::Absent, Step::Live], state: Some(UseState::Live),
 })]
-/// An engine is told to leave; lists from lagging replicas, late reports and peers go on
-/// naming it live. Were any of them believed, new work would reach a process about to
-/// end and be cut. Only a newer life of the process may come back into use.
+/// An engine is leaving, but lists from lagging replicas, late reports and peers still
+/// show it as live. If any of them were believed, new work would be sent to a process
+/// that is about to exit, and be interrupted. Only a newer incarnation of the process
+/// may come back into use.
 fn leaving_beats_live(#[case] case: LeavingCase) {
     let mut state = membership();
     let mut now = MonoTime(0);
@@ -187,8 +188,8 @@
     assert_eq!(target_state(&mut state, "e"), case.state);
 }
 
-/// The platform restarts and answers with an empty list. Obeying it would take every
-/// engine out of use at once, and every request would be refused.
+/// The platform restarts and returns an empty list. Applying it would take every engine
+/// out of use at once, and every request would be refused.
 #[test]
 fn an_empty_list_is_left_out() {
     let mut state = membership();
@@ -264,8 +265,8 @@
     assert_eq!(target_state(&mut state, "e"), Some(expected));
 }
 
-/// All work to a plain service fails; it has no state to read. After a wait it gets work
-/// again, one failure suspects it for twice as long, and an answer clears it.
+/// All work sent to a plain service fails, and it has no state to poll. After a wait it
+/// gets work again, and one more failure makes it suspect for twice as long.
 #[test]
 fn a_suspected_service_is_probed_with_work() {
     let mut state = membership();
@@ -294,7 +295,7 @@
     assert_eq!(seen, [suspect, live, suspect, live]);
 }
 
-/// An engine that answers no poll is polled ever more rarely, yet never forgotten.
+/// An engine that answers no poll is polled less and less often, but never dropped.
 #[test]
 fn a_silent_engine_is_polled_back() {
     let mut state = membership();
@@ -397,8 +398,9 @@
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
 }
 
-/// This daemon restarts at the same address; the list still says that its previous life
-/// is leaving. It must not take itself out of use for that, but for a later word.
+/// This daemon restarts at the same address, and the list still shows its previous
+/// incarnation as leaving. It must not take itself out of use for that, but must for a
+/// later row.
 #[rstest]
 #[case::word_about_the_previous_life(&[InstanceState::Leaving, InstanceState::Live], UseState::Live)]
 #[case::word_about_this_life(&[InstanceState::Live, InstanceState::Leaving], UseState::Leaving)]
--- a/tests/control_orders.rs
+++ b/tests/control_orders.rs
@@ -1,4 +1,5 @@
-//! Orders: recorded first, one at a time, without effect once authority is lost.
+//! Orders are stored before they are sent, one at a time, and not sent once the lease
+//! is lost.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
     order_flight: Duration::from_millis(1_000),
 };
 
-/// An engine, its group's object, and the book of one holder after another.
+/// An engine, its group's object, and the order managers of successive lease holders.
 struct Bench {
     now: u64,
     stored: Option<StoredObject>,
@@ -98,7 +99,8 @@
         Some(version)
     }
 
-    /// A tick with every call answered at once; sends are handed out, not answered.
+    /// Runs one tick and answers every platform call at once; returns the sends that
+    /// are due, unanswered.
     fn step(&mut self) -> Vec<TargetId> {
         self.now += 100;
         let now = MonoTime(self.now);
@@ -128,7 +130,7 @@
         steps.find(|sends| !sends.is_empty()).unwrap_or_default()
     }
 
-    /// Steps until the order may be sent, and takes it out.
+    /// Steps until the order may be sent, and sends it.
     fn order(&mut self) -> OrderBody {
         for _ in 0..200 {
             if self.step().is_empty() {
@@ -142,7 +144,7 @@
         panic!("no order: {:?}", self.book);
     }
 
-    /// Asks for a role until the order for it leaves.
+    /// Requests a role until the order for it is sent.
     fn wanted_order(&mut self, role: EngineRole) -> OrderBody {
         for _ in 0..200 {
             self.book.want(engine(), wish(role));
@@ -155,7 +157,7 @@
         panic!("no order: {:?}", self.book);
     }
 
-    /// The engine takes an order and begins the change.
+    /// The engine accepts an order and starts the change.
     fn take(&mut self, body: &OrderBody) -> EngineState {
         self.state.last_order = Some(body.mark.clone());
         self.state.changing = true;
@@ -183,7 +185,7 @@
     let mut bench = Bench::new();
     bench.state.running = 2;
     bench.book.want(engine(), wish(EngineRole::Prefill));
-    assert!(bench.steps(50).is_empty(), "ordered while work runs");
+    assert!(bench.steps(50).is_empty(), "ordered while work is running");
     assert_eq!(
         bench.recorded().entries[&engine()].phase,
         OrderPhase::Draining
@@ -203,9 +205,9 @@
     assert!(bench.steps(30).is_empty());
 }
 
-/// An engine is marked as draining, and another daemon that has not heard of it yet
-/// places a request there. A report of "no work" from before all have heard proves
-/// nothing; ordered on it, the change would cut that request.
+/// An engine is marked as draining, and another daemon that does not know this yet
+/// places a request there. A report of "no work" from before all daemons know proves
+/// nothing: an order sent on it would interrupt that request.
 #[test]
 fn an_early_report_of_no_work_is_not_believed() {
     let mut bench = Bench::new();
@@ -239,8 +241,8 @@
     sends: bool,
 }
 
-/// The lease is lost, or another one held, between the record and the send: the order
-/// must stay here.
+/// The lease is lost, or held with another fence, between storing the order and sending
+/// it: the order must not be sent.
 #[rstest]
 #[case::held(SendCase { authority: Some((1, u64::MAX)), sends: true })]
 #[case::lost(SendCase { authority: None, sends: false })]
@@ -272,8 +274,9 @@
     }
 }
 
-/// The answer to an order is lost. If the engine shows the order, it is not sent again;
-/// if it shows none after the longest flight, the same order is sent once more.
+/// The answer to an order is lost. If the engine's state shows the order, it is not
+/// sent again. If the state does not show it once no copy can be in flight, the same
+/// order is sent once more.
 #[rstest]
 #[case::answered(AnswerCase { answer: Ok(()), reached: true, sends: 1 })]
 #[case::lost_but_taken(AnswerCase { answer: Err(lost()), reached: true, sends: 1 })]
@@ -300,7 +303,7 @@
         }
         assert!(
             bench.now >= sent_at + 1_000,
-            "a copy may still be under way"
+            "a copy may still be in flight"
         );
         let (authority, now) = (bench.authority(), MonoTime(bench.now));
         let again = bench.book.begin_send(&engine(), authority, now).unwrap();
@@ -328,9 +331,9 @@
     assert!(bench.book.begin_send(&engine(), authority, now).is_none());
 }
 
-/// The holder is paused after it recorded an order and before it sends it; a successor
-/// claims the group. When the first one wakes, its record is refused and shows the later
-/// fence, also where engines would obey.
+/// A holder is paused, and a successor claims the group. When the first holder resumes,
+/// its update is refused, and the stored record shows it the later fence, even if
+/// engines would obey its orders.
 #[test]
 fn a_successors_claim_fences_the_record() {
     let mut bench = Bench::new();
@@ -362,8 +365,8 @@
     finishes: bool,
 }
 
-/// A holder dies right after sending an order. The successor orders nothing else to the
-/// engine until its state shows what became of that order.
+/// A holder fails right after sending an order. The successor sends the engine no other
+/// order until the engine's state shows what became of the first.
 #[rstest]
 #[case::never_arrived(HeirCase { reached: false, finishes: false })]
 #[case::under_way(HeirCase { reached: true, finishes: false })]
@@ -391,7 +394,7 @@
     if !case.reached {
         assert!(
             bench.now >= claimed + 1_000,
-            "an order may still be under way"
+            "an order may still be in flight"
         );
     }
 }
@@ -417,11 +420,14 @@
                     let version = bench.store(&action).unwrap();
                     book.note_write(mark, &Ok(version), MonoTime(now));
                 }
-                OrderAction::Send(_) => panic!("ordered unseen"),
+                OrderAction::Send(_) => panic!("ordered before the engine's state was read"),
             }
         }
     }
-    assert!(book.entries().is_empty(), "drained unseen");
+    assert!(
+        book.entries().is_empty(),
+        "drained before the engine's state was read"
+    );
 }
 
 #[test]
@@ -441,10 +447,11 @@
     assert!(bench.recorded().entries.is_empty());
 }
 
-/// What cannot be closed where engines ignore fences: the holder passes its last check
-/// and is paused before the bytes leave; the successor acquires, orders, and the old order
-/// arrives after it. An engine that checks fences refuses it; one that ignores them obeys.
-/// The pause must outlast guard plus flight: no shorter one meets a successor's order.
+/// The gap that remains with engines that ignore fences: the holder passes its last
+/// check and is paused before the bytes are sent; a successor acquires the lease and
+/// sends an order, and the old order arrives after it. An engine that checks fences
+/// refuses the old order; one that ignores them obeys. Only a pause longer than the
+/// guard and the order's flight time together lets the old order meet a successor's.
 #[rstest]
 #[case::checks(true)]
 #[case::ignores(false)]
@@ -467,7 +474,8 @@
     assert_eq!(obeyed, !checks_fence);
 }
 
-/// A write's answer is lost and the write lands late, after it was sent again.
+/// The response to a write is lost, and the write takes effect late, after the object
+/// was read back without it.
 #[test]
 fn its_own_late_record_is_taken_up() {
     let mut bench = Bench::new();
@@ -536,9 +544,10 @@
     assert_eq!(OrderRecord::decode(&stored), Some(record));
 }
 
-/// A holder dies with an order on its way that has not arrived yet. The successor's first
-/// look at the engine shows nothing of it, and proves nothing until the longest flight is
-/// over: dropped before, the engine would go back into use and be changed under work.
+/// A holder fails while an order is in flight. The successor's first read of the
+/// engine's state does not show the order, which proves nothing until the longest
+/// flight time is over: if the entry were removed earlier, the engine would go back
+/// into use and be changed while it has work.
 #[test]
 fn an_order_on_its_way_is_not_written_off() {
     let mut bench = Bench::new();
