--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -19,35 +19,35 @@
 use crate::names::{DaemonId, FenceNumber, GroupName, MonoTime, ProcessIncarnation, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-const MARKS_KEPT: usize = 8;
+const MAX_SENT_WRITES: usize = 8;
 const RENEWALS_PER_LEASE: u32 = 2;
 const READS_PER_LEASE: u32 = 3;
-const WRITE_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Leases of all groups as one daemon sees them.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
-    own: DaemonId,
+    daemon_id: DaemonId,
     incarnation: ProcessIncarnation,
     times: LeaseTimes,
     groups: IndexMap<GroupName, GroupLease>,
-    marks: u64,
+    write_count: u64,
     stopping: bool,
-    news: Vec<LeaseNews>,
+    changes: Vec<LeaseNews>,
 }
 
 impl LeaseTable {
     /// Creates a table without groups.
     #[must_use]
-    pub fn new(own: DaemonId, incarnation: ProcessIncarnation, times: LeaseTimes) -> Self {
+    pub fn new(daemon_id: DaemonId, incarnation: ProcessIncarnation, times: LeaseTimes) -> Self {
         Self {
-            own,
+            daemon_id,
             incarnation,
             times,
             groups: IndexMap::new(),
-            marks: 0,
+            write_count: 0,
             stopping: false,
-            news: Vec::new(),
+            changes: Vec::new(),
         }
     }
 
@@ -71,8 +71,9 @@
                 lease.releasing |= lease.held.is_some();
             }
         }
-        self.groups
-            .retain(|_, lease| lease.rank.is_some() || lease.held.is_some() || lease.busy);
+        self.groups.retain(|_, lease| {
+            lease.rank.is_some() || lease.held.is_some() || lease.call_in_flight
+        });
     }
 
     /// Returns the right to order a group's engines, unless this daemon lacks it now.
@@ -97,11 +98,11 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        lease.least_fence = lease.least_fence.max(seen);
-        lease.try_at = now.plus(duration);
+        lease.min_fence = lease.min_fence.max(seen);
+        lease.next_acquire_at = now.plus(duration);
         if lease.held.take().is_some() {
             let reason = format!("an engine has seen the later fence {}", seen.0);
-            self.tell(group, false, reason);
+            self.record_change(group, false, reason);
         }
     }
 
@@ -124,12 +125,16 @@
     /// Returns whether a planned stop has released every lease.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
-        self.stopping && self.groups.values().all(|l| l.held.is_none() && !l.busy)
+        self.stopping
+            && self
+                .groups
+                .values()
+                .all(|l| l.held.is_none() && !l.call_in_flight)
     }
 
     /// Returns the leases acquired and lost since the last call.
     pub fn take_news(&mut self) -> Vec<LeaseNews> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.changes)
     }
 
     /// Returns the groups whose lease is held now, whether or not orders may be sent.
@@ -171,32 +176,32 @@
         if lease.held.is_some_and(|held| now >= held.expires_at) {
             lease.held = None;
             lease.releasing = false;
-            self.tell(group, false, "it expired without a renewal".to_owned());
+            self.record_change(group, false, "it expired without a renewal".to_owned());
         }
     }
 
     fn next_action(&mut self, group: &GroupName, now: MonoTime) -> Option<LeaseAction> {
-        let handover = self.handover_wait();
+        let handover_wait = self.handover_wait();
         let lease = self.groups.get_mut(group)?;
-        if lease.busy && now < lease.busy_until {
+        if lease.call_in_flight && now < lease.call_deadline {
             return None;
         }
-        if lease.busy {
+        if lease.call_in_flight {
             // The call timed out; a write may have taken effect.
-            lease.busy = false;
+            lease.call_in_flight = false;
             lease.must_read = true;
-            lease.open_writes = true;
+            lease.unknown_writes = true;
         }
         let outranked = lease
             .outranked_since
-            .is_some_and(|since| now.since(since) >= handover);
+            .is_some_and(|since| now.since(since) >= handover_wait);
         lease.releasing |= outranked && lease.held.is_some();
         if lease.must_read {
             return self.read(group, now);
         }
-        let (held, releasing, write_at) = (lease.held, lease.releasing, lease.write_at);
+        let (held, releasing, next_write_at) = (lease.held, lease.releasing, lease.next_write_at);
         match held {
-            Some(_) if now < write_at => None,
+            Some(_) if now < next_write_at => None,
             Some(_) if releasing => self.write(group, now, true),
             Some(held) if self.is_renewal_due(held, now) => self.write(group, now, false),
             Some(_) => None,
@@ -231,14 +236,14 @@
         let Some(rank) = lease.rank.filter(|_| !self.stopping) else {
             return false;
         };
-        if now < lease.try_at || now < lease.write_at {
+        if now < lease.next_acquire_at || now < lease.next_write_at {
             return false;
         }
-        let patience = self.times.duration * u32::try_from(rank).unwrap_or(u32::MAX);
+        let rank_delay = self.times.duration * u32::try_from(rank).unwrap_or(u32::MAX);
         let Some(observed) = &lease.observed else {
             return lease
                 .absent_since
-                .is_some_and(|since| now.since(since) >= patience);
+                .is_some_and(|since| now.since(since) >= rank_delay);
         };
         let record = &observed.record;
         let seen_for = now.since(observed.since);
@@ -247,28 +252,31 @@
                 true => self.times.order_flight,
                 false => Duration::ZERO,
             };
-            return seen_for >= flight + patience;
+            return seen_for >= flight + rank_delay;
         }
-        let lapse = self.times.duration + self.times.order_flight;
-        seen_for >= lapse + patience / 4
+        let expiry_wait = self.times.duration + self.times.order_flight;
+        seen_for >= expiry_wait + rank_delay / 4
     }
 
     fn read(&mut self, group: &GroupName, now: MonoTime) -> Option<LeaseAction> {
-        let pace = self.times.duration / READS_PER_LEASE;
+        let interval = self.times.duration / READS_PER_LEASE;
         let lease = self.groups.get_mut(group)?;
-        if now < lease.read_at || (lease.rank.is_none() && lease.held.is_none()) {
+        if now < lease.next_read_at || (lease.rank.is_none() && lease.held.is_none()) {
             return None;
         }
-        lease.read_at = now.plus(pace);
-        lease.busy = true;
-        lease.busy_until = now.plus(pace);
+        lease.next_read_at = now.plus(interval);
+        lease.call_in_flight = true;
+        lease.call_deadline = now.plus(interval);
         Some(LeaseAction::Read(group.clone()))
     }
 
     fn write(&mut self, group: &GroupName, now: MonoTime, released: bool) -> Option<LeaseAction> {
-        self.marks += 1;
-        let mark = format!("{}-{}-{}", self.own, self.incarnation.0, self.marks);
-        let patience = self.times.duration / READS_PER_LEASE;
+        self.write_count += 1;
+        let mark = format!(
+            "{}-{}-{}",
+            self.daemon_id, self.incarnation.0, self.write_count
+        );
+        let timeout = self.times.duration / READS_PER_LEASE;
         let lease = self.groups.get_mut(group)?;
         let observed = lease.observed.as_ref();
         let seen = observed.map_or(FenceNumber(0), |o| o.record.fence);
@@ -276,27 +284,27 @@
             Some(held) => (held.version, held.fence),
             None => (
                 observed.map_or(ObjectVersion(0), |o| o.version),
-                FenceNumber(seen.max(lease.least_fence).0 + 1),
+                FenceNumber(seen.max(lease.min_fence).0 + 1),
             ),
         };
         let record = LeaseRecord {
-            holder: self.own.clone(),
+            holder: self.daemon_id.clone(),
             incarnation: self.incarnation,
             fence,
             mark: mark.clone(),
             released,
             unsettled: released && lease.unsettled,
         };
-        lease.busy = true;
-        lease.busy_until = now.plus(patience);
+        lease.call_in_flight = true;
+        lease.call_deadline = now.plus(timeout);
         lease.sent.push(SentWrite {
             mark: mark.clone(),
             fence,
             sent_at: now,
             released,
         });
-        let surplus = lease.sent.len().saturating_sub(MARKS_KEPT);
-        lease.sent.drain(..surplus);
+        let excess = lease.sent.len().saturating_sub(MAX_SENT_WRITES);
+        lease.sent.drain(..excess);
         Some(LeaseAction::Write {
             group: group.clone(),
             mark,
@@ -318,7 +326,7 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        lease.busy = false;
+        lease.call_in_flight = false;
         match result {
             Ok(Some(stored)) => {
                 lease.must_read = false;
@@ -330,7 +338,7 @@
             }
             // Only a holder that doubts its lease retries soon; other daemons don't add
             // load to a failing platform.
-            Err(_) if lease.held.is_some() => lease.read_at = now.plus(WRITE_PAUSE),
+            Err(_) if lease.held.is_some() => lease.next_read_at = now.plus(RETRY_PAUSE),
             Err(_) => {}
         }
     }
@@ -346,28 +354,28 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        let known = lease.observed.as_ref().map(|o| o.version);
+        let known_version = lease.observed.as_ref().map(|o| o.version);
         // A stale read shows an older record. Applying it would restart the wait for a
         // takeover and could bring back an earlier fence.
-        if known.is_some_and(|version| stored.version <= version) {
+        if known_version.is_some_and(|version| stored.version <= version) {
             return;
         }
-        let own_write = lease.sent.iter().find(|sent| sent.mark == record.mark);
-        let own_write = own_write.cloned();
-        lease.open_writes = false;
+        let local_write = lease.sent.iter().find(|sent| sent.mark == record.mark);
+        let local_write = local_write.cloned();
+        lease.unknown_writes = false;
         lease.observed = Some(ObservedRecord {
             version: stored.version,
             record,
             since: now,
         });
-        match own_write {
-            Some(sent) => self.landed(group, &sent, stored.version, now),
-            None => self.displaced(group, stored.version),
+        match local_write {
+            Some(sent) => self.apply_local_write(group, &sent, stored.version, now),
+            None => self.apply_remote_write(group, stored.version),
         }
     }
 
     // Applies a write of this daemon that is now known to have taken effect.
-    fn landed(
+    fn apply_local_write(
         &mut self,
         group: &GroupName,
         sent: &SentWrite,
@@ -378,12 +386,12 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        let had = lease.held.is_some();
+        let was_held = lease.held.is_some();
         if sent.released {
             lease.held = None;
             lease.releasing = false;
-            lease.try_at = now.plus(self.times.duration);
-            self.tell(group, false, "released".to_owned());
+            lease.next_acquire_at = now.plus(self.times.duration);
+            self.record_change(group, false, "released".to_owned());
             return;
         }
         if now >= expires_at {
@@ -396,22 +404,22 @@
             expires_at,
         });
         lease.releasing |= self.stopping;
-        if !had {
+        if !was_held {
             // A daemon that took over while those ranked before it were unreachable has
             // not held the lease alongside them yet, so the handover wait starts now.
             lease.outranked_since = lease.outranked_since.map(|_| now);
             let reason = format!("acquired with fence {}", sent.fence.0);
-            self.tell(group, true, reason);
+            self.record_change(group, true, reason);
         }
     }
 
-    fn displaced(&mut self, group: &GroupName, version: ObjectVersion) {
+    fn apply_remote_write(&mut self, group: &GroupName, version: ObjectVersion) {
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
         if lease.held.take_if(|held| held.version < version).is_some() {
             lease.releasing = false;
-            self.tell(group, false, "another daemon has acquired it".to_owned());
+            self.record_change(group, false, "another daemon has acquired it".to_owned());
         }
     }
 
@@ -426,24 +434,24 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        lease.busy = false;
+        lease.call_in_flight = false;
         let sent = lease.sent.iter().find(|sent| sent.mark == mark).cloned();
         match (result, sent) {
-            (Ok(version), Some(sent)) => self.wrote(group, &sent, *version, now),
-            (Err(PlatformError::Conflict { .. }), _) => self.conflicted(group, now),
+            (Ok(version), Some(sent)) => self.apply_written(group, &sent, *version, now),
+            (Err(PlatformError::Conflict { .. }), _) => self.handle_conflict(group, now),
             (Err(PlatformError::Lost { .. }), _) => {
                 lease.must_read = true;
-                lease.open_writes = true;
-                lease.read_at = now;
+                lease.unknown_writes = true;
+                lease.next_read_at = now;
             }
             (Err(_), _) | (Ok(_), None) => {
-                let pace = self.times.duration / READS_PER_LEASE;
+                let interval = self.times.duration / READS_PER_LEASE;
                 let pause = if lease.held.is_some() {
-                    WRITE_PAUSE
+                    RETRY_PAUSE
                 } else {
-                    pace
+                    interval
                 };
-                lease.write_at = now.plus(pause);
+                lease.next_write_at = now.plus(pause);
             }
         }
     }
@@ -454,16 +462,16 @@
     /// The record may be this daemon's own write whose response was lost: then no other
     /// daemon can have taken the lease before it expires, and a read of the record
     /// settles it. Otherwise another daemon wrote it, and ordering stops at once.
-    fn conflicted(&mut self, group: &GroupName, now: MonoTime) {
+    fn handle_conflict(&mut self, group: &GroupName, now: MonoTime) {
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
         lease.must_read = true;
-        lease.read_at = now;
-        lease.write_at = now.plus(WRITE_PAUSE);
-        if !lease.open_writes && lease.held.take().is_some() {
+        lease.next_read_at = now;
+        lease.next_write_at = now.plus(RETRY_PAUSE);
+        if !lease.unknown_writes && lease.held.take().is_some() {
             lease.releasing = false;
-            self.tell(
+            self.record_change(
                 group,
                 false,
                 "its record changed before the renewal".to_owned(),
@@ -471,7 +479,7 @@
         }
     }
 
-    fn wrote(
+    fn apply_written(
         &mut self,
         group: &GroupName,
         sent: &SentWrite,
@@ -488,11 +496,11 @@
         {
             return;
         }
-        lease.open_writes = false;
+        lease.unknown_writes = false;
         lease.observed = Some(ObservedRecord {
             version,
             record: LeaseRecord {
-                holder: self.own.clone(),
+                holder: self.daemon_id.clone(),
                 incarnation: self.incarnation,
                 fence: sent.fence,
                 mark: sent.mark.clone(),
@@ -501,13 +509,13 @@
             },
             since: now,
         });
-        self.landed(group, sent, version, now);
+        self.apply_local_write(group, sent, version, now);
     }
 
-    fn tell(&mut self, group: &GroupName, held: bool, reason: String) {
+    fn record_change(&mut self, group: &GroupName, held: bool, reason: String) {
         metrics::counter!("pistachiowick_lease_changes_total", "held" => held.to_string())
             .increment(1);
-        self.news.push(LeaseNews {
+        self.changes.push(LeaseNews {
             group: group.clone(),
             held,
             reason,
--- a/src/authority/lease_groups.rs
+++ b/src/authority/lease_groups.rs
@@ -11,9 +11,9 @@
 pub const PLAN_GROUP: &str = "plan";
 
 /// Number of daemons that are candidates for a group's lease.
-pub const CANDIDATES: usize = 3;
+pub const MAX_CANDIDATES: usize = 3;
 
-const SPREAD_PERCENT: usize = 125;
+const HASH_PADDING_PERCENT: usize = 125;
 
 /// Number of groups per data centre, as stored in the platform.
 ///
@@ -27,11 +27,11 @@
 pub fn initial_count(engines: usize, group_engines: usize) -> u32 {
     // Hashing distributes engines unevenly; without padding, the largest group would
     // exceed the limit.
-    let padded = (engines * SPREAD_PERCENT).div_ceil(100);
+    let padded_engines = (engines * HASH_PADDING_PERCENT).div_ceil(100);
     let groups = if engines <= group_engines {
         1
     } else {
-        padded.div_ceil(group_engines.max(1))
+        padded_engines.div_ceil(group_engines.max(1))
     };
     u32::try_from(groups.max(1)).unwrap_or(u32::MAX)
 }
@@ -113,7 +113,7 @@
         .collect();
     candidates.sort_unstable_by(|a, b| b.cmp(a));
     let rank = candidates.iter().position(|(_, id)| *id == own)?;
-    (rank < CANDIDATES).then_some(rank)
+    (rank < MAX_CANDIDATES).then_some(rank)
 }
 
 /// Scores a daemon for a group; the highest score ranks first.
--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -35,13 +35,13 @@
 use crate::settings::DaemonSettings;
 use crate::targets::wire::{EngineState, OrderBody};
 
-const COUNT_PAUSE: Duration = Duration::from_secs(1);
-const GROUPS_PACE: Duration = Duration::from_millis(500);
-const PLAN_PACE: Duration = Duration::from_secs(1);
-const WISH_AGE: Duration = Duration::from_secs(600);
+const COUNT_RETRY_PAUSE: Duration = Duration::from_secs(1);
+const GROUPS_INTERVAL: Duration = Duration::from_millis(500);
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_CHANGE_AGE: Duration = Duration::from_secs(600);
 // After this time, a drain whose lease holder has failed no longer keeps an engine out
 // of use.
-const DRAIN_AGE: Duration = Duration::from_secs(400);
+const MAX_DRAIN_AGE: Duration = Duration::from_secs(400);
 
 /// Inputs of the decisions.
 #[derive(Clone, Copy)]
@@ -55,29 +55,29 @@
 }
 
 #[derive(Clone, Debug)]
-struct SeenRecord {
+struct ObservedOrders {
     version: ObjectVersion,
     record: OrderRecord,
-    begun: IndexMap<TargetId, MonoTime>,
+    started: IndexMap<TargetId, MonoTime>,
 }
 
 /// Leases, orders and the plan as one daemon sees them.
 #[derive(Clone, Debug)]
 pub struct AuthorityState {
-    own: DaemonId,
+    daemon_id: DaemonId,
     group_engines: usize,
     times: OrderTimes,
     counts: GroupCounts,
-    count_at: IndexMap<CentreName, MonoTime>,
+    next_count_at: IndexMap<CentreName, MonoTime>,
     leases: LeaseTable,
-    books: IndexMap<GroupName, OrderBook>,
+    managers: IndexMap<GroupName, OrderBook>,
     plan: Option<PlanBook>,
     planner: RolePlanner,
-    plan_at: MonoTime,
-    wished_at: IndexMap<TargetId, MonoTime>,
-    seen: IndexMap<String, SeenRecord>,
+    next_plan_at: MonoTime,
+    planned_at: IndexMap<TargetId, MonoTime>,
+    observed: IndexMap<String, ObservedOrders>,
     groups: IndexMap<TargetId, GroupName>,
-    groups_at: MonoTime,
+    next_groups_at: MonoTime,
     journal: DecisionJournal,
 }
 
@@ -92,20 +92,20 @@
         let times = LeaseTimes::from(&settings.leases);
         let change = Duration::from_millis(settings.policy.role_change_ms);
         Self {
-            own: settings.daemon_id.clone(),
+            daemon_id: settings.daemon_id.clone(),
             group_engines: settings.leases.group_engines,
             times: OrderTimes::new(times, change),
             counts: GroupCounts::new(),
-            count_at: IndexMap::new(),
+            next_count_at: IndexMap::new(),
             leases: LeaseTable::new(settings.daemon_id.clone(), incarnation, times),
-            books: IndexMap::new(),
+            managers: IndexMap::new(),
             plan: None,
             planner: RolePlanner::new(settings.policy.clone()),
-            plan_at: MonoTime(0),
-            wished_at: IndexMap::new(),
-            seen: IndexMap::new(),
+            next_plan_at: MonoTime(0),
+            planned_at: IndexMap::new(),
+            observed: IndexMap::new(),
             groups: IndexMap::new(),
-            groups_at: MonoTime(0),
+            next_groups_at: MonoTime(0),
             journal,
         }
     }
@@ -131,13 +131,13 @@
     #[must_use]
     pub fn changing(&self, now: MonoTime) -> IndexMap<TargetId, String> {
         let mut changing = IndexMap::new();
-        for (name, seen) in &self.seen {
+        for (name, observed) in &self.observed {
             if name == PLAN_GROUP {
                 continue;
             }
-            for (target, entry) in &seen.record.entries {
-                let begun = seen.begun.get(target).copied().unwrap_or(now);
-                if now.since(begun) < DRAIN_AGE {
+            for (target, entry) in &observed.record.entries {
+                let started = observed.started.get(target).copied().unwrap_or(now);
+                if now.since(started) < MAX_DRAIN_AGE {
                     changing.insert(target.clone(), entry.wish.reason.clone());
                 }
             }
@@ -150,34 +150,34 @@
     ///
     /// Returns whether it was applied.
     pub fn note_object(&mut self, stored: &StoredObject, now: MonoTime) -> bool {
-        let known = self.seen.get(&stored.object.name);
+        let known = self.observed.get(&stored.object.name);
         if stored.object.kind != ORDER_KIND || known.is_some_and(|s| s.version >= stored.version) {
             return false;
         }
         let Some(record) = OrderRecord::decode(stored) else {
             return false;
         };
-        let begun = record.entries.keys().map(|target| {
-            let before = known.and_then(|s| s.begun.get(target));
+        let started = record.entries.keys().map(|target| {
+            let before = known.and_then(|s| s.started.get(target));
             (target.clone(), before.copied().unwrap_or(now))
         });
-        let seen = SeenRecord {
+        let observed = ObservedOrders {
             version: stored.version,
-            begun: begun.collect(),
+            started: started.collect(),
             record,
         };
-        self.seen.insert(stored.object.name.clone(), seen);
+        self.observed.insert(stored.object.name.clone(), observed);
         true
     }
 
     /// Returns the known objects of orders and of the plan, for peers.
     #[must_use]
     pub fn objects(&self) -> Vec<StoredObject> {
-        let held = self.seen.iter();
-        held.map(|(name, seen)| StoredObject {
+        let held = self.observed.iter();
+        held.map(|(name, observed)| StoredObject {
             object: order_object(&GroupName::from(name.as_str())),
-            version: seen.version,
-            value: Some(seen.record.encode()),
+            version: observed.version,
+            value: Some(observed.record.encode()),
         })
         .collect()
     }
@@ -186,32 +186,32 @@
     #[must_use]
     pub fn leads(&self, target: &TargetId) -> bool {
         let group = self.groups.get(target);
-        group.is_some_and(|group| self.books.contains_key(group))
+        group.is_some_and(|group| self.managers.contains_key(group))
     }
 
     /// Advances leases, orders and the plan; returns the actions that are due.
     pub fn tick(&mut self, inputs: AuthorityInputs<'_>, now: MonoTime) -> Vec<AuthorityAction> {
         let mut actions = self.update_groups(inputs.fleet, now);
-        self.tell_unsettled();
+        self.report_orders_in_flight();
         let lease_actions = self.leases.tick(now);
         actions.extend(lease_actions.into_iter().map(lease_action));
-        self.explain_leases();
-        self.open_books(now);
+        self.record_lease_changes();
+        self.update_managers(now);
         self.update_plan(inputs, now);
         actions.extend(self.plan_action(now));
-        actions.extend(self.book_actions(inputs.fleet, now));
-        self.explain_orders();
+        actions.extend(self.manager_actions(inputs.fleet, now));
+        self.record_order_events();
         actions
     }
 
     fn update_groups(&mut self, fleet: &FleetView, now: MonoTime) -> Vec<AuthorityAction> {
-        if now < self.groups_at {
+        if now < self.next_groups_at {
             return Vec::new();
         }
-        self.groups_at = now.plus(GROUPS_PACE);
-        let ranks = lease_groups::own_ranks(fleet, &self.counts, &self.own);
+        self.next_groups_at = now.plus(GROUPS_INTERVAL);
+        let ranks = lease_groups::own_ranks(fleet, &self.counts, &self.daemon_id);
         self.leases.set_groups(&ranks, now);
-        self.groups = if self.books.is_empty() {
+        self.groups = if self.managers.is_empty() {
             IndexMap::new()
         } else {
             lease_groups::engine_groups(fleet, &self.counts)
@@ -222,9 +222,10 @@
     fn count_actions(&mut self, fleet: &FleetView, now: MonoTime) -> Vec<AuthorityAction> {
         let mut actions = Vec::new();
         for centre in lease_groups::engines_per_centre(fleet).into_keys() {
-            let due = self.count_at.get(&centre).is_none_or(|at| now >= *at);
+            let due = self.next_count_at.get(&centre).is_none_or(|at| now >= *at);
             if due && !self.counts.contains_key(&centre) {
-                self.count_at.insert(centre.clone(), now.plus(COUNT_PAUSE));
+                self.next_count_at
+                    .insert(centre.clone(), now.plus(COUNT_RETRY_PAUSE));
                 actions.push(AuthorityAction::Read {
                     object: count_object(&centre),
                     tag: CallTag::Count(centre),
@@ -234,13 +235,13 @@
         actions
     }
 
-    fn tell_unsettled(&mut self) {
-        for (group, book) in &self.books {
-            self.leases.set_unsettled(group, book.is_unsettled());
+    fn report_orders_in_flight(&mut self) {
+        for (group, manager) in &self.managers {
+            self.leases.set_unsettled(group, manager.is_unsettled());
         }
     }
 
-    fn explain_leases(&mut self) {
+    fn record_lease_changes(&mut self) {
         for news in self.leases.take_news() {
             let held = news.held;
             let (group, reason) = (news.group.as_str(), news.reason.as_str());
@@ -252,9 +253,9 @@
 
     // An order manager lives as long as the lease it was created for: after another
     // acquisition, even by the same daemon, the engines' states must be read again.
-    fn open_books(&mut self, now: MonoTime) {
+    fn update_managers(&mut self, now: MonoTime) {
         let held: Vec<GroupName> = self.leases.held_groups().cloned().collect();
-        self.books.retain(|group, _| held.contains(group));
+        self.managers.retain(|group, _| held.contains(group));
         let plan = GroupName::from(PLAN_GROUP);
         if !held.contains(&plan) {
             self.plan = None;
@@ -268,30 +269,30 @@
                 if self.plan.as_ref().map(PlanBook::fence) != Some(fence) {
                     self.plan = Some(PlanBook::new(fence));
                 }
-            } else if self.books.get(&group).map(OrderBook::fence) != Some(fence) {
-                let book = OrderBook::new(group.clone(), fence, self.times);
-                self.books.insert(group, book);
+            } else if self.managers.get(&group).map(OrderBook::fence) != Some(fence) {
+                let manager = OrderBook::new(group.clone(), fence, self.times);
+                self.managers.insert(group, manager);
             }
         }
     }
 
     fn update_plan(&mut self, inputs: AuthorityInputs<'_>, now: MonoTime) {
-        if now < self.plan_at {
+        if now < self.next_plan_at {
             return;
         }
-        self.plan_at = now.plus(PLAN_PACE);
+        self.next_plan_at = now.plus(PLAN_INTERVAL);
         let Some(plan) = &mut self.plan else {
-            self.wished_at.clear();
+            self.planned_at.clear();
             return;
         };
         let engines = plan_engines(inputs.fleet);
-        let wished_at = &self.wished_at;
+        let planned_at = &self.planned_at;
         plan.retain(|target, wish| {
-            let age = wished_at
+            let age = planned_at
                 .get(target)
                 .map_or(Duration::ZERO, |at| now.since(*at));
             let engine = engines.iter().find(|engine| engine.id == *target);
-            age < WISH_AGE && engine.is_some_and(|e| !has(e, wish))
+            age < MAX_CHANGE_AGE && engine.is_some_and(|e| !has(e, wish))
         });
         let changing = plan.wanted().len();
         let decisions = self.planner.plan(
@@ -307,7 +308,7 @@
                     let reason = wish.reason.clone();
                     self.journal
                         .record(DecisionKind::Role, target.as_str(), reason);
-                    self.wished_at.insert(target.clone(), now);
+                    self.planned_at.insert(target.clone(), now);
                     plan.want(target, wish);
                 }
                 PlanDecision::Keep { models, reason } => {
@@ -316,7 +317,7 @@
             }
         }
         let wanted = plan.wanted();
-        self.wished_at
+        self.planned_at
             .retain(|target, _| wanted.contains_key(target));
     }
 
@@ -332,37 +333,37 @@
         platform_action(CallTag::Plan, &group, action)
     }
 
-    fn book_actions(&mut self, fleet: &FleetView, now: MonoTime) -> Vec<AuthorityAction> {
+    fn manager_actions(&mut self, fleet: &FleetView, now: MonoTime) -> Vec<AuthorityAction> {
         let plan = self
-            .seen
+            .observed
             .get(PLAN_GROUP)
-            .map(|seen| wishes_of(&seen.record));
+            .map(|observed| wishes_of(&observed.record));
         let plan = plan.unwrap_or_default();
         let mut actions = Vec::new();
         let mut fenced = Vec::new();
-        for (group, book) in &mut self.books {
-            if let Some(fence) = book.fenced_by() {
+        for (group, manager) in &mut self.managers {
+            if let Some(fence) = manager.fenced_by() {
                 fenced.push((group.clone(), fence));
                 continue;
             }
             if self.leases.authority(group, now).is_none() {
                 continue;
             }
-            want_planned(book, group, &self.groups, &plan, fleet);
-            for action in book.tick(now) {
+            want_planned(manager, group, &self.groups, &plan, fleet);
+            for action in manager.tick(now) {
                 actions.extend(order_action(group, action));
             }
         }
         for (group, fence) in fenced {
             self.leases.give_up(&group, fence, now);
-            self.books.swap_remove(&group);
+            self.managers.swap_remove(&group);
         }
         actions
     }
 
-    fn explain_orders(&mut self) {
-        for book in self.books.values_mut() {
-            for news in book.take_news() {
+    fn record_order_events(&mut self) {
+        for manager in self.managers.values_mut() {
+            for news in manager.take_news() {
                 let (target, reason) = (news.target.as_str(), news.reason.as_str());
                 log::info!(target_id = target, reason; "engine change");
                 self.journal
@@ -383,8 +384,8 @@
             CallTag::Count(centre) => return self.note_count(centre, result, fleet),
             CallTag::Lease(group) => self.leases.note_read(group, result, now),
             CallTag::Orders(group) => {
-                if let Some(book) = self.books.get_mut(group) {
-                    book.note_read(result, now);
+                if let Some(manager) = self.managers.get_mut(group) {
+                    manager.note_read(result, now);
                 }
             }
             CallTag::Plan => {
@@ -444,12 +445,12 @@
     ) {
         match tag {
             CallTag::Count(centre) => {
-                self.count_at.insert(centre.clone(), now);
+                self.next_count_at.insert(centre.clone(), now);
             }
             CallTag::Lease(group) => self.leases.note_write(group, mark, result, now),
             CallTag::Orders(group) => {
-                if let Some(book) = self.books.get_mut(group) {
-                    book.note_write(mark, result, now);
+                if let Some(manager) = self.managers.get_mut(group) {
+                    manager.note_write(mark, result, now);
                 }
             }
             CallTag::Plan => {
@@ -480,7 +481,7 @@
         let address = fleet.targets.get(target)?.address.clone();
         let authority = self.leases.authority(group, now);
         let body = self
-            .books
+            .managers
             .get_mut(group)?
             .begin_send(target, authority, now)?;
         Some((address, body))
@@ -494,15 +495,15 @@
         result: &Result<EngineState, TargetError>,
         now: MonoTime,
     ) {
-        if let Some(book) = self.books.get_mut(group) {
-            book.note_answer(target, result, now);
+        if let Some(manager) = self.managers.get_mut(group) {
+            manager.note_answer(target, result, now);
         }
     }
 
     /// Applies an engine's state.
     pub fn note_state(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
-        for book in self.books.values_mut() {
-            book.note_state(target, state, taken_at);
+        for manager in self.managers.values_mut() {
+            manager.note_state(target, state, taken_at);
         }
     }
 }
--- a/src/authority/order_types.rs
+++ b/src/authority/order_types.rs
@@ -64,20 +64,20 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SendState {
     Waiting,
-    Out { at: MonoTime },
-    Unsure { at: MonoTime },
-    Taken { at: MonoTime },
+    InFlight { at: MonoTime },
+    Unknown { at: MonoTime },
+    Accepted { at: MonoTime },
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum ChangeEnd {
+pub(crate) enum ChangeOutcome {
     Done,
     Failed,
     Withdrawn,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EngineSeen {
+pub(crate) struct EngineObservation {
     pub(crate) idle_at: Option<MonoTime>,
     pub(crate) taken_at: MonoTime,
 }
--- a/src/authority/orders.rs
+++ b/src/authority/orders.rs
@@ -23,14 +23,14 @@
     EngineWish, OrderEntry, OrderPhase, OrderRecord, order_object,
 };
 use crate::authority::order_types::{
-    ChangeEnd, EngineSeen, OrderAction, OrderNews, OrderTimes, PendingWrite, SendState,
+    ChangeOutcome, EngineObservation, OrderAction, OrderNews, OrderTimes, PendingWrite, SendState,
 };
 use crate::invariants::{self, Invariant};
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject, TargetError};
 use crate::targets::wire::{EngineState, OrderBody, OrderMark};
 
-const CALL_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Changes of one group under one lease.
 #[derive(Clone, Debug)]
@@ -42,18 +42,18 @@
     record: OrderRecord,
     claimed_at: Option<MonoTime>,
     pending: Option<PendingWrite>,
-    wishes: IndexMap<TargetId, EngineWish>,
-    since: IndexMap<TargetId, MonoTime>,
+    requested: IndexMap<TargetId, EngineWish>,
+    phase_started: IndexMap<TargetId, MonoTime>,
     sends: IndexMap<TargetId, SendState>,
-    seen: IndexMap<TargetId, EngineSeen>,
-    finished: IndexMap<TargetId, ChangeEnd>,
-    rest_until: IndexMap<TargetId, MonoTime>,
+    observations: IndexMap<TargetId, EngineObservation>,
+    finished: IndexMap<TargetId, ChangeOutcome>,
+    retry_at: IndexMap<TargetId, MonoTime>,
     must_read: bool,
-    busy: bool,
-    call_at: MonoTime,
-    marks: u64,
+    call_in_flight: bool,
+    next_call_at: MonoTime,
+    write_count: u64,
     fenced_by: Option<FenceNumber>,
-    news: Vec<OrderNews>,
+    events: Vec<OrderNews>,
 }
 
 impl OrderBook {
@@ -68,18 +68,18 @@
             record: OrderRecord::default(),
             claimed_at: None,
             pending: None,
-            wishes: IndexMap::new(),
-            since: IndexMap::new(),
+            requested: IndexMap::new(),
+            phase_started: IndexMap::new(),
             sends: IndexMap::new(),
-            seen: IndexMap::new(),
+            observations: IndexMap::new(),
             finished: IndexMap::new(),
-            rest_until: IndexMap::new(),
+            retry_at: IndexMap::new(),
             must_read: true,
-            busy: false,
-            call_at: MonoTime(0),
-            marks: 0,
+            call_in_flight: false,
+            next_call_at: MonoTime(0),
+            write_count: 0,
             fenced_by: None,
-            news: Vec::new(),
+            events: Vec::new(),
         }
     }
 
@@ -98,14 +98,15 @@
 
     /// Returns the events since the last call.
     pub fn take_news(&mut self) -> Vec<OrderNews> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
     /// Returns whether an order may be in flight now.
     #[must_use]
     pub fn is_unsettled(&self) -> bool {
-        let flying = |s: &SendState| matches!(s, SendState::Out { .. } | SendState::Unsure { .. });
-        self.sends.values().any(flying)
+        let in_flight =
+            |s: &SendState| matches!(s, SendState::InFlight { .. } | SendState::Unknown { .. });
+        self.sends.values().any(in_flight)
     }
 
     /// Returns the stored changes.
@@ -117,30 +118,31 @@
     /// Requests a change of an engine, replacing an earlier request. A change whose
     /// order is already stored is finished first.
     pub fn want(&mut self, target: TargetId, wish: EngineWish) {
-        self.wishes.insert(target, wish);
+        self.requested.insert(target, wish);
     }
 
     /// Drops requested changes that are not in `wanted`, and cancels their drains.
     pub fn keep_wishes(&mut self, wanted: &IndexMap<TargetId, EngineWish>) {
-        self.wishes.retain(|target, _| wanted.contains_key(target));
+        self.requested
+            .retain(|target, _| wanted.contains_key(target));
         let draining = self.record.entries.iter().filter(|(target, entry)| {
             entry.phase == OrderPhase::Draining && !wanted.contains_key(*target)
         });
-        let dropped: Vec<TargetId> = draining.map(|(target, _)| target.clone()).collect();
-        for target in dropped {
+        let cancelled: Vec<TargetId> = draining.map(|(target, _)| target.clone()).collect();
+        for target in cancelled {
             let reason = "no longer planned".to_owned();
-            self.finish(&target, ChangeEnd::Withdrawn, reason);
+            self.finish(&target, ChangeOutcome::Withdrawn, reason);
         }
     }
 
     /// Returns the sends, and the read or write, that are due.
     pub fn tick(&mut self, now: MonoTime) -> Vec<OrderAction> {
         let mut actions = self.due_sends(now);
-        if self.busy || now < self.call_at {
+        if self.call_in_flight || now < self.next_call_at {
             return actions;
         }
         if self.must_read {
-            self.busy = true;
+            self.call_in_flight = true;
             actions.push(OrderAction::Read);
             return actions;
         }
@@ -159,28 +161,28 @@
     }
 
     fn may_send(&self, target: &TargetId, now: MonoTime) -> bool {
-        let fits = match self.sends.get(target) {
+        let sendable = match self.sends.get(target) {
             None => false,
             Some(SendState::Waiting) => true,
-            Some(SendState::Out { .. } | SendState::Taken { .. }) => false,
+            Some(SendState::InFlight { .. } | SendState::Accepted { .. }) => false,
             // Sent again with the same identity once no earlier copy can be in flight.
-            Some(SendState::Unsure { at }) => {
-                let shown = self.seen.get(target).map(|seen| seen.taken_at);
-                let quiet = at.plus(self.times.flight);
-                now >= quiet && shown.is_some_and(|taken_at| taken_at >= quiet)
+            Some(SendState::Unknown { at }) => {
+                let observed_at = self.observations.get(target).map(|o| o.taken_at);
+                let no_copies_at = at.plus(self.times.flight);
+                now >= no_copies_at && observed_at.is_some_and(|taken_at| taken_at >= no_copies_at)
             }
         };
-        fits && self.is_surveyed(target)
+        sendable && self.is_observed(target)
     }
 
     /// Returns whether the engine's state was read after this manager first wrote its
     /// record.
-    fn is_surveyed(&self, target: &TargetId) -> bool {
+    fn is_observed(&self, target: &TargetId) -> bool {
         let claimed_at = self.claimed_at;
-        let seen = self.seen.get(target);
+        let observation = self.observations.get(target);
         claimed_at
-            .zip(seen)
-            .is_some_and(|(at, seen)| seen.taken_at >= at)
+            .zip(observation)
+            .is_some_and(|(at, o)| o.taken_at >= at)
     }
 
     /// Returns the order to send, after a last check of the lease; `None` if it must
@@ -205,14 +207,14 @@
             role: entry.wish.role,
             models: entry.wish.models.clone(),
         };
-        let before = self
+        let previous = self
             .sends
-            .insert(target.clone(), SendState::Out { at: now });
-        let single = !matches!(before, Some(SendState::Out { .. }));
-        invariants::check(single, Invariant::OneOrder, || {
+            .insert(target.clone(), SendState::InFlight { at: now });
+        let is_only = !matches!(previous, Some(SendState::InFlight { .. }));
+        invariants::check(is_only, Invariant::OneOrder, || {
             format!("two orders in flight for {target} in {}", self.group)
         });
-        self.tell(target, format!("order {} sent", body.mark.id));
+        self.record_event(target, format!("order {} sent", body.mark.id));
         Some(body)
     }
 
@@ -223,52 +225,52 @@
         result: &Result<EngineState, TargetError>,
         now: MonoTime,
     ) {
-        let Some(SendState::Out { at }) = self.sends.get(target).copied() else {
+        let Some(SendState::InFlight { at }) = self.sends.get(target).copied() else {
             return;
         };
         match result {
             Ok(_) => {
                 self.sends
-                    .insert(target.clone(), SendState::Taken { at: now });
-                self.tell(target, "order accepted".to_owned());
+                    .insert(target.clone(), SendState::Accepted { at: now });
+                self.record_event(target, "order accepted".to_owned());
             }
             Err(TargetError::Fenced { current }) => {
                 self.fenced_by = self.fenced_by.max(Some(*current));
                 self.sends.swap_remove(target);
-                self.tell(
+                self.record_event(
                     target,
                     format!("order refused: the engine has seen fence {}", current.0),
                 );
             }
             Err(TargetError::Lost { reason }) => {
-                self.sends.insert(target.clone(), SendState::Unsure { at });
-                self.tell(
+                self.sends.insert(target.clone(), SendState::Unknown { at });
+                self.record_event(
                     target,
                     format!("order sent, but its answer was lost: {reason}"),
                 );
             }
             Err(error) => {
                 self.sends.swap_remove(target);
-                self.finish(target, ChangeEnd::Failed, format!("abandoned: {error}"));
+                self.finish(target, ChangeOutcome::Failed, format!("abandoned: {error}"));
             }
         }
     }
 
     /// Applies an engine's state; `taken_at` is when the engine reported it.
     pub fn note_state(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
-        let known = self.seen.get(target);
-        if known.is_some_and(|seen| seen.taken_at > taken_at) {
+        let known = self.observations.get(target);
+        if known.is_some_and(|o| o.taken_at > taken_at) {
             return;
         }
         let idle = state.running == 0 && state.waiting == 0;
         let idle_at = idle.then_some(taken_at);
-        self.seen
-            .insert(target.clone(), EngineSeen { idle_at, taken_at });
-        self.follow(target, state, taken_at);
+        self.observations
+            .insert(target.clone(), EngineObservation { idle_at, taken_at });
+        self.check_progress(target, state, taken_at);
     }
 
     // Compares a stored order with the state that the engine reports.
-    fn follow(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
+    fn check_progress(&mut self, target: &TargetId, state: &EngineState, taken_at: MonoTime) {
         let Some(entry) = self.record.entries.get(target) else {
             return;
         };
@@ -278,43 +280,44 @@
         let Some(claimed_at) = self.claimed_at.filter(|at| taken_at >= *at) else {
             return;
         };
-        let taken = state.last_order.as_ref().is_some_and(|m| m.id == mark.id);
+        let accepted = state.last_order.as_ref().is_some_and(|m| m.id == mark.id);
         let reached = state.role == entry.wish.role && state.models == entry.wish.models;
         let inherited = mark.fence != self.fence;
-        if taken && reached && !state.changing {
-            self.finish(target, ChangeEnd::Done, "change finished".to_owned());
-        } else if taken {
+        if accepted && reached && !state.changing {
+            self.finish(target, ChangeOutcome::Done, "change finished".to_owned());
+        } else if accepted {
             let at = taken_at;
             self.sends
                 .entry(target.clone())
-                .or_insert(SendState::Taken { at });
-            self.confirm(target, taken_at);
+                .or_insert(SendState::Accepted { at });
+            self.mark_accepted(target, taken_at);
         } else if inherited && taken_at >= claimed_at.plus(self.times.flight) {
             let reason = "the previous holder's order never arrived".to_owned();
-            self.finish(target, ChangeEnd::Withdrawn, reason);
-        } else if self.is_forgotten(target, taken_at) {
+            self.finish(target, ChangeOutcome::Withdrawn, reason);
+        } else if self.has_lost_order(target, taken_at) {
             let reason = "the engine restarted or accepted another order".to_owned();
-            self.finish(target, ChangeEnd::Failed, reason);
+            self.finish(target, ChangeOutcome::Failed, reason);
         }
     }
 
-    fn is_forgotten(&self, target: &TargetId, taken_at: MonoTime) -> bool {
+    fn has_lost_order(&self, target: &TargetId, taken_at: MonoTime) -> bool {
         match self.sends.get(target) {
-            Some(SendState::Taken { at }) => taken_at >= at.plus(self.times.flight),
+            Some(SendState::Accepted { at }) => taken_at >= at.plus(self.times.flight),
             _ => false,
         }
     }
 
-    fn confirm(&mut self, target: &TargetId, taken_at: MonoTime) {
-        if let Some(SendState::Unsure { .. }) = self.sends.get(target) {
+    fn mark_accepted(&mut self, target: &TargetId, taken_at: MonoTime) {
+        if let Some(SendState::Unknown { .. }) = self.sends.get(target) {
             let at = taken_at;
-            self.sends.insert(target.clone(), SendState::Taken { at });
+            self.sends
+                .insert(target.clone(), SendState::Accepted { at });
         }
     }
 
-    fn finish(&mut self, target: &TargetId, end: ChangeEnd, reason: String) {
-        if self.finished.insert(target.clone(), end).is_none() {
-            self.tell(target, reason);
+    fn finish(&mut self, target: &TargetId, outcome: ChangeOutcome, reason: String) {
+        if self.finished.insert(target.clone(), outcome).is_none() {
+            self.record_event(target, reason);
         }
     }
 
@@ -325,40 +328,40 @@
         if changed {
             next.drop_drains();
         } else {
-            self.give_up_late(now);
+            self.fail_overdue(now);
             changed |= self.remove_finished(&mut next);
-            changed |= self.order_drained(&mut next, now);
-            changed |= self.begin_drains(&mut next, now);
+            changed |= self.order_drained_engines(&mut next, now);
+            changed |= self.start_drains(&mut next, now);
         }
         changed.then(|| self.write(next))
     }
 
-    fn give_up_late(&mut self, now: MonoTime) {
-        let late: Vec<(TargetId, &str)> = self
+    fn fail_overdue(&mut self, now: MonoTime) {
+        let overdue: Vec<(TargetId, &str)> = self
             .record
             .entries
             .iter()
             .filter_map(|(target, entry)| {
-                let since = *self.since.get(target)?;
+                let phase_started = *self.phase_started.get(target)?;
                 let (limit, reason) = match entry.phase {
                     OrderPhase::Draining => (self.times.drain, "work did not finish in time"),
                     OrderPhase::Ordered(_) => (self.times.change, "change did not finish in time"),
                 };
-                (now.since(since) >= limit).then(|| (target.clone(), reason))
+                (now.since(phase_started) >= limit).then(|| (target.clone(), reason))
             })
             .collect();
-        for (target, reason) in late {
-            self.finish(&target, ChangeEnd::Failed, reason.to_owned());
+        for (target, reason) in overdue {
+            self.finish(&target, ChangeOutcome::Failed, reason.to_owned());
         }
     }
 
     fn remove_finished(&mut self, next: &mut OrderRecord) -> bool {
-        let before = next.entries.len();
+        let count_before = next.entries.len();
         next.entries.retain(|t, _| !self.finished.contains_key(t));
-        before != next.entries.len()
+        count_before != next.entries.len()
     }
 
-    fn order_drained(&mut self, next: &mut OrderRecord, now: MonoTime) -> bool {
+    fn order_drained_engines(&mut self, next: &mut OrderRecord, now: MonoTime) -> bool {
         let mut changed = false;
         for (target, entry) in &mut next.entries {
             if entry.phase != OrderPhase::Draining || !self.is_drained(target, now) {
@@ -376,18 +379,18 @@
     /// Returns whether the engine has no work left and none can still be in flight to
     /// it.
     fn is_drained(&self, target: &TargetId, now: MonoTime) -> bool {
-        let Some(since) = self.since.get(target) else {
+        let Some(phase_started) = self.phase_started.get(target) else {
             return false;
         };
-        let quiet = since.plus(self.times.spread);
-        let idle_at = self.seen.get(target).and_then(|seen| seen.idle_at);
-        now >= quiet && idle_at.is_some_and(|at| at >= quiet)
+        let all_informed_at = phase_started.plus(self.times.spread);
+        let idle_at = self.observations.get(target).and_then(|o| o.idle_at);
+        now >= all_informed_at && idle_at.is_some_and(|at| at >= all_informed_at)
     }
 
-    fn begin_drains(&mut self, next: &mut OrderRecord, now: MonoTime) -> bool {
+    fn start_drains(&mut self, next: &mut OrderRecord, now: MonoTime) -> bool {
         let mut changed = false;
-        for (target, wish) in &self.wishes {
-            if next.entries.contains_key(target) || !self.may_begin(target, now) {
+        for (target, wish) in &self.requested {
+            if next.entries.contains_key(target) || !self.may_start(target, now) {
                 continue;
             }
             let entry = OrderEntry {
@@ -401,17 +404,17 @@
     }
 
     // A failed change is not retried at once, because the engine would stay out of use.
-    fn may_begin(&self, target: &TargetId, now: MonoTime) -> bool {
-        let rest_until = self.rest_until.get(target);
-        let rested = rest_until.is_none_or(|until| now >= *until);
-        rested && !self.finished.contains_key(target) && self.is_surveyed(target)
+    fn may_start(&self, target: &TargetId, now: MonoTime) -> bool {
+        let retry_at = self.retry_at.get(target);
+        let may_retry = retry_at.is_none_or(|until| now >= *until);
+        may_retry && !self.finished.contains_key(target) && self.is_observed(target)
     }
 
     fn write(&mut self, mut record: OrderRecord) -> OrderAction {
-        self.marks += 1;
-        let mark = format!("{}-{}-{}", self.group, self.fence.0, self.marks);
+        self.write_count += 1;
+        let mark = format!("{}-{}-{}", self.group, self.fence.0, self.write_count);
         record.mark.clone_from(&mark);
-        self.busy = true;
+        self.call_in_flight = true;
         let value = record.encode();
         self.pending = Some(PendingWrite {
             mark: mark.clone(),
@@ -433,18 +436,18 @@
         result: &Result<Option<StoredObject>, PlatformError>,
         now: MonoTime,
     ) {
-        self.busy = false;
+        self.call_in_flight = false;
         match result {
             Ok(None) if self.version == ObjectVersion(0) => self.must_read = false,
-            Ok(Some(stored)) if stored.version >= self.version => self.take(stored, now),
-            Ok(_) | Err(_) => self.call_at = now.plus(CALL_PAUSE),
+            Ok(Some(stored)) if stored.version >= self.version => self.apply_stored(stored, now),
+            Ok(_) | Err(_) => self.next_call_at = now.plus(RETRY_PAUSE),
         }
     }
 
-    fn take(&mut self, stored: &StoredObject, now: MonoTime) {
+    fn apply_stored(&mut self, stored: &StoredObject, now: MonoTime) {
         let Some(record) = OrderRecord::decode(stored) else {
             log::error!("orders/{} cannot be decoded; restore it", self.group);
-            self.call_at = now.plus(CALL_PAUSE * 10);
+            self.next_call_at = now.plus(RETRY_PAUSE * 10);
             return;
         };
         self.must_read = false;
@@ -456,7 +459,7 @@
         // Only this daemon writes under this fence, so the record is its own, even if
         // the write is no longer pending.
         if record.fence == self.fence {
-            self.installed(record, now);
+            self.apply_record(record, now);
         } else {
             self.record = record;
         }
@@ -469,74 +472,74 @@
         result: &Result<ObjectVersion, PlatformError>,
         now: MonoTime,
     ) {
-        self.busy = false;
+        self.call_in_flight = false;
         match result {
             Ok(version) => {
                 let pending = self.pending.take_if(|p| p.mark == mark);
                 self.version = *version;
                 if let Some(pending) = pending {
-                    self.installed(pending.record, now);
+                    self.apply_record(pending.record, now);
                 }
             }
             Err(PlatformError::Conflict { .. } | PlatformError::Lost { .. }) => {
                 self.must_read = true;
             }
-            Err(_) => self.call_at = now.plus(CALL_PAUSE),
+            Err(_) => self.next_call_at = now.plus(RETRY_PAUSE),
         }
     }
 
     // Applies a record that is known to be stored; its orders may be sent from now on.
-    fn installed(&mut self, record: OrderRecord, now: MonoTime) {
+    fn apply_record(&mut self, record: OrderRecord, now: MonoTime) {
         self.claimed_at.get_or_insert(now);
-        let mut begun = Vec::new();
+        let mut changed_entries = Vec::new();
         for (target, entry) in &record.entries {
             let old = self.record.entries.get(target).map(|e| &e.phase);
             if old != Some(&entry.phase) {
-                begun.push((target.clone(), entry.clone()));
+                changed_entries.push((target.clone(), entry.clone()));
             }
-            self.since.entry(target.clone()).or_insert(now);
+            self.phase_started.entry(target.clone()).or_insert(now);
         }
-        for (target, entry) in begun {
-            self.since.insert(target.clone(), now);
-            self.began(&target, &entry);
+        for (target, entry) in changed_entries {
+            self.phase_started.insert(target.clone(), now);
+            self.start_phase(&target, &entry);
         }
         let old = std::mem::replace(&mut self.record, record);
         for (target, entry) in old.entries {
             if !self.record.entries.contains_key(&target) {
-                self.ended(&target, &entry, now);
+                self.end_change(&target, &entry, now);
             }
         }
     }
 
-    fn ended(&mut self, target: &TargetId, entry: &OrderEntry, now: MonoTime) {
-        self.since.swap_remove(target);
+    fn end_change(&mut self, target: &TargetId, entry: &OrderEntry, now: MonoTime) {
+        self.phase_started.swap_remove(target);
         self.sends.swap_remove(target);
-        if self.wishes.get(target) == Some(&entry.wish) {
-            self.wishes.swap_remove(target);
+        if self.requested.get(target) == Some(&entry.wish) {
+            self.requested.swap_remove(target);
         }
-        if self.finished.swap_remove(target) == Some(ChangeEnd::Failed) {
+        if self.finished.swap_remove(target) == Some(ChangeOutcome::Failed) {
             let until = now.plus(self.times.change);
-            self.rest_until.insert(target.clone(), until);
+            self.retry_at.insert(target.clone(), until);
         }
     }
 
-    fn began(&mut self, target: &TargetId, entry: &OrderEntry) {
+    fn start_phase(&mut self, target: &TargetId, entry: &OrderEntry) {
         match &entry.phase {
             OrderPhase::Draining => {
-                self.tell(
+                self.record_event(
                     target,
                     format!("draining for a change: {}", entry.wish.reason),
                 );
             }
             OrderPhase::Ordered(mark) => {
                 self.sends.insert(target.clone(), SendState::Waiting);
-                self.tell(target, format!("order {} recorded", mark.id));
+                self.record_event(target, format!("order {} recorded", mark.id));
             }
         }
     }
 
-    fn tell(&mut self, target: &TargetId, reason: String) {
-        self.news.push(OrderNews {
+    fn record_event(&mut self, target: &TargetId, reason: String) {
+        self.events.push(OrderNews {
             target: target.clone(),
             reason,
         });
--- a/src/membership/addressing.rs
+++ b/src/membership/addressing.rs
@@ -40,23 +40,23 @@
 /// `keep_ms`, and a planned stop waits that long before it refuses callers.
 pub fn locate(
     snapshot: &ControlSnapshot,
-    own: &DaemonId,
+    daemon_id: &DaemonId,
     centre: Option<&CentreName>,
     keep_ms: u32,
     rng: &mut impl Rng,
 ) -> AddressAnswer {
     let usable = snapshot.fleet.daemons.values().filter(|daemon| {
-        let stopping = snapshot.stopping && daemon.id == *own;
+        let stopping = snapshot.stopping && daemon.id == *daemon_id;
         weight(daemon) > 0 && !stopping
     });
-    let mut drawn: Vec<(bool, f64, &DaemonView)> = usable
+    let mut candidates: Vec<(bool, f64, &DaemonView)> = usable
         .map(|daemon| {
-            let far = centre.is_some_and(|c| *c != daemon.data_centre);
-            (far, draw(weight(daemon), rng), daemon)
+            let remote = centre.is_some_and(|c| *c != daemon.data_centre);
+            (remote, weighted_draw(weight(daemon), rng), daemon)
         })
         .collect();
-    drawn.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    let addresses = drawn
+    candidates.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    let addresses = candidates
         .iter()
         .take(MAX_ADDRESSES)
         .map(|(_, _, daemon)| entry(daemon));
@@ -75,7 +75,7 @@
 }
 
 // Sorting by these exponential draws amounts to weighted sampling without replacement.
-fn draw(weight: u32, rng: &mut impl Rng) -> f64 {
+fn weighted_draw(weight: u32, rng: &mut impl Rng) -> f64 {
     let uniform: f64 = rng.random();
     -(1.0 - uniform).ln() / f64::from(weight)
 }
--- a/src/membership/departures.rs
+++ b/src/membership/departures.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of departures; beyond it, the one not reported for the longest time
 /// is dropped.
-pub const MOST_DEPARTURES: usize = 20_000;
+pub const MAX_DEPARTURES: usize = 20_000;
 
 /// Identifies a process by its name and address, which stay the same while it runs.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -38,22 +38,22 @@
 /// incarnation is seen, or until no source has reported the process for some time.
 #[derive(Clone, Debug)]
 pub struct DepartureTable {
-    forget: Duration,
+    retention: Duration,
     records: IndexMap<LifeKey, DepartureRecord>,
 }
 
 impl DepartureTable {
     /// Creates a table that drops departures not reported for `retention`.
     #[must_use]
-    pub fn new(forget: Duration) -> Self {
+    pub fn new(retention: Duration) -> Self {
         Self {
-            forget,
+            retention,
             records: IndexMap::new(),
         }
     }
 
     /// Records a report that a process is leaving.
-    pub fn note_leaving(
+    pub fn record_leaving(
         &mut self,
         life: &LifeKey,
         incarnation: Option<ProcessIncarnation>,
@@ -75,7 +75,7 @@
     }
 
     /// Applies a row of the instance list.
-    pub fn note_row(
+    pub fn apply_row(
         &mut self,
         life: &LifeKey,
         state: InstanceState,
@@ -83,7 +83,7 @@
         now: MonoTime,
     ) {
         match (state, self.records.get_mut(life)) {
-            (InstanceState::Leaving, None) => self.note_leaving(life, incarnation, now),
+            (InstanceState::Leaving, None) => self.record_leaving(life, incarnation, now),
             (InstanceState::Leaving, Some(record)) => record.heard_at = now,
             (InstanceState::Live, Some(record)) if record.superseded => {
                 self.records.swap_remove(life);
@@ -94,7 +94,7 @@
     }
 
     /// Records the incarnation that a process itself reported.
-    pub fn note_incarnation(&mut self, life: &LifeKey, incarnation: ProcessIncarnation) {
+    pub fn record_incarnation(&mut self, life: &LifeKey, incarnation: ProcessIncarnation) {
         let Some(record) = self.records.get_mut(life) else {
             return;
         };
@@ -116,8 +116,9 @@
 
     /// Drops departures that have not been reported for the retention time.
     pub fn expire(&mut self, now: MonoTime) {
-        let forget = self.forget;
-        self.records.retain(|_, r| now.since(r.heard_at) < forget);
+        let retention = self.retention;
+        self.records
+            .retain(|_, r| now.since(r.heard_at) < retention);
     }
 
     /// Returns the number of departures remembered.
@@ -133,7 +134,7 @@
     }
 
     fn make_room(&mut self) {
-        if self.records.len() < MOST_DEPARTURES {
+        if self.records.len() < MAX_DEPARTURES {
             return;
         }
         let oldest = self.records.iter().min_by_key(|(_, r)| r.heard_at);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -74,8 +74,8 @@
 #[derive(Clone, Debug)]
 pub struct MembershipState {
     limits: MembershipLimits,
-    own: DaemonView,
-    own_listed: bool,
+    local: DaemonView,
+    local_listed: bool,
     targets: IndexMap<TargetId, TargetRecord>,
     daemons: IndexMap<DaemonId, DaemonRecord>,
     departures: DepartureTable,
@@ -89,11 +89,11 @@
 impl MembershipState {
     /// Creates a view that contains only this daemon.
     #[must_use]
-    pub fn new(own: DaemonView, limits: MembershipLimits) -> Self {
+    pub fn new(local: DaemonView, limits: MembershipLimits) -> Self {
         let mut state = Self {
             limits,
-            own,
-            own_listed: false,
+            local,
+            local_listed: false,
             targets: IndexMap::new(),
             daemons: IndexMap::new(),
             departures: DepartureTable::new(limits.forget),
@@ -128,7 +128,7 @@
             return false;
         }
         self.dirty = true;
-        self.age_presence();
+        self.count_absent_lists();
         for row in rows {
             match row.kind {
                 InstanceKind::Entry => self.apply_daemon(row, now),
@@ -139,7 +139,7 @@
         true
     }
 
-    fn age_presence(&mut self) {
+    fn count_absent_lists(&mut self) {
         for record in self.targets.values_mut() {
             record.presence.absent_lists += 1;
         }
@@ -155,7 +155,7 @@
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| TargetRecord::new(row, now));
         self.departures
-            .note_row(&life_of(row), row.state, record.incarnation, now);
+            .apply_row(&life_of(row), row.state, record.incarnation, now);
         record.presence = PresenceRecord::seen(row.state, now);
         record.view.data_centre = row.data_centre.clone();
         record.view.service = row.service.clone();
@@ -165,15 +165,15 @@
 
     fn apply_daemon(&mut self, row: &InstanceRow, now: MonoTime) {
         let id = DaemonId::from(row.id.as_str());
-        if id == self.own.id {
-            self.apply_own(row);
+        if id == self.local.id {
+            self.apply_local_row(row);
             return;
         }
         let known = self.daemons.get(&id);
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| DaemonRecord::new(row, now));
         self.departures
-            .note_row(&life_of(row), row.state, record.incarnation(), now);
+            .apply_row(&life_of(row), row.state, record.incarnation(), now);
         record.presence = PresenceRecord::seen(row.state, now);
         record.view.peer_address.clone_from(&row.peer_address);
         record.view.data_centre = row.data_centre.clone();
@@ -182,10 +182,10 @@
 
     // A row that says "leaving" before any said "live" is about this daemon's previous
     // incarnation; applying it would keep a restarted daemon out of use.
-    fn apply_own(&mut self, row: &InstanceRow) {
+    fn apply_local_row(&mut self, row: &InstanceRow) {
         match row.state {
-            InstanceState::Live => self.own_listed = true,
-            InstanceState::Leaving if self.own_listed => self.own.state = UseState::Leaving,
+            InstanceState::Live => self.local_listed = true,
+            InstanceState::Leaving if self.local_listed => self.local.state = UseState::Leaving,
             InstanceState::Leaving => {}
         }
     }
@@ -209,7 +209,7 @@
         now: MonoTime,
     ) {
         if let Some(record) = self.targets.get_mut(target) {
-            self.dirty |= record.suspicion.note(source, answered, now);
+            self.dirty |= record.suspicion.record_call(source, answered, now);
         }
     }
 
@@ -224,8 +224,8 @@
         let Some(record) = self.targets.get_mut(target) else {
             return;
         };
-        let older = record.incarnation.is_some_and(|i| report.incarnation < i);
-        if report.target != *target || older {
+        let is_older = record.incarnation.is_some_and(|i| report.incarnation < i);
+        if report.target != *target || is_older {
             return;
         }
         let taken_at = MonoTime(now.0.saturating_sub(millis(age)));
@@ -237,28 +237,30 @@
         record.incarnation = Some(report.incarnation);
         record.view.report = Some(load_report(report, taken_at));
         let life = record.life();
-        self.departures.note_incarnation(&life, report.incarnation);
+        self.departures
+            .record_incarnation(&life, report.incarnation);
         self.dirty |= restarted;
         self.reports_dirty = true;
     }
 
     /// Applies what a peer reports about itself.
-    pub fn note_peer(&mut self, word: &PeerWord, now: MonoTime) {
-        let Some(record) = self.daemons.get_mut(&word.daemon) else {
+    pub fn note_peer(&mut self, update: &PeerWord, now: MonoTime) {
+        let Some(record) = self.daemons.get_mut(&update.daemon) else {
             return;
         };
-        if word.incarnation < record.view.incarnation {
+        if update.incarnation < record.view.incarnation {
             return;
         }
-        self.dirty |= record.view.incarnation != word.incarnation;
-        record.view.incarnation = word.incarnation;
+        self.dirty |= record.view.incarnation != update.incarnation;
+        record.view.incarnation = update.incarnation;
         record.heard_at = Some(now);
         let life = record.life();
-        self.departures.note_incarnation(&life, word.incarnation);
-        if word.leaving {
+        self.departures
+            .record_incarnation(&life, update.incarnation);
+        if update.leaving {
             self.dirty |= !self.departures.is_leaving(&life);
             self.departures
-                .note_leaving(&life, Some(word.incarnation), now);
+                .record_leaving(&life, Some(update.incarnation), now);
         }
     }
 
@@ -279,7 +281,7 @@
         };
         let (life, incarnation) = (record.life(), record.incarnation);
         self.dirty |= !self.departures.is_leaving(&life);
-        self.departures.note_leaving(&life, incarnation, now);
+        self.departures.record_leaving(&life, incarnation, now);
     }
 
     /// Sets the holds of the configuration in force.
@@ -300,7 +302,7 @@
 
     /// Records that this daemon is leaving.
     pub fn set_stopping(&mut self) {
-        self.own.state = UseState::Leaving;
+        self.local.state = UseState::Leaving;
         self.dirty = true;
     }
 
@@ -312,9 +314,9 @@
         for record in self.targets.values_mut() {
             self.dirty |= record.suspicion.tick(now);
         }
-        let silence = self.limits.peer_silence;
+        let timeout = self.limits.peer_silence;
         for record in self.daemons.values_mut() {
-            let state = if record.is_silent(now, silence) {
+            let state = if record.is_unreachable(now, timeout) {
                 UseState::Suspect
             } else {
                 UseState::Live
@@ -352,7 +354,9 @@
             view.state = self.target_state(record);
             fleet.targets.insert(id.clone(), view);
         }
-        fleet.daemons.insert(self.own.id.clone(), self.own.clone());
+        fleet
+            .daemons
+            .insert(self.local.id.clone(), self.local.clone());
         for (id, record) in &self.daemons {
             let mut view = record.view.clone();
             view.state = self.daemon_state(record);
@@ -366,12 +370,12 @@
     fn target_state(&self, record: &TargetRecord) -> UseState {
         let held =
             self.holds.contains_key(&record.view.id) || self.changing.contains_key(&record.view.id);
-        let own = match (held, record.suspicion.is_suspect()) {
+        let local = match (held, record.suspicion.is_suspect()) {
             (true, _) => UseState::Drained,
             (false, true) => UseState::Suspect,
             (false, false) => UseState::Live,
         };
-        own.max(self.listed_state(&record.presence, &record.life()))
+        local.max(self.listed_state(&record.presence, &record.life()))
     }
 
     fn daemon_state(&self, record: &DaemonRecord) -> UseState {
@@ -383,8 +387,8 @@
         if presence.absent_lists >= self.limits.absent_lists {
             return UseState::Gone;
         }
-        let said = presence.row_state == InstanceState::Leaving;
-        if said || self.departures.is_leaving(life) {
+        let listed_leaving = presence.row_state == InstanceState::Leaving;
+        if listed_leaving || self.departures.is_leaving(life) {
             return UseState::Leaving;
         }
         UseState::Live
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -123,8 +123,8 @@
 
     /// Returns whether there has been no contact with a linked peer for `timeout`.
     #[must_use]
-    pub fn is_silent(&self, now: MonoTime, silence: Duration) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) >= silence)
+    pub fn is_unreachable(&self, now: MonoTime, timeout: Duration) -> bool {
+        self.heard_at.is_some_and(|at| now.since(at) >= timeout)
     }
 }
 
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -5,8 +5,8 @@
 use crate::names::MonoTime;
 
 const FAILURES_TO_SUSPECT: u32 = 3;
-const FIRST_PROBE: Duration = Duration::from_millis(500);
-const LONGEST_PROBE: Duration = Duration::from_secs(8);
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(500);
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(8);
 
 /// Kind of call that was answered or failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -18,10 +18,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OpenRecord {
+struct ActiveSuspicion {
     source: CallSource,
     probe_at: MonoTime,
-    wait: Duration,
+    delay: Duration,
 }
 
 /// Failures of one target as seen by this daemon.
@@ -32,49 +32,49 @@
 pub struct SuspicionRecord {
     poll_failures: u32,
     work_failures: u32,
-    open: Option<OpenRecord>,
-    last_wait: Option<Duration>,
+    active: Option<ActiveSuspicion>,
+    last_delay: Option<Duration>,
 }
 
 impl SuspicionRecord {
     /// Returns whether the target is suspected.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
-        self.open.is_some()
+        self.active.is_some()
     }
 
     /// Returns whether the target's state may be read now.
     #[must_use]
     pub fn may_poll(&self, now: MonoTime) -> bool {
-        self.open.is_none_or(|open| now >= open.probe_at)
+        self.active.is_none_or(|active| now >= active.probe_at)
     }
 
     /// Records a call; returns whether the target's state changed.
-    pub fn note(&mut self, source: CallSource, answered: bool, now: MonoTime) -> bool {
+    pub fn record_call(&mut self, source: CallSource, answered: bool, now: MonoTime) -> bool {
         let before = self.is_suspect();
         if answered {
-            self.note_answer(source);
+            self.record_answer(source);
         } else {
-            self.note_failure(source, now);
+            self.record_failure(source, now);
         }
         before != self.is_suspect()
     }
 
-    fn note_answer(&mut self, source: CallSource) {
+    fn record_answer(&mut self, source: CallSource) {
         match source {
             CallSource::Poll => self.poll_failures = 0,
             CallSource::Work => {
                 self.work_failures = 0;
-                self.last_wait = None;
+                self.last_delay = None;
             }
         }
-        if self.open.is_some_and(|open| open.source == source) {
-            self.open = None;
-            self.last_wait = None;
+        if self.active.is_some_and(|active| active.source == source) {
+            self.active = None;
+            self.last_delay = None;
         }
     }
 
-    fn note_failure(&mut self, source: CallSource, now: MonoTime) {
+    fn record_failure(&mut self, source: CallSource, now: MonoTime) {
         let due = self.may_poll(now);
         let failures = match source {
             CallSource::Poll => &mut self.poll_failures,
@@ -82,18 +82,18 @@
         };
         *failures = failures.saturating_add(1);
         if *failures >= FAILURES_TO_SUSPECT && due {
-            self.open_for(source, now);
+            self.start_suspicion(source, now);
         }
     }
 
-    fn open_for(&mut self, source: CallSource, now: MonoTime) {
-        let wait = self.last_wait.map_or(FIRST_PROBE, |w| w * 2);
-        let wait = wait.min(LONGEST_PROBE);
-        self.last_wait = Some(wait);
-        self.open = Some(OpenRecord {
+    fn start_suspicion(&mut self, source: CallSource, now: MonoTime) {
+        let delay = self.last_delay.map_or(FIRST_PROBE_DELAY, |w| w * 2);
+        let delay = delay.min(MAX_PROBE_DELAY);
+        self.last_delay = Some(delay);
+        self.active = Some(ActiveSuspicion {
             source,
-            probe_at: now.plus(wait),
-            wait,
+            probe_at: now.plus(delay),
+            delay,
         });
     }
 
@@ -103,15 +103,15 @@
     /// work can show that the target handles work again. One more failure raises the
     /// suspicion for twice as long.
     pub fn tick(&mut self, now: MonoTime) -> bool {
-        let Some(open) = self.open else {
+        let Some(active) = self.active else {
             return false;
         };
-        if open.source == CallSource::Poll || now < open.probe_at {
+        if active.source == CallSource::Poll || now < active.probe_at {
             return false;
         }
         self.work_failures = FAILURES_TO_SUSPECT - 1;
-        self.last_wait = Some(open.wait);
-        self.open = None;
+        self.last_delay = Some(active.delay);
+        self.active = None;
         true
     }
 }
--- a/src/targets/call.rs
+++ b/src/targets/call.rs
@@ -9,24 +9,24 @@
 use crate::ports::TargetError;
 
 /// Time-out for opening a connection; after it, a target counts as not reached.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Header with the time after which a target may be tried again, in milliseconds.
-const RETRY_AFTER: &str = "retry-after-ms";
-const DEFAULT_RETRY: Duration = Duration::from_millis(500);
+const RETRY_AFTER_HEADER: &str = "retry-after-ms";
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Body of a refusal by a target that is leaving.
-const LEAVING: &str = "leaving";
+const LEAVING_BODY: &str = "leaving";
 /// Time-out for the body of a refusal, and maximum number of characters kept of it.
-const REASON_WAIT: Duration = Duration::from_millis(500);
-const REASON_LENGTH: usize = 200;
+const REASON_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_REASON_CHARS: usize = 200;
 
 /// Builds the HTTP client that all requests to targets share.
 ///
 /// # Errors
 ///
 /// Returns the library's error when TLS cannot be set up.
-pub fn new_client() -> reqwest::Result<Client> {
+pub fn new_http_client() -> reqwest::Result<Client> {
     Client::builder()
-        .connect_timeout(CONNECT_TIME)
+        .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
         .no_proxy()
         .build()
@@ -38,29 +38,29 @@
 ///
 /// Returns `NotDelivered` only if no connection was established, so that nothing can
 /// have run; every later failure to get a response is `Lost`.
-pub async fn send(call: RequestBuilder, patience: Duration) -> Result<Response, TargetError> {
-    let sent = tokio::time::timeout(patience, call.send()).await;
+pub async fn send(call: RequestBuilder, timeout: Duration) -> Result<Response, TargetError> {
+    let sent = tokio::time::timeout(timeout, call.send()).await;
     let response = match sent {
-        Err(_) => return Err(lost(format!("no answer within {patience:?}"))),
-        Ok(Err(error)) => return Err(judge_failure(&error)),
+        Err(_) => return Err(unknown_outcome(format!("no answer within {timeout:?}"))),
+        Ok(Err(error)) => return Err(classify_send_error(&error)),
         Ok(Ok(response)) => response,
     };
-    judge_status(response).await
+    check_status(response).await
 }
 
 /// Returns the error for a response body that could not be read.
 #[must_use]
-pub fn broken(error: &reqwest::Error) -> TargetError {
-    lost(format!("the response body could not be read: {error}"))
+pub fn body_error(error: &reqwest::Error) -> TargetError {
+    unknown_outcome(format!("the response body could not be read: {error}"))
 }
 
 /// Returns the error for a request whose outcome is unknown.
 #[must_use]
-pub fn lost(reason: String) -> TargetError {
+pub fn unknown_outcome(reason: String) -> TargetError {
     TargetError::Lost { reason }
 }
 
-fn judge_failure(error: &reqwest::Error) -> TargetError {
+fn classify_send_error(error: &reqwest::Error) -> TargetError {
     let reason = error.to_string();
     if error.is_connect() {
         TargetError::NotDelivered { reason }
@@ -69,25 +69,25 @@
     }
 }
 
-async fn judge_status(response: Response) -> Result<Response, TargetError> {
+async fn check_status(response: Response) -> Result<Response, TargetError> {
     match response.status() {
         status if status.is_success() => Ok(response),
         StatusCode::NOT_FOUND => Err(TargetError::NoStream),
-        StatusCode::CONFLICT => Err(fenced(response).await),
+        StatusCode::CONFLICT => Err(fencing_error(response).await),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            Err(refused(response).await)
+            Err(refusal_error(response).await)
         }
-        status => Err(lost(format!("status {status}"))),
+        status => Err(unknown_outcome(format!("status {status}"))),
     }
 }
 
-async fn refused(response: Response) -> TargetError {
+async fn refusal_error(response: Response) -> TargetError {
     let (status, retry_after) = (response.status(), retry_after(&response));
-    let body = tokio::time::timeout(REASON_WAIT, response.text()).await;
+    let body = tokio::time::timeout(REASON_TIMEOUT, response.text()).await;
     let text = body.ok().and_then(Result::ok).unwrap_or_default();
-    let reason: String = text.chars().take(REASON_LENGTH).collect();
+    let reason: String = text.chars().take(MAX_REASON_CHARS).collect();
     TargetError::Refused {
-        leaving: reason == LEAVING,
+        leaving: reason == LEAVING_BODY,
         reason: if reason.is_empty() {
             format!("status {status}")
         } else {
@@ -97,7 +97,7 @@
     }
 }
 
-async fn fenced(response: Response) -> TargetError {
+async fn fencing_error(response: Response) -> TargetError {
     #[derive(serde::Deserialize)]
     struct FenceBody {
         fence: FenceNumber,
@@ -106,13 +106,13 @@
         Ok(body) => TargetError::Fenced {
             current: body.fence,
         },
-        Err(error) => broken(&error),
+        Err(error) => body_error(&error),
     }
 }
 
 fn retry_after(response: &Response) -> Duration {
-    let header = response.headers().get(RETRY_AFTER);
+    let header = response.headers().get(RETRY_AFTER_HEADER);
     let text = header.and_then(|value| value.to_str().ok());
     let millis = text.and_then(|text| text.parse().ok());
-    millis.map_or(DEFAULT_RETRY, Duration::from_millis)
+    millis.map_or(DEFAULT_RETRY_AFTER, Duration::from_millis)
 }
--- a/src/targets/engine_http.rs
+++ b/src/targets/engine_http.rs
@@ -10,11 +10,11 @@
 
 use crate::names::RequestId;
 use crate::ports::{EnginePort, LineStream, PortFuture, StreamPosition, TargetCall, TargetError};
-use crate::targets::call::{self, broken, lost, send};
+use crate::targets::call::{self, body_error, send, unknown_outcome};
 use crate::targets::wire::{CacheEvent, CacheEvents, EngineState, OrderBody, StreamLine};
 
 /// Maximum length of a line from an engine.
-const LONGEST_LINE: usize = 4 << 20;
+const MAX_LINE_BYTES: usize = 4 << 20;
 
 /// Builds the port to model engines.
 ///
@@ -22,7 +22,7 @@
 ///
 /// Returns the library's error when the HTTP client cannot be built.
 pub fn engine_port() -> reqwest::Result<EnginePort> {
-    let client = call::new_client()?;
+    let client = call::new_http_client()?;
     let [c1, c2, c3, c4, c5, c6] = std::array::from_fn(|_| client.clone());
     Ok(EnginePort {
         generate: Arc::new(move |call| {
@@ -30,8 +30,8 @@
             open_stream(c1.post(url).json(&call.body), call.patience)
         }),
         resume: Arc::new(move |call| {
-            let patience = call.patience;
-            open_stream(c2.get(resume_url(&call)), patience)
+            let timeout = call.patience;
+            open_stream(c2.get(resume_url(&call)), timeout)
         }),
         cancel: Arc::new(move |call| cancel(&c3, &call)),
         state: Arc::new(move |call| {
@@ -55,10 +55,10 @@
 
 fn open_stream(
     request: RequestBuilder,
-    patience: Duration,
+    timeout: Duration,
 ) -> PortFuture<Result<LineStream, TargetError>> {
     Box::pin(async move {
-        let response = send(request, patience).await?;
+        let response = send(request, timeout).await?;
         Ok(lines(response))
     })
 }
@@ -66,9 +66,9 @@
 fn cancel(client: &Client, call: &TargetCall<RequestId>) -> PortFuture<Result<bool, TargetError>> {
     let url = format!("http://{}/v1/streams/{}", call.address, call.body);
     let request = client.delete(url);
-    let patience = call.patience;
+    let timeout = call.patience;
     Box::pin(async move {
-        match send(request, patience).await {
+        match send(request, timeout).await {
             Ok(_) => Ok(true),
             Err(TargetError::NoStream) => Ok(false),
             Err(error) => Err(error),
@@ -100,14 +100,16 @@
 /// `timeout` each.
 fn fetch<T: DeserializeOwned + Send + 'static>(
     request: RequestBuilder,
-    patience: Duration,
+    timeout: Duration,
 ) -> PortFuture<Result<T, TargetError>> {
     Box::pin(async move {
-        let response = send(request, patience).await?;
-        let body = tokio::time::timeout(patience, response.json()).await;
+        let response = send(request, timeout).await?;
+        let body = tokio::time::timeout(timeout, response.json()).await;
         match body {
-            Err(_) => Err(lost(format!("no complete answer within {patience:?}"))),
-            Ok(Err(error)) => Err(broken(&error)),
+            Err(_) => Err(unknown_outcome(format!(
+                "no complete answer within {timeout:?}"
+            ))),
+            Ok(Err(error)) => Err(body_error(&error)),
             Ok(Ok(value)) => Ok(value),
         }
     })
@@ -118,7 +120,7 @@
     let reader = LineReader {
         bytes,
         buffer: Vec::new(),
-        ended: false,
+        is_finished: false,
     };
     stream::unfold(reader, next_line).boxed()
 }
@@ -126,34 +128,34 @@
 struct LineReader {
     bytes: BoxStream<'static, reqwest::Result<prost::bytes::Bytes>>,
     buffer: Vec<u8>,
-    ended: bool,
+    is_finished: bool,
 }
 
 async fn next_line(
     mut reader: LineReader,
 ) -> Option<(Result<StreamLine, TargetError>, LineReader)> {
-    while !reader.ended {
-        if let Some(line) = cut_line(&mut reader.buffer) {
+    while !reader.is_finished {
+        if let Some(line) = split_line(&mut reader.buffer) {
             return Some((parse_line(&line), reader));
         }
         match reader.bytes.next().await {
-            None => reader.ended = true,
+            None => reader.is_finished = true,
             Some(Err(error)) => {
-                reader.ended = true;
-                return Some((Err(broken(&error)), reader));
+                reader.is_finished = true;
+                return Some((Err(body_error(&error)), reader));
             }
             Some(Ok(bytes)) => reader.buffer.extend_from_slice(&bytes),
         }
-        if reader.buffer.len() > LONGEST_LINE {
-            reader.ended = true;
-            let reason = format!("a line is longer than {LONGEST_LINE} bytes");
-            return Some((Err(lost(reason)), reader));
+        if reader.buffer.len() > MAX_LINE_BYTES {
+            reader.is_finished = true;
+            let reason = format!("a line is longer than {MAX_LINE_BYTES} bytes");
+            return Some((Err(unknown_outcome(reason)), reader));
         }
     }
     None
 }
 
-fn cut_line(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
+fn split_line(buffer: &mut Vec<u8>) -> Option<Vec<u8>> {
     let end = buffer.iter().position(|byte| *byte == b'\n')?;
     let rest = buffer.split_off(end + 1);
     let mut line = std::mem::replace(buffer, rest);
@@ -163,5 +165,5 @@
 
 fn parse_line(line: &[u8]) -> Result<StreamLine, TargetError> {
     serde_json::from_slice(line)
-        .map_err(|error| lost(format!("a line could not be decoded: {error}")))
+        .map_err(|error| unknown_outcome(format!("a line could not be decoded: {error}")))
 }
--- a/src/targets/service_http.rs
+++ b/src/targets/service_http.rs
@@ -6,7 +6,7 @@
 use reqwest::RequestBuilder;
 
 use crate::ports::{ServicePort, TargetError};
-use crate::targets::call::{self, broken, lost, send};
+use crate::targets::call::{self, body_error, send, unknown_outcome};
 use crate::targets::wire::ServiceReply;
 
 /// Builds the port to plain services.
@@ -15,25 +15,27 @@
 ///
 /// Returns the library's error when the HTTP client cannot be built.
 pub fn service_port() -> reqwest::Result<ServicePort> {
-    let client = call::new_client()?;
+    let client = call::new_http_client()?;
     Ok(ServicePort {
         call: Arc::new(move |call| {
             let url = format!("http://{}/v1/calls", call.address);
             let request = client.post(url).json(&call.body);
-            Box::pin(run_call(request, call.patience))
+            Box::pin(call_service(request, call.patience))
         }),
     })
 }
 
-async fn run_call(
+async fn call_service(
     request: RequestBuilder,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<ServiceReply, TargetError> {
-    let response = send(request, patience).await?;
-    let body = tokio::time::timeout(patience, response.json()).await;
+    let response = send(request, timeout).await?;
+    let body = tokio::time::timeout(timeout, response.json()).await;
     match body {
-        Err(_) => Err(lost(format!("no complete answer within {patience:?}"))),
-        Ok(Err(error)) => Err(broken(&error)),
+        Err(_) => Err(unknown_outcome(format!(
+            "no complete answer within {timeout:?}"
+        ))),
+        Ok(Err(error)) => Err(body_error(&error)),
         Ok(Ok(reply)) => Ok(reply),
     }
 }
