--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -13,7 +13,7 @@
 };
 use indexmap::IndexMap;
 use pistachiowick::authority::lease_groups::{
-    GroupCounts, engine_groups, engines_per_centre, initial_count, own_ranks,
+    GroupCounts, engine_groups, engines_per_centre, initial_group_count, local_ranks,
 };
 use pistachiowick::config::buckets::ConfigState;
 use pistachiowick::decide::candidates::CandidateIndex;
@@ -21,7 +21,7 @@
 use pistachiowick::decide::placement::SharedFleet;
 use pistachiowick::decide::scheduler::{JobMeasure, ScheduleAction, Scheduler, SchedulerInputs};
 use pistachiowick::decide::shares::ShareState;
-use pistachiowick::membership::{MembershipLimits, MembershipState, PeerWord, own_view};
+use pistachiowick::membership::{MembershipLimits, MembershipState, PeerUpdate, local_view};
 use pistachiowick::names::{MonoTime, ProcessIncarnation, TargetId};
 use pistachiowick::peers::state::{PeerHints, PeerTopology};
 use pistachiowick::peers::wire::{PeerHint, PeerMessage};
@@ -212,7 +212,7 @@
 }
 
 fn membership_of(targets: usize, daemons: usize) -> MembershipState {
-    let own = own_view(
+    let own = local_view(
         "entry-own".into(),
         "127.0.0.1:1".to_owned(),
         "127.0.0.1:2".to_owned(),
@@ -263,13 +263,13 @@
         group.bench_function(BenchmarkId::new("peer_topology", daemons), |b| {
             b.iter(|| PeerTopology::new(&fleet, &own, 2));
         });
-        let word = PeerWord {
+        let word = PeerUpdate {
             daemon: "entry-001".into(),
             incarnation: ProcessIncarnation(1),
             leaving: false,
         };
         group.bench_function(BenchmarkId::new("peer_word", daemons), |b| {
-            b.iter(|| state.note_peer(&word, NOW));
+            b.iter(|| state.apply_peer_update(&word, NOW));
         });
     }
     group.finish();
@@ -282,12 +282,12 @@
         let engines = engines_per_centre(&fleet);
         let counts: GroupCounts = engines
             .into_iter()
-            .map(|(centre, engines)| (centre, initial_count(engines, GROUP_ENGINES)))
+            .map(|(centre, engines)| (centre, initial_group_count(engines, GROUP_ENGINES)))
             .collect();
         let own = "entry-000".into();
         let size = format!("{targets}_targets_{daemons}_daemons");
         group.bench_function(BenchmarkId::new("own_ranks", &size), |b| {
-            b.iter(|| own_ranks(&fleet, &counts, &own));
+            b.iter(|| local_ranks(&fleet, &counts, &own));
         });
         group.bench_function(BenchmarkId::new("engine_groups", &size), |b| {
             b.iter(|| engine_groups(&fleet, &counts));
--- a/lab/src/engine.rs
+++ b/lab/src/engine.rs
@@ -10,8 +10,7 @@
 use pistachiowick::clock::unix_now;
 use pistachiowick::names::{FenceNumber, ProcessIncarnation, RequestId, millis};
 use pistachiowick::targets::wire::{
-    CacheEvent, CacheEvents, EngineRole, EngineState, GenerateBody, OrderBody, OrderMark,
-    StreamLine,
+    CacheEvent, CacheEvents, EngineRole, EngineState, GenerateBody, OrderBody, OrderId, StreamLine,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, watch};
@@ -80,7 +79,7 @@
     pub(crate) models: Vec<String>,
     pub(crate) desired: Option<DesiredState>,
     pub(crate) highest_fence: FenceNumber,
-    pub(crate) last_order: Option<OrderMark>,
+    pub(crate) last_order: Option<OrderId>,
     pub(crate) left_at: Option<Instant>,
     pub(crate) accepts_leaving: bool,
     pub(crate) frozen_until: Option<Instant>,
@@ -320,12 +319,12 @@
     pub fn order(&self, order: &OrderBody) -> Result<EngineState, FenceNumber> {
         let mut inner = self.inner();
         let highest = inner.highest_fence;
-        let is_old = order.mark.fence < highest;
+        let is_old = order.order_id.fence < highest;
         let obeyed = !(is_old && self.options.checks_fence);
         let outstanding = inner.outstanding(order);
         inner.books.orders.push(OrderBook {
-            id: order.mark.id.clone(),
-            fence: order.mark.fence,
+            id: order.order_id.id.clone(),
+            fence: order.order_id.fence,
             highest_before: highest,
             group: order.group.clone(),
             role: order.role,
@@ -339,7 +338,7 @@
             return Err(highest);
         }
         inner.books.old_fences_obeyed += u64::from(is_old);
-        inner.highest_fence = highest.max(order.mark.fence);
+        inner.highest_fence = highest.max(order.order_id.fence);
         inner.obey(order);
         let state = inner.state(&self.options);
         drop(inner);
@@ -519,14 +518,14 @@
     }
 
     /// Returns the order under way, when another one comes that asks for another state.
-    fn outstanding(&self, order: &OrderBody) -> Option<OrderMark> {
+    fn outstanding(&self, order: &OrderBody) -> Option<OrderId> {
         let desired = self.desired.as_ref()?;
         let differs = desired.role != order.role || desired.models != order.models;
         self.last_order.clone().filter(|_| differs)
     }
 
     fn obey(&mut self, order: &OrderBody) {
-        self.last_order = Some(order.mark.clone());
+        self.last_order = Some(order.order_id.clone());
         let wanted = DesiredState {
             role: order.role,
             models: order.models.clone(),
--- a/lab/src/engine_books.rs
+++ b/lab/src/engine_books.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use pistachiowick::names::{FenceNumber, GroupName, WorkspaceName};
-use pistachiowick::targets::wire::{EngineRole, OrderMark};
+use pistachiowick::targets::wire::{EngineRole, OrderId};
 use serde::{Deserialize, Serialize};
 
 /// One attempt of one request.
@@ -48,7 +48,7 @@
     /// Unix time of the order in milliseconds.
     pub at_ms: u64,
     /// Order still being carried out when this one came, with its fence.
-    pub outstanding: Option<OrderMark>,
+    pub outstanding: Option<OrderId>,
     /// Whether it was obeyed.
     pub obeyed: bool,
 }
--- a/lab/src/footprint.rs
+++ b/lab/src/footprint.rs
@@ -13,7 +13,7 @@
 use pistachiowick::intents::{
     AnswerRecord, ClaimEntry, ClaimId, CloseRecord, IntentKey, LedgerLimits, ShardLedger,
 };
-use pistachiowick::membership::{MembershipLimits, MembershipState, own_view};
+use pistachiowick::membership::{MembershipLimits, MembershipState, local_view};
 use pistachiowick::names::{MonoTime, ProcessIncarnation, UnixTime};
 use pistachiowick::peers::state::PeerHints;
 use pistachiowick::peers::wire::{PeerHint, PeerMessage};
@@ -171,7 +171,7 @@
 }
 
 fn merged(targets: usize, daemons: usize) -> MembershipState {
-    let own = own_view(
+    let own = local_view(
         "entry-own".into(),
         "10.0.0.1:9000".to_owned(),
         "10.0.0.1:9002".to_owned(),
--- a/lab/tests/engine.rs
+++ b/lab/tests/engine.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use pistachiowick::names::{FenceNumber, GroupName, ModelName, RequestId, WorkspaceName};
 use pistachiowick::targets::wire::{
-    CacheEvents, EngineRole, EngineState, GenerateBody, OrderBody, OrderMark, StreamLine,
+    CacheEvents, EngineRole, EngineState, GenerateBody, OrderBody, OrderId, StreamLine,
 };
 use pistachiowick_lab::answers::expected_answer;
 use pistachiowick_lab::engine::{EngineStandIn, KvPart, RunningEngine};
@@ -196,7 +196,7 @@
 
 fn order(id: &str, fence: u64, role: EngineRole) -> OrderBody {
     OrderBody {
-        mark: OrderMark {
+        order_id: OrderId {
             id: id.to_owned(),
             fence: FenceNumber(fence),
         },
--- a/src/authority/actions.rs
+++ b/src/authority/actions.rs
@@ -40,7 +40,7 @@
         /// Part that makes the call.
         tag: CallTag,
         /// Unique id of the write.
-        mark: String,
+        write_id: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
@@ -59,9 +59,13 @@
             object: lease_object(&group),
             tag: CallTag::Lease(group),
         },
-        LeaseAction::Write { group, mark, write } => AuthorityAction::Write {
+        LeaseAction::Write {
+            group,
+            write_id,
+            write,
+        } => AuthorityAction::Write {
             tag: CallTag::Lease(group),
-            mark,
+            write_id,
             write,
         },
     }
@@ -85,7 +89,11 @@
             object: order_object(group),
             tag,
         }),
-        OrderAction::Write { mark, write } => Some(AuthorityAction::Write { tag, mark, write }),
+        OrderAction::Write { write_id, write } => Some(AuthorityAction::Write {
+            tag,
+            write_id,
+            write,
+        }),
         OrderAction::Send(_) => None,
     }
 }
--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -12,7 +12,7 @@
 
 use crate::authority::lease_record::{LeaseRecord, lease_object};
 use crate::authority::lease_state::{
-    GroupLease, HeldLease, LeaseAction, LeaseAuthority, LeaseNews, LeaseTimes, ObservedRecord,
+    GroupLease, HeldLease, LeaseAction, LeaseAuthority, LeaseChange, LeaseTimes, ObservedRecord,
     SentWrite,
 };
 use crate::control::snapshot::LeaseView;
@@ -33,7 +33,7 @@
     groups: IndexMap<GroupName, GroupLease>,
     write_count: u64,
     stopping: bool,
-    changes: Vec<LeaseNews>,
+    changes: Vec<LeaseChange>,
 }
 
 impl LeaseTable {
@@ -81,10 +81,10 @@
     pub fn authority(&self, group: &GroupName, now: MonoTime) -> Option<LeaseAuthority> {
         let lease = self.groups.get(group)?;
         let held = lease.held.filter(|_| !lease.releasing)?;
-        let until = MonoTime(held.expires_at.0.saturating_sub(self.guard_ms()));
-        (now < until).then_some(LeaseAuthority {
+        let deadline = MonoTime(held.expires_at.0.saturating_sub(self.guard_ms()));
+        (now < deadline).then_some(LeaseAuthority {
             fence: held.fence,
-            until,
+            deadline,
         })
     }
 
@@ -108,9 +108,9 @@
 
     /// Sets whether an order of a group may be in flight, for the record of its
     /// release.
-    pub fn set_unsettled(&mut self, group: &GroupName, unsettled: bool) {
+    pub fn set_order_in_flight(&mut self, group: &GroupName, order_in_flight: bool) {
         if let Some(lease) = self.groups.get_mut(group) {
-            lease.unsettled = unsettled;
+            lease.order_in_flight = order_in_flight;
         }
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Returns the leases acquired and lost since the last call.
-    pub fn take_news(&mut self) -> Vec<LeaseNews> {
+    pub fn take_changes(&mut self) -> Vec<LeaseChange> {
         std::mem::take(&mut self.changes)
     }
 
@@ -152,7 +152,7 @@
                 group: group.clone(),
                 holder: observed.record.holder.clone(),
                 fence: observed.record.fence,
-                own_until: self.authority(group, now).map(|a| a.until),
+                own_until: self.authority(group, now).map(|a| a.deadline),
             })
         });
         known.collect()
@@ -227,7 +227,7 @@
     /// A holder counts its lease from before it sent the write, and this daemon saw the
     /// write after it took effect. Once the record has stayed unchanged here for the
     /// duration of a lease, the holder has therefore stopped by its own clock, and
-    /// `order_flight` later none of its orders is in flight. If it renewed in the
+    /// `max_order_flight` later none of its orders is in flight. If it renewed in the
     /// meantime, the conditional update fails.
     fn may_acquire(&self, group: &GroupName, now: MonoTime) -> bool {
         let Some(lease) = self.groups.get(group) else {
@@ -248,13 +248,13 @@
         let record = &observed.record;
         let seen_for = now.since(observed.since);
         if record.released {
-            let flight = match record.unsettled {
-                true => self.times.order_flight,
+            let flight = match record.order_in_flight {
+                true => self.times.max_order_flight,
                 false => Duration::ZERO,
             };
             return seen_for >= flight + rank_delay;
         }
-        let expiry_wait = self.times.duration + self.times.order_flight;
+        let expiry_wait = self.times.duration + self.times.max_order_flight;
         seen_for >= expiry_wait + rank_delay / 4
     }
 
@@ -272,7 +272,7 @@
 
     fn write(&mut self, group: &GroupName, now: MonoTime, released: bool) -> Option<LeaseAction> {
         self.write_count += 1;
-        let mark = format!(
+        let write_id = format!(
             "{}-{}-{}",
             self.daemon_id, self.incarnation.0, self.write_count
         );
@@ -291,14 +291,14 @@
             holder: self.daemon_id.clone(),
             incarnation: self.incarnation,
             fence,
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             released,
-            unsettled: released && lease.unsettled,
+            order_in_flight: released && lease.order_in_flight,
         };
         lease.call_in_flight = true;
         lease.call_deadline = now.plus(timeout);
         lease.sent.push(SentWrite {
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             fence,
             sent_at: now,
             released,
@@ -307,7 +307,7 @@
         lease.sent.drain(..excess);
         Some(LeaseAction::Write {
             group: group.clone(),
-            mark,
+            write_id,
             write: ConditionalWrite {
                 object: lease_object(group),
                 expected,
@@ -360,7 +360,10 @@
         if known_version.is_some_and(|version| stored.version <= version) {
             return;
         }
-        let local_write = lease.sent.iter().find(|sent| sent.mark == record.mark);
+        let local_write = lease
+            .sent
+            .iter()
+            .find(|sent| sent.write_id == record.write_id);
         let local_write = local_write.cloned();
         lease.unknown_writes = false;
         lease.observed = Some(ObservedRecord {
@@ -427,7 +430,7 @@
     pub fn note_write(
         &mut self,
         group: &GroupName,
-        mark: &str,
+        write_id: &str,
         result: &Result<ObjectVersion, PlatformError>,
         now: MonoTime,
     ) {
@@ -435,7 +438,11 @@
             return;
         };
         lease.call_in_flight = false;
-        let sent = lease.sent.iter().find(|sent| sent.mark == mark).cloned();
+        let sent = lease
+            .sent
+            .iter()
+            .find(|sent| sent.write_id == write_id)
+            .cloned();
         match (result, sent) {
             (Ok(version), Some(sent)) => self.apply_written(group, &sent, *version, now),
             (Err(PlatformError::Conflict { .. }), _) => self.handle_conflict(group, now),
@@ -503,9 +510,9 @@
                 holder: self.daemon_id.clone(),
                 incarnation: self.incarnation,
                 fence: sent.fence,
-                mark: sent.mark.clone(),
+                write_id: sent.write_id.clone(),
                 released: sent.released,
-                unsettled: false,
+                order_in_flight: false,
             },
             since: now,
         });
@@ -515,7 +522,7 @@
     fn record_change(&mut self, group: &GroupName, held: bool, reason: String) {
         metrics::counter!("pistachiowick_lease_changes_total", "held" => held.to_string())
             .increment(1);
-        self.changes.push(LeaseNews {
+        self.changes.push(LeaseChange {
             group: group.clone(),
             held,
             reason,
--- a/src/authority/lease_groups.rs
+++ b/src/authority/lease_groups.rs
@@ -24,7 +24,7 @@
 
 /// Returns how many groups a data centre starts with.
 #[must_use]
-pub fn initial_count(engines: usize, group_engines: usize) -> u32 {
+pub fn initial_group_count(engines: usize, group_engines: usize) -> u32 {
     // Hashing distributes engines unevenly; without padding, the largest group would
     // exceed the limit.
     let padded_engines = (engines * HASH_PADDING_PERCENT).div_ceil(100);
@@ -77,7 +77,7 @@
 /// of other data centres are candidates only if it has none, all alike, because no
 /// latencies are known by which to prefer the near ones.
 #[must_use]
-pub fn own_ranks(
+pub fn local_ranks(
     fleet: &FleetView,
     counts: &GroupCounts,
     own: &DaemonId,
--- a/src/authority/lease_record.rs
+++ b/src/authority/lease_record.rs
@@ -19,11 +19,11 @@
     /// Fencing number, which rises with each acquisition.
     pub fence: FenceNumber,
     /// Unique id of the write.
-    pub mark: String,
+    pub write_id: String,
     /// Whether the holder has released the lease.
     pub released: bool,
     /// Whether an order may still be in flight after the release.
-    pub unsettled: bool,
+    pub order_in_flight: bool,
 }
 
 /// Why a lease object could not be read.
@@ -41,11 +41,12 @@
     holder: DaemonId,
     incarnation: ProcessIncarnation,
     fence: FenceNumber,
-    mark: String,
+    #[serde(rename = "mark")]
+    write_id: String,
     #[serde(default)]
     released: bool,
-    #[serde(default)]
-    unsettled: bool,
+    #[serde(default, rename = "unsettled")]
+    order_in_flight: bool,
 }
 
 impl From<&LeaseRecord> for LeaseWire {
@@ -54,9 +55,9 @@
             holder: record.holder.clone(),
             incarnation: record.incarnation,
             fence: record.fence,
-            mark: record.mark.clone(),
+            write_id: record.write_id.clone(),
             released: record.released,
-            unsettled: record.unsettled,
+            order_in_flight: record.order_in_flight,
         }
     }
 }
@@ -67,9 +68,9 @@
             holder: wire.holder,
             incarnation: wire.incarnation,
             fence: wire.fence,
-            mark: wire.mark,
+            write_id: wire.write_id,
             released: wire.released,
-            unsettled: wire.unsettled,
+            order_in_flight: wire.order_in_flight,
         }
     }
 }
--- a/src/authority/lease_state.rs
+++ b/src/authority/lease_state.rs
@@ -15,7 +15,7 @@
     /// How long before the lease expires the holder stops ordering.
     pub guard: Duration,
     /// Longest time that an order may be in flight.
-    pub order_flight: Duration,
+    pub max_order_flight: Duration,
 }
 
 impl From<&LeaseSettings> for LeaseTimes {
@@ -23,7 +23,7 @@
         Self {
             duration: Duration::from_millis(settings.duration_ms),
             guard: Duration::from_millis(settings.guard_ms),
-            order_flight: Duration::from_millis(settings.order_flight_ms),
+            max_order_flight: Duration::from_millis(settings.order_flight_ms),
         }
     }
 }
@@ -40,7 +40,7 @@
         /// Group concerned.
         group: GroupName,
         /// Unique id of the write.
-        mark: String,
+        write_id: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
@@ -48,7 +48,7 @@
 
 /// A lease acquired or lost, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct LeaseNews {
+pub struct LeaseChange {
     /// Group concerned.
     pub group: GroupName,
     /// Whether this daemon now holds the lease.
@@ -63,7 +63,7 @@
     /// Fence to send with each order.
     pub fence: FenceNumber,
     /// When ordering must have stopped, on this daemon's clock.
-    pub until: MonoTime,
+    pub deadline: MonoTime,
 }
 
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
 // it would outlast the time that other daemons wait before they take over.
 #[derive(Clone, Debug)]
 pub(crate) struct SentWrite {
-    pub(crate) mark: String,
+    pub(crate) write_id: String,
     pub(crate) fence: FenceNumber,
     pub(crate) sent_at: MonoTime,
     pub(crate) released: bool,
@@ -106,6 +106,6 @@
     pub(crate) next_acquire_at: MonoTime,
     pub(crate) min_fence: FenceNumber,
     pub(crate) releasing: bool,
-    pub(crate) unsettled: bool,
+    pub(crate) order_in_flight: bool,
     pub(crate) outranked_since: Option<MonoTime>,
 }
--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -22,7 +22,7 @@
 use crate::authority::lease_state::LeaseTimes;
 use crate::authority::order_record::{ORDER_KIND, OrderRecord, order_object};
 use crate::authority::order_types::OrderTimes;
-use crate::authority::orders::OrderBook;
+use crate::authority::orders::OrderManager;
 use crate::control::snapshot::{ConfigView, LeaseView};
 use crate::membership::fleet::FleetView;
 use crate::names::{CentreName, DaemonId, GroupName, MonoTime, ProcessIncarnation, TargetId};
@@ -70,7 +70,7 @@
     counts: GroupCounts,
     next_count_at: IndexMap<CentreName, MonoTime>,
     leases: LeaseTable,
-    managers: IndexMap<GroupName, OrderBook>,
+    managers: IndexMap<GroupName, OrderManager>,
     plan: Option<PlanBook>,
     planner: RolePlanner,
     next_plan_at: MonoTime,
@@ -138,7 +138,7 @@
             for (target, entry) in &observed.record.entries {
                 let started = observed.started.get(target).copied().unwrap_or(now);
                 if now.since(started) < MAX_DRAIN_AGE {
-                    changing.insert(target.clone(), entry.wish.reason.clone());
+                    changing.insert(target.clone(), entry.change.reason.clone());
                 }
             }
         }
@@ -149,7 +149,7 @@
     /// newer than the known one.
     ///
     /// Returns whether it was applied.
-    pub fn note_object(&mut self, stored: &StoredObject, now: MonoTime) -> bool {
+    pub fn apply_object(&mut self, stored: &StoredObject, now: MonoTime) -> bool {
         let known = self.observed.get(&stored.object.name);
         if stored.object.kind != ORDER_KIND || known.is_some_and(|s| s.version >= stored.version) {
             return false;
@@ -184,7 +184,7 @@
 
     /// Returns whether this daemon holds the lease of an engine's group.
     #[must_use]
-    pub fn leads(&self, target: &TargetId) -> bool {
+    pub fn manages(&self, target: &TargetId) -> bool {
         let group = self.groups.get(target);
         group.is_some_and(|group| self.managers.contains_key(group))
     }
@@ -209,7 +209,7 @@
             return Vec::new();
         }
         self.next_groups_at = now.plus(GROUPS_INTERVAL);
-        let ranks = lease_groups::own_ranks(fleet, &self.counts, &self.daemon_id);
+        let ranks = lease_groups::local_ranks(fleet, &self.counts, &self.daemon_id);
         self.leases.set_groups(&ranks, now);
         self.groups = if self.managers.is_empty() {
             IndexMap::new()
@@ -237,12 +237,13 @@
 
     fn report_orders_in_flight(&mut self) {
         for (group, manager) in &self.managers {
-            self.leases.set_unsettled(group, manager.is_unsettled());
+            self.leases
+                .set_order_in_flight(group, manager.has_order_in_flight());
         }
     }
 
     fn record_lease_changes(&mut self) {
-        for news in self.leases.take_news() {
+        for news in self.leases.take_changes() {
             let held = news.held;
             let (group, reason) = (news.group.as_str(), news.reason.as_str());
             log::info!(group, held, reason; "lease changed");
@@ -269,8 +270,8 @@
                 if self.plan.as_ref().map(PlanBook::fence) != Some(fence) {
                     self.plan = Some(PlanBook::new(fence));
                 }
-            } else if self.managers.get(&group).map(OrderBook::fence) != Some(fence) {
-                let manager = OrderBook::new(group.clone(), fence, self.times);
+            } else if self.managers.get(&group).map(OrderManager::fence) != Some(fence) {
+                let manager = OrderManager::new(group.clone(), fence, self.times);
                 self.managers.insert(group, manager);
             }
         }
@@ -287,12 +288,12 @@
         };
         let engines = plan_engines(inputs.fleet);
         let planned_at = &self.planned_at;
-        plan.retain(|target, wish| {
+        plan.retain(|target, change| {
             let age = planned_at
                 .get(target)
                 .map_or(Duration::ZERO, |at| now.since(*at));
             let engine = engines.iter().find(|engine| engine.id == *target);
-            age < MAX_CHANGE_AGE && engine.is_some_and(|e| !has(e, wish))
+            age < MAX_CHANGE_AGE && engine.is_some_and(|e| !has(e, change))
         });
         let changing = plan.wanted().len();
         let decisions = self.planner.plan(
@@ -304,12 +305,12 @@
         );
         for decision in decisions {
             match decision {
-                PlanDecision::Change { target, wish } => {
-                    let reason = wish.reason.clone();
+                PlanDecision::Change { target, change } => {
+                    let reason = change.reason.clone();
                     self.journal
                         .record(DecisionKind::Role, target.as_str(), reason);
                     self.planned_at.insert(target.clone(), now);
-                    plan.want(target, wish);
+                    plan.want(target, change);
                 }
                 PlanDecision::Keep { models, reason } => {
                     self.journal.record(DecisionKind::Role, &models, reason);
@@ -363,7 +364,7 @@
 
     fn record_order_events(&mut self) {
         for manager in self.managers.values_mut() {
-            for news in manager.take_news() {
+            for news in manager.take_events() {
                 let (target, reason) = (news.target.as_str(), news.reason.as_str());
                 log::info!(target_id = target, reason; "engine change");
                 self.journal
@@ -395,7 +396,7 @@
             }
         }
         if let Ok(Some(stored)) = result {
-            self.note_object(stored, now);
+            self.apply_object(stored, now);
         }
         None
     }
@@ -421,11 +422,11 @@
         }
         let engines = lease_groups::engines_per_centre(fleet);
         let engines = engines.get(centre).copied().unwrap_or(0);
-        let count = lease_groups::initial_count(engines, self.group_engines);
+        let count = lease_groups::initial_group_count(engines, self.group_engines);
         // The first write wins; every daemon finds its value with the next read.
         Some(AuthorityAction::Write {
             tag: CallTag::Count(centre.clone()),
-            mark: String::new(),
+            write_id: String::new(),
             write: ConditionalWrite {
                 object: count_object(centre),
                 expected: ObjectVersion(0),
@@ -438,7 +439,7 @@
     pub fn note_write(
         &mut self,
         tag: &CallTag,
-        mark: &str,
+        write_id: &str,
         written: &ConditionalWrite,
         result: &Result<ObjectVersion, PlatformError>,
         now: MonoTime,
@@ -447,10 +448,10 @@
             CallTag::Count(centre) => {
                 self.next_count_at.insert(centre.clone(), now);
             }
-            CallTag::Lease(group) => self.leases.note_write(group, mark, result, now),
+            CallTag::Lease(group) => self.leases.note_write(group, write_id, result, now),
             CallTag::Orders(group) => {
                 if let Some(manager) = self.managers.get_mut(group) {
-                    manager.note_write(mark, result, now);
+                    manager.note_write(write_id, result, now);
                 }
             }
             CallTag::Plan => {
@@ -465,7 +466,7 @@
                 version: *version,
                 value: Some(written.value.clone()),
             };
-            self.note_object(&stored, now);
+            self.apply_object(&stored, now);
         }
     }
 
--- a/src/authority/order_record.rs
+++ b/src/authority/order_record.rs
@@ -5,14 +5,14 @@
 
 use crate::names::{FenceNumber, GroupName, TargetId};
 use crate::ports::{ObjectName, StoredObject};
-use crate::targets::wire::{EngineRole, OrderMark};
+use crate::targets::wire::{EngineRole, OrderId};
 
 /// Kind of the order objects, and of the plan.
 pub const ORDER_KIND: &str = "orders";
 
 /// State that an engine is to have, given in full rather than as a difference.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct EngineWish {
+pub struct PlannedChange {
     /// Planned role.
     pub role: EngineRole,
     /// Models to have loaded.
@@ -27,14 +27,14 @@
     /// The engine gets no new work; running work finishes before the order.
     Draining,
     /// The order is stored, and sent or about to be sent.
-    Ordered(OrderMark),
+    Ordered(OrderId),
 }
 
 /// A change of one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderEntry {
     /// Planned state.
-    pub wish: EngineWish,
+    pub change: PlannedChange,
     /// Progress.
     pub phase: OrderPhase,
 }
@@ -45,7 +45,7 @@
     /// Fence of the holder that wrote it.
     pub fence: FenceNumber,
     /// Unique id of the write.
-    pub mark: String,
+    pub write_id: String,
     /// Number of the last order; never reused.
     pub last_order: u64,
     /// Changes in progress, at most one per engine.
@@ -54,15 +54,17 @@
 
 #[derive(Deserialize, Serialize)]
 struct EntryWire {
-    wish: EngineWish,
+    #[serde(rename = "wish")]
+    change: PlannedChange,
     #[serde(default)]
-    ordered: Option<OrderMark>,
+    ordered: Option<OrderId>,
 }
 
 #[derive(Deserialize, Serialize)]
 struct RecordWire {
     fence: FenceNumber,
-    mark: String,
+    #[serde(rename = "mark")]
+    write_id: String,
     last_order: u64,
     entries: IndexMap<TargetId, EntryWire>,
 }
@@ -72,14 +74,14 @@
         let entries = record.entries.iter().map(|(target, entry)| {
             let ordered = match &entry.phase {
                 OrderPhase::Draining => None,
-                OrderPhase::Ordered(mark) => Some(mark.clone()),
+                OrderPhase::Ordered(order_id) => Some(order_id.clone()),
             };
-            let wish = entry.wish.clone();
-            (target.clone(), EntryWire { wish, ordered })
+            let change = entry.change.clone();
+            (target.clone(), EntryWire { change, ordered })
         });
         Self {
             fence: record.fence,
-            mark: record.mark.clone(),
+            write_id: record.write_id.clone(),
             last_order: record.last_order,
             entries: entries.collect(),
         }
@@ -92,12 +94,12 @@
             let phase = entry
                 .ordered
                 .map_or(OrderPhase::Draining, OrderPhase::Ordered);
-            let wish = entry.wish;
-            (target, OrderEntry { wish, phase })
+            let change = entry.change;
+            (target, OrderEntry { change, phase })
         });
         Self {
             fence: wire.fence,
-            mark: wire.mark,
+            write_id: wire.write_id,
             last_order: wire.last_order,
             entries: entries.collect(),
         }
--- a/src/authority/order_types.rs
+++ b/src/authority/order_types.rs
@@ -25,7 +25,7 @@
     #[must_use]
     pub fn new(lease: LeaseTimes, change: Duration) -> Self {
         Self {
-            flight: lease.order_flight,
+            flight: lease.max_order_flight,
             spread: Duration::from_secs(1),
             drain: Duration::from_secs(300),
             change: change * 10 + Duration::from_secs(30),
@@ -37,24 +37,24 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderAction {
     /// Read the group's object; the result goes to
-    /// [`crate::authority::orders::OrderBook::note_read`].
+    /// [`crate::authority::orders::OrderManager::note_read`].
     Read,
     /// Write it; the result goes to
-    /// [`crate::authority::orders::OrderBook::note_write`].
+    /// [`crate::authority::orders::OrderManager::note_write`].
     Write {
         /// Unique id of the write.
-        mark: String,
+        write_id: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
     /// Send the stored order of an engine, if
-    /// [`crate::authority::orders::OrderBook::begin_send`] still allows it.
+    /// [`crate::authority::orders::OrderManager::begin_send`] still allows it.
     Send(TargetId),
 }
 
 /// A step of an engine's change, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OrderNews {
+pub struct OrderEvent {
     /// Engine concerned.
     pub target: TargetId,
     /// What happened and why.
@@ -84,6 +84,6 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
-    pub(crate) mark: String,
+    pub(crate) write_id: String,
     pub(crate) record: OrderRecord,
 }
--- a/src/authority/orders.rs
+++ b/src/authority/orders.rs
@@ -7,9 +7,9 @@
 //! refuse its orders.
 //!
 //! One gap cannot be closed here: the process may be paused after
-//! [`OrderBook::begin_send`] has checked the lease and before the bytes are sent. A
+//! [`OrderManager::begin_send`] has checked the lease and before the bytes are sent. A
 //! holder stops ordering a guard time before the lease expires, and a successor waits
-//! until `order_flight` after it, so only a pause longer than both together does harm.
+//! until one order flight after it, so only a pause longer than both together does harm.
 //! An engine that ignores fences then obeys the late order; only an engine that checks
 //! them closes the gap. The next read of the engine's state shows the role that it took
 //! on, and planning continues from there.
@@ -20,21 +20,21 @@
 
 use crate::authority::lease_state::LeaseAuthority;
 use crate::authority::order_record::{
-    EngineWish, OrderEntry, OrderPhase, OrderRecord, order_object,
+    OrderEntry, OrderPhase, OrderRecord, PlannedChange, order_object,
 };
 use crate::authority::order_types::{
-    ChangeOutcome, EngineObservation, OrderAction, OrderNews, OrderTimes, PendingWrite, SendState,
+    ChangeOutcome, EngineObservation, OrderAction, OrderEvent, OrderTimes, PendingWrite, SendState,
 };
 use crate::invariants::{self, Invariant};
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject, TargetError};
-use crate::targets::wire::{EngineState, OrderBody, OrderMark};
+use crate::targets::wire::{EngineState, OrderBody, OrderId};
 
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Changes of one group under one lease.
 #[derive(Clone, Debug)]
-pub struct OrderBook {
+pub struct OrderManager {
     group: GroupName,
     fence: FenceNumber,
     times: OrderTimes,
@@ -42,7 +42,7 @@
     record: OrderRecord,
     claimed_at: Option<MonoTime>,
     pending: Option<PendingWrite>,
-    requested: IndexMap<TargetId, EngineWish>,
+    requested: IndexMap<TargetId, PlannedChange>,
     phase_started: IndexMap<TargetId, MonoTime>,
     sends: IndexMap<TargetId, SendState>,
     observations: IndexMap<TargetId, EngineObservation>,
@@ -53,10 +53,10 @@
     next_call_at: MonoTime,
     write_count: u64,
     fenced_by: Option<FenceNumber>,
-    events: Vec<OrderNews>,
+    events: Vec<OrderEvent>,
 }
 
-impl OrderBook {
+impl OrderManager {
     /// Creates the manager of a group for a lease that was just acquired.
     #[must_use]
     pub fn new(group: GroupName, fence: FenceNumber, times: OrderTimes) -> Self {
@@ -97,13 +97,13 @@
     }
 
     /// Returns the events since the last call.
-    pub fn take_news(&mut self) -> Vec<OrderNews> {
+    pub fn take_events(&mut self) -> Vec<OrderEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Returns whether an order may be in flight now.
     #[must_use]
-    pub fn is_unsettled(&self) -> bool {
+    pub fn has_order_in_flight(&self) -> bool {
         let in_flight =
             |s: &SendState| matches!(s, SendState::InFlight { .. } | SendState::Unknown { .. });
         self.sends.values().any(in_flight)
@@ -117,12 +117,12 @@
 
     /// Requests a change of an engine, replacing an earlier request. A change whose
     /// order is already stored is finished first.
-    pub fn want(&mut self, target: TargetId, wish: EngineWish) {
-        self.requested.insert(target, wish);
+    pub fn request_change(&mut self, target: TargetId, change: PlannedChange) {
+        self.requested.insert(target, change);
     }
 
     /// Drops requested changes that are not in `wanted`, and cancels their drains.
-    pub fn keep_wishes(&mut self, wanted: &IndexMap<TargetId, EngineWish>) {
+    pub fn retain_changes(&mut self, wanted: &IndexMap<TargetId, PlannedChange>) {
         self.requested
             .retain(|target, _| wanted.contains_key(target));
         let draining = self.record.entries.iter().filter(|(target, entry)| {
@@ -194,18 +194,18 @@
         now: MonoTime,
     ) -> Option<OrderBody> {
         let entry = self.record.entries.get(target)?;
-        let OrderPhase::Ordered(mark) = &entry.phase else {
+        let OrderPhase::Ordered(order_id) = &entry.phase else {
             return None;
         };
-        let valid = authority.is_some_and(|a| a.fence == self.fence && now < a.until);
-        if !valid || mark.fence != self.fence || !self.may_send(target, now) {
+        let valid = authority.is_some_and(|a| a.fence == self.fence && now < a.deadline);
+        if !valid || order_id.fence != self.fence || !self.may_send(target, now) {
             return None;
         }
         let body = OrderBody {
-            mark: mark.clone(),
+            order_id: order_id.clone(),
             group: self.group.clone(),
-            role: entry.wish.role,
-            models: entry.wish.models.clone(),
+            role: entry.change.role,
+            models: entry.change.models.clone(),
         };
         let previous = self
             .sends
@@ -214,7 +214,7 @@
         invariants::check(is_only, Invariant::OneOrder, || {
             format!("two orders in flight for {target} in {}", self.group)
         });
-        self.record_event(target, format!("order {} sent", body.mark.id));
+        self.record_event(target, format!("order {} sent", body.order_id.id));
         Some(body)
     }
 
@@ -274,15 +274,18 @@
         let Some(entry) = self.record.entries.get(target) else {
             return;
         };
-        let OrderPhase::Ordered(mark) = &entry.phase else {
+        let OrderPhase::Ordered(order_id) = &entry.phase else {
             return;
         };
         let Some(claimed_at) = self.claimed_at.filter(|at| taken_at >= *at) else {
             return;
         };
-        let accepted = state.last_order.as_ref().is_some_and(|m| m.id == mark.id);
-        let reached = state.role == entry.wish.role && state.models == entry.wish.models;
-        let inherited = mark.fence != self.fence;
+        let accepted = state
+            .last_order
+            .as_ref()
+            .is_some_and(|m| m.id == order_id.id);
+        let reached = state.role == entry.change.role && state.models == entry.change.models;
+        let inherited = order_id.fence != self.fence;
         if accepted && reached && !state.changing {
             self.finish(target, ChangeOutcome::Done, "change finished".to_owned());
         } else if accepted {
@@ -370,7 +373,7 @@
             next.last_order += 1;
             let id = format!("{}-{}-{}", self.group, self.fence.0, next.last_order);
             let fence = self.fence;
-            entry.phase = OrderPhase::Ordered(OrderMark { id, fence });
+            entry.phase = OrderPhase::Ordered(OrderId { id, fence });
             changed = true;
         }
         changed
@@ -389,12 +392,12 @@
 
     fn start_drains(&mut self, next: &mut OrderRecord, now: MonoTime) -> bool {
         let mut changed = false;
-        for (target, wish) in &self.requested {
+        for (target, change) in &self.requested {
             if next.entries.contains_key(target) || !self.may_start(target, now) {
                 continue;
             }
             let entry = OrderEntry {
-                wish: wish.clone(),
+                change: change.clone(),
                 phase: OrderPhase::Draining,
             };
             next.entries.insert(target.clone(), entry);
@@ -406,22 +409,22 @@
     // A failed change is not retried at once, because the engine would stay out of use.
     fn may_start(&self, target: &TargetId, now: MonoTime) -> bool {
         let retry_at = self.retry_at.get(target);
-        let may_retry = retry_at.is_none_or(|until| now >= *until);
+        let may_retry = retry_at.is_none_or(|at| now >= *at);
         may_retry && !self.finished.contains_key(target) && self.is_observed(target)
     }
 
     fn write(&mut self, mut record: OrderRecord) -> OrderAction {
         self.write_count += 1;
-        let mark = format!("{}-{}-{}", self.group, self.fence.0, self.write_count);
-        record.mark.clone_from(&mark);
+        let write_id = format!("{}-{}-{}", self.group, self.fence.0, self.write_count);
+        record.write_id.clone_from(&write_id);
         self.call_in_flight = true;
         let value = record.encode();
         self.pending = Some(PendingWrite {
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             record,
         });
         OrderAction::Write {
-            mark,
+            write_id,
             write: ConditionalWrite {
                 object: order_object(&self.group),
                 expected: self.version,
@@ -468,14 +471,14 @@
     /// Handles the result of a write.
     pub fn note_write(
         &mut self,
-        mark: &str,
+        write_id: &str,
         result: &Result<ObjectVersion, PlatformError>,
         now: MonoTime,
     ) {
         self.call_in_flight = false;
         match result {
             Ok(version) => {
-                let pending = self.pending.take_if(|p| p.mark == mark);
+                let pending = self.pending.take_if(|p| p.write_id == write_id);
                 self.version = *version;
                 if let Some(pending) = pending {
                     self.apply_record(pending.record, now);
@@ -514,12 +517,12 @@
     fn end_change(&mut self, target: &TargetId, entry: &OrderEntry, now: MonoTime) {
         self.phase_started.swap_remove(target);
         self.sends.swap_remove(target);
-        if self.requested.get(target) == Some(&entry.wish) {
+        if self.requested.get(target) == Some(&entry.change) {
             self.requested.swap_remove(target);
         }
         if self.finished.swap_remove(target) == Some(ChangeOutcome::Failed) {
-            let until = now.plus(self.times.change);
-            self.retry_at.insert(target.clone(), until);
+            let retry_at = now.plus(self.times.change);
+            self.retry_at.insert(target.clone(), retry_at);
         }
     }
 
@@ -528,18 +531,18 @@
             OrderPhase::Draining => {
                 self.record_event(
                     target,
-                    format!("draining for a change: {}", entry.wish.reason),
+                    format!("draining for a change: {}", entry.change.reason),
                 );
             }
-            OrderPhase::Ordered(mark) => {
+            OrderPhase::Ordered(order_id) => {
                 self.sends.insert(target.clone(), SendState::Waiting);
-                self.record_event(target, format!("order {} recorded", mark.id));
+                self.record_event(target, format!("order {} recorded", order_id.id));
             }
         }
     }
 
     fn record_event(&mut self, target: &TargetId, reason: String) {
-        self.events.push(OrderNews {
+        self.events.push(OrderEvent {
             target: target.clone(),
             reason,
         });
--- a/src/control/authority_ports.rs
+++ b/src/control/authority_ports.rs
@@ -40,7 +40,11 @@
     ) {
         match action {
             AuthorityAction::Read { tag, object } => self.read(tag, object),
-            AuthorityAction::Write { tag, mark, write } => self.write(tag, mark, write),
+            AuthorityAction::Write {
+                tag,
+                write_id,
+                write,
+            } => self.write(tag, write_id, write),
             AuthorityAction::Send { group, target } => self.send(group, target, state, fleet),
         }
     }
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::config::buckets::CONFIG_KIND;
 use crate::control::state::ControlState;
-use crate::membership::{self, PeerWord};
+use crate::membership::{self, PeerUpdate};
 use crate::names::{DaemonId, MonoTime, ProcessIncarnation};
 use crate::peers::link::PeerEvent;
 use crate::peers::wire::{PeerHint, PeerMessage};
@@ -29,12 +29,12 @@
     }
 
     fn hear(&mut self, daemon: DaemonId, incarnation: ProcessIncarnation, leaving: bool) {
-        let word = PeerWord {
+        let word = PeerUpdate {
             daemon,
             incarnation,
             leaving,
         };
-        self.membership.note_peer(&word, clock::mono_now());
+        self.membership.apply_peer_update(&word, clock::mono_now());
     }
 
     fn on_message(&mut self, from: &DaemonId, message: PeerMessage) {
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -60,7 +60,7 @@
         feeds: mpsc::UnboundedSender<FeedEvent>,
     ) -> Self {
         let settings = &inputs.settings;
-        let own = membership::own_view(
+        let own = membership::local_view(
             settings.daemon_id.clone(),
             inputs.rpc_address.to_string(),
             inputs.peer_address.to_string(),
@@ -69,7 +69,7 @@
         );
         let limits = MembershipLimits {
             forget: Duration::from_millis(settings.platform.instances_ms * LISTS_TO_FORGET),
-            peer_silence: Duration::from_millis(settings.peers.silence_ms),
+            peer_timeout: Duration::from_millis(settings.peers.silence_ms),
             ..MembershipLimits::default()
         };
         let locks = (0..BUCKETS).map(|_| Mutex::new(()));
@@ -113,11 +113,12 @@
             ControlEvent::TargetSeen { target, answered } => {
                 let now = clock::mono_now();
                 self.membership
-                    .note_call(&target, CallSource::Work, answered, now);
+                    .record_call(&target, CallSource::Work, answered, now);
             }
             ControlEvent::TargetLeaving { target, address } => {
                 let now = clock::mono_now();
-                self.membership.note_target_leaving(&target, &address, now);
+                self.membership
+                    .record_target_leaving(&target, &address, now);
             }
             ControlEvent::WorkSeen {
                 model,
@@ -186,7 +187,7 @@
         let now = clock::mono_now();
         let mut news = Vec::new();
         for stored in objects {
-            if self.authority.note_object(stored, now) {
+            if self.authority.apply_object(stored, now) {
                 news.push(stored.clone());
             }
         }
@@ -236,12 +237,12 @@
         self.polling.swap_remove(target);
         let now = clock::mono_now();
         self.membership
-            .note_call(target, CallSource::Poll, report.is_some(), now);
+            .record_call(target, CallSource::Poll, report.is_some(), now);
         if let Some((state, age)) = report {
             self.membership.note_state(target, state, *age, now);
             let taken_at = MonoTime(now.0.saturating_sub(millis(*age)));
             self.authority.note_state(target, state, taken_at);
-            if self.authority.leads(target) {
+            if self.authority.manages(target) {
                 self.peers.note_engine(target, state);
             }
         }
@@ -258,7 +259,7 @@
     // An engine that another daemon reads for all is left to it.
     fn poll_engines(&mut self, now: MonoTime) {
         for (target, address) in self.membership.engines_to_poll(now) {
-            let digested = self.peers.is_digested(&target, now) && !self.authority.leads(&target);
+            let digested = self.peers.is_digested(&target, now) && !self.authority.manages(&target);
             if digested || !self.polling.insert(target.clone()) {
                 continue;
             }
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -116,7 +116,7 @@
     let times = LeaseTimes {
         duration: turn_time,
         guard: turn_time.mul_f64(GUARD_PART),
-        order_flight: turn_time.mul_f64(FLIGHT_PART),
+        max_order_flight: turn_time.mul_f64(FLIGHT_PART),
     };
     let mut desk = DutyDesk {
         lease: LeaseManager::new(gateway.clone(), GROUP, times),
@@ -169,7 +169,11 @@
     // The right to act now. Who takes the lease from a holder that gave it up could act
     // right after it, and hand it back as soon: the wait keeps three acts in turns apart.
     fn turn(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
-        let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
+        let Some(LeaseAuthority {
+            fence,
+            deadline: until,
+        }) = self.lease.authority(now)
+        else {
             // A renewal that comes late only makes the holder wait: what it knows holds on.
             if !self.lease.is_held() {
                 self.change_turn(None);
--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -59,7 +59,7 @@
         for action in self.table.tick(now) {
             self.act(action, tell.clone());
         }
-        for news in self.table.take_news() {
+        for news in self.table.take_changes() {
             log::info!(lease = self.group.as_str(), held = news.held, reason = news.reason.as_str(); "right to act for the fleet changed");
         }
     }
@@ -71,9 +71,9 @@
                 LeaseAction::Read(group) => {
                     LeaseCallResult::Read((store.read)(lease_object(&group)).await)
                 }
-                LeaseAction::Write { mark, write, .. } => {
-                    LeaseCallResult::Written(mark, (store.write)(write).await)
-                }
+                LeaseAction::Write {
+                    write_id, write, ..
+                } => LeaseCallResult::Written(write_id, (store.write)(write).await),
             });
         });
     }
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -89,7 +89,7 @@
     let times = LeaseTimes {
         duration: LEASE_TIME,
         guard: LEASE_GUARD,
-        order_flight: ORDER_FLIGHT,
+        max_order_flight: ORDER_FLIGHT,
     };
     let mut desk = StageDesk {
         lease: LeaseManager::new(gateway.clone(), GROUP, times),
@@ -258,7 +258,7 @@
             change.busy = true;
             let (gateway, results) = (self.gateway.clone(), self.results.clone());
             let (engine, stage, fence) = (engine.clone(), change.stage, authority.fence);
-            let until = authority.until;
+            let until = authority.deadline;
             spawn_local(async move {
                 let result = gateway.order_stage(&engine, stage, fence, until).await;
                 // The desk ends only with the process.
--- a/src/membership/departures.rs
+++ b/src/membership/departures.rs
@@ -14,7 +14,7 @@
 
 /// Identifies a process by its name and address, which stay the same while it runs.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct LifeKey {
+pub struct ProcessKey {
     /// Name of the daemon or target.
     pub id: String,
     /// Address it listens on.
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 struct DepartureRecord {
     incarnation: Option<ProcessIncarnation>,
-    heard_at: MonoTime,
+    last_contact: MonoTime,
     // A newer incarnation was seen; a report of "leaving" may still be about the older
     // one.
     superseded: bool,
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct DepartureTable {
     retention: Duration,
-    records: IndexMap<LifeKey, DepartureRecord>,
+    records: IndexMap<ProcessKey, DepartureRecord>,
 }
 
 impl DepartureTable {
@@ -55,12 +55,12 @@
     /// Records a report that a process is leaving.
     pub fn record_leaving(
         &mut self,
-        life: &LifeKey,
+        process_key: &ProcessKey,
         incarnation: Option<ProcessIncarnation>,
         now: MonoTime,
     ) {
-        if let Some(record) = self.records.get_mut(life) {
-            record.heard_at = now;
+        if let Some(record) = self.records.get_mut(process_key) {
+            record.last_contact = now;
             record.superseded &= incarnation < record.incarnation;
             record.incarnation = record.incarnation.max(incarnation);
             return;
@@ -68,34 +68,38 @@
         self.make_room();
         let record = DepartureRecord {
             incarnation,
-            heard_at: now,
+            last_contact: now,
             superseded: false,
         };
-        self.records.insert(life.clone(), record);
+        self.records.insert(process_key.clone(), record);
     }
 
     /// Applies a row of the instance list.
     pub fn apply_row(
         &mut self,
-        life: &LifeKey,
+        process_key: &ProcessKey,
         state: InstanceState,
         incarnation: Option<ProcessIncarnation>,
         now: MonoTime,
     ) {
-        match (state, self.records.get_mut(life)) {
-            (InstanceState::Leaving, None) => self.record_leaving(life, incarnation, now),
-            (InstanceState::Leaving, Some(record)) => record.heard_at = now,
+        match (state, self.records.get_mut(process_key)) {
+            (InstanceState::Leaving, None) => self.record_leaving(process_key, incarnation, now),
+            (InstanceState::Leaving, Some(record)) => record.last_contact = now,
             (InstanceState::Live, Some(record)) if record.superseded => {
-                self.records.swap_remove(life);
+                self.records.swap_remove(process_key);
             }
-            (InstanceState::Live, Some(record)) => record.heard_at = now,
+            (InstanceState::Live, Some(record)) => record.last_contact = now,
             (InstanceState::Live, None) => {}
         }
     }
 
     /// Records the incarnation that a process itself reported.
-    pub fn record_incarnation(&mut self, life: &LifeKey, incarnation: ProcessIncarnation) {
-        let Some(record) = self.records.get_mut(life) else {
+    pub fn record_incarnation(
+        &mut self,
+        process_key: &ProcessKey,
+        incarnation: ProcessIncarnation,
+    ) {
+        let Some(record) = self.records.get_mut(process_key) else {
             return;
         };
         match record.incarnation {
@@ -110,15 +114,15 @@
 
     /// Returns whether a process is leaving.
     #[must_use]
-    pub fn is_leaving(&self, life: &LifeKey) -> bool {
-        self.records.get(life).is_some_and(|r| !r.superseded)
+    pub fn is_leaving(&self, process_key: &ProcessKey) -> bool {
+        self.records.get(process_key).is_some_and(|r| !r.superseded)
     }
 
     /// Drops departures that have not been reported for the retention time.
     pub fn expire(&mut self, now: MonoTime) {
         let retention = self.retention;
         self.records
-            .retain(|_, r| now.since(r.heard_at) < retention);
+            .retain(|_, r| now.since(r.last_contact) < retention);
     }
 
     /// Returns the number of departures remembered.
@@ -137,9 +141,9 @@
         if self.records.len() < MAX_DEPARTURES {
             return;
         }
-        let oldest = self.records.iter().min_by_key(|(_, r)| r.heard_at);
-        if let Some(life) = oldest.map(|(life, _)| life.clone()) {
-            self.records.swap_remove(&life);
+        let oldest = self.records.iter().min_by_key(|(_, r)| r.last_contact);
+        if let Some(process_key) = oldest.map(|(process_key, _)| process_key.clone()) {
+            self.records.swap_remove(&process_key);
         }
     }
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -15,10 +15,10 @@
 
 use indexmap::IndexMap;
 
-use crate::membership::departures::{DepartureTable, LifeKey};
+use crate::membership::departures::{DepartureTable, ProcessKey};
 use crate::membership::fleet::{DaemonView, FleetView, UseState};
 use crate::membership::records::{
-    DaemonRecord, PresenceRecord, TargetRecord, life_of, load_report,
+    DaemonRecord, PresenceRecord, TargetRecord, load_report, process_key,
 };
 use crate::membership::suspicion::CallSource;
 use crate::names::{
@@ -35,7 +35,7 @@
     /// Time after which an instance that is no longer listed is forgotten.
     pub forget: Duration,
     /// Time without contact after which a peer is suspected.
-    pub peer_silence: Duration,
+    pub peer_timeout: Duration,
 }
 
 impl Default for MembershipLimits {
@@ -43,14 +43,14 @@
         Self {
             absent_lists: 2,
             forget: Duration::from_secs(60),
-            peer_silence: Duration::from_secs(3),
+            peer_timeout: Duration::from_secs(3),
         }
     }
 }
 
 /// What a peer reports about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PeerWord {
+pub struct PeerUpdate {
     /// Daemon that sends the report.
     pub daemon: DaemonId,
     /// Incarnation of its process.
@@ -155,7 +155,7 @@
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| TargetRecord::new(row, now));
         self.departures
-            .apply_row(&life_of(row), row.state, record.incarnation, now);
+            .apply_row(&process_key(row), row.state, record.incarnation, now);
         record.presence = PresenceRecord::seen(row.state, now);
         record.view.data_centre = row.data_centre.clone();
         record.view.service = row.service.clone();
@@ -173,7 +173,7 @@
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| DaemonRecord::new(row, now));
         self.departures
-            .apply_row(&life_of(row), row.state, record.incarnation(), now);
+            .apply_row(&process_key(row), row.state, record.incarnation(), now);
         record.presence = PresenceRecord::seen(row.state, now);
         record.view.peer_address.clone_from(&row.peer_address);
         record.view.data_centre = row.data_centre.clone();
@@ -201,7 +201,7 @@
     }
 
     /// Records whether a call to a target was answered or failed.
-    pub fn note_call(
+    pub fn record_call(
         &mut self,
         target: &TargetId,
         source: CallSource,
@@ -236,15 +236,15 @@
         }
         record.incarnation = Some(report.incarnation);
         record.view.report = Some(load_report(report, taken_at));
-        let life = record.life();
+        let process_key = record.process_key();
         self.departures
-            .record_incarnation(&life, report.incarnation);
+            .record_incarnation(&process_key, report.incarnation);
         self.dirty |= restarted;
         self.reports_dirty = true;
     }
 
     /// Applies what a peer reports about itself.
-    pub fn note_peer(&mut self, update: &PeerWord, now: MonoTime) {
+    pub fn apply_peer_update(&mut self, update: &PeerUpdate, now: MonoTime) {
         let Some(record) = self.daemons.get_mut(&update.daemon) else {
             return;
         };
@@ -253,14 +253,14 @@
         }
         self.dirty |= record.view.incarnation != update.incarnation;
         record.view.incarnation = update.incarnation;
-        record.heard_at = Some(now);
-        let life = record.life();
+        record.last_contact = Some(now);
+        let process_key = record.process_key();
         self.departures
-            .record_incarnation(&life, update.incarnation);
+            .record_incarnation(&process_key, update.incarnation);
         if update.leaving {
-            self.dirty |= !self.departures.is_leaving(&life);
+            self.dirty |= !self.departures.is_leaving(&process_key);
             self.departures
-                .record_leaving(&life, Some(update.incarnation), now);
+                .record_leaving(&process_key, Some(update.incarnation), now);
         }
     }
 
@@ -268,20 +268,21 @@
     /// longer counts against the peer.
     pub fn forget_peer(&mut self, daemon: &DaemonId) {
         if let Some(record) = self.daemons.get_mut(daemon) {
-            record.heard_at = None;
+            record.last_contact = None;
             self.dirty = true;
         }
     }
 
     /// Records a peer's report that a target is leaving.
-    pub fn note_target_leaving(&mut self, target: &TargetId, address: &str, now: MonoTime) {
+    pub fn record_target_leaving(&mut self, target: &TargetId, address: &str, now: MonoTime) {
         let known = self.targets.get(target);
         let Some(record) = known.filter(|r| r.view.address == address) else {
             return;
         };
-        let (life, incarnation) = (record.life(), record.incarnation);
-        self.dirty |= !self.departures.is_leaving(&life);
-        self.departures.record_leaving(&life, incarnation, now);
+        let (process_key, incarnation) = (record.process_key(), record.incarnation);
+        self.dirty |= !self.departures.is_leaving(&process_key);
+        self.departures
+            .record_leaving(&process_key, incarnation, now);
     }
 
     /// Sets the holds of the configuration in force.
@@ -314,7 +315,7 @@
         for record in self.targets.values_mut() {
             self.dirty |= record.suspicion.tick(now);
         }
-        let timeout = self.limits.peer_silence;
+        let timeout = self.limits.peer_timeout;
         for record in self.daemons.values_mut() {
             let state = if record.is_unreachable(now, timeout) {
                 UseState::Suspect
@@ -375,20 +376,20 @@
             (false, true) => UseState::Suspect,
             (false, false) => UseState::Live,
         };
-        local.max(self.listed_state(&record.presence, &record.life()))
+        local.max(self.listed_state(&record.presence, &record.process_key()))
     }
 
     fn daemon_state(&self, record: &DaemonRecord) -> UseState {
-        let listed = self.listed_state(&record.presence, &record.life());
+        let listed = self.listed_state(&record.presence, &record.process_key());
         record.view.state.max(listed)
     }
 
-    fn listed_state(&self, presence: &PresenceRecord, life: &LifeKey) -> UseState {
+    fn listed_state(&self, presence: &PresenceRecord, process_key: &ProcessKey) -> UseState {
         if presence.absent_lists >= self.limits.absent_lists {
             return UseState::Gone;
         }
         let listed_leaving = presence.row_state == InstanceState::Leaving;
-        if listed_leaving || self.departures.is_leaving(life) {
+        if listed_leaving || self.departures.is_leaving(process_key) {
             return UseState::Leaving;
         }
         UseState::Live
@@ -414,7 +415,7 @@
 
 /// Builds the view of this daemon itself.
 #[must_use]
-pub fn own_view(
+pub fn local_view(
     id: DaemonId,
     address: String,
     peer_address: String,
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::membership::departures::LifeKey;
+use crate::membership::departures::ProcessKey;
 use crate::membership::fleet::{DaemonView, LoadReport, TargetView, UseState};
 use crate::membership::suspicion::SuspicionRecord;
 use crate::names::{DaemonId, MonoTime, ProcessIncarnation, TargetId};
@@ -41,7 +41,7 @@
     /// Presence in the instance lists.
     pub presence: PresenceRecord,
     /// When a message last came from it over a link.
-    pub heard_at: Option<MonoTime>,
+    pub last_contact: Option<MonoTime>,
 }
 
 impl PresenceRecord {
@@ -79,8 +79,8 @@
 
     /// Returns the name and address of its process.
     #[must_use]
-    pub fn life(&self) -> LifeKey {
-        LifeKey {
+    pub fn process_key(&self) -> ProcessKey {
+        ProcessKey {
             id: self.view.id.to_string(),
             address: self.view.address.clone(),
         }
@@ -101,14 +101,14 @@
                 state: UseState::Live,
             },
             presence: PresenceRecord::seen(row.state, now),
-            heard_at: None,
+            last_contact: None,
         }
     }
 
     /// Returns the name and address of its process.
     #[must_use]
-    pub fn life(&self) -> LifeKey {
-        LifeKey {
+    pub fn process_key(&self) -> ProcessKey {
+        ProcessKey {
             id: self.view.id.to_string(),
             address: self.view.address.clone(),
         }
@@ -124,14 +124,14 @@
     /// Returns whether there has been no contact with a linked peer for `timeout`.
     #[must_use]
     pub fn is_unreachable(&self, now: MonoTime, timeout: Duration) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) >= timeout)
+        self.last_contact.is_some_and(|at| now.since(at) >= timeout)
     }
 }
 
 /// Returns the name and address of a row's process.
 #[must_use]
-pub fn life_of(row: &InstanceRow) -> LifeKey {
-    LifeKey {
+pub fn process_key(row: &InstanceRow) -> ProcessKey {
+    ProcessKey {
         id: row.id.clone(),
         address: row.address.clone(),
     }
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -9,7 +9,7 @@
 
 use indexmap::IndexMap;
 
-use crate::authority::order_record::EngineWish;
+use crate::authority::order_record::PlannedChange;
 use crate::decide::cost::SpeedSettings;
 use crate::names::{ModelName, MonoTime, TargetId};
 use crate::roles::capacity::{RoleCounts, capacity, demand, served_share};
@@ -46,7 +46,7 @@
         /// Engine to change.
         target: TargetId,
         /// State to have.
-        wish: EngineWish,
+        change: PlannedChange,
     },
     /// Keep what is although a change would gain a little.
     Keep {
@@ -159,12 +159,12 @@
             wanted,
             horizon.as_secs_f64()
         );
-        let wish = EngineWish {
+        let change = PlannedChange {
             role: best.to,
             models: pool.models.to_vec(),
             reason,
         };
-        Some(PlanDecision::Change { target, wish })
+        Some(PlanDecision::Change { target, change })
     }
 
     fn keep(
@@ -339,13 +339,13 @@
             holders(&short.model),
             short.least_engines
         );
-        let wish = EngineWish {
+        let change = PlannedChange {
             role: engine.role,
             models,
             reason,
         };
         let target = engine.id.clone();
-        Some(PlanDecision::Change { target, wish })
+        Some(PlanDecision::Change { target, change })
     }
 }
 
--- a/src/roles/plan_book.rs
+++ b/src/roles/plan_book.rs
@@ -8,7 +8,7 @@
 
 use crate::authority::lease_groups::PLAN_GROUP;
 use crate::authority::order_record::{
-    EngineWish, OrderEntry, OrderPhase, OrderRecord, order_object,
+    OrderEntry, OrderPhase, OrderRecord, PlannedChange, order_object,
 };
 use crate::authority::order_types::OrderAction;
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
@@ -21,8 +21,8 @@
 pub struct PlanBook {
     fence: FenceNumber,
     version: ObjectVersion,
-    wanted: IndexMap<TargetId, EngineWish>,
-    stored: Option<IndexMap<TargetId, EngineWish>>,
+    wanted: IndexMap<TargetId, PlannedChange>,
+    stored: Option<IndexMap<TargetId, PlannedChange>>,
     must_read: bool,
     busy: bool,
     call_at: MonoTime,
@@ -62,18 +62,18 @@
 
     /// Returns the changes wanted.
     #[must_use]
-    pub fn wanted(&self) -> &IndexMap<TargetId, EngineWish> {
+    pub fn wanted(&self) -> &IndexMap<TargetId, PlannedChange> {
         &self.wanted
     }
 
     /// Adds a wish.
-    pub fn want(&mut self, target: TargetId, wish: EngineWish) {
-        self.wanted.insert(target, wish);
+    pub fn want(&mut self, target: TargetId, change: PlannedChange) {
+        self.wanted.insert(target, change);
     }
 
     /// Keeps the wishes for which `keep` holds.
-    pub fn retain(&mut self, keep: impl Fn(&TargetId, &EngineWish) -> bool) {
-        self.wanted.retain(|target, wish| keep(target, wish));
+    pub fn retain(&mut self, keep: impl Fn(&TargetId, &PlannedChange) -> bool) {
+        self.wanted.retain(|target, change| keep(target, change));
     }
 
     /// Lets time pass.
@@ -91,22 +91,22 @@
     fn write(&mut self) -> OrderAction {
         self.marks += 1;
         self.busy = true;
-        let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.marks);
-        let entries = self.wanted.iter().map(|(target, wish)| {
+        let write_id = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.marks);
+        let entries = self.wanted.iter().map(|(target, change)| {
             let entry = OrderEntry {
-                wish: wish.clone(),
+                change: change.clone(),
                 phase: OrderPhase::Draining,
             };
             (target.clone(), entry)
         });
         let record = OrderRecord {
             fence: self.fence,
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             last_order: 0,
             entries: entries.collect(),
         };
         OrderAction::Write {
-            mark,
+            write_id,
             write: ConditionalWrite {
                 object: order_object(&GroupName::from(PLAN_GROUP)),
                 expected: self.version,
@@ -158,9 +158,9 @@
 
 /// Returns the wishes in a plan or the changes in a group's record.
 #[must_use]
-pub fn wishes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
+pub fn wishes_of(record: &OrderRecord) -> IndexMap<TargetId, PlannedChange> {
     let entries = record.entries.iter();
     entries
-        .map(|(target, entry)| (target.clone(), entry.wish.clone()))
+        .map(|(target, entry)| (target.clone(), entry.change.clone()))
         .collect()
 }
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -2,8 +2,8 @@
 
 use indexmap::IndexMap;
 
-use crate::authority::order_record::EngineWish;
-use crate::authority::orders::OrderBook;
+use crate::authority::order_record::PlannedChange;
+use crate::authority::orders::OrderManager;
 use crate::control::snapshot::ConfigView;
 use crate::membership::fleet::{FleetView, TargetView, UseState};
 use crate::names::{GroupName, TargetId};
@@ -11,23 +11,23 @@
 use crate::store::wire::InstanceKind;
 
 pub(crate) fn want_planned(
-    book: &mut OrderBook,
+    book: &mut OrderManager,
     group: &GroupName,
     groups: &IndexMap<TargetId, GroupName>,
-    plan: &IndexMap<TargetId, EngineWish>,
+    plan: &IndexMap<TargetId, PlannedChange>,
     fleet: &FleetView,
 ) {
     let mut own = IndexMap::new();
-    for (target, wish) in plan {
+    for (target, change) in plan {
         let engine = fleet.targets.get(target).and_then(plan_engine);
-        let open = engine.is_some_and(|e| !has(&e, wish));
+        let open = engine.is_some_and(|e| !has(&e, change));
         if open && groups.get(target) == Some(group) {
-            own.insert(target.clone(), wish.clone());
+            own.insert(target.clone(), change.clone());
         }
     }
-    book.keep_wishes(&own);
-    for (target, wish) in own {
-        book.want(target, wish);
+    book.retain_changes(&own);
+    for (target, change) in own {
+        book.request_change(target, change);
     }
 }
 
@@ -47,8 +47,8 @@
     })
 }
 
-pub(crate) fn has(engine: &PlanEngine, wish: &EngineWish) -> bool {
-    engine.role == wish.role && engine.models == wish.models
+pub(crate) fn has(engine: &PlanEngine, change: &PlannedChange) -> bool {
+    engine.role == change.role && engine.models == change.models
 }
 
 pub(crate) fn model_needs(config: &ConfigView) -> Vec<ModelNeed> {
--- a/src/targets/wire.rs
+++ b/src/targets/wire.rs
@@ -113,14 +113,14 @@
     /// Limit of the KV cache in tokens.
     pub kv_limit_tokens: u64,
     /// Last order accepted.
-    pub last_order: Option<OrderMark>,
+    pub last_order: Option<OrderId>,
     /// Number of the newest cache event.
     pub cache_sequence: u64,
 }
 
 /// Identifies an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct OrderMark {
+pub struct OrderId {
     /// Order identity, unique for the group.
     pub id: String,
     /// Fence the order carried.
@@ -132,7 +132,8 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderBody {
     /// Identity; the same order sent twice has one effect.
-    pub mark: OrderMark,
+    #[serde(rename = "mark")]
+    pub order_id: OrderId,
     /// Group whose lease covers the engine.
     pub group: GroupName,
     /// Role to take on.
--- a/tests/control_authority.rs
+++ b/tests/control_authority.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use control_fakes::{FakeEngines, FakePlatform, until};
+use control_fakes::{FakeEngines, FakePlatform, wait_until};
 use pistachiowick::control::{ControlEvent, ControlHandle, ControlInputs, start_control};
 use pistachiowick::crashes::SharedCrashTracker;
 use pistachiowick::invariants::{Invariant, violations};
@@ -70,7 +70,7 @@
             fakes.put(&format!("{id}:1"), state(&id));
             rows.push(row(&id, InstanceKind::Engine));
         }
-        platform.books().instances = rows;
+        platform.data().instances = rows;
         Self {
             platform,
             engines: fakes,
@@ -118,7 +118,7 @@
     let bench = Bench::new(&["a", "b"], 2);
     let handles = [bench.start("a"), bench.start("b")];
     for group in ["north-0", "plan"] {
-        until("a holder", || handles.iter().any(|h| holds(h, group))).await;
+        wait_until("a holder", || handles.iter().any(|h| holds(h, group))).await;
         assert!(!handles.iter().all(|h| holds(h, group)));
     }
     let [first, second] = handles;
@@ -129,7 +129,7 @@
     };
     end(killed).await;
     for group in ["north-0", "plan"] {
-        until("succession", || holds(&heir, group)).await;
+        wait_until("succession", || holds(&heir, group)).await;
     }
     let snapshot = heir.snapshot.load();
     let fences = snapshot.leases.iter().map(|lease| lease.fence.0);
@@ -142,7 +142,7 @@
 async fn a_planned_stop_hands_the_leases_over() {
     let bench = Bench::new(&["a", "b"], 2);
     let first = bench.start("a");
-    until("a holder", || {
+    wait_until("a holder", || {
         holds(&first, "north-0") && holds(&first, "plan")
     })
     .await;
@@ -152,7 +152,7 @@
     told.await.unwrap();
     assert!(!holds(&first, "north-0") && !holds(&first, "plan"));
     for group in ["north-0", "plan"] {
-        until("succession", || holds(&second, group)).await;
+        wait_until("succession", || holds(&second, group)).await;
     }
     end(first).await;
     end(second).await;
@@ -166,10 +166,10 @@
     let bench = Bench::new(&["a", "b"], 4);
     let handles = [bench.start("a"), bench.start("b")];
     for handle in &handles {
-        until("ready", || handle.snapshot.load().ready).await;
+        wait_until("ready", || handle.snapshot.load().ready).await;
     }
     let mut drained = [false, false];
-    until("two orders", || {
+    wait_until("two orders", || {
         for (handle, drained) in handles.iter().zip(&mut drained) {
             let event = ControlEvent::WorkSeen {
                 model: ModelName::from("m"),
@@ -198,13 +198,13 @@
     }
     let mut ids: Vec<&str> = orders
         .iter()
-        .map(|(_, body)| body.mark.id.as_str())
+        .map(|(_, body)| body.order_id.id.as_str())
         .collect();
     ids.dedup();
     assert_eq!(ids.len(), orders.len());
     let ordered = TargetId::from(orders[0].0.trim_end_matches(":1"));
     for handle in &handles {
-        until("back in use", || {
+        wait_until("back in use", || {
             handle.snapshot.load().fleet.targets[&ordered].state == UseState::Live
         })
         .await;
@@ -225,14 +225,14 @@
 async fn an_outage_ends_leases_and_heals() {
     let bench = Bench::new(&["a", "b"], 2);
     let handles = [bench.start("a"), bench.start("b")];
-    until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
+    wait_until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
     bench.platform.set_down(true);
-    until("no holder", || !handles.iter().any(|h| holds(h, "north-0"))).await;
+    wait_until("no holder", || !handles.iter().any(|h| holds(h, "north-0"))).await;
     for handle in &handles {
         assert!(handle.snapshot.load().ready);
     }
     bench.platform.set_down(false);
-    until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
+    wait_until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
     assert!(!handles.iter().all(|h| holds(h, "north-0")));
     let own = &handles[0].snapshot.load().fleet.daemons[&DaemonId::from("a")].clone();
     assert_eq!(own.state, UseState::Live);
--- a/tests/control_fakes/mod.rs
+++ b/tests/control_fakes/mod.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Default)]
-pub struct PlatformBooks {
+pub struct PlatformData {
     pub objects: IndexMap<ObjectName, (ObjectVersion, Vec<u8>)>,
     older: IndexMap<ObjectName, (ObjectVersion, Vec<u8>)>,
     pub revision: u64,
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Default)]
 pub struct FakePlatform {
-    books: Arc<Mutex<PlatformBooks>>,
+    data: Arc<Mutex<PlatformData>>,
     changed: Arc<Notify>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl PlatformBooks {
+impl PlatformData {
     pub fn take(&mut self, write: &ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
         let current = self
             .objects
@@ -151,8 +151,8 @@
 }
 
 impl FakePlatform {
-    pub fn books(&self) -> MutexGuard<'_, PlatformBooks> {
-        self.books.lock().unwrap()
+    pub fn data(&self) -> MutexGuard<'_, PlatformData> {
+        self.data.lock().unwrap()
     }
 
     pub fn put(&self, kind: &str, name: &str, value: Vec<u8>) -> ObjectVersion {
@@ -160,25 +160,25 @@
             kind: kind.to_owned(),
             name: name.to_owned(),
         };
-        let mut books = self.books();
-        let expected = books
+        let mut data = self.data();
+        let expected = data
             .objects
             .get(&object)
             .map_or_else(ObjectVersion::default, |o| o.0);
-        let version = books
+        let version = data
             .take(&ConditionalWrite {
                 object,
                 expected,
                 value,
             })
             .unwrap();
-        drop(books);
+        drop(data);
         self.changed.notify_waiters();
         version
     }
 
     pub fn set_down(&self, down: bool) {
-        self.books().down = down;
+        self.data().down = down;
     }
 
     pub fn port(&self) -> PlatformPort {
@@ -191,38 +191,38 @@
         );
         PlatformPort {
             read: Arc::new(move |object| {
-                let result = reader.books().read(&object);
+                let result = reader.data().read(&object);
                 Box::pin(async move {
                     tokio::task::yield_now().await;
                     result
                 })
             }),
             write: Arc::new(move |write| {
-                let result = writer.books().write(write);
+                let result = writer.data().write(write);
                 writer.changed.notify_waiters();
                 Box::pin(async move { result })
             }),
             list: Arc::new(move |kind: String| {
-                let mut books = lister.books();
-                books.lists += 1;
-                let result = if books.down {
+                let mut data = lister.data();
+                data.lists += 1;
+                let result = if data.down {
                     Err(unavailable())
                 } else {
-                    Ok(books.since(&kind, 0))
+                    Ok(data.since(&kind, 0))
                 };
                 Box::pin(async move { result })
             }),
             watch: Arc::new(move |query| {
                 let platform = watcher.clone();
-                platform.books().watches += 1;
+                platform.data().watches += 1;
                 Box::pin(async move { platform.watch(query).await })
             }),
             instances: Arc::new(move |()| {
-                let books = rows.books();
-                let result = if books.down {
+                let data = rows.data();
+                let result = if data.down {
                     Err(unavailable())
                 } else {
-                    Ok(books.instances.clone())
+                    Ok(data.instances.clone())
                 };
                 Box::pin(async move { result })
             }),
@@ -234,17 +234,17 @@
         loop {
             let changed = self.changed.notified();
             {
-                let books = self.books();
-                if books.down {
+                let data = self.data();
+                if data.down {
                     return Err(unavailable());
                 }
-                let batch = books.since(&query.kind, query.since);
+                let batch = data.since(&query.kind, query.since);
                 if !batch.objects.is_empty() {
                     return Ok(batch);
                 }
             }
             if tokio::time::timeout_at(give_up, changed).await.is_err() {
-                let revision = self.books().revision;
+                let revision = self.data().revision;
                 return Ok(ObjectBatch {
                     revision,
                     objects: Vec::new(),
@@ -288,8 +288,8 @@
     ) -> Result<pistachiowick::targets::wire::EngineState, pistachiowick::ports::TargetError> {
         let mut states = self.states.lock().unwrap();
         let state = states.get_mut(address).ok_or_else(not_reached)?;
-        let seen = state.last_order.as_ref().map(|mark| mark.fence);
-        if let Some(current) = seen.filter(|f| self.checks_fence && body.mark.fence < *f) {
+        let seen = state.last_order.as_ref().map(|order| order.fence);
+        if let Some(current) = seen.filter(|f| self.checks_fence && body.order_id.fence < *f) {
             return Err(pistachiowick::ports::TargetError::Fenced { current });
         }
         self.orders
@@ -298,7 +298,7 @@
             .push((address.to_owned(), body.clone()));
         state.role = body.role;
         state.models.clone_from(&body.models);
-        state.last_order = Some(body.mark.clone());
+        state.last_order = Some(body.order_id.clone());
         Ok(state.clone())
     }
 
@@ -339,7 +339,7 @@
 }
 
 /// Waits for a condition; the long limit only catches a hang and does not test speed.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..6_000 {
         if holds() {
             return;
--- a/tests/control_leases.rs
+++ b/tests/control_leases.rs
@@ -17,7 +17,7 @@
 const TIMES: LeaseTimes = LeaseTimes {
     duration: Duration::from_millis(6_000),
     guard: Duration::from_millis(1_500),
-    order_flight: Duration::from_millis(1_000),
+    max_order_flight: Duration::from_millis(1_000),
 };
 
 fn group() -> GroupName {
@@ -42,14 +42,14 @@
     }
 }
 
-fn foreign(version: u64, fence: u64, released: bool, unsettled: bool) -> StoredObject {
+fn foreign(version: u64, fence: u64, released: bool, order_in_flight: bool) -> StoredObject {
     let record = LeaseRecord {
         holder: DaemonId::from("other"),
         incarnation: ProcessIncarnation(7),
         fence: FenceNumber(fence),
-        mark: format!("other-{version}"),
+        write_id: format!("other-{version}"),
         released,
-        unsettled,
+        order_in_flight,
     };
     StoredObject {
         object: lease_object(&group()),
@@ -72,13 +72,15 @@
                 LeaseAction::Read(group) => {
                     table.note_read(&group, &Ok(found.cloned()), MonoTime(at));
                 }
-                LeaseAction::Write { mark, write, .. } => {
+                LeaseAction::Write {
+                    write_id, write, ..
+                } => {
                     let stored = StoredObject {
                         object: write.object,
                         version: ObjectVersion(write.expected.0 + 1),
                         value: Some(write.value),
                     };
-                    return Some((at, mark, stored));
+                    return Some((at, write_id, stored));
                 }
             }
         }
@@ -87,8 +89,8 @@
 }
 
 fn acquire(table: &mut LeaseTable, at: u64) -> u64 {
-    let (at, mark, stored) = write_after(table, None, at, at + 20_000).unwrap();
-    table.note_write(&group(), &mark, &Ok(stored.version), MonoTime(at));
+    let (at, write_id, stored) = write_after(table, None, at, at + 20_000).unwrap();
+    table.note_write(&group(), &write_id, &Ok(stored.version), MonoTime(at));
     at
 }
 
@@ -111,11 +113,11 @@
 /// still rely on it and have orders in flight; if too late, nobody orders the engines.
 fn takes_over_when_nothing_can_be_under_way(#[case] case: TakeOverCase) {
     let mut table = table("a", case.rank);
-    let (at, mark, stored) = write_after(&mut table, Some(&case.found), 0, 60_000).unwrap();
+    let (at, write_id, stored) = write_after(&mut table, Some(&case.found), 0, 60_000).unwrap();
     assert!((case.earliest..=case.latest).contains(&at), "{at}");
     assert_eq!(LeaseRecord::decode(&stored).unwrap().fence, FenceNumber(5));
     assert!(table.authority(&group(), MonoTime(at)).is_none());
-    table.note_write(&group(), &mark, &Ok(stored.version), MonoTime(at));
+    table.note_write(&group(), &write_id, &Ok(stored.version), MonoTime(at));
     let authority = table.authority(&group(), MonoTime(at)).unwrap();
     assert_eq!(authority.fence, FenceNumber(5));
 }
@@ -139,8 +141,13 @@
 #[test]
 fn authority_counts_from_before_the_write() {
     let mut table = table("a", 0);
-    let (at, mark, stored) = write_after(&mut table, None, 0, 20_000).unwrap();
-    table.note_write(&group(), &mark, &Ok(stored.version), MonoTime(at + 1_900));
+    let (at, write_id, stored) = write_after(&mut table, None, 0, 20_000).unwrap();
+    table.note_write(
+        &group(),
+        &write_id,
+        &Ok(stored.version),
+        MonoTime(at + 1_900),
+    );
     let last = at + 6_000 - 1_500;
     assert!(table.authority(&group(), MonoTime(last - 1)).is_some());
     assert!(table.authority(&group(), MonoTime(last)).is_none());
@@ -179,7 +186,7 @@
 fn a_lost_renewal_is_read_back(#[case] case: RenewCase) {
     let mut table = table("a", 0);
     let at = acquire(&mut table, 0);
-    let (sent, mark, stored) = write_after(&mut table, None, at, at + 6_000).unwrap();
+    let (sent, write_id, stored) = write_after(&mut table, None, at, at + 6_000).unwrap();
     assert!(sent < at + 4_500, "renewed too late to keep ordering");
     let unchanged = StoredObject {
         version: ObjectVersion(stored.version.0 - 1),
@@ -190,7 +197,7 @@
             let taken = foreign(stored.version.0, 9, false, false);
             table.note_write(
                 &group(),
-                &mark,
+                &write_id,
                 &Err(conflict(stored.version.0)),
                 MonoTime(sent),
             );
@@ -198,7 +205,7 @@
             taken
         }
         Answer::LostAndLanded | Answer::LostAndGone => {
-            table.note_write(&group(), &mark, &Err(lost()), MonoTime(sent));
+            table.note_write(&group(), &write_id, &Err(lost()), MonoTime(sent));
             if matches!(case.answer, Answer::LostAndLanded) {
                 stored
             } else {
@@ -216,10 +223,12 @@
                 LeaseAction::Read(group) => {
                     table.note_read(&group, &Ok(Some(found.clone())), MonoTime(now));
                 }
-                LeaseAction::Write { mark, write, .. } => {
+                LeaseAction::Write {
+                    write_id, write, ..
+                } => {
                     renewed = true;
                     let version = ObjectVersion(write.expected.0 + 1);
-                    table.note_write(&group(), &mark, &Ok(version), MonoTime(now));
+                    table.note_write(&group(), &write_id, &Ok(version), MonoTime(now));
                 }
             }
         }
@@ -235,16 +244,17 @@
 fn its_own_late_renewal_is_no_rival() {
     let mut table = table("a", 0);
     let at = acquire(&mut table, 0);
-    let (sent, mark, first) = write_after(&mut table, None, at, at + 6_000).unwrap();
-    table.note_write(&group(), &mark, &Err(lost()), MonoTime(sent));
+    let (sent, write_id, first) = write_after(&mut table, None, at, at + 6_000).unwrap();
+    table.note_write(&group(), &write_id, &Err(lost()), MonoTime(sent));
     let before = StoredObject {
         version: ObjectVersion(first.version.0 - 1),
         ..first.clone()
     };
-    let (again, mark, _) = write_after(&mut table, Some(&before), sent + 100, sent + 900).unwrap();
+    let (again, write_id, _) =
+        write_after(&mut table, Some(&before), sent + 100, sent + 900).unwrap();
     table.note_write(
         &group(),
-        &mark,
+        &write_id,
         &Err(conflict(first.version.0)),
         MonoTime(again),
     );
@@ -270,8 +280,8 @@
                 LeaseAction::Read(group) => {
                     table.note_read(&group, &Err(down.clone()), MonoTime(now));
                 }
-                LeaseAction::Write { mark, .. } => {
-                    table.note_write(&group(), &mark, &Err(down.clone()), MonoTime(now));
+                LeaseAction::Write { write_id, .. } => {
+                    table.note_write(&group(), &write_id, &Err(down.clone()), MonoTime(now));
                 }
             }
         }
@@ -279,7 +289,7 @@
         assert_eq!(table.authority(&group(), MonoTime(now)).is_some(), allowed);
     }
     assert!(calls <= 30, "{calls}");
-    let news = table.take_news();
+    let news = table.take_changes();
     assert!(
         news.iter()
             .any(|n| !n.held && n.reason.contains("without a renewal"))
@@ -305,14 +315,14 @@
 fn a_planned_stop_hands_over() {
     let mut table = table("a", 0);
     let at = acquire(&mut table, 0);
-    table.set_unsettled(&group(), true);
+    table.set_order_in_flight(&group(), true);
     table.stop();
     assert!(table.authority(&group(), MonoTime(at)).is_none());
     assert!(!table.is_handed_over());
-    let (now, mark, stored) = write_after(&mut table, None, at, at + 300).unwrap();
+    let (now, write_id, stored) = write_after(&mut table, None, at, at + 300).unwrap();
     let record = LeaseRecord::decode(&stored).unwrap();
-    assert!(record.released && record.unsettled);
-    table.note_write(&group(), &mark, &Ok(stored.version), MonoTime(now));
+    assert!(record.released && record.order_in_flight);
+    table.note_write(&group(), &write_id, &Ok(stored.version), MonoTime(now));
     assert!(table.is_handed_over());
     assert!(write_after(&mut table, Some(&stored), now, now + 60_000).is_none());
 }
@@ -331,7 +341,10 @@
         let rank = usize::from(first);
         table.set_groups(&IndexMap::from([(group(), rank)]), MonoTime(now));
         for action in table.tick(MonoTime(now)) {
-            let LeaseAction::Write { mark, write, .. } = action else {
+            let LeaseAction::Write {
+                write_id, write, ..
+            } = action
+            else {
                 continue;
             };
             let version = ObjectVersion(write.expected.0 + 1);
@@ -343,7 +356,7 @@
             if LeaseRecord::decode(&stored).unwrap().released {
                 released = Some(now);
             }
-            table.note_write(&group(), &mark, &Ok(version), MonoTime(now));
+            table.note_write(&group(), &write_id, &Ok(version), MonoTime(now));
         }
     }
     let released = released.unwrap();
@@ -358,8 +371,8 @@
 fn who_takes_over_late_keeps_the_lease() {
     let mut table = table("a", 1);
     let quiet = foreign(3, 4, false, false);
-    let (at, mark, stored) = write_after(&mut table, Some(&quiet), 60_000, 80_000).unwrap();
-    table.note_write(&group(), &mark, &Ok(stored.version), MonoTime(at));
+    let (at, write_id, stored) = write_after(&mut table, Some(&quiet), 60_000, 80_000).unwrap();
+    table.note_write(&group(), &write_id, &Ok(stored.version), MonoTime(at));
     table.set_groups(&IndexMap::from([(group(), 1)]), MonoTime(at + 100));
     let next = write_after(&mut table, None, at + 100, at + 4_000);
     let (_, _, stored) = next.expect("a renewal");
@@ -400,7 +413,7 @@
     ]);
     let mut leaders: IndexMap<GroupName, Vec<(usize, &str)>> = IndexMap::new();
     for (id, _) in daemons {
-        for (group, rank) in lease_groups::own_ranks(&fleet, &counts, &DaemonId::from(id)) {
+        for (group, rank) in lease_groups::local_ranks(&fleet, &counts, &DaemonId::from(id)) {
             leaders.entry(group).or_default().push((rank, id));
         }
     }
@@ -430,7 +443,7 @@
 #[case(65, 64, 2)]
 #[case(632, 64, 13)]
 fn group_counts_leave_room(#[case] engines: usize, #[case] most: usize, #[case] count: u32) {
-    assert_eq!(lease_groups::initial_count(engines, most), count);
+    assert_eq!(lease_groups::initial_group_count(engines, most), count);
     let centre = CentreName::from("north");
     let mut sizes: IndexMap<GroupName, usize> = IndexMap::new();
     for number in 0..engines {
--- a/tests/control_membership.rs
+++ b/tests/control_membership.rs
@@ -7,7 +7,7 @@
 use pistachiowick::membership::addressing;
 use pistachiowick::membership::fleet::UseState;
 use pistachiowick::membership::suspicion::CallSource;
-use pistachiowick::membership::{MembershipLimits, MembershipState, PeerWord, own_view};
+use pistachiowick::membership::{MembershipLimits, MembershipState, PeerUpdate, local_view};
 use pistachiowick::names::{
     CentreName, DaemonId, MonoTime, ProcessIncarnation, ServiceName, TargetId,
 };
@@ -20,7 +20,7 @@
 const LIMITS: MembershipLimits = MembershipLimits {
     absent_lists: 2,
     forget: Duration::from_secs(60),
-    peer_silence: Duration::from_secs(3),
+    peer_timeout: Duration::from_secs(3),
 };
 
 fn row(id: &str, kind: InstanceKind, state: InstanceState) -> InstanceRow {
@@ -64,7 +64,7 @@
 }
 
 fn membership() -> MembershipState {
-    let own = own_view(
+    let own = local_view(
         DaemonId::from("me"),
         "me:1".to_owned(),
         "me:2".to_owned(),
@@ -255,7 +255,7 @@
     let mut state = membership();
     state.apply_list(&[engine("e", InstanceState::Live)], MonoTime(0));
     for (source, answered) in case.calls {
-        state.note_call(&TargetId::from("e"), *source, *answered, MonoTime(10));
+        state.record_call(&TargetId::from("e"), *source, *answered, MonoTime(10));
     }
     let expected = if case.suspect {
         UseState::Suspect
@@ -276,7 +276,7 @@
         MonoTime(0),
     );
     let fail = |state: &mut MembershipState, at| {
-        state.note_call(&target, CallSource::Work, false, MonoTime(at));
+        state.record_call(&target, CallSource::Work, false, MonoTime(at));
     };
     for _ in 0..3 {
         fail(&mut state, 0);
@@ -305,7 +305,7 @@
         let now = MonoTime(step * 100);
         if !state.engines_to_poll(now).is_empty() {
             polls += 1;
-            state.note_call(&TargetId::from("e"), CallSource::Poll, false, now);
+            state.record_call(&TargetId::from("e"), CallSource::Poll, false, now);
         }
         state.tick(now);
     }
@@ -367,12 +367,12 @@
     let mut state = membership();
     state.apply_list(&[daemon("d", InstanceState::Live)], MonoTime(0));
     for (incarnation, leaving) in case.words {
-        let word = PeerWord {
+        let word = PeerUpdate {
             daemon: DaemonId::from("d"),
             incarnation: ProcessIncarnation(*incarnation),
             leaving: *leaving,
         };
-        state.note_peer(&word, MonoTime(1));
+        state.apply_peer_update(&word, MonoTime(1));
     }
     assert_eq!(daemon_state(&mut state, "d"), Some(case.state));
     let view = &state.fleet().daemons[&DaemonId::from("d")];
@@ -383,17 +383,17 @@
 fn a_silent_peer_is_suspected() {
     let mut state = membership();
     state.apply_list(&[daemon("d", InstanceState::Live)], MonoTime(0));
-    let word = PeerWord {
+    let word = PeerUpdate {
         daemon: DaemonId::from("d"),
         incarnation: ProcessIncarnation(1),
         leaving: false,
     };
-    state.note_peer(&word, MonoTime(0));
+    state.apply_peer_update(&word, MonoTime(0));
     state.tick(MonoTime(2_999));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
     state.tick(MonoTime(3_000));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Suspect));
-    state.note_peer(&word, MonoTime(3_100));
+    state.apply_peer_update(&word, MonoTime(3_100));
     state.tick(MonoTime(3_200));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
 }
@@ -423,7 +423,7 @@
     };
     let mut fleet = (*snapshot.fleet).clone();
     for (id, centre, state) in daemons {
-        let mut view = own_view(
+        let mut view = local_view(
             DaemonId::from(*id),
             format!("{id}:1"),
             String::new(),
--- a/tests/control_orders.rs
+++ b/tests/control_orders.rs
@@ -4,25 +4,27 @@
 use std::time::Duration;
 
 use pistachiowick::authority::lease_state::{LeaseAuthority, LeaseTimes};
-use pistachiowick::authority::order_record::{EngineWish, OrderPhase, OrderRecord, order_object};
+use pistachiowick::authority::order_record::{
+    OrderPhase, OrderRecord, PlannedChange, order_object,
+};
 use pistachiowick::authority::order_types::{OrderAction, OrderTimes};
-use pistachiowick::authority::orders::OrderBook;
+use pistachiowick::authority::orders::OrderManager;
 use pistachiowick::names::{FenceNumber, GroupName, MonoTime, ProcessIncarnation, TargetId};
 use pistachiowick::ports::{ObjectVersion, PlatformError, StoredObject, TargetError};
-use pistachiowick::targets::wire::{EngineRole, EngineState, OrderBody, OrderMark};
+use pistachiowick::targets::wire::{EngineRole, EngineState, OrderBody, OrderId};
 use rstest::rstest;
 
 const LEASE: LeaseTimes = LeaseTimes {
     duration: Duration::from_millis(6_000),
     guard: Duration::from_millis(1_500),
-    order_flight: Duration::from_millis(1_000),
+    max_order_flight: Duration::from_millis(1_000),
 };
 
 /// An engine, its group's object, and the order managers of successive lease holders.
 struct Bench {
     now: u64,
     stored: Option<StoredObject>,
-    book: OrderBook,
+    book: OrderManager,
     fence: u64,
     state: EngineState,
     sent: Vec<(u64, OrderBody)>,
@@ -32,8 +34,8 @@
     TargetId::from("e")
 }
 
-fn wish(role: EngineRole) -> EngineWish {
-    EngineWish {
+fn change(role: EngineRole) -> PlannedChange {
+    PlannedChange {
         role,
         models: vec!["m".to_owned()],
         reason: "the mix".to_owned(),
@@ -44,8 +46,8 @@
     OrderTimes::new(LEASE, Duration::from_secs(3))
 }
 
-fn book(fence: u64) -> OrderBook {
-    OrderBook::new(GroupName::from("north-0"), FenceNumber(fence), times())
+fn book(fence: u64) -> OrderManager {
+    OrderManager::new(GroupName::from("north-0"), FenceNumber(fence), times())
 }
 
 impl Bench {
@@ -109,11 +111,11 @@
         for action in self.book.tick(now) {
             match &action {
                 OrderAction::Read => self.book.note_read(&Ok(self.stored.clone()), now),
-                OrderAction::Write { mark, .. } => {
+                OrderAction::Write { write_id, .. } => {
                     let result = self.store(&action).ok_or(PlatformError::Conflict {
                         current: ObjectVersion(0),
                     });
-                    self.book.note_write(mark, &result, now);
+                    self.book.note_write(write_id, &result, now);
                 }
                 OrderAction::Send(target) => sends.push(target.clone()),
             }
@@ -147,7 +149,7 @@
     /// Requests a role until the order for it is sent.
     fn wanted_order(&mut self, role: EngineRole) -> OrderBody {
         for _ in 0..200 {
-            self.book.want(engine(), wish(role));
+            self.book.request_change(engine(), change(role));
             if self.step().is_empty() {
                 continue;
             }
@@ -159,7 +161,7 @@
 
     /// The engine accepts an order and starts the change.
     fn take(&mut self, body: &OrderBody) -> EngineState {
-        self.state.last_order = Some(body.mark.clone());
+        self.state.last_order = Some(body.order_id.clone());
         self.state.changing = true;
         self.state.clone()
     }
@@ -184,7 +186,9 @@
 fn a_change_is_drained_recorded_sent_and_finished() {
     let mut bench = Bench::new();
     bench.state.running = 2;
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     assert!(bench.steps(50).is_empty(), "ordered while work is running");
     assert_eq!(
         bench.recorded().entries[&engine()].phase,
@@ -192,7 +196,7 @@
     );
     bench.state.running = 0;
     let body = bench.order();
-    let recorded = OrderPhase::Ordered(body.mark.clone());
+    let recorded = OrderPhase::Ordered(body.order_id.clone());
     assert_eq!(bench.recorded().entries[&engine()].phase, recorded);
     let answer = bench.take(&body);
     bench
@@ -211,7 +215,9 @@
 #[test]
 fn an_early_report_of_no_work_is_not_believed() {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     for _ in 0..10 {
         if bench.stored.is_none() || bench.recorded().entries.is_empty() {
             bench.step();
@@ -226,10 +232,12 @@
 fn a_drain_that_never_ends_is_given_up_without_an_order() {
     let mut bench = Bench::new();
     bench.state.running = 1;
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     bench.steps(3_100);
     assert!(bench.recorded().entries.is_empty());
-    let news = bench.book.take_news();
+    let news = bench.book.take_events();
     assert!(
         news.iter()
             .any(|n| n.reason.contains("did not finish in time"))
@@ -250,7 +258,9 @@
 #[case::another_fence(SendCase { authority: Some((2, u64::MAX)), sends: false })]
 fn authority_is_checked_at_the_last_moment(#[case] case: SendCase) {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     assert!(!bench.steps_until_send().is_empty());
     let authority = case.authority.map(|(fence, until)| LeaseAuthority {
         fence: FenceNumber(fence),
@@ -286,7 +296,9 @@
 })]
 fn a_lost_answer_is_settled_by_the_engines_state(#[case] case: AnswerCase) {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     let first = bench.order();
     let sent_at = bench.now;
     if case.reached {
@@ -318,7 +330,9 @@
 #[test]
 fn a_fenced_order_ends_the_book() {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     bench.order();
     let answer = Err(TargetError::Fenced {
         current: FenceNumber(9),
@@ -341,16 +355,16 @@
     let mut paused = bench.book.clone();
     bench.succeed();
     bench.steps(5);
-    paused.want(engine(), wish(EngineRole::Prefill));
+    paused.request_change(engine(), change(EngineRole::Prefill));
     let now = MonoTime(bench.now);
     paused.note_state(&engine(), &bench.state, now);
     for action in paused.tick(now) {
-        if let OrderAction::Write { mark, .. } = &action {
+        if let OrderAction::Write { write_id, .. } = &action {
             assert!(bench.store(&action).is_none(), "an old holder wrote");
             let conflict = PlatformError::Conflict {
                 current: ObjectVersion(9),
             };
-            paused.note_write(mark, &Err(conflict), now);
+            paused.note_write(write_id, &Err(conflict), now);
         }
     }
     for action in paused.tick(now) {
@@ -373,10 +387,14 @@
 #[case::finished(HeirCase { reached: true, finishes: true })]
 fn a_successor_settles_the_outstanding_order(#[case] case: HeirCase) {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     let first = bench.order();
     bench.succeed();
-    bench.book.want(engine(), wish(EngineRole::Decode));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Decode));
     if case.reached {
         bench.take(&first);
     }
@@ -389,8 +407,8 @@
         bench.finish(&first);
     }
     let second = bench.wanted_order(EngineRole::Decode);
-    assert_eq!(second.mark.fence, FenceNumber(2));
-    assert_ne!(second.mark.id, first.mark.id);
+    assert_eq!(second.order_id.fence, FenceNumber(2));
+    assert_ne!(second.order_id.id, first.order_id.id);
     if !case.reached {
         assert!(
             bench.now >= claimed + 1_000,
@@ -403,22 +421,26 @@
 fn a_successor_drops_drains_and_reads_states_first() {
     let mut bench = Bench::new();
     bench.state.running = 1;
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     bench.steps(10);
     assert_eq!(bench.recorded().entries.len(), 1);
     bench.succeed();
     bench.steps(5);
     assert!(bench.recorded().entries.is_empty());
     bench.succeed();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     let mut book = bench.book.clone();
     for now in (bench.now..bench.now + 5_000).step_by(100) {
         for action in book.tick(MonoTime(now)) {
             match &action {
                 OrderAction::Read => book.note_read(&Ok(bench.stored.clone()), MonoTime(now)),
-                OrderAction::Write { mark, .. } => {
+                OrderAction::Write { write_id, .. } => {
                     let version = bench.store(&action).unwrap();
-                    book.note_write(mark, &Ok(version), MonoTime(now));
+                    book.note_write(write_id, &Ok(version), MonoTime(now));
                 }
                 OrderAction::Send(_) => panic!("ordered before the engine's state was read"),
             }
@@ -433,7 +455,9 @@
 #[test]
 fn an_engine_that_restarts_during_its_change_is_let_go() {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     let body = bench.order();
     let answer = bench.take(&body);
     bench
@@ -457,20 +481,24 @@
 #[case::ignores(false)]
 fn the_edge_that_only_a_fence_closes(#[case] checks_fence: bool) {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     let old = bench.order();
     let last_check = bench.now;
     let ends = last_check + u64::try_from(LEASE.guard.as_millis()).unwrap();
-    let flight = u64::try_from(LEASE.order_flight.as_millis()).unwrap();
+    let flight = u64::try_from(LEASE.max_order_flight.as_millis()).unwrap();
     let taken_over = ends + flight;
     bench.now = taken_over;
     bench.succeed();
-    bench.book.want(engine(), wish(EngineRole::Decode));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Decode));
     let new = bench.wanted_order(EngineRole::Decode);
     let pause = bench.now - last_check;
     assert!(pause > 2_500, "a pause of {pause} ms does harm");
-    let highest = new.mark.fence;
-    let obeyed = !(checks_fence && old.mark.fence < highest);
+    let highest = new.order_id.fence;
+    let obeyed = !(checks_fence && old.order_id.fence < highest);
     assert_eq!(obeyed, !checks_fence);
 }
 
@@ -480,18 +508,20 @@
 fn its_own_late_record_is_taken_up() {
     let mut bench = Bench::new();
     bench.steps(5);
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     bench.now += 100;
     let now = MonoTime(bench.now);
     bench.book.note_state(&engine(), &bench.state, now);
     let actions = bench.book.tick(now);
-    let OrderAction::Write { mark, .. } = &actions[0] else {
+    let OrderAction::Write { write_id, .. } = &actions[0] else {
         panic!("{actions:?}");
     };
     let lost = PlatformError::Lost {
         reason: "no answer".to_owned(),
     };
-    bench.book.note_write(mark, &Err(lost), now);
+    bench.book.note_write(write_id, &Err(lost), now);
     for action in bench.book.tick(now) {
         assert_eq!(action, OrderAction::Read);
         bench.book.note_read(&Ok(bench.stored.clone()), now);
@@ -504,9 +534,11 @@
 fn wishes_taken_back_end_their_drain() {
     let mut bench = Bench::new();
     bench.state.running = 1;
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     bench.steps(10);
-    bench.book.keep_wishes(&indexmap::IndexMap::new());
+    bench.book.retain_changes(&indexmap::IndexMap::new());
     bench.state.running = 0;
     assert!(bench.steps(30).is_empty());
     assert!(bench.recorded().entries.is_empty());
@@ -516,7 +548,7 @@
 fn records_survive_the_wire() {
     let mut record = OrderRecord {
         fence: FenceNumber(3),
-        mark: "m".to_owned(),
+        write_id: "m".to_owned(),
         last_order: 7,
         ..OrderRecord::default()
     };
@@ -524,14 +556,14 @@
         ("a", OrderPhase::Draining),
         (
             "b",
-            OrderPhase::Ordered(OrderMark {
+            OrderPhase::Ordered(OrderId {
                 id: "x".to_owned(),
                 fence: FenceNumber(3),
             }),
         ),
     ] {
         let entry = pistachiowick::authority::order_record::OrderEntry {
-            wish: wish(EngineRole::Decode),
+            change: change(EngineRole::Decode),
             phase,
         };
         record.entries.insert(TargetId::from(name), entry);
@@ -551,7 +583,9 @@
 #[test]
 fn an_order_on_its_way_is_not_written_off() {
     let mut bench = Bench::new();
-    bench.book.want(engine(), wish(EngineRole::Prefill));
+    bench
+        .book
+        .request_change(engine(), change(EngineRole::Prefill));
     bench.order();
     bench.succeed();
     bench.step();
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_fakes::{FakeEngines, FakePlatform, until};
+use control_fakes::{FakeEngines, FakePlatform, wait_until};
 use indexmap::{IndexMap, IndexSet};
 use pistachiowick::config::catalogue::{ItemSpec, WorkspaceSpec};
 use pistachiowick::control::{
@@ -272,7 +272,7 @@
             });
             listeners.insert((*id).to_owned(), listener);
         }
-        platform.books().instances = rows;
+        platform.data().instances = rows;
         Self {
             platform,
             listeners,
@@ -368,14 +368,14 @@
     let mut bench = Bench::new(&ids);
     let nodes = ids.map(|id| bench.start(id, "secret"));
     for node in &nodes {
-        until("all heard", || hears(node, &ids)).await;
+        wait_until("all heard", || hears(node, &ids)).await;
     }
     // The watch under way when a feeder was first heard still runs to its end.
     let mut begun = u32::MAX;
     for _ in 0..100 {
-        let before = bench.platform.books().watches;
+        let before = bench.platform.data().watches;
         tokio::time::sleep(Duration::from_millis(350)).await;
-        begun = bench.platform.books().watches - before;
+        begun = bench.platform.data().watches - before;
         if begun <= 4 {
             break;
         }
@@ -411,22 +411,22 @@
         .map(|id| (*id, bench.start(id, "secret")))
         .collect();
     for node in nodes.values() {
-        until("all heard", || hears(node, &ids)).await;
+        wait_until("all heard", || hears(node, &ids)).await;
     }
     let fleet = nodes["a"].control.snapshot.load().fleet.clone();
     let topology = PeerTopology::new(&fleet, &DaemonId::from("a"), 1);
     let watcher = topology.local_watchers[0].clone();
     let dead = nodes.swap_remove(watcher.as_str()).unwrap();
     end(dead).await;
-    let before = bench.platform.books().watches;
-    until("the survivors watch", || {
-        bench.platform.books().watches >= before + 8
+    let before = bench.platform.data().watches;
+    wait_until("the survivors watch", || {
+        bench.platform.data().watches >= before + 8
     })
     .await;
     let (_, writer) = nodes.first().unwrap();
     change(writer, "late").await;
     for node in nodes.values() {
-        until("in force", || has_workspace(node, "late")).await;
+        wait_until("in force", || has_workspace(node, "late")).await;
     }
     for (_, node) in nodes {
         end(node).await;
@@ -441,7 +441,7 @@
     let nodes = [bench.start("a", "secret"), bench.start("b", "secret")];
     let stranger = bench.start("stranger", "guess");
     for node in &nodes {
-        until("peers heard", || hears(node, &["a", "b"])).await;
+        wait_until("peers heard", || hears(node, &["a", "b"])).await;
     }
     for node in &nodes {
         assert!(!hears(node, &["stranger"]));
@@ -460,7 +460,7 @@
     let mut bench = Bench::new(&ids);
     let nodes = ["a", "b"].map(|id| bench.start(id, "secret"));
     for node in &nodes {
-        until("peers heard", || hears(node, &["a", "b"])).await;
+        wait_until("peers heard", || hears(node, &["a", "b"])).await;
     }
     let ask = |peer: &str, text: &str| {
         (nodes[0].peers.request)((DaemonId::from(peer), text.as_bytes().to_vec()))
@@ -491,7 +491,7 @@
     let mut bench = Bench::new(&ids);
     let nodes = ids.map(|id| bench.start(id, "secret"));
     for node in &nodes {
-        until("peers heard", || hears(node, &ids)).await;
+        wait_until("peers heard", || hears(node, &ids)).await;
     }
     let (done, _told) = oneshot::channel();
     nodes[0]
@@ -499,7 +499,7 @@
         .events
         .send(ControlEvent::Stop { done })
         .unwrap();
-    until("leaving", || {
+    wait_until("leaving", || {
         let snapshot = nodes[1].control.snapshot.load();
         snapshot.fleet.daemons[&DaemonId::from("a")].state == UseState::Leaving
     })
--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -48,7 +48,7 @@
 
 fn bucket_of(platform: &FakePlatform, change: &ItemChange) -> BucketRecord {
     let object = BucketIndex::of(&change.item).object();
-    let (version, value) = platform.books().objects[&object].clone();
+    let (version, value) = platform.data().objects[&object].clone();
     let stored = StoredObject {
         object,
         version,
@@ -74,7 +74,7 @@
 
 fn race(on: &FakePlatform, change: &ItemChange) -> ConditionalWrite {
     let object = BucketIndex::of(&change.item).object();
-    let found = on.books().objects.get(&object).cloned();
+    let found = on.data().objects.get(&object).cloned();
     let (expected, bucket) = match found {
         None => (ObjectVersion(0), BucketRecord::default()),
         Some((version, _)) => (version, bucket_of(on, change)),
@@ -113,19 +113,19 @@
     let first = change("w", 1, 0);
     run(&platform, &first, "first").await.unwrap();
     {
-        let mut books = platform.books();
-        books.faults.extend(case.faults);
-        books.stale_reads = case.stale_reads;
+        let mut data = platform.data();
+        data.faults.extend(case.faults);
+        data.stale_reads = case.stale_reads;
     }
     let second = change("w", 2, 1);
     if case.land_after_read {
         // The first read of the change comes before its write: arm after it.
         let port = platform.clone();
         let arm = tokio::spawn(async move {
-            while port.books().delayed.is_empty() {
+            while port.data().delayed.is_empty() {
                 tokio::task::yield_now().await;
             }
-            port.books().land_after_read = true;
+            port.data().land_after_read = true;
         });
         let done = run(&platform, &second, "second").await.unwrap();
         arm.await.unwrap();
@@ -134,7 +134,7 @@
         let done = run(&platform, &second, "second").await.unwrap();
         assert_eq!(done.revision, 2);
     }
-    for late in platform.books().land_delayed() {
+    for late in platform.data().land_delayed() {
         assert!(late.is_err(), "a superseded write landed");
     }
     assert_eq!(weight_of(&platform, &second), 2);
@@ -148,15 +148,15 @@
 async fn finds_its_mark_beneath_a_rivals() {
     let platform = FakePlatform::default();
     let own = change("w", 1, 0);
-    platform.books().faults.push_back(WriteFault::AnswerLost);
+    platform.data().faults.push_back(WriteFault::AnswerLost);
     let port = platform.clone();
     let watched = own.clone();
     let rival = tokio::spawn(async move {
-        while port.books().objects.is_empty() {
+        while port.data().objects.is_empty() {
             tokio::task::yield_now().await;
         }
         let write = race(&port, &neighbour(&watched));
-        port.books().take(&write).unwrap();
+        port.data().take(&write).unwrap();
     });
     let done = run(&platform, &own, "own").await.unwrap();
     rival.await.unwrap();
@@ -172,11 +172,10 @@
     run(&platform, &change("w", 1, 0), "first").await.unwrap();
     {
         let write = race(&platform, &change("w", 7, 1));
-        let mut books = platform.books();
-        books
-            .faults
+        let mut data = platform.data();
+        data.faults
             .extend([WriteFault::Delayed, WriteFault::Delayed]);
-        books.before_write.push_back(write);
+        data.before_write.push_back(write);
     }
     let error = run(&platform, &change("w", 2, 1), "second")
         .await
@@ -186,7 +185,7 @@
     };
     assert_eq!(current, 2);
     assert!(found.contains("\"weight\":7"), "{found}");
-    assert!(platform.books().land_delayed().iter().all(Result::is_err));
+    assert!(platform.data().land_delayed().iter().all(Result::is_err));
 }
 
 /// A rival changes another item of the bucket between read and write: no conflict for
@@ -196,7 +195,7 @@
     let platform = FakePlatform::default();
     let own = change("w", 1, 0);
     let write = race(&platform, &neighbour(&own));
-    platform.books().before_write.push_back(write);
+    platform.data().before_write.push_back(write);
     let done = run(&platform, &own, "own").await.unwrap();
     assert_eq!(done.revision, 2);
     assert_eq!(bucket_of(&platform, &own).items.len(), 2);
@@ -211,10 +210,10 @@
 async fn tells_unavailable_from_unknown(#[case] loses: bool) {
     let platform = FakePlatform::default();
     if loses {
-        platform.books().faults.push_back(WriteFault::Delayed);
+        platform.data().faults.push_back(WriteFault::Delayed);
         let port = platform.clone();
         tokio::spawn(async move {
-            while port.books().delayed.is_empty() {
+            while port.data().delayed.is_empty() {
                 tokio::task::yield_now().await;
             }
             port.set_down(true);
@@ -230,7 +229,7 @@
         ChangeError::Unavailable { .. } => assert!(!loses),
         other => panic!("{other:?}"),
     }
-    let landed = platform.books().land_delayed();
+    let landed = platform.data().land_delayed();
     assert_eq!(landed.iter().any(Result::is_ok), loses);
 }
 
--- a/tests/control_thread.rs
+++ b/tests/control_thread.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_fakes::{FakeEngines, FakePlatform, until};
+use control_fakes::{FakeEngines, FakePlatform, wait_until};
 use pistachiowick::config::buckets::BucketIndex;
 use pistachiowick::config::catalogue::{ItemSpec, WorkspaceSpec};
 use pistachiowick::control::{
@@ -102,16 +102,16 @@
 #[tokio::test]
 async fn ready_only_with_a_whole_configuration() {
     let platform = FakePlatform::default();
-    platform.books().instances = vec![row("e", InstanceKind::Engine)];
+    platform.data().instances = vec![row("e", InstanceKind::Engine)];
     platform.set_down(true);
     let handle = start("a", &platform, &FakeEngines::default());
     let cell = handle.snapshot.clone();
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert!(!cell.load().ready);
     platform.set_down(false);
-    until("ready", || cell.load().ready).await;
+    wait_until("ready", || cell.load().ready).await;
     platform.set_down(true);
-    until("unreachable", || !cell.load().platform_reachable).await;
+    wait_until("unreachable", || !cell.load().platform_reachable).await;
     assert!(cell.load().ready);
     assert_eq!(cell.load().fleet.targets.len(), 1);
     end(handle).await;
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn a_change_is_in_force_before_it_is_accepted_and_reaches_others() {
     let platform = FakePlatform::default();
-    platform.books().instances = vec![
+    platform.data().instances = vec![
         row("a", InstanceKind::Entry),
         row("b", InstanceKind::Entry),
         row("e", InstanceKind::Engine),
@@ -130,14 +130,14 @@
     let second = start("b", &platform, &engines);
     for handle in [&first, &second] {
         let cell = handle.snapshot.clone();
-        until("ready", || cell.load().ready).await;
+        wait_until("ready", || cell.load().ready).await;
     }
     let report = change(&first, workspace("w", 0)).await.unwrap();
     let name = WorkspaceName::from("w");
     assert!(first.snapshot.load().config.workspaces.contains_key(&name));
     assert_eq!(report.revision, 1);
     let cell = second.snapshot.clone();
-    until("in force", || {
+    wait_until("in force", || {
         cell.load().config.workspaces.contains_key(&name)
     })
     .await;
@@ -167,14 +167,14 @@
         result.unwrap();
     }
     assert_eq!(handle.snapshot.load().config.workspaces.len(), 20);
-    assert_eq!(platform.books().writes, 20);
+    assert_eq!(platform.data().writes, 20);
     end(handle).await;
 }
 
 #[tokio::test]
 async fn reports_and_states_enter_the_snapshot() {
     let platform = FakePlatform::default();
-    platform.books().instances = vec![
+    platform.data().instances = vec![
         row("e", InstanceKind::Engine),
         row("dead", InstanceKind::Engine),
     ];
@@ -183,20 +183,20 @@
     let handle = start("a", &platform, &engines);
     let cell = handle.snapshot.clone();
     let target = TargetId::from("e");
-    until("a report", || {
+    wait_until("a report", || {
         let snapshot = cell.load();
         let view = snapshot.fleet.targets.get(&target);
         let report = view.and_then(|t| t.report.as_ref());
         report.is_some_and(|r| r.prefill_backlog_tokens == 7)
     })
     .await;
-    until("suspicion", || {
+    wait_until("suspicion", || {
         let snapshot = cell.load();
         snapshot.fleet.targets[&TargetId::from("dead")].state == UseState::Suspect
     })
     .await;
-    platform.books().instances[0].state = InstanceState::Leaving;
-    until("leaving", || {
+    platform.data().instances[0].state = InstanceState::Leaving;
+    wait_until("leaving", || {
         cell.load().fleet.targets[&target].state == UseState::Leaving
     })
     .await;
@@ -208,7 +208,7 @@
     let platform = FakePlatform::default();
     let handle = start("a", &platform, &FakeEngines::default());
     let cell = handle.snapshot.clone();
-    until("ready", || cell.load().ready).await;
+    wait_until("ready", || cell.load().ready).await;
     let (done, told) = oneshot::channel();
     handle.events.send(ControlEvent::Stop { done }).unwrap();
     told.await.unwrap();
