--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -1,4 +1,4 @@
-//! Decides whom a request is for, by the key that its caller shows.
+//! Determines the workspace of a request from the key that its caller sends.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 use crate::gateway::routes::RouteTable;
 
 impl Gateway {
-    /// Checks the caller's key; the rank of its workspace goes before the route's.
+    /// Checks the caller's key; the rank of its workspace overrides the route's.
     ///
     /// # Errors
     ///
-    /// Returns the failure that a caller without a key of a workspace is told.
+    /// Returns the failure to answer with if the key belongs to no workspace or cannot be
+    /// confirmed at present.
     pub(super) fn check_access(
         &self,
         routes: &RouteTable,
@@ -43,11 +44,11 @@
         })
     }
 
-    /// Refuses a request that may not be sent on any more.
+    /// Checks that a request may still be sent to a target.
     ///
     /// # Errors
     ///
-    /// Returns the refusal; a choice of engines would try one after the other instead.
+    /// Returns the refusal, so that the caller does not try one engine after another.
     pub(super) fn check_still(&self, access: &CallerAccess) -> Result<(), Failure> {
         if self.may_still_send(access) {
             return Ok(());
@@ -55,10 +56,10 @@
         Err(Failure::refused(UNCONFIRMED, UNCONFIRMED_WAIT))
     }
 
-    /// Whether a request may still be sent on for whom it was taken.
+    /// Returns whether a request may still be sent to a target on behalf of its workspace.
     ///
-    /// It may have waited for an engine or its prompt's reading for seconds, in which its
-    /// key was taken away or this daemon was cut off.
+    /// It may have waited for an engine or its prefill for seconds, in which its key was
+    /// revoked or this daemon was disconnected.
     pub(super) fn may_still_send(&self, access: &CallerAccess) -> bool {
         let CallerAccess::Workspace { name, key } = access else {
             return true;
@@ -73,9 +74,9 @@
     metrics::counter!("pistachiowick_keyed_refusals_total", "reason" => reason).increment(1);
 }
 
-const UNKNOWN_KEY: &str = "the request shows no key of a workspace; send one key that is in force";
-const UNCONFIRMED: &str =
-    "whether keys are still in force cannot be known here at present; come back or ask elsewhere";
-/// Time to come back to a daemon that cannot confirm keys. The store and the daemons that
-/// it serves confirm them again within a second of its return.
+const UNKNOWN_KEY: &str = "the request has no valid workspace key; send exactly one valid key";
+const UNCONFIRMED: &str = "this daemon cannot confirm at present whether keys are still valid; \
+    retry after the stated time or at another daemon";
+/// Retry-after time of a daemon that cannot confirm keys. Once the store is back, keys are
+/// confirmed again within a second.
 const UNCONFIRMED_WAIT: Duration = Duration::from_millis(800);
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,9 +1,9 @@
-//! The fleet's budget of repeated sends, kept by each daemon for its own share.
+//! The fleet's retry budget, of which each daemon enforces its own share.
 //!
-//! A repeat is allowed as a share of the requests seen here, plus this daemon's
-//! part of a fixed allowance. The sum over all daemons stays within the fleet's
-//! budget without any message between them, also when they are cut off from
-//! each other, because no daemon's part hangs on what another one does.
+//! A daemon may retry a fraction of the requests that it received, plus its share of a
+//! fixed allowance. No daemon's share depends on what another one does, so the sum over
+//! all daemons stays within the fleet's budget without communication, even during a
+//! network partition.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 
 use crate::names::{MonoTime, ServiceName};
 
-/// Spans that a window is divided into; one more is kept, so that a window that
-/// lies across two spans is covered whole.
+/// Spans that a window is divided into. One more is kept, so that any window that begins
+/// within a span is covered completely.
 const SPANS: u64 = 10;
-/// Part of the fleet's budget that is used, as the daemons' windows do not begin
-/// together and repeats of callers' connections are not all seen.
+/// Share of the fleet's budget that is used, since the daemons' windows are not aligned
+/// and not all retries of callers' connections are seen.
 const USED_SHARE: f64 = 0.7;
 
-/// What the fleet may repeat.
+/// Limits on the fleet's retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRule {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats per window beside the ratio, for all daemons together.
+    /// Retries per window in addition to the ratio, for all daemons together.
     pub allowance: f64,
     /// Length of a window.
     pub window: Duration,
@@ -31,12 +31,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct SpanCounts {
-    // Counts by the number of the span.
+    // Counts by span number.
     requests: IndexMap<u64, u32>,
     repeats: IndexMap<u64, u32>,
 }
 
-/// Repeats of one daemon, by service.
+/// Retry budget of one daemon, by service.
 #[derive(Clone, Debug)]
 pub struct RepeatBudget {
     rule: BudgetRule,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Sets what the fleet may repeat from now on.
+    /// Sets the limits from now on.
     pub fn set_rule(&mut self, rule: BudgetRule) {
         self.rule = rule;
     }
 
-    /// Notes a caller's request for a service.
+    /// Records a caller's request for a service.
     pub fn note_request(&mut self, service: &ServiceName, now: MonoTime) {
         let span = self.span(now);
         let counts = self.services.entry(service.clone()).or_default();
@@ -66,7 +66,8 @@
         counts.requests.retain(|at, _| *at + SPANS >= span);
     }
 
-    /// Takes one repeat, if the share of one of `daemons` daemons has one left.
+    /// Takes one retry from the budget and returns true, unless this daemon's share among
+    /// `daemons` daemons is used up.
     #[must_use]
     pub fn spend(&mut self, service: &ServiceName, daemons: usize, now: MonoTime) -> bool {
         let span = self.span(now);
--- a/src/gateway/deciding/affinity.rs
+++ b/src/gateway/deciding/affinity.rs
@@ -1,9 +1,9 @@
-//! Where shared parts of prompts are cached, and where they should be.
+//! Cache affinity: which engines cache which prompt parts, and which ones should.
 //!
-//! Reading a long shared part again is the dearest everyday mistake, so requests
-//! that share parts go to the same few engines. Each shared part has an order of
-//! homes by rendezvous hashing: every daemon computes the same one without a
-//! message, and an engine that comes or goes moves only its own parts.
+//! Recomputing a long shared part is the most expensive common mistake, so requests
+//! that share parts are sent to the same few engines. Rendezvous hashing ranks the
+//! engines as homes of each shared part: all daemons compute the same ranking without
+//! communication, and an engine that joins or leaves moves only its own parts.
 
 use std::time::Duration;
 
@@ -14,23 +14,24 @@
 use crate::names::MonoTime;
 use crate::target_life::TargetLife;
 
-/// Age from which a part is no longer believed to be cached. Engines drop what was
-/// least recently used; at the loads met so far parts lived for tens of seconds.
+/// Time since its last use after which a part is assumed to be evicted. Engines evict
+/// the least recently used parts; under load, parts stay cached for tens of seconds.
 const BELIEF_TIME: Duration = Duration::from_secs(60);
 
-/// Tokens that an engine is believed to cache, in percent of its memory. Beliefs
-/// count running prompts too, so this is all of it; 45 and 140 were worse.
+/// Share of an engine's KV cache that the index assumes to be filled with prompt parts.
+/// Parts of running prompts are counted too, so it is all of it; 45 and 140 percent gave
+/// worse placements.
 const CACHE_SHARE_PERCENT: u64 = 100;
 
 #[derive(Clone, Copy, Debug)]
 struct CachedPart {
     tokens: u32,
     used_at: MonoTime,
-    // Whether it was read or copied whole; until then it is on its way.
+    // Whether it was prefilled or copied completely; until then it is in progress.
     ready: bool,
 }
 
-/// Beliefs about the caches of engines.
+/// Estimate of which prompt parts each engine caches.
 #[derive(Clone, Debug, Default)]
 pub struct CacheBook {
     engines: IndexMap<TargetLife, IndexMap<u64, CachedPart>>,
@@ -38,19 +39,20 @@
 }
 
 impl CacheBook {
-    /// Sets how many tokens an engine's memory holds. Running requests share it.
+    /// Sets the KV cache capacity of an engine, which running requests share.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.most_tokens = tokens * CACHE_SHARE_PERCENT / 100;
     }
 
-    /// Tokens of the leading parts that an engine is believed to have, or to have
-    /// by the time that a request sent now is read.
+    /// Returns the tokens of the leading parts that an engine probably caches, or will
+    /// cache by the time that a request sent now is prefilled.
     #[must_use]
     pub fn cached_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
         self.leading_tokens(engine, parts, now, |_| true)
     }
 
-    /// Tokens of the leading parts that another engine could copy from this one.
+    /// Returns the tokens of the leading parts that another engine could copy from this
+    /// one.
     #[must_use]
     pub fn ready_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
         self.leading_tokens(engine, parts, now, |part| part.ready)
@@ -74,13 +76,13 @@
         held.sum()
     }
 
-    /// Notes that an engine has read, or was given, a prompt.
+    /// Records that an engine has prefilled a prompt, or received its KV cache.
     pub fn note_held(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) {
         self.note(engine, parts, now, true);
     }
 
-    /// Notes that an engine was asked to read a prompt. Requests that share its
-    /// parts had better wait there than have them read a second time elsewhere.
+    /// Records that a prompt was sent to an engine for prefill. Requests that share its
+    /// parts do better to wait there than to have them recomputed elsewhere.
     pub fn note_coming(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) {
         self.note(engine, parts, now, false);
     }
@@ -90,7 +92,7 @@
         for part in parts {
             let tokens = part.tokens;
             let used_at = now;
-            // Re-inserted at the end: the map's order is the order of last use.
+            // Re-inserted at the end, because the map is ordered by last use.
             let before = cached.shift_remove(&part.key);
             let cached_part = CachedPart {
                 tokens,
@@ -108,13 +110,14 @@
         }
     }
 
-    /// Forgets engines for which `keep` is false.
+    /// Removes engines for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&TargetLife) -> bool) {
         self.engines.retain(|engine, _| keep(engine));
     }
 }
 
-/// Key of what a prompt shares with others: all parts but the last.
+/// Returns the key of the prefix that a prompt may share with others: all parts but the
+/// last.
 #[must_use]
 pub fn shared_key(parts: &[PromptPart]) -> Option<u64> {
     let (_, shared) = parts.split_last()?;
@@ -122,26 +125,27 @@
     Some(last.key)
 }
 
-/// Tokens of what a prompt shares with others.
+/// Returns the tokens of the prefix that a prompt may share with others.
 #[must_use]
 pub fn shared_tokens(parts: &[PromptPart]) -> u32 {
     let shared = parts.split_last().map_or(&[][..], |(_, shared)| shared);
     shared.iter().map(|part| part.tokens).sum()
 }
 
-/// Weight of an engine as the home of a shared part; the highest is the first home.
+/// Returns the weight of an engine as home of a shared part; the highest weight is the
+/// first home.
 #[must_use]
 pub fn home_weight(key: u64, engine: &TargetLife) -> u64 {
     weight(key, engine.as_str())
 }
 
-/// Weight of a name for a key in rendezvous hashing.
+/// Returns the rendezvous hashing weight of a name for a key.
 #[must_use]
 pub fn weight(key: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), key)
 }
 
-/// Hash of a part's identity as callers write it.
+/// Returns the hash of a part's identity as callers write it.
 #[must_use]
 pub fn part_key(identity: &str) -> u64 {
     xxh3_64(identity.as_bytes())
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -1,11 +1,11 @@
-//! Which engine reads a prompt and which one makes the tokens: a pure choice.
+//! Choice of the prefill engine and the decode engine for a prompt, free of side effects.
 //!
-//! Prefill engines read fast and cannot generate; decode engines do both and read
-//! slowly beside their other requests. A prompt may be read on a prefill engine
-//! and handed over, or read where its tokens are made. Either engine can copy
-//! shared parts from one that holds them, which takes milliseconds where reading
-//! them again takes hundreds. The choice is the way with the least expected time
-//! to the first token, with a price on what costs others.
+//! Prefill engines prefill fast and cannot generate; decode engines do both, but prefill
+//! slowly next to their running requests. A prompt is prefilled on a prefill engine and
+//! its KV cache transferred, or it is prefilled on its decode engine. Either engine can
+//! copy shared parts from one that caches them, which takes milliseconds where
+//! recomputing takes hundreds. The option with the least expected time to the first
+//! token wins; costs imposed on other requests are added to that time.
 
 use std::sync::Arc;
 
@@ -18,32 +18,32 @@
 use crate::gateway::deciding::load::TargetWork;
 use crate::gateway::model::{EngineStage, PromptShape, TargetRecord};
 
-/// What a request waits for each one beyond an engine's places, in milliseconds.
+/// Wait expected for each running request in excess of an engine's slots, in milliseconds.
 const OVERFULL_MS: f64 = 50.0;
-/// Cost of an engine that gave no answers lately, in milliseconds.
+/// Cost of an engine that recently did not answer, in milliseconds.
 const AVOIDED_MS: f64 = 20_000.0;
-/// Cost of an engine that was avoided and has not answered since.
+/// Cost of an engine that was avoided and has not answered since, in milliseconds.
 const UNPROVED_MS: f64 = 300.0;
-/// Cost of certain failure, in milliseconds.
+/// Cost of an engine whose sends all fail, in milliseconds; scaled by the failure rate.
 const FAILURE_MS: f64 = 1_000.0;
 
-/// Weights of the choice. Times are in milliseconds.
+/// Weights of the placement costs. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementWeights {
-    /// Cost of a copied token: its transfer, its price, and the place that the copy
-    /// takes in the cache.
+    /// Cost of a copied token: its transfer, its price, and the cache space that the
+    /// copy takes.
     pub copy_ms: f64,
-    /// Weight of shared tokens that are read again, in reading times: they also take
-    /// the place of other parts in the cache.
+    /// Cost of recomputed shared tokens, as a multiple of their prefill time: they also
+    /// evict other parts from the cache.
     pub reread_weight: f64,
-    /// Part of the cost of reading a shared part that its home is spared, so that
-    /// daemons that do not know of each other's choice yet make the same one.
+    /// Share of the cost of recomputing a shared part that is waived for its home, so
+    /// that daemons that have not yet learned of each other's choices agree.
     pub home_discount: f64,
-    /// What one more running request costs the next one.
+    /// Cost of each request that already runs on the engine.
     pub running_ms: f64,
-    /// What a reading beside running requests costs each of them, as a share of its
-    /// time: all their tokens wait for its pieces.
+    /// Cost of a prefill to each request that runs on the same engine, as a share of the
+    /// prefill time: their tokens wait for its chunks.
     pub disturbance: f64,
 }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// One engine as a choice sees it.
+/// State of an engine as used for a choice.
 #[derive(Clone, Debug)]
 pub struct EngineState {
     /// The engine.
     pub record: Arc<TargetRecord>,
-    /// Leading tokens of the prompt that it is believed to hold.
+    /// Leading tokens of the prompt that it probably caches.
     pub held_tokens: u32,
     /// Leading tokens of the prompt that another engine could copy from it.
     pub ready_tokens: u32,
-    /// Work outstanding at it.
+    /// Outstanding work.
     pub work: TargetWork,
-    /// How it answers.
+    /// How reliably and fast it answers.
     pub health: HealthView,
     /// Whether another request may be sent to it.
     pub may_get_work: bool,
@@ -101,30 +101,30 @@
 /// Engines chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePlace {
-    /// Engine that reads the prompt for the other; `None` where one does both.
+    /// Prefill engine; `None` where the decode engine prefills the prompt itself.
     pub reader: Option<Arc<TargetRecord>>,
-    /// Engine that makes the tokens.
+    /// Engine that generates the tokens.
     pub writer: Arc<TargetRecord>,
-    /// Engine that the reading one copies shared parts from.
+    /// Engine that the prefilling engine copies shared parts from.
     pub fetch_from: Option<Arc<TargetRecord>>,
-    /// Rank that it was chosen for.
+    /// Rank of the request in engines' queues.
     pub rank: u8,
     /// Expected time to the first token, in milliseconds.
     pub expected_ms: f64,
-    /// Part of it that the request's own reading takes.
+    /// Part of the expected time that prefilling the request itself takes.
     pub own_ms: f64,
-    /// Tokens that the reading engine still has to read.
+    /// Tokens of the prompt that the engine still has to prefill.
     pub unread_tokens: u32,
-    /// Tokens among them that requests share.
+    /// Shared tokens among them, which are recomputed.
     pub reread_tokens: u32,
-    /// Tokens of other requests that it reads before.
+    /// Tokens of other requests that the engine prefills before.
     pub waiting_tokens: u32,
-    /// Whether it gives way to all requests that can still be in time.
+    /// Whether it is queued behind all requests that can still meet their objective.
     pub gives_way: bool,
 }
 
 impl EnginePlace {
-    /// The reading of the prompt at `engine`, as work whose time is taken.
+    /// Returns the prefill of the prompt at `engine` as work whose time is measured.
     #[must_use]
     pub fn timed_reading(&self, engine: &Arc<TargetRecord>) -> TimedWork {
         let work = match (self.reader.is_some(), self.gives_way) {
@@ -145,7 +145,7 @@
 struct ReadWay<'a> {
     engine: &'a EngineState,
     fetch_from: Option<&'a EngineState>,
-    // What the choice goes by: the time and a price on what costs others.
+    // Expected time plus the cost to other requests; the option with the least is chosen.
     cost_ms: f64,
     expected_ms: f64,
     own_ms: f64,
@@ -154,7 +154,7 @@
     waiting_tokens: u32,
 }
 
-/// Chooses engines for a prompt of a rank; `None` without an engine that generates.
+/// Chooses engines for a prompt of a rank; `None` if no decode engine is available.
 #[must_use]
 pub fn choose(
     weights: &PlacementWeights,
@@ -188,10 +188,10 @@
     })
 }
 
-/// Chooses the engine that takes over a prompt which was read elsewhere.
+/// Chooses the decode engine for a prompt that was prefilled elsewhere.
 ///
-/// Reading takes up to seconds, in which engines leave and loads change, so this is
-/// asked again once the prompt is read.
+/// A prefill takes up to seconds, in which engines leave and loads change, so the decode
+/// engine is chosen again once it is done.
 #[must_use]
 pub fn choose_writer(
     weights: &PlacementWeights,
@@ -219,12 +219,12 @@
     }
 }
 
-// What it costs to make the tokens at an engine, in milliseconds.
+// Cost of decoding at an engine, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct WriteTime {
-    // To the first event.
+    // Time to the first event.
     expected: f64,
-    // With a price on what it costs others.
+    // Expected time plus the cost to other requests.
     cost: f64,
 }
 
@@ -316,7 +316,7 @@
         }
     }
 
-    // The decode engine that disturbs a handed-over request least.
+    // Returns the decode engine with the least cost for a prompt prefilled elsewhere.
     fn writer(&self) -> Option<(&'a EngineState, WriteTime)> {
         let fits = |e: &&EngineState| !e.is_reader() && e.may_get_work;
         let costs = self.engines.iter().filter(fits).map(|engine| {
--- a/src/gateway/deciding/engine_model.rs
+++ b/src/gateway/deciding/engine_model.rs
@@ -1,9 +1,9 @@
-//! How fast the engines of a service work, learned from requests.
+//! Latency of the engines of each service, learned from requests.
 //!
-//! Engines of one deployment read five to eight times faster than those of another, and
-//! beside other requests slower than alone, so no speed is a constant here. What one
-//! engine of a service and stage shows holds for the others until they show otherwise;
-//! how an engine differs from them is its pace, which [`super::health`] keeps.
+//! Engines of one deployment prefill five to eight times faster than those of another,
+//! and slower next to other requests than alone, so no speed is a constant here.
+//! Observations of one engine are applied to all engines of its service and stage; how
+//! far a single engine deviates from them is its slowdown, kept in [`super::health`].
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -11,21 +11,20 @@
 use crate::gateway::deciding::line_fit::{LineFit, WorkLine};
 use crate::names::ServiceName;
 
-/// Work whose time is learned. Sizes are the tokens that have to be read before it is
-/// done, those of requests ahead included: the time that others take is told from the
-/// own one by it, or a full engine would be taken for a slow one.
+/// Kind of work whose latency is learned. Its size is the number of tokens to prefill
+/// until it is done, those of requests queued ahead included; otherwise a busy engine
+/// would be mistaken for a slow one.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum EngineWork {
-    /// A prompt is read for another engine, up to the answer.
+    /// Prefill on a prefill engine for a decode engine, until the answer.
     ReadAhead,
-    /// The same for a request that gives way to all that can still be in time: those
-    /// that come after it take its place too.
+    /// The same for a deprioritised request, which later requests overtake.
     ReadAheadLate,
-    /// A prompt is read where its tokens are made, up to the first event.
+    /// Prefill on the decode engine itself, until the first event.
     ReadHere,
-    /// The same for a request that gives way.
+    /// The same for a deprioritised request.
     ReadHereLate,
-    /// A prompt that was read elsewhere is taken over, up to the first event.
+    /// Transfer of the KV cache of a prompt prefilled elsewhere, until the first event.
     TakeOver,
 }
 
@@ -42,8 +41,8 @@
         }
     }
 
-    // Guesses between the engines met so far, which differ by a factor of eight. They
-    // weigh as much as two observations and are gone within a second of load.
+    // Values between those of known engines, which differ by a factor of eight. They
+    // weigh as much as two observations and fade within a second of load.
     fn prior(self) -> WorkLine {
         let (fixed_ms, token_ms) = match self {
             Self::ReadAhead | Self::ReadAheadLate => (40.0, 0.01),
@@ -54,39 +53,39 @@
     }
 }
 
-/// Lines by which one request is placed.
+/// Latencies that the placement of one request is based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineLines {
-    /// Reading for another engine.
+    /// Prefill on a prefill engine.
     pub read_ahead: WorkLine,
-    /// Reading where the tokens are made.
+    /// Prefill on the decode engine.
     pub read_here: WorkLine,
-    /// Taking over.
+    /// Transfer of the KV cache to the decode engine.
     pub take_over: WorkLine,
 }
 
-/// What is learned of the engines of all services.
+/// Learned latencies of the engines, by service and kind of work.
 #[derive(Clone, Debug, Default)]
 pub struct EngineBook {
     fits: IndexMap<(ServiceName, EngineWork), LineFit>,
 }
 
 impl EngineBook {
-    /// Takes the time of work on `tokens`.
+    /// Records the time that work on `tokens` took.
     pub fn note(&mut self, service: &ServiceName, work: EngineWork, tokens: f64, taken_ms: f64) {
         let fit = self.fits.entry((service.clone(), work));
         let fit = fit.or_insert_with(|| LineFit::new(work.prior()));
         fit.note(tokens, taken_ms);
     }
 
-    /// Returns the line of one kind of work.
+    /// Returns the latency of one kind of work.
     #[must_use]
     pub fn line(&self, service: &ServiceName, work: EngineWork) -> WorkLine {
         let fit = self.fits.get(&(service.clone(), work));
         fit.map_or_else(|| work.prior(), LineFit::line)
     }
 
-    /// Returns the lines for a request that is in time, or gives way.
+    /// Returns the latencies for a request, deprioritised or not.
     #[must_use]
     pub fn lines(&self, service: &ServiceName, gives_way: bool) -> EngineLines {
         let (ahead, here) = if gives_way {
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -1,7 +1,7 @@
-//! Which targets answer, learned from the requests sent to them.
+//! Health of targets, learned from the outcomes of the requests sent to them.
 //!
-//! Health checks cost calls and say little: targets fail requests while their
-//! check is good. What counts is what came of real sends.
+//! Health checks cost requests and say little: targets may fail requests while their
+//! check passes. So only the results of real requests count.
 
 use std::time::Duration;
 
@@ -11,42 +11,42 @@
 use crate::names::MonoTime;
 use crate::target_life::TargetLife;
 
-/// Sends without any answer in a row after which a target is avoided.
+/// Consecutive sends without an answer after which a target is avoided.
 const SILENT_SENDS: u32 = 2;
-/// First time to avoid a silent target; doubles up to [`LONGEST_AVOIDED`].
+/// Time that a target is avoided at first; doubles up to [`LONGEST_AVOIDED`].
 const FIRST_AVOIDED: Duration = Duration::from_millis(1_000);
-/// Longest time to avoid a target before it is tried again.
+/// Longest time that a target is avoided before it is tried again.
 const LONGEST_AVOIDED: Duration = Duration::from_millis(6_000);
-/// Weight of the newest result in the rate of failures.
+/// Weight of the newest result in the moving failure rate.
 const NEW_WEIGHT: f64 = 0.12;
-/// Weight of the newest time in the mean time to an answer.
+/// Weight of the newest ratio in the moving mean of the slowdown.
 const TIME_WEIGHT: f64 = 0.15;
-/// Pace of a target that was not measured yet.
+/// Slowdown of a target without measurements.
 const FIRST_PACE: f64 = 1.0;
-/// Bounds of a pace: one slow answer must not rule a target out for good.
+/// Bounds of a measured ratio, so that one slow answer does not exclude a target for long.
 const PACE_RANGE: (f64, f64) = (0.2, 12.0);
 
-/// What came of a send.
+/// Result of a send.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SendResult {
-    /// A whole answer of the target's own.
+    /// The target returned a complete answer.
     Answered,
-    /// An answer that says the work failed, or that ended early.
+    /// The answer reported a failure or was cut off.
     Failed,
-    /// No answer: refused connection, reset, silence.
+    /// No answer: connection refused, connection reset or time-out.
     Silent,
 }
 
-/// A change of what choices do with a target.
+/// A change in whether a target is avoided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthChange {
-    /// It is avoided from now on.
+    /// The target is avoided from now on.
     Avoided,
-    /// It was avoided, and answers.
+    /// The target was avoided and has answered again.
     Proved,
 }
 
-/// One target's record.
+/// Health record of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetHealth {
     silent_in_row: u32,
@@ -68,27 +68,28 @@
     }
 }
 
-/// How a target looks to a choice.
+/// Health of a target as used for a choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthView {
-    /// Not to be used while another one can be.
+    /// Whether to use it only if no other target is available.
     pub avoided: bool,
-    /// Avoided before and not proved since.
+    /// Whether it was avoided and has not answered since.
     pub unproved: bool,
-    /// Share of sends that failed lately.
+    /// Share of recent sends that failed.
     pub failure_rate: f64,
-    /// Time taken against the time expected.
+    /// Moving mean of the measured time divided by the expected time.
     pub pace: f64,
 }
 
-/// Records of all targets that got sends.
+/// Health of all targets that requests were sent to.
 #[derive(Clone, Debug, Default)]
 pub struct HealthBook {
     targets: IndexMap<TargetLife, TargetHealth>,
 }
 
 impl HealthBook {
-    /// Notes what came of a send; returns what it changed for choices.
+    /// Records the result of a send; returns whether the target is now avoided or has
+    /// recovered.
     pub fn note(
         &mut self,
         target: &TargetLife,
@@ -108,14 +109,14 @@
         }
     }
 
-    /// Notes the time an answer took against what is expected of engines like it.
+    /// Records the time of an answer and the time expected of engines of its kind.
     pub fn note_time(&mut self, target: &TargetLife, taken_ms: f64, expected_ms: f64) {
         let health = self.targets.entry(target.clone()).or_default();
         let ratio = (taken_ms / expected_ms.max(1.0)).clamp(PACE_RANGE.0, PACE_RANGE.1);
         health.pace += TIME_WEIGHT * (ratio - health.pace);
     }
 
-    /// Shows a target to a choice.
+    /// Returns a target's health for a choice.
     #[must_use]
     pub fn view(&self, target: &TargetLife, now: MonoTime) -> HealthView {
         let fresh = TargetHealth::default();
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Forgets targets for which `keep` is false.
+    /// Removes targets for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&TargetLife) -> bool) {
         self.targets.retain(|target, _| keep(target));
     }
--- a/src/gateway/deciding/line_fit.rs
+++ b/src/gateway/deciding/line_fit.rs
@@ -1,26 +1,26 @@
-//! Time as a line over the size of the work, learned from what was seen.
+//! Linear latency model: time as a function of work size, fitted to observations.
 
-/// Part of the earlier observations that a new one leaves: about the last seventy
-/// count, which daemons see within some seconds of load.
+/// Factor by which each new observation decays the weight of earlier ones: about the last
+/// seventy count, which a daemon makes within some seconds of load.
 const KEPT_SHARE: f64 = 0.985;
-/// Weight of each of the two points that stand for the line known beforehand.
+/// Weight of each of the two points that represent the prior.
 const PRIOR_WEIGHT: f64 = 1.0;
-/// Size of the farther of these points, in tokens: a prompt of middling length.
+/// Size of the larger of these points: a prompt of medium length.
 const PRIOR_TOKENS: f64 = 8_000.0;
-/// Observations farther from the line than so many mean distances are taken as far.
+/// Observations that deviate by more than this many mean deviations are clamped.
 const OUTLIER_SPREADS: f64 = 4.0;
-/// Weight of the newest distance in the mean distance.
+/// Weight of the newest deviation in the moving mean of the deviation.
 const SPREAD_WEIGHT: f64 = 0.05;
-/// Shortest times of a line: no engine reads a million tokens in ten milliseconds.
+/// Lower bounds of the fitted times: no engine prefills a million tokens in 10 ms.
 const LEAST_TOKEN_MS: f64 = 1e-5;
 const LEAST_FIXED_MS: f64 = 0.5;
 
-/// Time of work: a fixed part and one that grows with its tokens, in milliseconds.
+/// Latency of work: a fixed time plus a time per token, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkLine {
-    /// Beside the tokens.
+    /// Time independent of the number of tokens.
     pub fixed_ms: f64,
-    /// Per token.
+    /// Time per token.
     pub token_ms: f64,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// A line fitted to observations by least squares.
+/// Linear latency fitted to observations by least squares.
 ///
-/// Old observations fade, so that it follows engines that turn slow; single ones far
-/// off, as after a pause of the whole instance, are cut to the usual distance.
+/// The weight of old observations decays, so that the fit follows engines that become
+/// slow. Outliers, such as after a pause of the whole instance, are clamped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LineFit {
     prior: WorkLine,
@@ -49,7 +49,7 @@
 }
 
 impl LineFit {
-    /// Starts from what is known beforehand.
+    /// Creates a fit without observations, which returns `prior`.
     #[must_use]
     pub fn new(prior: WorkLine) -> Self {
         Self {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Returns the line as known now.
+    /// Returns the current estimate.
     #[must_use]
     pub fn line(&self) -> WorkLine {
         self.line
     }
 
-    /// Takes the time that work on `tokens` took.
+    /// Records the time that work on `tokens` took.
     pub fn note(&mut self, tokens: f64, taken_ms: f64) {
         let expected = self.line.at(tokens);
         let reach = OUTLIER_SPREADS * self.spread;
@@ -100,7 +100,7 @@
         let sum_y = self.sum_y + PRIOR_WEIGHT * (near + far);
         let sum_xx = self.sum_xx + PRIOR_WEIGHT * PRIOR_TOKENS * PRIOR_TOKENS;
         let sum_xy = self.sum_xy + PRIOR_WEIGHT * PRIOR_TOKENS * far;
-        // Two points at different sizes keep this above zero.
+        // Positive, because the prior has points at two different sizes.
         let spread = weight * sum_xx - sum_x * sum_x;
         let slope = (weight * sum_xy - sum_x * sum_y) / spread;
         let token_ms = slope.max(LEAST_TOKEN_MS);
@@ -108,7 +108,7 @@
         if fixed_ms >= LEAST_FIXED_MS {
             return WorkLine { fixed_ms, token_ms };
         }
-        // The best line through the least fixed time.
+        // Best fit with the fixed time at its lower bound.
         let token_ms = (sum_xy - LEAST_FIXED_MS * sum_x) / sum_xx;
         WorkLine {
             fixed_ms: LEAST_FIXED_MS,
--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -1,4 +1,4 @@
-//! Work outstanding at targets: this daemon's own and, from their messages, the others'.
+//! Outstanding work at targets: that of this daemon and, from their messages, of its peers.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 use crate::names::{DaemonId, MonoTime};
 use crate::target_life::TargetLife;
 
-/// Age from which another daemon's counts are left out.
+/// Age from which the work reported by a peer is ignored.
 const STALE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Ranks that engines tell apart; 0 is read first.
+/// Number of ranks that engines distinguish; rank 0 is prefilled first.
 pub const RANKS: usize = 10;
 
-/// Work at one target.
+/// Outstanding work at one target.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(into = "WorkWire", try_from = "WorkWire")]
 pub struct TargetWork {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u32,
-    /// Prompt tokens still to be read, by rank: engines read the more urgent first.
+    /// Pending prefill tokens by rank; engines prefill the more urgent ranks first.
     pub unread: [u32; RANKS],
 }
 
-/// Work at one target between daemons: of the ranks those with tokens, as most have none.
+/// Wire form of [`TargetWork`]: lists only ranks with tokens, since most have none.
 #[derive(Deserialize, Serialize)]
 struct WorkWire(u32, Vec<(u8, u32)>);
 
@@ -38,9 +38,9 @@
     }
 }
 
-/// A rank that engines do not tell apart.
+/// A rank above the highest that engines distinguish.
 #[derive(Debug, thiserror::Error)]
-#[error("rank {0} of unread tokens is above the highest, {highest}; the sender runs another version", highest = RANKS - 1)]
+#[error("rank {0} of pending prefill tokens is above the highest rank, {highest}; the sending daemon runs another version; update all daemons to the same version", highest = RANKS - 1)]
 struct UnknownRank(u8);
 
 impl TryFrom<WorkWire> for TargetWork {
@@ -60,7 +60,7 @@
 }
 
 impl TargetWork {
-    /// Tokens that are read before those of a new request of `rank`.
+    /// Returns the tokens that are prefilled before those of a new request of `rank`.
     #[must_use]
     pub fn unread_before(&self, rank: u8) -> u32 {
         self.unread[..=rank_index(rank)].iter().sum()
@@ -68,7 +68,7 @@
 }
 
 impl TargetWork {
-    /// Takes work out of a sum that contains it.
+    /// Subtracts work from a sum that contains it.
     pub fn subtract(&mut self, other: &Self) {
         self.running = self.running.saturating_sub(other.running);
         for (sum, tokens) in self.unread.iter_mut().zip(other.unread) {
@@ -88,10 +88,10 @@
     usize::from(rank).min(RANKS - 1)
 }
 
-/// Work by target.
+/// Outstanding work by target.
 pub type WorkByTarget = IndexMap<TargetLife, TargetWork>;
 
-/// Work that another daemon was told to place and has not told of itself yet.
+/// Work that was assigned to a peer and is not yet contained in its reports.
 #[derive(Clone, Debug)]
 struct PromisedWork {
     number: u64,
@@ -100,30 +100,30 @@
     at: MonoTime,
 }
 
-/// Age from which promised work is left out: its daemon has told of it, or is gone.
+/// Age from which reserved work is ignored: its daemon has reported it or is gone.
 const PROMISE_TIME: Duration = Duration::from_millis(800);
 
-/// Work of this daemon and of the others.
+/// Outstanding work of this daemon and of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBook {
     own: WorkByTarget,
     others: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
     promised: IndexMap<DaemonId, Vec<PromisedWork>>,
-    // Number through which a daemon's own word contains what was promised for it.
+    // Highest reservation number that a daemon's last report contains.
     settled: IndexMap<DaemonId, u64>,
-    // Sum of the others, kept so that a choice does not add them up anew.
+    // Sum over the peers, cached so that a choice does not have to compute it.
     sum: WorkByTarget,
 }
 
 impl LoadBook {
-    /// Notes the start of a request of a rank with `unread_tokens` to read.
+    /// Records the start of a request of a rank with `unread_tokens` to prefill.
     pub fn begin(&mut self, target: &TargetLife, rank: u8, unread_tokens: u32) {
         let work = self.own.entry(target.clone()).or_default();
         work.running += 1;
         work.unread[rank_index(rank)] += unread_tokens;
     }
 
-    /// Notes that tokens counted by [`Self::begin`] were read.
+    /// Records that tokens counted by [`Self::begin`] were prefilled.
     pub fn note_read(&mut self, target: &TargetLife, rank: u8, tokens: u32) {
         if let Some(work) = self.own.get_mut(target) {
             let unread = &mut work.unread[rank_index(rank)];
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Notes the end of a request, of whose prompt `unread_tokens` were not read.
+    /// Records the end of a request, of whose prompt `unread_tokens` were not prefilled.
     pub fn end(&mut self, target: &TargetLife, rank: u8, unread_tokens: u32) {
         self.note_read(target, rank, unread_tokens);
         if let Some(work) = self.own.get_mut(target) {
@@ -142,15 +142,15 @@
         }
     }
 
-    /// Takes another daemon's work in place of what it told before.
+    /// Replaces the work reported by a peer.
     pub fn set_other(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
         self.others.insert(daemon, (now, work));
         self.sum_up(now);
     }
 
-    /// Notes work, as rank and unread tokens, that another daemon places and will tell
-    /// of itself, by a number that its word names then. A promise that comes after that
-    /// word is left out.
+    /// Reserves work (rank and pending prefill tokens) that a peer sends and will report
+    /// itself. Its report names the number of the last reservation that it contains;
+    /// reservations that arrive after that report are ignored.
     pub fn promise(
         &mut self,
         (daemon, number): (&DaemonId, u64),
@@ -180,7 +180,7 @@
         });
     }
 
-    /// Leaves out promises of a daemon that its own word contains by now.
+    /// Drops reservations of a peer up to the number that its report contains.
     pub fn settle_promises(&mut self, daemon: &DaemonId, through: u64) {
         self.settled.insert(daemon.clone(), through);
         if let Some(promised) = self.promised.get_mut(daemon) {
@@ -188,18 +188,19 @@
         }
     }
 
-    /// Leaves out what is too old.
+    /// Drops reports and reservations that are too old.
     pub fn expire(&mut self, now: MonoTime) {
         self.sum_up(now);
     }
 
-    /// This daemon's own work.
+    /// Returns the work of this daemon.
     #[must_use]
     pub fn own(&self) -> &WorkByTarget {
         &self.own
     }
 
-    /// This daemon's own work and that of the others for which `counts`, summed.
+    /// Returns the sum of the work of this daemon and of the peers for which `counts` is
+    /// true.
     #[must_use]
     pub fn summed(&self, counts: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
         let mut sum = self.own.clone();
@@ -215,7 +216,7 @@
         sum
     }
 
-    /// All work known at a target.
+    /// Returns all known work at a target.
     #[must_use]
     pub fn total(&self, target: &TargetLife) -> TargetWork {
         let mut total = self.own.get(target).copied().unwrap_or_default();
@@ -223,7 +224,7 @@
         total
     }
 
-    /// Daemons whose work is known, beside this one.
+    /// Returns the number of peers whose work is known.
     #[must_use]
     pub fn others(&self) -> usize {
         self.others.len()
--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions on requests: which targets serve them, in which order, or that none can.
+//! Placement decisions: which targets serve a request, or that none can.
 //!
-//! One part owns everything that decisions rest on. It takes what was observed in and
-//! gives decisions out, with the time as an argument, and knows no network, no runtime
-//! and no cell; whoever carries traffic asks it, and tests drive it in virtual time.
+//! [`DecisionCore`] owns all state that decisions depend on. It takes in observations and
+//! returns decisions, with the time as an argument, and uses no network, no async runtime
+//! and no interior mutability, so that tests can run it in virtual time.
 
 pub mod affinity;
 pub mod engine_choice;
@@ -26,16 +26,16 @@
 use crate::names::{MonoTime, ServiceName};
 use crate::target_life::TargetLife;
 
-/// Added to the rank of a request that can no longer be in time.
+/// Added to the rank of a request that can no longer meet its objective.
 const LATE_RANKS: u8 = 5;
 
-/// Engines as a decision may use them.
+/// Engines that a decision may choose from.
 pub struct EngineChoices<'a> {
     /// Engines of the service.
     pub engines: &'a [Arc<TargetRecord>],
-    /// Engines that are being changed and get no work.
+    /// Engines whose stage is being changed; they get no new work.
     pub changing: &'a [TargetLife],
-    /// Engines that the request cannot use any more.
+    /// Engines that the request must not be sent to any more.
     pub excluded: &'a [TargetLife],
 }
 
@@ -46,48 +46,48 @@
     }
 }
 
-/// Work at an engine whose time is taken.
+/// Work at an engine whose time is measured.
 #[derive(Clone, Debug)]
 pub struct TimedWork {
     /// The engine.
     pub engine: Arc<TargetRecord>,
-    /// What it does.
+    /// Kind of work.
     pub work: EngineWork,
-    /// Tokens that it has to read until that is done, as known at the start.
+    /// Tokens that the engine has to prefill until it is done, as known at the start.
     pub tokens: f64,
 }
 
-/// A request as the choice of its engines sees it.
+/// What is known of a request whose engines are to be chosen.
 pub struct PlaceOrder<'a> {
     /// Engines to choose from.
     pub choices: EngineChoices<'a>,
-    /// Its prompt.
+    /// The prompt.
     pub prompt: &'a PromptShape,
-    /// Rank of its route; 0 is the most urgent.
+    /// Rank of the request; 0 is the most urgent.
     pub urgency: u8,
-    /// Time left for an answer of full worth.
+    /// Time left for an answer within the latency objective.
     pub objective_left: Duration,
 }
 
-/// What decisions rest on.
+/// State that decisions depend on.
 #[derive(Debug, Default)]
 pub struct DecisionCore {
-    /// Weights of the choice.
+    /// Weights of the placement costs.
     pub weights: PlacementWeights,
-    /// Which targets answer.
+    /// Health of targets.
     pub health: HealthBook,
-    /// Work outstanding.
+    /// Outstanding work at targets.
     pub load: LoadBook,
-    /// What engines have cached.
+    /// Prompt parts that engines cache.
     pub caches: CacheBook,
-    /// How fast engines work.
+    /// Learned latencies of engines.
     pub engines: EngineBook,
-    /// Work offered to engines.
+    /// Rate of the work placed on engines.
     pub work: WorkMeter,
 }
 
 impl DecisionCore {
-    /// Creates a core that has observed nothing.
+    /// Creates a core without observations.
     #[must_use]
     pub fn new(weights: PlacementWeights) -> Self {
         Self {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Notes what came of a send; returns what it changed for choices.
+    /// Records the result of a send; returns whether the target is now avoided or has
+    /// recovered.
     pub fn note_result(
         &mut self,
         target: &TargetLife,
@@ -106,7 +107,7 @@
         self.health.note(target, result, now)
     }
 
-    /// Notes the time of work at an engine; returns it against what was expected.
+    /// Records the time of work at an engine; returns its ratio to the expected time.
     pub fn note_time(&mut self, timed: &TimedWork, taken_ms: f64, now: MonoTime) -> f64 {
         let TimedWork {
             engine,
@@ -120,7 +121,7 @@
         taken_ms / (expected * pace)
     }
 
-    /// Notes parts of a prompt that an engine holds, or was asked to read.
+    /// Records parts of a prompt that an engine caches (`ready`) or is prefilling.
     pub fn note_parts(
         &mut self,
         engine: &TargetLife,
@@ -135,15 +136,15 @@
         }
     }
 
-    /// Leaves out what is too old, and what is believed of targets for which `keep` is
-    /// false.
+    /// Drops load reports that are too old, and what is known of targets for which `keep`
+    /// is false.
     pub fn sweep(&mut self, keep: impl Fn(&TargetLife) -> bool, now: MonoTime) {
         self.load.expire(now);
         self.health.retain(&keep);
         self.caches.retain(&keep);
     }
 
-    /// Chooses engines for a request; `None` without one that generates.
+    /// Chooses engines for a request; `None` if no decode engine is available.
     #[must_use]
     pub fn place(&self, order: &PlaceOrder<'_>, now: MonoTime) -> Option<EnginePlace> {
         let engines = self.engine_states(&order.choices, &order.prompt.parts, now);
@@ -154,8 +155,9 @@
             Some(EnginePlace { gives_way, ..place })
         };
         let in_time = choose(order.urgency, false)?;
-        // What waits too long to be in time gives way to what can still be. A prompt
-        // that is late by its own length does not: the largest would never be read.
+        // A request that misses its objective by waiting is queued behind those that can
+        // still meet theirs. One that misses it by its own prefill time is not: the
+        // longest prompts would never be served.
         let waiting_ms = in_time.expected_ms - in_time.own_ms;
         if waiting_ms <= order.objective_left.as_secs_f64() * 1_000.0 {
             return Some(in_time);
@@ -163,7 +165,7 @@
         choose(order.urgency.saturating_add(LATE_RANKS).min(9), true)
     }
 
-    /// Chooses the engine that reads a prompt instead of the one chosen before.
+    /// Chooses another prefill engine in place of the one chosen before.
     #[must_use]
     pub fn another_reader(
         &self,
@@ -177,10 +179,10 @@
         engine_choice::choose(&self.weights, &lines, &engines, prompt, rank)?.reader
     }
 
-    /// Chooses the engine that takes over a prompt which was read elsewhere.
+    /// Chooses the decode engine for a prompt that was prefilled elsewhere.
     ///
-    /// Reading takes up to seconds, in which engines leave and loads change, so this is
-    /// asked again once the prompt is read.
+    /// A prefill takes up to seconds, in which engines leave and loads change, so the
+    /// decode engine is chosen again once it is done.
     #[must_use]
     pub fn writer(
         &self,
@@ -194,8 +196,9 @@
         engine_choice::choose_writer(&self.weights, &lines, &engines, prompt, rank)
     }
 
-    /// Chooses a target of a plain service; `draw` gives numbers of 0 to 1 by which
-    /// daemons that know the same do not all choose alike.
+    /// Chooses a target of a service without model engines. `draw` returns random numbers
+    /// from 0 to 1, so that daemons with the same knowledge do not all choose the same
+    /// target.
     #[must_use]
     pub fn plain_target<'a>(
         &self,
@@ -233,14 +236,14 @@
     }
 }
 
-/// Part of a plain target's places by which draws decide between targets.
+/// Difference in the share of busy slots within which targets are chosen at random.
 const TIE_RANGE: f64 = 0.3;
-/// Weight of the rate of failures against the share of busy places.
+/// Weight of the failure rate relative to the share of busy slots.
 const FAILURE_WEIGHT: f64 = 4.0;
-/// Cost of a plain target that gave no answers lately: more than any load.
+/// Cost of a target that recently did not answer: more than any load.
 const AWAY_COST: f64 = 100.0;
 
-// Cost of one more request: the share of busy places, worse for targets that fail.
+// Cost of sending one more request: the share of busy slots plus penalties for failures.
 fn plain_cost(running: u32, slots: u32, health: HealthView) -> f64 {
     let filled = f64::from(running) / f64::from(slots.max(1));
     let failing = FAILURE_WEIGHT * health.failure_rate;
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -1,4 +1,4 @@
-//! How many engines read prompts and how many generate: a pure plan.
+//! Plans how many engines of a service prefill and how many decode, free of side effects.
 
 use std::sync::Arc;
 
@@ -9,28 +9,28 @@
 use crate::names::CentreName;
 use crate::target_life::TargetLife;
 
-/// Engines that always stay able to generate: prompts can also be read there, but
-/// nothing can be generated on a prefill engine.
+/// Fewest decode engines to keep: they can also prefill, while a prefill engine cannot
+/// generate.
 const FEWEST_WRITERS: usize = 2;
-/// Work offered to the engines of a service, in a second.
+/// Work placed on the engines of a service, per second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WorkRate {
-    /// Prompt tokens that had to be read.
+    /// Prompt tokens to prefill.
     pub read_tokens: f64,
-    /// Tokens generated.
+    /// Tokens to generate.
     pub written_tokens: f64,
 }
 
-/// An order that the plan wants.
+/// A planned change of an engine's stage.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StageWish {
     /// Engine to change.
     pub engine: Arc<TargetRecord>,
-    /// Stage that it is to have.
+    /// Stage that it is to change to.
     pub stage: EngineStage,
 }
 
-/// Returns how many of `engines` should read prompts, for a share of them.
+/// Returns how many of `engines` should be prefill engines, for a given share of them.
 #[must_use]
 pub fn wanted_readers(engines: usize, share: f64) -> usize {
     let most = engines.saturating_sub(FEWEST_WRITERS);
@@ -39,8 +39,8 @@
     wanted.clamp(fewest, most)
 }
 
-/// Returns changes that bring the readers among `engines` to `wanted`, at most
-/// `at_once` of them: the least busy engines first, spread over data centres.
+/// Returns up to `at_once` changes that bring the number of prefill engines among
+/// `engines` to `wanted`: the least busy engines first, spread over data centres.
 #[must_use]
 pub fn wishes(
     engines: &[Arc<TargetRecord>],
--- a/src/gateway/deciding/work_meter.rs
+++ b/src/gateway/deciding/work_meter.rs
@@ -1,13 +1,13 @@
-//! How much reading and writing the engines are asked for.
+//! Rate of the prefill and decode work that is placed on engines.
 
 use crate::gateway::deciding::stage_plan::WorkRate;
 use crate::names::MonoTime;
 
-/// Time constant of the mean, in seconds: swings of a few seconds are not worth an
-/// engine's change, shifts of ten seconds are.
+/// Time constant of the mean, in seconds: a swing of a few seconds is not worth a change
+/// of an engine's stage, a shift of ten seconds is.
 const MEAN_S: f64 = 6.0;
 
-/// Decaying mean of the work that this daemon placed.
+/// Exponentially decaying mean rate of the work that this daemon placed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkMeter {
     rate: WorkRate,
@@ -15,14 +15,14 @@
 }
 
 impl WorkMeter {
-    /// Notes work.
+    /// Records placed work.
     pub fn note(&mut self, read_tokens: u32, written_tokens: u32, now: MonoTime) {
         self.decay(now);
         self.rate.read_tokens += f64::from(read_tokens) / MEAN_S;
         self.rate.written_tokens += f64::from(written_tokens) / MEAN_S;
     }
 
-    /// Returns the mean.
+    /// Returns the mean rate, decayed to `now`.
     #[must_use]
     pub fn rate(&mut self, now: MonoTime) -> WorkRate {
         self.decay(now);
--- a/src/gateway/model.rs
+++ b/src/gateway/model.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows of routes, services, targets and requests, in its own words.
+//! Data model of the gateway: routes, services, targets and requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use crate::names::{CentreName, ServiceName, WorkspaceName};
 use crate::target_life::TargetLife;
 
-/// What may be repeated of a route's requests.
+/// Whether and how requests of a route may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RepeatRule {
     /// A request may run any number of times.
     Idempotent,
     /// A request may run at most once.
     AtMostOnce,
-    /// The answer is a stream of numbered events that may run at most once.
+    /// A request may run at most once; its answer is a stream of numbered events.
     Stream,
-    /// The answer is a stream that another target may continue after its last event.
+    /// The answer is a stream that another target can resume after its last event.
     ResumableStream,
 }
 
 impl RepeatRule {
-    /// Whether a request may be sent again although an earlier send may have run.
+    /// Returns whether a request may be retried although an earlier send may have run.
     #[must_use]
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether answers are streams of events.
+    /// Returns whether answers are streams of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
@@ -50,46 +50,46 @@
 pub struct RouteRule {
     /// Name for logs and metrics.
     pub name: String,
-    /// Host that callers name, in lower case.
+    /// Value of the Host header, in lower case.
     pub host: String,
     /// Prefix of the path, beginning and ending with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub repeat: RepeatRule,
-    /// Longest time for a request, from its arrival to its final answer.
+    /// Longest time for a request, from its arrival to the end of its answer.
     pub time_limit: Duration,
-    /// Time within which an answer, or its first event, is worth most.
+    /// Latency objective of an answer, or of its first event.
     pub objective: Duration,
-    /// Longest pause between two events for a stream to count as on time.
+    /// Latency objective of the time between two events of a stream.
     pub gap_objective: Option<Duration>,
-    /// Rank among the routes; 0 is the most urgent.
+    /// Rank of the requests; 0 is the most urgent.
     pub urgency: u8,
-    /// Most targets that one attempt of a caller may be sent to.
+    /// Maximum number of targets that one attempt of a caller may be sent to.
     pub most_targets: u32,
-    /// Services that share the requests.
+    /// Services that requests are split between.
     pub shares: Vec<ServiceShare>,
-    /// Whether callers need no key, also where the configuration names workspaces.
+    /// Whether callers need no key even if the configuration names workspaces.
     pub public: bool,
 }
 
-/// A workspace and the keys by which its callers are known.
+/// A workspace and the keys that identify its callers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WorkspaceRule {
-    /// Its name, which targets are told.
+    /// Its name, which is sent to targets.
     pub name: WorkspaceName,
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests in place of their routes' rank; 0 is the most urgent.
+    /// Rank of its requests, overriding that of their routes; 0 is the most urgent.
     pub urgency: Option<u8>,
 }
 
-/// Who a request is for, as its key showed when it arrived.
+/// On whose behalf a request is served, determined from its key on arrival.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum CallerAccess {
-    /// The configuration names no workspaces; keys mean nothing.
+    /// The configuration names no workspaces; keys are ignored.
     #[default]
     Open,
-    /// The route asks for no key.
+    /// The route requires no key.
     Public,
     /// The key belongs to a workspace.
     Workspace {
@@ -100,12 +100,12 @@
     },
 }
 
-/// What model engines of a service can hold.
+/// Capacity of the model engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Requests that run at once on one engine.
+    /// Maximum number of concurrent requests on one engine.
     pub slots: u32,
-    /// Tokens of KV cache on one engine.
+    /// KV cache capacity of one engine, in tokens.
     pub cache_tokens: u64,
 }
 
@@ -114,47 +114,47 @@
 pub struct ServiceRule {
     /// Name that routes and targets refer to.
     pub name: ServiceName,
-    /// Connections that one target accepts from all callers together.
+    /// Maximum number of connections that one target accepts in total.
     pub most_connections: u32,
     /// Set where the targets are model engines.
     pub engine: Option<EngineLimits>,
-    /// Set where targets may be ordered.
+    /// Set where targets may be ordered from the platform.
     pub scaling: Option<ScalingRule>,
 }
 
-/// How many targets of a service may be ordered, and what they cost.
+/// How many targets of a service may be ordered, and at what price.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingRule {
-    /// Fewest in a data centre.
+    /// Minimum number in a data centre.
     pub fewest: u32,
-    /// Most in a data centre, both kinds together.
+    /// Maximum number in a data centre, reclaimable ones included.
     pub most: u32,
-    /// Time from the order to the first work.
+    /// Time from the order until a target serves requests.
     pub boot: Duration,
-    /// Price of one that may be reclaimed, against one that stays; `None` where there
-    /// are none.
+    /// Price of a reclaimable target relative to a permanent one; `None` where there are
+    /// no reclaimable ones.
     pub reclaimable_price: Option<f64>,
     /// Price of a target by data centre.
     pub centre_prices: IndexMap<CentreName, f64>,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body.
     pub body_bytes: usize,
-    /// Time for the head of a request to arrive.
+    /// Maximum time for the head of a request to arrive.
     pub head_time: Duration,
-    /// Time a connection may stay without a request.
+    /// Maximum time that a connection may be idle.
     pub idle_time: Duration,
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
-    /// Grows with each change, in uneven steps.
+    /// Increases with each change, not always by one.
     pub version: u64,
     /// Routes.
     pub routes: Vec<RouteRule>,
@@ -166,12 +166,12 @@
     pub workspaces: Option<Vec<WorkspaceRule>>,
 }
 
-/// The part a model engine plays.
+/// Stage of request processing that a model engine serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EngineStage {
-    /// Reads prompts for other engines.
+    /// Prefills prompts for decode engines.
     Prefill,
-    /// Generates tokens, and reads prompts slowly beside it.
+    /// Generates tokens, and prefills prompts more slowly alongside.
     Decode,
 }
 
@@ -189,57 +189,57 @@
 /// A target as it registered itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetRecord {
-    /// Life of the target that the entry is of.
+    /// Incarnation of the target that wrote the entry.
     pub id: TargetLife,
-    /// Service it offers.
+    /// Service that it offers.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Data centre that it runs in.
     pub centre: CentreName,
-    /// Requests it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it announced that it leaves.
+    /// Whether it announced that it is leaving.
     pub leaving: bool,
-    /// Part it plays; `None` for plain services.
+    /// Stage that it serves; `None` for targets that are no model engines.
     pub stage: Option<EngineStage>,
-    /// Whether the platform may take it away with little notice.
+    /// Whether the platform may reclaim it at short notice.
     pub reclaimable: bool,
 }
 
-/// One part of a prompt. Parts that several requests share come first.
+/// One part of a prompt. Parts that requests have in common come first.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PromptPart {
     /// Hash of the part's identity.
     pub key: u64,
-    /// Its tokens.
+    /// Number of its tokens.
     pub tokens: u32,
 }
 
-/// What a generation request says of its prompt and output.
+/// Model, prompt parts and output limit of a generation request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PromptShape {
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub output_tokens: u32,
     /// Parts in order; the last belongs to this request or its session.
     pub parts: Vec<PromptPart>,
 }
 
-/// What the gateway reads from a caller's request head.
+/// Data from the head of a caller's request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CallerRequest {
-    /// Identity of this attempt.
+    /// Identifier of this attempt.
     pub id: String,
-    /// How long the caller still waits.
+    /// Time that the caller still waits for the answer.
     pub patience: Option<Duration>,
     /// Set for generation requests.
     pub prompt: Option<PromptShape>,
-    /// Last event the caller already has of a stream it resumes.
+    /// Last event that the caller already has of a stream that it resumes.
     pub resume_after: Option<u64>,
-    /// Digest of the caller's key; `None` where it shows none, or more than one.
+    /// Digest of the caller's key; `None` if it sent none, or more than one.
     pub key: Option<KeyDigest>,
 }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -1,14 +1,14 @@
-//! Targets as the store shows them, with entries that vanish without reason kept a while.
+//! Registry of the targets in the store, which tolerates entries lost in a store outage.
 //!
-//! Entries expire while the store is away although their targets live. Taking each
-//! disappearance as a departure would empty the fleet after an outage; keeping
-//! each would send work to targets that are gone. So: an entry that disappears
-//! while the store was answering all the time is gone at once, one that
-//! disappears around an outage has [`REAPPEAR_TIME`] from the store's return, unless
-//! another daemon heard the store all along and tells that it ended.
+//! Entries expire while the store is unavailable although their targets are running.
+//! Treating each disappearance as a departure would empty the fleet after an outage;
+//! ignoring them would send work to targets that are gone. So an entry that disappears
+//! while the store was reachable is removed at once; one that disappears around an outage
+//! may reappear within [`REAPPEAR_TIME`] of the store's return, unless a peer that could
+//! reach the store throughout reports its removal.
 //!
-//! A departure ends one life of a target. The store's revisions tell which of two
-//! entries of a name is newer; targets' own clocks may step.
+//! A departure ends one incarnation of a target. Of two entries of a name the one with
+//! the higher store revision is newer; targets' own clocks may step.
 //!
 //! [`REAPPEAR_TIME`]: crate::gateway::store_contact::REAPPEAR_TIME
 
@@ -26,15 +26,15 @@
 use crate::names::{MonoTime, TargetId, millis};
 use crate::target_life::TargetLife;
 
-/// How long the end of a life, and the revision of a name's last entry, are
-/// remembered: longer than any stale view of them can arrive.
+/// How long departures, and the last revision of removed entries, are remembered: longer
+/// than outdated information about them can take to arrive.
 const DEPARTED_TIME: Duration = Duration::from_secs(120);
-/// Where word of targets comes from.
+/// Source of information about an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntrySource {
-    /// Another daemon, which read the store and passes on what it read.
+    /// A hub, which reads the store and relays what it reads.
     Hub,
-    /// Another daemon's word that an entry began or ended.
+    /// A peer's update that an entry was added or removed.
     Peer,
     /// The store itself.
     Store,
@@ -50,14 +50,14 @@
     }
 }
 
-/// What an entry says.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryContent {
-    /// The store holds it no more.
+    /// The entry is no longer in the store.
     Gone,
-    /// It names a target.
+    /// The entry describes a target.
     Named(TargetRecord),
-    /// It names none: another writer wrote it, or over it.
+    /// The entry could not be decoded, because another program wrote or overwrote it.
     Unreadable(WireFault),
 }
 
@@ -66,9 +66,9 @@
 pub struct EntryNews {
     /// Name of the entry.
     pub name: TargetId,
-    /// The store's revision of its last change; 0 where it is not told.
+    /// Store revision of its last change; 0 where unknown.
     pub revision: u64,
-    /// What it says.
+    /// Its content.
     pub content: EntryContent,
 }
 
@@ -78,32 +78,32 @@
     missing: Option<MissingEntry>,
 }
 
-/// An entry that the store holds no more and whose target still gets work.
+/// An entry that is missing in the store and whose target still gets work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MissingEntry {
     /// When it was found missing.
     pub since: MonoTime,
-    /// When it is given up.
+    /// When it is removed unless it reappears.
     pub until: MonoTime,
 }
 
-/// What daemons tell each other of an entry: that it began or that it ended.
+/// Update that daemons send each other about an entry: it was added or removed.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
 pub struct EntryNote {
     /// Name of the entry.
     pub name: TargetId,
-    /// Revision of the change. An entry that ended is over up to it.
+    /// Revision of the change. A removal covers all revisions up to it.
     pub revision: u64,
-    /// Its value; `None` where it ended.
+    /// Its value; `None` where it was removed.
     pub value: Option<ByteBuf>,
 }
 
-/// A note that is remembered.
+/// An update that was received or made recently.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeptNote {
-    /// What is told.
+    /// The update.
     pub note: EntryNote,
-    /// When it was learned.
+    /// When this daemon learned of it.
     pub at: MonoTime,
 }
 
@@ -113,41 +113,41 @@
     at: MonoTime,
 }
 
-/// All targets known.
+/// All known targets.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRegistry {
     entries: IndexMap<TargetId, TargetEntry>,
-    // Lives that announced their end. An older entry may be seen later, from a peer or
-    // a stale read; leaving stays leaving for the life.
+    // Incarnations that departed. An older entry may still arrive from a peer or a stale
+    // read; a departure is final for the incarnation.
     departed: IndexMap<TargetLife, MonoTime>,
-    // Newest revision seen of each name, so that an older entry undoes nothing.
+    // Newest revision seen of each name, so that older entries are ignored.
     seen: IndexMap<TargetId, SeenRevision>,
-    // Entries that began or certainly ended, for daemons that do not hear the store.
+    // Entries added or certainly removed, for daemons that cannot reach the store.
     notes: IndexMap<TargetId, KeptNote>,
-    // Entries that name no target, by the revision that was logged.
+    // Unreadable entries, with the revision that was logged.
     unreadable: IndexMap<TargetId, u64>,
     contact: StoreContact,
-    // Revision up to which this daemon itself read all changes.
+    // Revision up to which this daemon itself has read all changes.
     read_through: u64,
 }
 
 impl TargetRegistry {
-    /// Notes that the store did not answer a call that was begun at `asked`.
+    /// Records that the store did not answer a request sent at `asked`.
     pub fn note_store_failure(&mut self, asked: MonoTime, now: MonoTime) {
         self.contact.note_failure(asked, now);
     }
 
-    /// Notes that the store answered a call, whatever it was about.
+    /// Records that the store answered a request of any kind.
     pub fn note_store_answer(&mut self, now: MonoTime) {
         self.contact.note_answer(now);
     }
 
-    /// Notes that all changes up to a revision were taken.
+    /// Records that all changes up to a revision were applied.
     pub fn note_read_through(&mut self, revision: u64) {
         self.read_through = revision;
     }
 
-    /// Takes a whole listing.
+    /// Replaces all entries by a complete listing.
     pub fn replace(&mut self, listing: Vec<EntryNews>, source: EntrySource, now: MonoTime) {
         let listed: Vec<TargetId> = listing.iter().map(|news| news.name.clone()).collect();
         for news in listing {
@@ -165,15 +165,15 @@
         self.unreadable.retain(|name, _| listed.contains(name));
     }
 
-    /// Takes one entry, unless a newer one of its name is known; true when a target's life
-    /// began with it.
+    /// Applies the change of one entry, unless a newer one of its name is known; returns
+    /// true if it adds an incarnation of a target.
     pub fn take(&mut self, news: EntryNews, source: EntrySource, now: MonoTime) -> bool {
         let EntryNews {
             name,
             revision,
             content,
         } = news;
-        // Of what others tell, this daemon has read what is not newer than its own reading.
+        // Updates of peers up to the revision that this daemon has read are known here.
         let was_read = source == EntrySource::Peer && revision <= self.read_through;
         if was_read || self.is_outdated(&name, revision) {
             return false;
@@ -196,7 +196,8 @@
         }
     }
 
-    /// Takes the end of a life, announced by the target itself or noticed by an answer.
+    /// Records the departure of an incarnation, announced by the target itself or detected
+    /// from an answer at its address.
     pub fn depart(&mut self, life: &TargetLife, now: MonoTime) {
         let current = self.entries.get(life.name());
         if current.is_some_and(|entry| entry.record.id == *life) {
@@ -205,10 +206,11 @@
         self.departed.insert(life.clone(), now);
     }
 
-    /// Takes another daemon's word that an entry ended; true when it is news here.
+    /// Applies a peer's update that an entry was removed; returns true if it was not known
+    /// here.
     ///
-    /// Who tells it heard the store all along. So the end counts at once, also where this
-    /// daemon could not tell it from an entry that lapsed in an outage.
+    /// Its sender could reach the store throughout. So the removal takes effect at once,
+    /// even if this daemon cannot tell it from an entry that expired in an outage.
     pub fn take_end(&mut self, name: &TargetId, revision: u64, now: MonoTime) -> bool {
         if self.is_outdated(name, revision) {
             return false;
@@ -219,14 +221,14 @@
         true
     }
 
-    /// Keeps that an entry began, for other daemons.
+    /// Records that an entry was added, to be announced to peers.
     pub fn note_begun(&mut self, name: &TargetId, value: &[u8], now: MonoTime) {
         let value = Some(ByteBuf::from(value));
         self.keep_note(name, self.seen_revision(name), value, now);
     }
 
-    /// Entries that began or ended lately. The begin of one that is not here any more, for
-    /// whatever reason, is left out.
+    /// Returns the entries added or removed recently, without added ones that are no longer
+    /// present, for whatever reason.
     pub fn notes(&self) -> impl Iterator<Item = &KeptNote> {
         let is_here = |name: &TargetId| {
             let entry = self.entries.get(name);
@@ -236,7 +238,8 @@
         kept.filter(move |kept| kept.note.value.is_none() || is_here(&kept.note.name))
     }
 
-    /// Gives up entries that did not come back in time; true when some were.
+    /// Removes missing entries that did not reappear in time; returns true if there were
+    /// any.
     pub fn expire(&mut self, now: MonoTime) -> bool {
         let before = self.entries.len();
         self.entries.retain(|name, entry| {
@@ -245,13 +248,14 @@
                 log::info!(
                     target_id = name.as_str(),
                     missing_ms = millis(now.since(missing.since));
-                    "target's entry did not come back"
+                    "removed target: its entry did not reappear in the store"
                 );
             }
             given_up.is_none()
         });
         self.departed.retain(|_, at| now.since(*at) < DEPARTED_TIME);
-        // Kept for longer than others tell it: what is learned anew would be told for ever.
+        // Kept for longer than peers announce an update: if it were forgotten earlier, it
+        // would be new again and announced forever.
         self.notes
             .retain(|_, kept| now.since(kept.at) < DEPARTED_TIME);
         let entries = &self.entries;
@@ -260,13 +264,14 @@
         before != self.entries.len()
     }
 
-    /// When the next missing entry is given up.
+    /// Returns when the next missing entry is due for removal.
     #[must_use]
     pub fn next_given_up(&self) -> Option<MonoTime> {
         self.missing().map(|(_, missing)| missing.until).min()
     }
 
-    /// Targets that may get work, by service, in an order that all daemons share.
+    /// Returns the targets that may get work, by service and in the same order on all
+    /// daemons.
     #[must_use]
     pub fn by_service(&self) -> TargetsByService {
         let mut services = TargetsByService::new();
@@ -283,18 +288,18 @@
         services
     }
 
-    /// Whether a life of a target announced its end.
+    /// Returns whether an incarnation of a target has departed.
     #[must_use]
     pub fn has_departed(&self, life: &TargetLife) -> bool {
         self.departed.contains_key(life)
     }
 
-    /// Lives that ended and are still remembered.
+    /// Returns the incarnations that departed and are still remembered.
     pub fn departed(&self) -> impl Iterator<Item = &TargetLife> {
         self.departed.keys()
     }
 
-    /// Entries that the store holds no more and whose targets still get work.
+    /// Returns the entries that are missing in the store and whose targets still get work.
     pub fn missing(&self) -> impl Iterator<Item = (&TargetLife, MissingEntry)> {
         let entries = self.entries.values();
         entries.filter_map(|entry| Some((&entry.record.id, entry.missing?)))
@@ -311,7 +316,7 @@
             return false;
         }
         if record.leaving {
-            log::info!(target_id = record.id.as_str(), revision = revision, source = source.as_str(); "target leaves");
+            log::info!(target_id = record.id.as_str(), revision = revision, source = source.as_str(); "target is leaving");
             self.depart(&record.id, now);
             return false;
         }
@@ -349,7 +354,7 @@
                 target_id = name.as_str(),
                 revision = self.seen_revision(name),
                 source = source.as_str();
-                "target's entry is gone"
+                "removed target: its entry is no longer in the store"
             );
         }
         dropped
@@ -386,12 +391,12 @@
             source = source.as_str(),
             store_failed_ms = millis(failed_for),
             left_ms = millis(until.since(now));
-            "target's entry is missing; it gets work for a while"
+            "target's entry is missing in the store; work is still sent to the target for left_ms"
         );
     }
 
-    // What the entry said before is no more known to hold, so it names no target until
-    // its own writer writes it again, which takes a heartbeat.
+    // The previous content may be outdated, so the entry's target is removed until the
+    // target writes it again, which takes one heartbeat.
     fn leave_out(
         &mut self,
         name: &TargetId,
@@ -402,12 +407,12 @@
         let logged = self.unreadable.insert(name.clone(), revision);
         if logged != Some(revision) {
             metrics::counter!("pistachiowick_unreadable_entries_total").increment(1);
-            log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "target's entry left out, the others hold: {fault}");
+            log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "ignored unreadable target entry, other entries stay in use; the target gets no work until it writes the entry again: {fault}");
         }
         self.entries.swap_remove(name);
     }
 
-    // An entry that ended is not seen again with the revision that it had.
+    // A removed entry reappears only with a higher revision.
     fn is_outdated(&self, name: &TargetId, revision: u64) -> bool {
         let ended = self
             .notes
@@ -432,7 +437,7 @@
 ) {
     let message = match before {
         None => "target appeared",
-        Some(before) if before.id != record.id => "target started again",
+        Some(before) if before.id != record.id => "target restarted",
         Some(before) if before != record => "target changed",
         Some(_) => return,
     };
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request and the service that serves it.
+//! Looks up the route of a request and the service that serves it.
 
 use indexmap::IndexMap;
 
@@ -6,16 +6,16 @@
 use crate::gateway::model::{CallerLimits, FleetConfig, RouteRule, ServiceRule, WorkspaceRule};
 use crate::names::{ServiceName, WorkspaceName};
 
-/// One version of the configuration, arranged for look-ups.
+/// One version of the configuration, indexed for look-ups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTable {
-    /// Version that this is.
+    /// Version of the configuration.
     pub version: u64,
     /// Limits on callers.
     pub limits: CallerLimits,
     services: IndexMap<ServiceName, ServiceRule>,
     keys: Option<IndexMap<KeyDigest, KeyOwner>>,
-    // Per host the longest prefixes first, so that the first match is the right one.
+    // Routes by host, longest prefixes first, so that the first match is the most specific.
     hosts: IndexMap<String, Vec<RouteRule>>,
 }
 
@@ -45,7 +45,7 @@
 pub struct KeyOwner {
     /// The workspace.
     pub workspace: WorkspaceName,
-    /// Rank of its requests in place of their routes' rank.
+    /// Rank of its requests, overriding that of their routes.
     pub urgency: Option<u8>,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl RouteTable {
-    /// Finds the route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteRule> {
         let routes = self.hosts.get(host)?;
@@ -75,7 +75,7 @@
         self.services.get(name)
     }
 
-    /// Whether callers are known by keys.
+    /// Returns whether callers need keys.
     #[must_use]
     pub fn asks_for_keys(&self) -> bool {
         self.keys.is_some()
@@ -87,13 +87,13 @@
         self.keys.as_ref()?.get(key)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRule> {
         self.services.values()
     }
 }
 
-/// Chooses a service by weight; `draw` is uniform in 0..1.
+/// Chooses a service by weight; `draw` is a uniform random number in 0..1.
 #[must_use]
 pub fn choose_service(route: &RouteRule, draw: f64) -> Option<&ServiceName> {
     let total: u32 = route.shares.iter().map(|share| share.weight).sum();
--- a/src/target_life.rs
+++ b/src/target_life.rs
@@ -1,4 +1,4 @@
-//! The identity of one life of a target.
+//! The identity of one incarnation of a target.
 
 use std::fmt;
 
@@ -6,30 +6,30 @@
 
 use crate::names::{TargetId, UnixTime};
 
-/// One life of a target, from its start to its end.
+/// One incarnation of a target: one run of its process, from start to end.
 ///
-/// A target may start again under the name that it had. It knows nothing then of what
-/// it held, ran or announced before. What is believed of a target is therefore kept by
-/// its life, here and in the messages between daemons, and ends with it.
+/// A target may restart under its old name. It then has lost its caches, its requests and
+/// its announcements. State about a target is therefore keyed by incarnation, in daemons
+/// and in their messages, and dropped when the incarnation ends.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TargetLife(TargetId, Option<UnixTime>);
 
 impl TargetLife {
-    /// Creates the identity from the target's name and the time of its start, where the
-    /// target states it.
+    /// Creates the identity from the target's name and its start time, if the target
+    /// reports one.
     #[must_use]
     pub fn new(name: TargetId, born: Option<UnixTime>) -> Self {
         Self(name, born)
     }
 
-    /// Returns the target's name, which lives share.
+    /// Returns the target's name, which its incarnations share.
     #[must_use]
     pub fn name(&self) -> &TargetId {
         &self.0
     }
 
-    /// Returns the start of this life on the target's own clock, which may step; lives
-    /// are told apart by it and not ordered by it.
+    /// Returns the start time by the target's own clock, which may step; start times
+    /// distinguish incarnations but do not order them.
     #[must_use]
     pub fn born(&self) -> Option<UnixTime> {
         self.1
