--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,7 +1,7 @@
-//! Cost of the decisions by the size of fleet and configuration.
+//! Cost of decisions by the size of the fleet and the configuration.
 //!
-//! Placement and the fair queue must not grow with either; what is done once per view
-//! or per change may grow, and docs/CAPACITY.md carries its slope to the target's size.
+//! Placement and the fair queue must not become slower with either; work done once per
+//! view or per change may, and docs/CAPACITY.md extrapolates it to the intended fleet size.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -36,10 +36,10 @@
 const DAEMONS: [usize; 3] = [8, 64, 680];
 const WORKSPACES: [usize; 3] = [3, 500, 5_000];
 
-/// Engines of one lease group, as the settings have it.
+/// Engines of one lease group, as in the default settings.
 const GROUP_ENGINES: usize = 64;
 
-/// Requests that wait in one daemon while its queue is busy.
+/// Queued requests per workspace in a busy queue.
 const WAITING_EACH: usize = 4;
 
 fn start_group<'a>(criterion: &'a mut Criterion, name: &str) -> BenchmarkGroup<'a, WallTime> {
@@ -67,7 +67,7 @@
     scheduler
 }
 
-/// One request from its admission to its end, on a fleet with room.
+/// Runs one request from its admission to its end, on a fleet with free capacity.
 fn run_one(scheduler: &mut Scheduler, workspace: usize) {
     let spec = samples::job_spec(workspace, 300.0, NOW);
     scheduler.admit(spec, NOW).expect("a fleet with room");
@@ -94,7 +94,7 @@
     group.finish();
 }
 
-/// A scheduler whose targets are all full and in which requests wait.
+/// Returns a scheduler with queued requests whose targets are all at capacity.
 fn saturated(targets: usize, workspaces: usize) -> Scheduler {
     let mut scheduler = scheduler_with(
         targets,
--- a/tests/deciding_load.rs
+++ b/tests/deciding_load.rs
@@ -1,4 +1,4 @@
-//! Decisions under load, in virtual time.
+//! Placement decisions under load, in virtual time.
 
 mod deciding_world;
 mod gateway_samples;
@@ -14,9 +14,10 @@
     f64::from(in_time) / f64::from(requests)
 }
 
-// Seven daemons share four engines that read 300 tokens a ms, at four fifths of what
-// these can read; a reading takes 10 to 40 ms. With hints every 200 ms all daemons take
-// the engine that seemed free for as long, and callers wait behind each other there.
+// Guards against herding: with hints every 200 ms, all daemons send to the engine that
+// the last hint showed as idle, and requests queue up there. Seven daemons share four
+// engines that prefill 300 tokens per ms, at four fifths of their capacity; a prefill
+// takes 10 to 40 ms.
 #[test]
 fn fresh_hints_keep_daemons_off_the_same_engine() {
     let plan = |hint_ms| WorldPlan {
--- a/tests/deciding_times.rs
+++ b/tests/deciding_times.rs
@@ -1,4 +1,4 @@
-//! Times of engines' work, learned from what was seen.
+//! Latency models of engines, learned from observed times.
 
 mod gateway_samples;
 
@@ -25,15 +25,15 @@
 struct SpeedCase {
     fixed_ms: f64,
     tokens_a_ms: f64,
-    // Times vary by this part in both directions.
+    // Relative variation of the times, in both directions.
     noise: f64,
-    // One in so many takes two seconds longer, as when the whole instance pauses.
+    // One request in this many takes 2 s longer, as when the whole instance pauses.
     pause_in: u32,
 }
 
-// Engines of different deployments, read off played days: 10 ms and 220 tokens a ms, 150
-// ms and 30 tokens a ms. After fifty requests, a second or two of load, the time of a
-// middling prompt is known within a fifth, and of others within a third.
+// Speeds of engines in different deployments, from simulations: 10 ms and 220 tokens per
+// ms, 150 ms and 30 tokens per ms. After fifty requests, a second or two of load, the
+// latency of a medium prompt is known within 20 percent, of others within a third.
 #[rstest]
 #[case::fast(SpeedCase { fixed_ms: 10.0, tokens_a_ms: 220.0, noise: 0.2, pause_in: u32::MAX })]
 #[case::slow(SpeedCase { fixed_ms: 150.0, tokens_a_ms: 30.0, noise: 0.2, pause_in: u32::MAX })]
@@ -61,7 +61,7 @@
     assert!((0.67..1.5).contains(&long), "{long}");
 }
 
-// Engines turn four times slower. Some seconds later the line says so.
+// Engines become four times slower; within some seconds of load the fit follows.
 #[test]
 fn a_slow_down_is_followed() {
     let mut fit = LineFit::new(PRIOR);
@@ -78,7 +78,8 @@
     assert!((0.03..0.05).contains(&line.token_ms), "{line:?}");
 }
 
-// All requests are of one size, so nothing tells the fixed part from the tokens' one.
+// With requests of one size only, the fixed time and the time per token cannot be told
+// apart.
 #[test]
 fn times_of_one_size_are_known_at_that_size() {
     let mut fit = LineFit::new(PRIOR);
@@ -154,7 +155,7 @@
         self.core.place(&order, MonoTime(1_000)).expect("a place")
     }
 
-    // Readings and first events of engines that read so many tokens a ms.
+    // Records prefills and first events; rates are in tokens per ms.
     fn learn(&mut self, fixed_ms: f64, reader_rate: f64, writer_rate: f64) {
         for number in 0..80_u32 {
             let tokens = f64::from(number % 20) * 800.0;
@@ -179,10 +180,10 @@
     }
 }
 
-// Readers have 40,000 tokens to read each, and so have the writers. On engines that read
-// 300 tokens a ms this is 130 ms, within the objective of 200; with the speed of a slower
-// deployment for a constant it was taken for a second, and such requests were sent to the
-// end of the queue, or refused.
+// Guards against speeds taken from a slower deployment. Each engine has 20,000 tokens
+// pending, which a prefill engine completes within the objective of 200 ms at 300 tokens
+// per ms. With the constant speed of a slower deployment the estimate was a second, and
+// such requests were queued last or refused.
 #[test]
 fn a_request_that_fast_engines_serve_in_time_does_not_give_way() {
     let mut bench = Bench::new(3, 3);
--- a/tests/deciding_world/mod.rs
+++ b/tests/deciding_world/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons that choose among engines in virtual time, for tests of decisions under load.
+//! Simulation of daemons that place requests on engines, in virtual time.
 //!
-//! An engine reads prompts one after the other at its speed. Each daemon has a decision
-//! core of its own and hears of the others' work by hints, as often as the test says.
+//! An engine prefills prompts one after the other at its speed. Each daemon has its own
+//! decision core and learns of its peers' work from hints sent at a given interval.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -18,44 +18,44 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// An engine as it is, whatever daemons believe of it.
+/// Actual behaviour of an engine, independent of the daemons' estimates.
 #[derive(Clone, Copy, Debug)]
 pub struct FakeEngine {
-    /// Time of a reading beside its tokens.
+    /// Time of a prefill independent of its tokens.
     pub fixed_ms: f64,
-    /// Tokens read in a millisecond.
+    /// Tokens prefilled per millisecond.
     pub rate: f64,
-    /// From when to when it gives no answers.
+    /// Start and end, in milliseconds, of the time in which it does not answer.
     pub dark: Option<(f64, f64)>,
 }
 
-/// A world of daemons and engines.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct WorldPlan {
-    /// Daemons that callers' requests reach by turns.
+    /// Number of daemons, which receive requests in round-robin order.
     pub daemons: usize,
-    /// Time between two hints, in milliseconds.
+    /// Interval between hints, in milliseconds.
     pub hint_ms: f64,
-    /// Engines that read prompts for the writers.
+    /// Prefill engines.
     pub readers: Vec<FakeEngine>,
-    /// Requests in a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Least and most tokens of a prompt.
+    /// Minimum and maximum tokens of a prompt.
     pub tokens: (u32, u32),
-    /// Time for the first event, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub objective_ms: u64,
     /// Length of the run, in seconds.
     pub seconds: f64,
 }
 
-/// What became of the requests.
+/// Outcome of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorldTally {
-    /// All of them.
+    /// Number of requests.
     pub requests: u32,
-    /// Read within the objective.
+    /// Requests prefilled within the objective.
     pub in_time: u32,
-    /// Sent to an engine that gave no answers.
+    /// Requests sent to an engine that did not answer.
     pub lost: u32,
 }
 
@@ -67,7 +67,7 @@
     lost: bool,
 }
 
-/// Time after which a daemon gives up a reading, as the gateway does.
+/// Time-out of a prefill, as in the gateway.
 const READ_WAIT_MS: f64 = 1_500.0;
 /// Step of the virtual time, in milliseconds.
 const STEP_MS: f64 = 1.0;
@@ -82,7 +82,7 @@
     last_key: u64,
 }
 
-/// Plays a world; the same seed gives the same run.
+/// Runs a simulation; the same seed gives the same run.
 pub fn play(plan: &WorldPlan, seed: u64) -> WorldTally {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(plan.clone());
@@ -109,7 +109,7 @@
         let writers = (0..3).map(|n| engine(n, "d", EngineStage::Decode));
         let mut core = DecisionCore::new(PlacementWeights::default());
         core.caches.set_capacity(800_000);
-        // The load of the writers is not what is looked at: readings there are dear.
+        // Only prefill engines are under test: prefills on decode engines are expensive.
         core.weights.disturbance = 1_000.0;
         let cores = (0..plan.daemons).map(|_| {
             let mut core = DecisionCore::new(core.weights);
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -1,4 +1,5 @@
-//! Pure decisions of the gateway: budget, health, load, caches, directory, events.
+//! Decisions of the gateway that need no I/O: retry budget, health, load, caches,
+//! directory, event splitting.
 
 mod gateway_samples;
 
@@ -30,8 +31,8 @@
     within: (u32, u32),
 }
 
-// The sum over all daemons has to stay within the fleet's budget although none of
-// them knows what the others spent, so each may use its own part only.
+// Guards against exceeding the fleet's retry budget: no daemon knows what the others have
+// spent, so each may only use its own share.
 #[rstest]
 #[case::quiet_fleet(BudgetCase { requests: 0, daemons: 7, within: (3, 7) })]
 #[case::busy_fleet(BudgetCase { requests: 100, daemons: 7, within: (15, 27) })]
@@ -51,7 +52,7 @@
 
 #[test]
 fn any_window_holds_no_more_than_the_part() {
-    // Repeats are asked for all the time; windows slide over all of them.
+    // Retries are requested all the time; the check slides a window over them.
     let service = ServiceName::from("ledger");
     let mut budget = RepeatBudget::new(RULE);
     let mut spent_at = Vec::new();
@@ -72,8 +73,8 @@
     );
 }
 
-// A target that gives no answer at all costs its callers their whole time; one that
-// answers with failures may just have a bad kind of request.
+// A target that does not answer costs its callers their whole timeout; one that answers
+// with failures may just be getting faulty requests.
 #[test]
 fn silence_in_a_row_leads_to_avoidance_and_an_answer_ends_it() {
     let target = TargetLife::from("a");
@@ -212,7 +213,7 @@
 
 struct DirectoryCase {
     away: &'static [&'static str],
-    /// Daemons that do not know which keys are in force.
+    /// Daemons that cannot confirm which keys are valid.
     unsure: &'static [&'static str],
     centre: &'static str,
     ports: &'static [u16],
@@ -258,8 +259,8 @@
     rest: &'static str,
 }
 
-// A target that stops in the middle of an event must leave no part of it with the
-// caller: another target continues after the last whole one.
+// Guards against partial events in a caller's stream: after a target fails in the middle
+// of an event, another one resumes after the last complete event.
 #[rstest]
 #[case::one(SplitCase { chunks: &["id: 1\ndata: a\n\n"], passed: "id: 1\ndata: a\n\n", last_id: Some(1), rest: "" })]
 #[case::split_in_the_boundary(SplitCase { chunks: &["id: 1\n", "data: a\n", "\nid: 2"], passed: "id: 1\ndata: a\n\n", last_id: Some(1), rest: "id: 2" })]
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -1,4 +1,4 @@
-//! Which engines serve a prompt, and how many of them read.
+//! Choice of engines for a prompt, and of the number of prefill engines.
 
 mod gateway_samples;
 
@@ -19,7 +19,7 @@
 use pistachiowick::target_life::TargetLife;
 use rstest::rstest;
 
-// Engines that read 42 tokens a ms for others and 20 beside their own requests.
+// Prefill engines do 42 tokens per ms; decode engines do 20, next to their own requests.
 fn lines() -> EngineLines {
     let line = |fixed_ms, tokens_a_ms: f64| WorkLine {
         fixed_ms,
@@ -117,8 +117,8 @@
     assert_eq!(place.unread_tokens, 100);
 }
 
-// Reading a shared part again takes hundreds of milliseconds of an engine and costs
-// others their place in its cache; a copy takes a few.
+// Recomputing a shared part takes an engine hundreds of milliseconds and evicts other
+// parts from its cache; a copy takes a few milliseconds.
 #[test]
 fn a_shared_part_is_copied_from_the_engine_that_holds_it() {
     let mut holder = held(state("d1", EngineStage::Decode), 13_000);
@@ -244,8 +244,8 @@
     readers.chain(writers).map(Arc::new).collect()
 }
 
-// Two engines at least stay able to generate: prompts can be read there too, but
-// nothing can be generated on a prefill engine.
+// At least two decode engines are kept: they can also prefill, while a prefill engine
+// cannot generate.
 #[rstest]
 #[case::none(0, 0.42, 0)]
 #[case::one(1, 0.42, 0)]
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -1,4 +1,4 @@
-//! Targets as the store shows them: leaving, vanishing, coming back.
+//! Registry of targets: departures, entries that disappear, restarts, peers' updates.
 
 mod gateway_samples;
 
@@ -21,10 +21,10 @@
     Leaving(&'static str),
     Removed(&'static str),
     Listed(&'static [&'static str]),
-    // The store answered a call about something else.
+    // The store answered an unrelated request.
     StoreAnswered,
     StoreFailed,
-    // A call failed that was begun at this moment.
+    // A request that was sent at this time failed.
     CallFailed(u64),
     Expire,
 }
@@ -39,9 +39,9 @@
     left: &'static [&'static str],
 }
 
-// A caller's request goes to what is left. An entry that vanishes while the store
-// answered all the time is a departure. One that vanishes around an outage may only
-// have expired, and is back within two seconds of the store's return if it lives.
+// Requests are sent to the targets that are left. An entry that disappears while the
+// store was reachable is a departure. One that disappears around an outage may just have
+// expired; if its target is running, it is back within two seconds of the store's return.
 #[rstest]
 #[case::present(RegistryCase { steps: &[(0, Set("a")), (0, Set("b"))], left: &["a", "b"] })]
 #[case::leaving(RegistryCase { steps: &[(0, Set("a")), (10, Leaving("a"))], left: &[] })]
@@ -71,8 +71,8 @@
     steps: &[(0, Set("a")), (100, StoreFailed), (200, Listed(&[])), (2_300, Expire)],
     left: &[],
 })]
-// The store turned this daemon away until 100, answers since, and a server whose entry is
-// removed at 2,400 has left: 2,000 after its word nothing may reach it.
+// The store refused requests until 100 and answers since. A target whose entry is removed
+// at 2,400 has left, so nothing may be sent to it.
 #[case::removed_well_after_the_return(RegistryCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (2_400, Removed("a")), (3_000, Expire)],
     left: &[],
@@ -81,7 +81,7 @@
     steps: &[(0, Set("a")), (100, StoreFailed), (2_700, Removed("a"))],
     left: &[],
 })]
-// The store answers this daemon from 200 on; the listing of the targets comes late.
+// The store is reachable again from 200 on, but the listing of targets arrives late.
 #[case::listed_late_after_the_return(RegistryCase {
     steps: &[
         (0, Set("a")), (100, StoreFailed), (200, StoreAnswered), (1_900, Listed(&[])), (2_150, Expire),
@@ -92,7 +92,7 @@
     steps: &[(0, Set("a")), (100, StoreFailed), (200, StoreAnswered), (2_200, Listed(&[]))],
     left: &[],
 })]
-// A connection was lost and its call hung; other calls were answered meanwhile.
+// A request hung on a lost connection while others were answered.
 #[case::removed_as_a_hung_call_fails(RegistryCase {
     steps: &[
         (0, Set("a")), (2_900, StoreAnswered), (3_200, CallFailed(100)), (3_300, Removed("a")),
@@ -157,15 +157,15 @@
 }
 
 struct LifeCase {
-    // What the store or a daemon shows, in order, by revision.
+    // Changes from the store or a peer, in order of arrival.
     news: fn() -> Vec<EntryNews>,
-    // Start of the life that gets work at the end.
+    // Start time of the incarnation that gets work at the end.
     serving: Option<u64>,
 }
 
-// A server announces that it leaves, ends, and starts again under its name. Its new
-// life is sound and knows nothing of the departure, so it gets work at once; nothing
-// that was said of the old life, however late it is seen, takes that away.
+// A target announces that it is leaving, ends and restarts under its old name. The new
+// incarnation has to get work at once; outdated information about the old one must not
+// remove it, however late it arrives.
 #[rstest]
 #[case::a_new_life_after_a_departure(LifeCase {
     news: || vec![life(1, 10), leaving(1, 11), gone("a", 12), life(2, 13)],
@@ -226,17 +226,18 @@
 }
 
 struct EndCase {
-    // What this daemon saw of entry "a", by revision, while the store answered or not.
+    // Changes of entry "a" that this daemon read.
     news: fn() -> Vec<EntryNews>,
+    // Whether the entry then disappears around an outage of the store.
     missing: bool,
-    // Revision up to which another daemon tells that the entry is over.
+    // Revision up to which a peer reports the entry removed.
     told: u64,
     late: fn() -> Vec<EntryNews>,
     left: &'static [&'static str],
 }
 
-// Guards against work for a target whose entry is gone, as other daemons saw it, while this
-// one does not hear the store; and against their word about an older entry of the name.
+// Guards against work for a target whose entry was removed, as peers report while this
+// daemon cannot reach the store, and against reports about an older entry of the name.
 #[rstest]
 #[case::while_it_is_here(EndCase {
     news: || vec![life(1, 10)], missing: false, told: 11, late: Vec::new, left: &[],
@@ -282,8 +283,8 @@
     told: &'static [u64],
 }
 
-// Guards against an end told to the fleet by a daemon that cannot know it: one that did not
-// hear the store just before, or that has it from a hub.
+// Guards against a removal announced by a daemon that cannot be sure of it, because the
+// store was just unreachable or the removal came from a hub.
 #[rstest]
 #[case::heard_all_along(ToldCase { failed: false, source: EntrySource::Store, told: &[11] })]
 #[case::after_a_failure(ToldCase { failed: true, source: EntrySource::Store, told: &[] })]
@@ -300,7 +301,7 @@
     assert_eq!(told, case.told);
 }
 
-// Guards against an end that two daemons tell each other for ever.
+// Guards against two daemons that announce a removal to each other forever.
 #[test]
 fn an_end_that_is_told_again_is_no_news() {
     let mut registry = TargetRegistry::default();
@@ -314,8 +315,8 @@
     assert!(EntryTurns::default().pick(&kept, late).is_empty());
 }
 
-// Guards against an end that members of a hub never hear which were cut off: the hub has it
-// from another hub, by the store's objects first.
+// Guards against a removal that disconnected members of a hub never receive, because the
+// hub first got it with store objects relayed by another hub.
 #[test]
 fn an_end_that_came_with_objects_of_a_hub_is_told_on() {
     let mut registry = TargetRegistry::default();
@@ -326,14 +327,13 @@
 }
 
 struct BeginCase {
-    // Revision up to which this daemon has read the store.
+    // Revision up to which this daemon has read all changes of the store.
     read_through: u64,
     told: u64,
     left: &'static [&'static str],
 }
 
-// Guards against a target that was here and is gone, brought back by a daemon that does not
-// know it yet; this one started since, or read further.
+// Guards against a departed target that is added again by an outdated update of a peer.
 #[rstest]
 #[case::not_read_yet(BeginCase { read_through: 9, told: 10, left: &["a"] })]
 #[case::read_already(BeginCase { read_through: 10, told: 10, left: &[] })]
@@ -352,7 +352,7 @@
     told: usize,
 }
 
-// Guards against a begin told to others of an entry that is not here any more.
+// Guards against announcing an entry as added that is no longer present.
 #[rstest]
 #[case::here(OverCase { change: |_| {}, told: 1 })]
 #[case::leaving(OverCase { change: |registry| take(registry, leaving(1, 11), 60_200), told: 0 })]
@@ -376,13 +376,13 @@
 }
 
 struct TurnCase {
-    // When the word is made, after one that told of everything at 0.
+    // When the message is made; an earlier one, at 0, contained all updates known then.
     at: u64,
     told: &'static [u64],
 }
 
-// Guards against ends that a daemon never hears which links up or was cut off when they
-// were news, and against words that all carry all of them.
+// Guards against removals that a daemon never receives because it connected later or was
+// disconnected at the time, and against repeating all of them in each message.
 #[rstest]
 #[case::news(TurnCase { at: 400, told: &[2] })]
 #[case::nothing_new(TurnCase { at: 999, told: &[] })]
@@ -407,8 +407,8 @@
     assert_eq!(told, case.told);
 }
 
-// Guards against words that fill the links when a fleet starts, or many entries come back,
-// and against begins that are never told then.
+// Guards against messages that saturate the links when a fleet starts or many entries
+// reappear, and against added entries that are then never announced.
 #[test]
 fn begins_go_into_words_by_turns() {
     let begun = |number: usize| KeptNote {
@@ -433,8 +433,8 @@
     assert_eq!(told.len(), 40);
 }
 
-// Somebody else writes over a target's entry. What it said is not known to hold any
-// more, so it gets nothing until its own writer is back; the others go on.
+// Another program overwrites a target's entry. The old content may be outdated, so the
+// target gets no work until it writes the entry again; other targets are not affected.
 #[test]
 fn an_entry_that_turns_unreadable_names_no_target_until_it_is_written_again() {
     let mut registry = TargetRegistry::default();
@@ -461,7 +461,8 @@
     left: &'static [&'static str],
 }
 
-// Orders and prompts would go to an entry that only looks like an engine's.
+// Guards against prompts and stage orders sent to targets that are no engines of a
+// configured service.
 #[rstest]
 #[case::engines(StrangerCase {
     records: || vec![engine("e1", EngineStage::Decode), target("odd", "127.0.0.1:9")],
--- a/tests/gateway_routes.rs
+++ b/tests/gateway_routes.rs
@@ -1,4 +1,4 @@
-//! Routes: which one serves a request, and how services share it.
+//! Route look-up, and the split of a route between services.
 
 mod gateway_samples;
 
--- a/tests/gateway_samples/mod.rs
+++ b/tests/gateway_samples/mod.rs
@@ -13,7 +13,7 @@
 /// Service of the sample routes.
 pub const SERVICE: &str = "ledger";
 
-/// A route for idempotent requests to [`SERVICE`], two targets at most.
+/// Returns a route for idempotent requests to [`SERVICE`], with at most two targets.
 pub fn route(name: &str, host: &str, path_prefix: &str) -> RouteRule {
     RouteRule {
         name: name.to_owned(),
@@ -33,7 +33,7 @@
     }
 }
 
-/// A configuration with [`SERVICE`] as a plain service.
+/// Returns a configuration with [`SERVICE`] as a service without model engines.
 pub fn config(version: u64, routes: Vec<RouteRule>) -> FleetConfig {
     FleetConfig {
         version,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The same with [`SERVICE`] offered by model engines.
+/// Returns the same with [`SERVICE`] offered by model engines.
 pub fn engine_config(version: u64, routes: Vec<RouteRule>) -> FleetConfig {
     let mut config = config(version, routes);
     config.services[0].engine = Some(EngineLimits {
@@ -64,7 +64,7 @@
     config
 }
 
-/// A target of [`SERVICE`] that stays.
+/// Returns a target of [`SERVICE`] that is not reclaimable.
 pub fn target(id: &str, address: &str) -> TargetRecord {
     TargetRecord {
         id: TargetLife::from(id),
@@ -78,7 +78,7 @@
     }
 }
 
-/// A model engine of [`SERVICE`].
+/// Returns a model engine of [`SERVICE`].
 pub fn engine(id: &str, stage: EngineStage) -> TargetRecord {
     let mut record = target(id, "127.0.0.1:9");
     record.stage = Some(stage);
