--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -16,7 +16,7 @@
 const SPANS: u64 = 10;
 /// Share of the fleet's budget that is used, since the daemons' windows are not aligned
 /// and not all retries of callers' connections are seen.
-const USED_SHARE: f64 = 0.7;
+const BUDGET_SHARE_USED: f64 = 0.7;
 
 /// Limits on the fleet's retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +33,7 @@
 struct SpanCounts {
     // Counts by span number.
     requests: IndexMap<u64, u32>,
-    repeats: IndexMap<u64, u32>,
+    retries: IndexMap<u64, u32>,
 }
 
 /// Retry budget of one daemon, by service.
@@ -71,17 +71,17 @@
     #[must_use]
     pub fn spend(&mut self, service: &ServiceName, daemons: usize, now: MonoTime) -> bool {
         let span = self.span(now);
-        let part = self.rule.allowance / daemons.max(1) as f64;
+        let share = self.rule.allowance / daemons.max(1) as f64;
         let ratio = self.rule.ratio;
         let counts = self.services.entry(service.clone()).or_default();
-        counts.repeats.retain(|at, _| *at + SPANS >= span);
+        counts.retries.retain(|at, _| *at + SPANS >= span);
         let requests: u32 = counts.requests.values().sum();
-        let repeats: u32 = counts.repeats.values().sum();
-        let most = USED_SHARE * (ratio * f64::from(requests) + part);
-        if f64::from(repeats) + 1.0 > most {
+        let retries: u32 = counts.retries.values().sum();
+        let limit = BUDGET_SHARE_USED * (ratio * f64::from(requests) + share);
+        if f64::from(retries) + 1.0 > limit {
             return false;
         }
-        *counts.repeats.entry(span).or_default() += 1;
+        *counts.retries.entry(span).or_default() += 1;
         true
     }
 
--- a/src/gateway/deciding/affinity.rs
+++ b/src/gateway/deciding/affinity.rs
@@ -16,7 +16,7 @@
 
 /// Time since its last use after which a part is assumed to be evicted. Engines evict
 /// the least recently used parts; under load, parts stay cached for tens of seconds.
-const BELIEF_TIME: Duration = Duration::from_secs(60);
+const CACHED_PART_TTL: Duration = Duration::from_secs(60);
 
 /// Share of an engine's KV cache that the index assumes to be filled with prompt parts.
 /// Parts of running prompts are counted too, so it is all of it; 45 and 140 percent gave
@@ -35,13 +35,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct CacheBook {
     engines: IndexMap<TargetLife, IndexMap<u64, CachedPart>>,
-    most_tokens: u64,
+    capacity_tokens: u64,
 }
 
 impl CacheBook {
     /// Sets the KV cache capacity of an engine, which running requests share.
     pub fn set_capacity(&mut self, tokens: u64) {
-        self.most_tokens = tokens * CACHE_SHARE_PERCENT / 100;
+        self.capacity_tokens = tokens * CACHE_SHARE_PERCENT / 100;
     }
 
     /// Returns the tokens of the leading parts that an engine probably caches, or will
@@ -54,7 +54,7 @@
     /// Returns the tokens of the leading parts that another engine could copy from this
     /// one.
     #[must_use]
-    pub fn ready_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
+    pub fn copyable_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
         self.leading_tokens(engine, parts, now, |part| part.ready)
     }
 
@@ -68,12 +68,12 @@
         let Some(cached) = self.engines.get(engine) else {
             return 0;
         };
-        let held = parts.iter().map_while(|part| {
-            let found = cached.get(&part.key)?;
-            let fresh = now.since(found.used_at) < BELIEF_TIME;
-            (fresh && counts(found)).then_some(found.tokens)
+        let leading = parts.iter().map_while(|part| {
+            let cached_part = cached.get(&part.key)?;
+            let fresh = now.since(cached_part.used_at) < CACHED_PART_TTL;
+            (fresh && counts(cached_part)).then_some(cached_part.tokens)
         });
-        held.sum()
+        leading.sum()
     }
 
     /// Records that an engine has prefilled a prompt, or received its KV cache.
@@ -102,7 +102,7 @@
             cached.insert(part.key, cached_part);
         }
         let mut total: u64 = cached.values().map(|part| u64::from(part.tokens)).sum();
-        while total > self.most_tokens {
+        while total > self.capacity_tokens {
             let Some((_, part)) = cached.shift_remove_index(0) else {
                 break;
             };
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -19,13 +19,13 @@
 use crate::gateway::model::{EngineStage, PromptShape, TargetRecord};
 
 /// Wait expected for each running request in excess of an engine's slots, in milliseconds.
-const OVERFULL_MS: f64 = 50.0;
+const OVERLOAD_PENALTY_MS: f64 = 50.0;
 /// Cost of an engine that recently did not answer, in milliseconds.
-const AVOIDED_MS: f64 = 20_000.0;
+const AVOIDED_PENALTY_MS: f64 = 20_000.0;
 /// Cost of an engine that was avoided and has not answered since, in milliseconds.
-const UNPROVED_MS: f64 = 300.0;
+const UNVERIFIED_PENALTY_MS: f64 = 300.0;
 /// Cost of an engine whose sends all fail, in milliseconds; scaled by the failure rate.
-const FAILURE_MS: f64 = 1_000.0;
+const FAILURE_PENALTY_MS: f64 = 1_000.0;
 
 /// Weights of the placement costs. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
@@ -36,7 +36,8 @@
     pub copy_ms: f64,
     /// Cost of recomputed shared tokens, as a multiple of their prefill time: they also
     /// evict other parts from the cache.
-    pub reread_weight: f64,
+    #[serde(rename = "reread_weight")]
+    pub recompute_weight: f64,
     /// Share of the cost of recomputing a shared part that is waived for its home, so
     /// that daemons that have not yet learned of each other's choices agree.
     pub home_discount: f64,
@@ -44,17 +45,18 @@
     pub running_ms: f64,
     /// Cost of a prefill to each request that runs on the same engine, as a share of the
     /// prefill time: their tokens wait for its chunks.
-    pub disturbance: f64,
+    #[serde(rename = "disturbance")]
+    pub interference: f64,
 }
 
 impl Default for PlacementWeights {
     fn default() -> Self {
         Self {
             copy_ms: 0.002,
-            reread_weight: 4.0,
+            recompute_weight: 4.0,
             home_discount: 0.5,
             running_ms: 2.0,
-            disturbance: 0.2,
+            interference: 0.2,
         }
     }
 }
@@ -65,36 +67,40 @@
     /// The engine.
     pub record: Arc<TargetRecord>,
     /// Leading tokens of the prompt that it probably caches.
-    pub held_tokens: u32,
+    pub cached_tokens: u32,
     /// Leading tokens of the prompt that another engine could copy from it.
-    pub ready_tokens: u32,
+    pub copyable_tokens: u32,
     /// Outstanding work.
     pub work: TargetWork,
     /// How reliably and fast it answers.
     pub health: HealthView,
     /// Whether another request may be sent to it.
-    pub may_get_work: bool,
+    pub available: bool,
 }
 
 impl EngineState {
-    fn is_reader(&self) -> bool {
+    fn is_prefill_engine(&self) -> bool {
         self.record.stage == Some(EngineStage::Prefill)
     }
 
-    fn trouble_ms(&self) -> f64 {
-        let avoided = if self.health.avoided { AVOIDED_MS } else { 0.0 };
-        let unproved = if self.health.unproved {
-            UNPROVED_MS
+    fn health_penalty_ms(&self) -> f64 {
+        let avoided = if self.health.avoided {
+            AVOIDED_PENALTY_MS
         } else {
             0.0
         };
-        avoided + unproved + FAILURE_MS * self.health.failure_rate
+        let unverified = if self.health.unverified {
+            UNVERIFIED_PENALTY_MS
+        } else {
+            0.0
+        };
+        avoided + unverified + FAILURE_PENALTY_MS * self.health.failure_rate
     }
 
     fn running_ms(&self, each_ms: f64) -> f64 {
         let running = self.work.running;
         let beyond = running.saturating_sub(self.record.slots);
-        f64::from(running) * each_ms + f64::from(beyond) * OVERFULL_MS
+        f64::from(running) * each_ms + f64::from(beyond) * OVERLOAD_PENALTY_MS
     }
 }
 
@@ -142,7 +148,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ReadWay<'a> {
+struct PrefillOption<'a> {
     engine: &'a EngineState,
     fetch_from: Option<&'a EngineState>,
     // Expected time plus the cost to other requests; the option with the least is chosen.
@@ -163,27 +169,27 @@
     prompt: &PromptShape,
     rank: u8,
 ) -> Option<EnginePlace> {
-    let scene = Scene::new(weights, lines, engines, prompt, rank);
-    let direct = scene.cheapest(|e| !e.is_reader() && e.may_get_work)?;
-    let Some(read) = scene.cheapest(|e| e.is_reader() && e.may_get_work) else {
-        return Some(direct_place(&direct, rank));
+    let context = ChoiceContext::new(weights, lines, engines, prompt, rank);
+    let local = context.cheapest(|e| !e.is_prefill_engine() && e.available)?;
+    let Some(remote) = context.cheapest(|e| e.is_prefill_engine() && e.available) else {
+        return Some(local_placement(&local, rank));
     };
-    let Some((writer, writer_ms)) = scene.writer() else {
-        return Some(direct_place(&direct, rank));
+    let Some((writer, decode)) = context.writer() else {
+        return Some(local_placement(&local, rank));
     };
-    if read.cost_ms + writer_ms.cost >= direct.cost_ms {
-        return Some(direct_place(&direct, rank));
+    if remote.cost_ms + decode.cost >= local.cost_ms {
+        return Some(local_placement(&local, rank));
     }
     Some(EnginePlace {
-        reader: Some(read.engine.record.clone()),
+        reader: Some(remote.engine.record.clone()),
         writer: writer.record.clone(),
-        fetch_from: read.fetch_from.map(|holder| holder.record.clone()),
+        fetch_from: remote.fetch_from.map(|source| source.record.clone()),
         rank,
-        expected_ms: read.expected_ms + writer_ms.expected,
-        own_ms: read.own_ms,
-        unread_tokens: read.unread_tokens,
-        reread_tokens: read.reread_tokens,
-        waiting_tokens: read.waiting_tokens,
+        expected_ms: remote.expected_ms + decode.expected,
+        own_ms: remote.own_ms,
+        unread_tokens: remote.unread_tokens,
+        reread_tokens: remote.reread_tokens,
+        waiting_tokens: remote.waiting_tokens,
         gives_way: false,
     })
 }
@@ -200,35 +206,35 @@
     prompt: &PromptShape,
     rank: u8,
 ) -> Option<Arc<TargetRecord>> {
-    let scene = Scene::new(weights, lines, engines, prompt, rank);
-    scene.writer().map(|(engine, _)| engine.record.clone())
+    let context = ChoiceContext::new(weights, lines, engines, prompt, rank);
+    context.writer().map(|(engine, _)| engine.record.clone())
 }
 
-fn direct_place(way: &ReadWay<'_>, rank: u8) -> EnginePlace {
+fn local_placement(option: &PrefillOption<'_>, rank: u8) -> EnginePlace {
     EnginePlace {
         reader: None,
-        writer: way.engine.record.clone(),
-        fetch_from: way.fetch_from.map(|holder| holder.record.clone()),
+        writer: option.engine.record.clone(),
+        fetch_from: option.fetch_from.map(|source| source.record.clone()),
         rank,
-        expected_ms: way.expected_ms,
-        own_ms: way.own_ms,
-        unread_tokens: way.unread_tokens,
-        reread_tokens: way.reread_tokens,
-        waiting_tokens: way.waiting_tokens,
+        expected_ms: option.expected_ms,
+        own_ms: option.own_ms,
+        unread_tokens: option.unread_tokens,
+        reread_tokens: option.reread_tokens,
+        waiting_tokens: option.waiting_tokens,
         gives_way: false,
     }
 }
 
 // Cost of decoding at an engine, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-struct WriteTime {
+struct DecodeCost {
     // Time to the first event.
     expected: f64,
     // Expected time plus the cost to other requests.
     cost: f64,
 }
 
-struct Scene<'a> {
+struct ChoiceContext<'a> {
     weights: &'a PlacementWeights,
     lines: &'a EngineLines,
     engines: &'a [EngineState],
@@ -236,10 +242,10 @@
     rank: u8,
     shared_tokens: u32,
     home: Option<&'a EngineState>,
-    holder: Option<&'a EngineState>,
+    source: Option<&'a EngineState>,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> ChoiceContext<'a> {
     fn new(
         weights: &'a PlacementWeights,
         lines: &'a EngineLines,
@@ -249,13 +255,13 @@
     ) -> Self {
         let key = affinity::shared_key(&prompt.parts);
         let home = key.and_then(|key| {
-            let sound = engines.iter().filter(|e| !e.health.avoided);
-            sound.max_by_key(|e| affinity::home_weight(key, &e.record.id))
+            let healthy = engines.iter().filter(|e| !e.health.avoided);
+            healthy.max_by_key(|e| affinity::home_weight(key, &e.record.id))
         });
-        let holders = engines.iter().filter(|e| !e.health.avoided);
-        let holder = holders
-            .filter(|e| e.ready_tokens > 0)
-            .max_by_key(|e| e.ready_tokens);
+        let sources = engines.iter().filter(|e| !e.health.avoided);
+        let source = sources
+            .filter(|e| e.copyable_tokens > 0)
+            .max_by_key(|e| e.copyable_tokens);
         Self {
             weights,
             lines,
@@ -264,69 +270,74 @@
             rank,
             shared_tokens: affinity::shared_tokens(&prompt.parts),
             home,
-            holder,
+            source,
         }
     }
 
-    fn cheapest(&self, fits: impl Fn(&EngineState) -> bool) -> Option<ReadWay<'a>> {
-        let ways = self.engines.iter().filter(|e| fits(e));
-        ways.map(|engine| self.way(engine))
+    fn cheapest(&self, fits: impl Fn(&EngineState) -> bool) -> Option<PrefillOption<'a>> {
+        let candidates = self.engines.iter().filter(|e| fits(e));
+        candidates
+            .map(|engine| self.option(engine))
             .min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))
     }
 
-    fn way(&self, engine: &'a EngineState) -> ReadWay<'a> {
-        let held = engine.held_tokens;
-        let most = self.shared_tokens;
-        let copyable = self
-            .holder
-            .map_or(0, |holder| holder.ready_tokens.min(most));
-        let copied = copyable.saturating_sub(held);
-        let fetch_from = self.holder.filter(|_| copied > 0);
-        let unread = self.prompt.prompt_tokens.saturating_sub(held + copied);
-        let reread = self.shared_tokens.saturating_sub(held + copied);
+    fn option(&self, engine: &'a EngineState) -> PrefillOption<'a> {
+        let cached = engine.cached_tokens;
+        let shared = self.shared_tokens;
+        let from_source = self
+            .source
+            .map_or(0, |source| source.copyable_tokens.min(shared));
+        let copied = from_source.saturating_sub(cached);
+        let fetch_from = self.source.filter(|_| copied > 0);
+        let unread = self.prompt.prompt_tokens.saturating_sub(cached + copied);
+        let recomputed = self.shared_tokens.saturating_sub(cached + copied);
         let is_home = self
             .home
             .is_some_and(|home| home.record.id == engine.record.id);
         let weights = self.weights;
         let discount = if is_home { weights.home_discount } else { 0.0 };
-        let reread_cost = weights.reread_weight * f64::from(reread) * (1.0 - discount);
+        let recompute_tokens = weights.recompute_weight * f64::from(recomputed) * (1.0 - discount);
         let pace = engine.health.pace;
         let waiting = engine.work.unread_before(self.rank);
-        let (line, disturbed, running) = if engine.is_reader() {
+        let (line, interference_factor, running) = if engine.is_prefill_engine() {
             (self.lines.read_ahead, 1.0, 0.0)
         } else {
-            let disturbed = 1.0 + weights.disturbance * f64::from(engine.work.running);
+            let interference_factor = 1.0 + weights.interference * f64::from(engine.work.running);
             let running = engine.running_ms(weights.running_ms);
-            (self.lines.read_here, disturbed, running)
+            (self.lines.read_here, interference_factor, running)
         };
         let own_ms = f64::from(unread) * line.token_ms * pace;
         let waiting_ms = f64::from(waiting) * line.token_ms * pace;
-        let expected_ms = line.fixed_ms * pace + own_ms + waiting_ms + engine.trouble_ms();
-        let others_ms = (own_ms + reread_cost * pace * line.token_ms) * disturbed - own_ms;
-        let copying = f64::from(copied) * weights.copy_ms;
-        ReadWay {
+        let expected_ms = line.fixed_ms * pace + own_ms + waiting_ms + engine.health_penalty_ms();
+        let cost_to_others_ms =
+            (own_ms + recompute_tokens * pace * line.token_ms) * interference_factor - own_ms;
+        let copying_ms = f64::from(copied) * weights.copy_ms;
+        PrefillOption {
             engine,
             fetch_from,
-            cost_ms: expected_ms + others_ms + running + copying,
+            cost_ms: expected_ms + cost_to_others_ms + running + copying_ms,
             expected_ms,
             own_ms,
             unread_tokens: unread,
-            reread_tokens: reread,
+            reread_tokens: recomputed,
             waiting_tokens: waiting,
         }
     }
 
     // Returns the decode engine with the least cost for a prompt prefilled elsewhere.
-    fn writer(&self) -> Option<(&'a EngineState, WriteTime)> {
-        let fits = |e: &&EngineState| !e.is_reader() && e.may_get_work;
+    fn writer(&self) -> Option<(&'a EngineState, DecodeCost)> {
+        let fits = |e: &&EngineState| !e.is_prefill_engine() && e.available;
         let costs = self.engines.iter().filter(fits).map(|engine| {
             let waiting = f64::from(engine.work.unread_before(self.rank));
             let pace = engine.health.pace;
-            let expected = self.lines.take_over.at(waiting) * pace + engine.trouble_ms();
-            let copied = self.prompt.prompt_tokens.saturating_sub(engine.held_tokens);
+            let expected = self.lines.take_over.at(waiting) * pace + engine.health_penalty_ms();
+            let copied = self
+                .prompt
+                .prompt_tokens
+                .saturating_sub(engine.cached_tokens);
             let copy_ms = f64::from(copied) * self.weights.copy_ms;
             let cost = expected + copy_ms + engine.running_ms(self.weights.running_ms);
-            (engine, WriteTime { expected, cost })
+            (engine, DecodeCost { expected, cost })
         });
         costs.min_by(|a, b| a.1.cost.total_cmp(&b.1.cost))
     }
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -12,19 +12,19 @@
 use crate::target_life::TargetLife;
 
 /// Consecutive sends without an answer after which a target is avoided.
-const SILENT_SENDS: u32 = 2;
-/// Time that a target is avoided at first; doubles up to [`LONGEST_AVOIDED`].
-const FIRST_AVOIDED: Duration = Duration::from_millis(1_000);
+const SILENT_SENDS_TO_AVOID: u32 = 2;
+/// Time that a target is avoided at first; doubles up to [`MAX_AVOID_TIME`].
+const MIN_AVOID_TIME: Duration = Duration::from_millis(1_000);
 /// Longest time that a target is avoided before it is tried again.
-const LONGEST_AVOIDED: Duration = Duration::from_millis(6_000);
+const MAX_AVOID_TIME: Duration = Duration::from_millis(6_000);
 /// Weight of the newest result in the moving failure rate.
-const NEW_WEIGHT: f64 = 0.12;
+const FAILURE_WEIGHT: f64 = 0.12;
 /// Weight of the newest ratio in the moving mean of the slowdown.
-const TIME_WEIGHT: f64 = 0.15;
+const SLOWDOWN_WEIGHT: f64 = 0.15;
 /// Slowdown of a target without measurements.
-const FIRST_PACE: f64 = 1.0;
+const INITIAL_SLOWDOWN: f64 = 1.0;
 /// Bounds of a measured ratio, so that one slow answer does not exclude a target for long.
-const PACE_RANGE: (f64, f64) = (0.2, 12.0);
+const SLOWDOWN_RANGE: (f64, f64) = (0.2, 12.0);
 
 /// Result of a send.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -49,9 +49,9 @@
 /// Health record of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetHealth {
-    silent_in_row: u32,
+    consecutive_silent: u32,
     avoided_until: Option<MonoTime>,
-    avoid_next: Duration,
+    next_avoid_time: Duration,
     failure_rate: f64,
     pace: f64,
 }
@@ -59,11 +59,11 @@
 impl Default for TargetHealth {
     fn default() -> Self {
         Self {
-            silent_in_row: 0,
+            consecutive_silent: 0,
             avoided_until: None,
-            avoid_next: FIRST_AVOIDED,
+            next_avoid_time: MIN_AVOID_TIME,
             failure_rate: 0.0,
-            pace: FIRST_PACE,
+            pace: INITIAL_SLOWDOWN,
         }
     }
 }
@@ -74,7 +74,7 @@
     /// Whether to use it only if no other target is available.
     pub avoided: bool,
     /// Whether it was avoided and has not answered since.
-    pub unproved: bool,
+    pub unverified: bool,
     /// Share of recent sends that failed.
     pub failure_rate: f64,
     /// Moving mean of the measured time divided by the expected time.
@@ -98,12 +98,12 @@
     ) -> Option<HealthChange> {
         let health = self.targets.entry(target.clone()).or_default();
         let failed = f64::from(u8::from(result != SendResult::Answered));
-        health.failure_rate += NEW_WEIGHT * (failed - health.failure_rate);
+        health.failure_rate += FAILURE_WEIGHT * (failed - health.failure_rate);
         match result {
-            SendResult::Silent => health.note_silence(now),
+            SendResult::Silent => health.record_silence(now),
             SendResult::Answered | SendResult::Failed => {
-                health.silent_in_row = 0;
-                health.avoid_next = FIRST_AVOIDED;
+                health.consecutive_silent = 0;
+                health.next_avoid_time = MIN_AVOID_TIME;
                 health.avoided_until.take().map(|_| HealthChange::Proved)
             }
         }
@@ -112,18 +112,18 @@
     /// Records the time of an answer and the time expected of engines of its kind.
     pub fn note_time(&mut self, target: &TargetLife, taken_ms: f64, expected_ms: f64) {
         let health = self.targets.entry(target.clone()).or_default();
-        let ratio = (taken_ms / expected_ms.max(1.0)).clamp(PACE_RANGE.0, PACE_RANGE.1);
-        health.pace += TIME_WEIGHT * (ratio - health.pace);
+        let ratio = (taken_ms / expected_ms.max(1.0)).clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
+        health.pace += SLOWDOWN_WEIGHT * (ratio - health.pace);
     }
 
     /// Returns a target's health for a choice.
     #[must_use]
     pub fn view(&self, target: &TargetLife, now: MonoTime) -> HealthView {
-        let fresh = TargetHealth::default();
-        let health = self.targets.get(target).unwrap_or(&fresh);
+        let unknown = TargetHealth::default();
+        let health = self.targets.get(target).unwrap_or(&unknown);
         HealthView {
             avoided: health.avoided_until.is_some_and(|until| now < until),
-            unproved: health.avoided_until.is_some(),
+            unverified: health.avoided_until.is_some(),
             failure_rate: health.failure_rate,
             pace: health.pace,
         }
@@ -136,13 +136,13 @@
 }
 
 impl TargetHealth {
-    fn note_silence(&mut self, now: MonoTime) -> Option<HealthChange> {
-        self.silent_in_row += 1;
-        if self.silent_in_row < SILENT_SENDS {
+    fn record_silence(&mut self, now: MonoTime) -> Option<HealthChange> {
+        self.consecutive_silent += 1;
+        if self.consecutive_silent < SILENT_SENDS_TO_AVOID {
             return None;
         }
-        self.avoided_until = Some(now.plus(self.avoid_next));
-        self.avoid_next = (self.avoid_next * 2).min(LONGEST_AVOIDED);
+        self.avoided_until = Some(now.plus(self.next_avoid_time));
+        self.next_avoid_time = (self.next_avoid_time * 2).min(MAX_AVOID_TIME);
         Some(HealthChange::Avoided)
     }
 }
--- a/src/gateway/deciding/line_fit.rs
+++ b/src/gateway/deciding/line_fit.rs
@@ -2,18 +2,18 @@
 
 /// Factor by which each new observation decays the weight of earlier ones: about the last
 /// seventy count, which a daemon makes within some seconds of load.
-const KEPT_SHARE: f64 = 0.985;
+const DECAY_FACTOR: f64 = 0.985;
 /// Weight of each of the two points that represent the prior.
 const PRIOR_WEIGHT: f64 = 1.0;
 /// Size of the larger of these points: a prompt of medium length.
 const PRIOR_TOKENS: f64 = 8_000.0;
 /// Observations that deviate by more than this many mean deviations are clamped.
-const OUTLIER_SPREADS: f64 = 4.0;
+const OUTLIER_DEVIATIONS: f64 = 4.0;
 /// Weight of the newest deviation in the moving mean of the deviation.
-const SPREAD_WEIGHT: f64 = 0.05;
+const DEVIATION_WEIGHT: f64 = 0.05;
 /// Lower bounds of the fitted times: no engine prefills a million tokens in 10 ms.
-const LEAST_TOKEN_MS: f64 = 1e-5;
-const LEAST_FIXED_MS: f64 = 0.5;
+const MIN_TOKEN_MS: f64 = 1e-5;
+const MIN_FIXED_MS: f64 = 0.5;
 
 /// Latency of work: a fixed time plus a time per token, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,7 +44,7 @@
     sum_y: f64,
     sum_xx: f64,
     sum_xy: f64,
-    spread: f64,
+    mean_deviation: f64,
     line: WorkLine,
 }
 
@@ -59,7 +59,7 @@
             sum_y: 0.0,
             sum_xx: 0.0,
             sum_xy: 0.0,
-            spread: prior.at(PRIOR_TOKENS),
+            mean_deviation: prior.at(PRIOR_TOKENS),
             line: prior,
         }
     }
@@ -73,9 +73,10 @@
     /// Records the time that work on `tokens` took.
     pub fn note(&mut self, tokens: f64, taken_ms: f64) {
         let expected = self.line.at(tokens);
-        let reach = OUTLIER_SPREADS * self.spread;
-        let taken = taken_ms.clamp(expected - reach, expected + reach);
-        self.spread += SPREAD_WEIGHT * ((taken_ms - expected).abs() - self.spread);
+        let max_deviation = OUTLIER_DEVIATIONS * self.mean_deviation;
+        let taken = taken_ms.clamp(expected - max_deviation, expected + max_deviation);
+        self.mean_deviation +=
+            DEVIATION_WEIGHT * ((taken_ms - expected).abs() - self.mean_deviation);
         for sum in [
             &mut self.weight,
             &mut self.sum_x,
@@ -83,7 +84,7 @@
             &mut self.sum_xx,
             &mut self.sum_xy,
         ] {
-            *sum *= KEPT_SHARE;
+            *sum *= DECAY_FACTOR;
         }
         self.weight += 1.0;
         self.sum_x += tokens;
@@ -101,18 +102,18 @@
         let sum_xx = self.sum_xx + PRIOR_WEIGHT * PRIOR_TOKENS * PRIOR_TOKENS;
         let sum_xy = self.sum_xy + PRIOR_WEIGHT * PRIOR_TOKENS * far;
         // Positive, because the prior has points at two different sizes.
-        let spread = weight * sum_xx - sum_x * sum_x;
-        let slope = (weight * sum_xy - sum_x * sum_y) / spread;
-        let token_ms = slope.max(LEAST_TOKEN_MS);
+        let determinant = weight * sum_xx - sum_x * sum_x;
+        let slope = (weight * sum_xy - sum_x * sum_y) / determinant;
+        let token_ms = slope.max(MIN_TOKEN_MS);
         let fixed_ms = (sum_y - token_ms * sum_x) / weight;
-        if fixed_ms >= LEAST_FIXED_MS {
+        if fixed_ms >= MIN_FIXED_MS {
             return WorkLine { fixed_ms, token_ms };
         }
         // Best fit with the fixed time at its lower bound.
-        let token_ms = (sum_xy - LEAST_FIXED_MS * sum_x) / sum_xx;
+        let token_ms = (sum_xy - MIN_FIXED_MS * sum_x) / sum_xx;
         WorkLine {
-            fixed_ms: LEAST_FIXED_MS,
-            token_ms: token_ms.max(LEAST_TOKEN_MS),
+            fixed_ms: MIN_FIXED_MS,
+            token_ms: token_ms.max(MIN_TOKEN_MS),
         }
     }
 }
--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -9,7 +9,7 @@
 use crate::target_life::TargetLife;
 
 /// Age from which the work reported by a peer is ignored.
-const STALE_AFTER: Duration = Duration::from_millis(1_500);
+const PEER_LOAD_TTL: Duration = Duration::from_millis(1_500);
 
 /// Number of ranks that engines distinguish; rank 0 is prefilled first.
 pub const RANKS: usize = 10;
@@ -93,7 +93,7 @@
 
 /// Work that was assigned to a peer and is not yet contained in its reports.
 #[derive(Clone, Debug)]
-struct PromisedWork {
+struct ReservedWork {
     number: u64,
     target: TargetLife,
     work: TargetWork,
@@ -101,18 +101,18 @@
 }
 
 /// Age from which reserved work is ignored: its daemon has reported it or is gone.
-const PROMISE_TIME: Duration = Duration::from_millis(800);
+const RESERVATION_TTL: Duration = Duration::from_millis(800);
 
 /// Outstanding work of this daemon and of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBook {
     own: WorkByTarget,
     others: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
-    promised: IndexMap<DaemonId, Vec<PromisedWork>>,
+    reserved: IndexMap<DaemonId, Vec<ReservedWork>>,
     // Highest reservation number that a daemon's last report contains.
-    settled: IndexMap<DaemonId, u64>,
+    reported_through: IndexMap<DaemonId, u64>,
     // Sum over the peers, cached so that a choice does not have to compute it.
-    sum: WorkByTarget,
+    peer_sum: WorkByTarget,
 }
 
 impl LoadBook {
@@ -145,7 +145,7 @@
     /// Replaces the work reported by a peer.
     pub fn set_other(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
         self.others.insert(daemon, (now, work));
-        self.sum_up(now);
+        self.update_peer_sum(now);
     }
 
     /// Reserves work (rank and pending prefill tokens) that a peer sends and will report
@@ -159,7 +159,7 @@
         now: MonoTime,
     ) {
         if self
-            .settled
+            .reported_through
             .get(daemon)
             .is_some_and(|through| number <= *through)
         {
@@ -170,9 +170,9 @@
             ..TargetWork::default()
         };
         work.unread[rank_index(rank)] = unread_tokens;
-        self.sum.entry(target.clone()).or_default().add(&work);
-        let promised = self.promised.entry(daemon.clone()).or_default();
-        promised.push(PromisedWork {
+        self.peer_sum.entry(target.clone()).or_default().add(&work);
+        let reserved = self.reserved.entry(daemon.clone()).or_default();
+        reserved.push(ReservedWork {
             number,
             target: target.clone(),
             work,
@@ -182,15 +182,15 @@
 
     /// Drops reservations of a peer up to the number that its report contains.
     pub fn settle_promises(&mut self, daemon: &DaemonId, through: u64) {
-        self.settled.insert(daemon.clone(), through);
-        if let Some(promised) = self.promised.get_mut(daemon) {
-            promised.retain(|promise| promise.number > through);
+        self.reported_through.insert(daemon.clone(), through);
+        if let Some(reserved) = self.reserved.get_mut(daemon) {
+            reserved.retain(|reservation| reservation.number > through);
         }
     }
 
     /// Drops reports and reservations that are too old.
     pub fn expire(&mut self, now: MonoTime) {
-        self.sum_up(now);
+        self.update_peer_sum(now);
     }
 
     /// Returns the work of this daemon.
@@ -199,19 +199,19 @@
         &self.own
     }
 
-    /// Returns the sum of the work of this daemon and of the peers for which `counts` is
+    /// Returns the sum of the work of this daemon and of the peers for which `includes` is
     /// true.
     #[must_use]
-    pub fn summed(&self, counts: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
+    pub fn summed(&self, includes: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
         let mut sum = self.own.clone();
-        let others = self.others.iter().filter(|(daemon, _)| counts(daemon));
+        let others = self.others.iter().filter(|(daemon, _)| includes(daemon));
         for (target, work) in others.flat_map(|(_, (_, work))| work) {
             sum.entry(target.clone()).or_default().add(work);
         }
-        let promised = self.promised.iter().filter(|(daemon, _)| counts(daemon));
-        for promise in promised.flat_map(|(_, promised)| promised) {
-            let total = sum.entry(promise.target.clone()).or_default();
-            total.add(&promise.work);
+        let reserved = self.reserved.iter().filter(|(daemon, _)| includes(daemon));
+        for reservation in reserved.flat_map(|(_, reserved)| reserved) {
+            let total = sum.entry(reservation.target.clone()).or_default();
+            total.add(&reservation.work);
         }
         sum
     }
@@ -220,7 +220,7 @@
     #[must_use]
     pub fn total(&self, target: &TargetLife) -> TargetWork {
         let mut total = self.own.get(target).copied().unwrap_or_default();
-        total.add(&self.sum.get(target).copied().unwrap_or_default());
+        total.add(&self.peer_sum.get(target).copied().unwrap_or_default());
         total
     }
 
@@ -230,20 +230,20 @@
         self.others.len()
     }
 
-    fn sum_up(&mut self, now: MonoTime) {
+    fn update_peer_sum(&mut self, now: MonoTime) {
         self.others
-            .retain(|_, (at, _)| now.since(*at) < STALE_AFTER);
-        self.sum.clear();
+            .retain(|_, (at, _)| now.since(*at) < PEER_LOAD_TTL);
+        self.peer_sum.clear();
         for (target, work) in self.others.values().flat_map(|(_, work)| work) {
-            self.sum.entry(target.clone()).or_default().add(work);
+            self.peer_sum.entry(target.clone()).or_default().add(work);
         }
-        for promised in self.promised.values_mut() {
-            promised.retain(|promise| now.since(promise.at) < PROMISE_TIME);
+        for reserved in self.reserved.values_mut() {
+            reserved.retain(|reservation| now.since(reservation.at) < RESERVATION_TTL);
         }
-        self.promised.retain(|_, promised| !promised.is_empty());
-        for promise in self.promised.values().flatten() {
-            let total = self.sum.entry(promise.target.clone()).or_default();
-            total.add(&promise.work);
+        self.reserved.retain(|_, reserved| !reserved.is_empty());
+        for reservation in self.reserved.values().flatten() {
+            let total = self.peer_sum.entry(reservation.target.clone()).or_default();
+            total.add(&reservation.work);
         }
     }
 }
--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -154,13 +154,13 @@
             let place = engine_choice::choose(&self.weights, &lines, &engines, order.prompt, rank)?;
             Some(EnginePlace { gives_way, ..place })
         };
-        let in_time = choose(order.urgency, false)?;
+        let on_time = choose(order.urgency, false)?;
         // A request that misses its objective by waiting is queued behind those that can
         // still meet theirs. One that misses it by its own prefill time is not: the
         // longest prompts would never be served.
-        let waiting_ms = in_time.expected_ms - in_time.own_ms;
+        let waiting_ms = on_time.expected_ms - on_time.own_ms;
         if waiting_ms <= order.objective_left.as_secs_f64() * 1_000.0 {
-            return Some(in_time);
+            return Some(on_time);
         }
         choose(order.urgency.saturating_add(LATE_RANKS).min(9), true)
     }
@@ -226,11 +226,11 @@
         let changing = |id: &TargetLife| choices.changing.contains(id);
         let states = choices.engines.iter().map(|engine| EngineState {
             record: engine.clone(),
-            held_tokens: self.caches.cached_tokens(&engine.id, parts, now),
-            ready_tokens: self.caches.ready_tokens(&engine.id, parts, now),
+            cached_tokens: self.caches.cached_tokens(&engine.id, parts, now),
+            copyable_tokens: self.caches.copyable_tokens(&engine.id, parts, now),
             work: self.load.total(&engine.id),
             health: self.health.view(&engine.id, now),
-            may_get_work: !excluded(&engine.id) && !changing(&engine.id),
+            available: !excluded(&engine.id) && !changing(&engine.id),
         });
         states.collect()
     }
@@ -241,13 +241,13 @@
 /// Weight of the failure rate relative to the share of busy slots.
 const FAILURE_WEIGHT: f64 = 4.0;
 /// Cost of a target that recently did not answer: more than any load.
-const AWAY_COST: f64 = 100.0;
+const AVOIDED_COST: f64 = 100.0;
 
 // Cost of sending one more request: the share of busy slots plus penalties for failures.
 fn plain_cost(running: u32, slots: u32, health: HealthView) -> f64 {
-    let filled = f64::from(running) / f64::from(slots.max(1));
-    let failing = FAILURE_WEIGHT * health.failure_rate;
-    let away = if health.avoided { AWAY_COST } else { 0.0 };
-    let unproved = if health.unproved { 1.0 } else { 0.0 };
-    filled + failing + away + unproved
+    let busy_share = f64::from(running) / f64::from(slots.max(1));
+    let failure_cost = FAILURE_WEIGHT * health.failure_rate;
+    let avoided_cost = if health.avoided { AVOIDED_COST } else { 0.0 };
+    let unverified = if health.unverified { 1.0 } else { 0.0 };
+    busy_share + failure_cost + avoided_cost + unverified
 }
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -11,7 +11,7 @@
 
 /// Fewest decode engines to keep: they can also prefill, while a prefill engine cannot
 /// generate.
-const FEWEST_WRITERS: usize = 2;
+const MIN_DECODE_ENGINES: usize = 2;
 /// Work placed on the engines of a service, per second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WorkRate {
@@ -33,10 +33,10 @@
 /// Returns how many of `engines` should be prefill engines, for a given share of them.
 #[must_use]
 pub fn wanted_readers(engines: usize, share: f64) -> usize {
-    let most = engines.saturating_sub(FEWEST_WRITERS);
+    let max = engines.saturating_sub(MIN_DECODE_ENGINES);
     let wanted = (share * engines as f64).round() as usize;
-    let fewest = usize::from(most > 0);
-    wanted.clamp(fewest, most)
+    let min = usize::from(max > 0);
+    wanted.clamp(min, max)
 }
 
 /// Returns up to `at_once` changes that bring the number of prefill engines among
@@ -48,28 +48,28 @@
     wanted: usize,
     at_once: usize,
 ) -> Vec<StageWish> {
-    let readers = engines.iter().filter(|e| is_reader(e)).count();
-    let (stage, count) = if readers < wanted {
-        (EngineStage::Prefill, wanted - readers)
+    let prefill_engines = engines.iter().filter(|e| is_prefill_engine(e)).count();
+    let (stage, count) = if prefill_engines < wanted {
+        (EngineStage::Prefill, wanted - prefill_engines)
     } else {
-        (EngineStage::Decode, readers - wanted)
+        (EngineStage::Decode, prefill_engines - wanted)
     };
-    let mut left: Vec<&Arc<TargetRecord>> =
+    let mut candidates: Vec<&Arc<TargetRecord>> =
         engines.iter().filter(|e| e.stage != Some(stage)).collect();
     let mut in_centre: IndexMap<CentreName, usize> = IndexMap::new();
     for engine in engines.iter().filter(|e| e.stage == Some(stage)) {
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
     }
     let mut wishes = Vec::new();
-    while wishes.len() < count.min(at_once) && !left.is_empty() {
+    while wishes.len() < count.min(at_once) && !candidates.is_empty() {
         let key = |e: &&Arc<TargetRecord>| {
-            let there = in_centre.get(&e.centre).copied().unwrap_or(0);
-            (there, running(&e.id), e.id.clone())
+            let same_stage = in_centre.get(&e.centre).copied().unwrap_or(0);
+            (same_stage, running(&e.id), e.id.clone())
         };
-        let Some(at) = (0..left.len()).min_by_key(|at| key(&left[*at])) else {
+        let Some(at) = (0..candidates.len()).min_by_key(|at| key(&candidates[*at])) else {
             break;
         };
-        let engine = left.swap_remove(at);
+        let engine = candidates.swap_remove(at);
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
         wishes.push(StageWish {
             engine: engine.clone(),
@@ -79,6 +79,6 @@
     wishes
 }
 
-fn is_reader(engine: &TargetRecord) -> bool {
+fn is_prefill_engine(engine: &TargetRecord) -> bool {
     engine.stage == Some(EngineStage::Prefill)
 }
--- a/src/gateway/deciding/work_meter.rs
+++ b/src/gateway/deciding/work_meter.rs
@@ -5,7 +5,7 @@
 
 /// Time constant of the mean, in seconds: a swing of a few seconds is not worth a change
 /// of an engine's stage, a shift of ten seconds is.
-const MEAN_S: f64 = 6.0;
+const TIME_CONSTANT_S: f64 = 6.0;
 
 /// Exponentially decaying mean rate of the work that this daemon placed.
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,8 +18,8 @@
     /// Records placed work.
     pub fn note(&mut self, read_tokens: u32, written_tokens: u32, now: MonoTime) {
         self.decay(now);
-        self.rate.read_tokens += f64::from(read_tokens) / MEAN_S;
-        self.rate.written_tokens += f64::from(written_tokens) / MEAN_S;
+        self.rate.read_tokens += f64::from(read_tokens) / TIME_CONSTANT_S;
+        self.rate.written_tokens += f64::from(written_tokens) / TIME_CONSTANT_S;
     }
 
     /// Returns the mean rate, decayed to `now`.
@@ -30,9 +30,9 @@
     }
 
     fn decay(&mut self, now: MonoTime) {
-        let kept = (-now.since(self.at).as_secs_f64() / MEAN_S).exp();
-        self.rate.read_tokens *= kept;
-        self.rate.written_tokens *= kept;
+        let factor = (-now.since(self.at).as_secs_f64() / TIME_CONSTANT_S).exp();
+        self.rate.read_tokens *= factor;
+        self.rate.written_tokens *= factor;
         self.at = now;
     }
 }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -28,7 +28,7 @@
 
 /// How long departures, and the last revision of removed entries, are remembered: longer
 /// than outdated information about them can take to arrive.
-const DEPARTED_TIME: Duration = Duration::from_secs(120);
+const DEPARTURE_RETENTION: Duration = Duration::from_secs(120);
 /// Source of information about an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntrySource {
@@ -133,8 +133,8 @@
 
 impl TargetRegistry {
     /// Records that the store did not answer a request sent at `asked`.
-    pub fn note_store_failure(&mut self, asked: MonoTime, now: MonoTime) {
-        self.contact.note_failure(asked, now);
+    pub fn note_store_failure(&mut self, sent_at: MonoTime, now: MonoTime) {
+        self.contact.note_failure(sent_at, now);
     }
 
     /// Records that the store answered a request of any kind.
@@ -149,48 +149,50 @@
 
     /// Replaces all entries by a complete listing.
     pub fn replace(&mut self, listing: Vec<EntryNews>, source: EntrySource, now: MonoTime) {
-        let listed: Vec<TargetId> = listing.iter().map(|news| news.name.clone()).collect();
-        for news in listing {
-            self.take(news, source, now);
+        let listed_names: Vec<TargetId> =
+            listing.iter().map(|change| change.name.clone()).collect();
+        for change in listing {
+            self.take(change, source, now);
         }
         let missing: Vec<TargetId> = self
             .entries
             .keys()
-            .filter(|name| !listed.contains(name))
+            .filter(|name| !listed_names.contains(name))
             .cloned()
             .collect();
         for name in missing {
-            self.remove(&name, source, now);
+            self.remove_or_mark_missing(&name, source, now);
         }
-        self.unreadable.retain(|name, _| listed.contains(name));
+        self.unreadable
+            .retain(|name, _| listed_names.contains(name));
     }
 
     /// Applies the change of one entry, unless a newer one of its name is known; returns
     /// true if it adds an incarnation of a target.
-    pub fn take(&mut self, news: EntryNews, source: EntrySource, now: MonoTime) -> bool {
+    pub fn take(&mut self, change: EntryNews, source: EntrySource, now: MonoTime) -> bool {
         let EntryNews {
             name,
             revision,
             content,
-        } = news;
+        } = change;
         // Updates of peers up to the revision that this daemon has read are known here.
-        let was_read = source == EntrySource::Peer && revision <= self.read_through;
-        if was_read || self.is_outdated(&name, revision) {
+        let already_read = source == EntrySource::Peer && revision <= self.read_through;
+        if already_read || self.is_outdated(&name, revision) {
             return false;
         }
         self.note_revision(&name, revision, now);
         match content {
             EntryContent::Gone => {
                 self.unreadable.swap_remove(&name);
-                self.remove(&name, source, now);
+                self.remove_or_mark_missing(&name, source, now);
                 false
             }
             EntryContent::Named(record) => {
                 self.unreadable.swap_remove(&name);
-                self.set(record, revision, source, now)
+                self.insert_target(record, revision, source, now)
             }
             EntryContent::Unreadable(fault) => {
-                self.leave_out(&name, revision, &fault, source);
+                self.ignore_unreadable(&name, revision, &fault, source);
                 false
             }
         }
@@ -216,7 +218,7 @@
             return false;
         }
         self.note_revision(name, revision, now);
-        self.keep_note(name, revision, None, now);
+        self.record_update(name, revision, None, now);
         self.drop_entry(name, EntrySource::Peer);
         true
     }
@@ -224,18 +226,18 @@
     /// Records that an entry was added, to be announced to peers.
     pub fn note_begun(&mut self, name: &TargetId, value: &[u8], now: MonoTime) {
         let value = Some(ByteBuf::from(value));
-        self.keep_note(name, self.seen_revision(name), value, now);
+        self.record_update(name, self.seen_revision(name), value, now);
     }
 
     /// Returns the entries added or removed recently, without added ones that are no longer
     /// present, for whatever reason.
     pub fn notes(&self) -> impl Iterator<Item = &KeptNote> {
-        let is_here = |name: &TargetId| {
+        let is_present = |name: &TargetId| {
             let entry = self.entries.get(name);
             entry.is_some_and(|entry| entry.missing.is_none())
         };
         let kept = self.notes.values();
-        kept.filter(move |kept| kept.note.value.is_none() || is_here(&kept.note.name))
+        kept.filter(move |kept| kept.note.value.is_none() || is_present(&kept.note.name))
     }
 
     /// Removes missing entries that did not reappear in time; returns true if there were
@@ -243,24 +245,26 @@
     pub fn expire(&mut self, now: MonoTime) -> bool {
         let before = self.entries.len();
         self.entries.retain(|name, entry| {
-            let given_up = entry.missing.filter(|missing| now >= missing.until);
-            if let Some(missing) = given_up {
+            let expired = entry.missing.filter(|missing| now >= missing.until);
+            if let Some(missing) = expired {
                 log::info!(
                     target_id = name.as_str(),
                     missing_ms = millis(now.since(missing.since));
                     "removed target: its entry did not reappear in the store"
                 );
             }
-            given_up.is_none()
+            expired.is_none()
         });
-        self.departed.retain(|_, at| now.since(*at) < DEPARTED_TIME);
+        self.departed
+            .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
         // Kept for longer than peers announce an update: if it were forgotten earlier, it
         // would be new again and announced forever.
         self.notes
-            .retain(|_, kept| now.since(kept.at) < DEPARTED_TIME);
+            .retain(|_, kept| now.since(kept.at) < DEPARTURE_RETENTION);
         let entries = &self.entries;
-        self.seen
-            .retain(|name, seen| entries.contains_key(name) || now.since(seen.at) < DEPARTED_TIME);
+        self.seen.retain(|name, seen| {
+            entries.contains_key(name) || now.since(seen.at) < DEPARTURE_RETENTION
+        });
         before != self.entries.len()
     }
 
@@ -305,7 +309,7 @@
         entries.filter_map(|entry| Some((&entry.record.id, entry.missing?)))
     }
 
-    fn set(
+    fn insert_target(
         &mut self,
         record: TargetRecord,
         revision: u64,
@@ -321,7 +325,7 @@
             return false;
         }
         let before = self.entries.get(record.id.name());
-        let begins = before.is_none_or(|entry| entry.record.id != record.id);
+        let is_new = before.is_none_or(|entry| entry.record.id != record.id);
         log_change(
             before.map(|entry| &*entry.record),
             &record,
@@ -334,16 +338,16 @@
             missing: None,
         };
         self.entries.insert(name, entry);
-        begins
+        is_new
     }
 
-    fn remove(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
+    fn remove_or_mark_missing(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
         if let Some(until) = self.contact.reappears_until(now) {
-            self.miss(name, until, source, now);
+            self.mark_missing(name, until, source, now);
             return;
         }
         if self.drop_entry(name, source) && source == EntrySource::Store {
-            self.keep_note(name, self.seen_revision(name), None, now);
+            self.record_update(name, self.seen_revision(name), None, now);
         }
     }
 
@@ -360,7 +364,13 @@
         dropped
     }
 
-    fn keep_note(&mut self, name: &TargetId, revision: u64, value: Option<ByteBuf>, now: MonoTime) {
+    fn record_update(
+        &mut self,
+        name: &TargetId,
+        revision: u64,
+        value: Option<ByteBuf>,
+        now: MonoTime,
+    ) {
         if revision == 0 {
             return;
         }
@@ -376,7 +386,13 @@
         self.seen.get(name).map_or(0, |seen| seen.revision)
     }
 
-    fn miss(&mut self, name: &TargetId, until: MonoTime, source: EntrySource, now: MonoTime) {
+    fn mark_missing(
+        &mut self,
+        name: &TargetId,
+        until: MonoTime,
+        source: EntrySource,
+        now: MonoTime,
+    ) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
@@ -397,15 +413,15 @@
 
     // The previous content may be outdated, so the entry's target is removed until the
     // target writes it again, which takes one heartbeat.
-    fn leave_out(
+    fn ignore_unreadable(
         &mut self,
         name: &TargetId,
         revision: u64,
         fault: &WireFault,
         source: EntrySource,
     ) {
-        let logged = self.unreadable.insert(name.clone(), revision);
-        if logged != Some(revision) {
+        let logged_revision = self.unreadable.insert(name.clone(), revision);
+        if logged_revision != Some(revision) {
             metrics::counter!("pistachiowick_unreadable_entries_total").increment(1);
             log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "ignored unreadable target entry, other entries stay in use; the target gets no work until it writes the entry again: {fault}");
         }
@@ -414,12 +430,12 @@
 
     // A removed entry reappears only with a higher revision.
     fn is_outdated(&self, name: &TargetId, revision: u64) -> bool {
-        let ended = self
+        let removal = self
             .notes
             .get(name)
             .filter(|kept| kept.note.value.is_none());
-        let over = ended.is_some_and(|kept| revision <= kept.note.revision);
-        revision > 0 && (over || revision < self.seen_revision(name))
+        let covered = removal.is_some_and(|kept| revision <= kept.note.revision);
+        revision > 0 && (covered || revision < self.seen_revision(name))
     }
 
     fn note_revision(&mut self, name: &TargetId, revision: u64, at: MonoTime) {
--- a/tests/deciding_times.rs
+++ b/tests/deciding_times.rs
@@ -24,30 +24,30 @@
 
 struct SpeedCase {
     fixed_ms: f64,
-    tokens_a_ms: f64,
+    tokens_per_ms: f64,
     // Relative variation of the times, in both directions.
     noise: f64,
     // One request in this many takes 2 s longer, as when the whole instance pauses.
-    pause_in: u32,
+    pause_every: u32,
 }
 
 // Speeds of engines in different deployments, from simulations: 10 ms and 220 tokens per
 // ms, 150 ms and 30 tokens per ms. After fifty requests, a second or two of load, the
 // latency of a medium prompt is known within 20 percent, of others within a third.
 #[rstest]
-#[case::fast(SpeedCase { fixed_ms: 10.0, tokens_a_ms: 220.0, noise: 0.2, pause_in: u32::MAX })]
-#[case::slow(SpeedCase { fixed_ms: 150.0, tokens_a_ms: 30.0, noise: 0.2, pause_in: u32::MAX })]
-#[case::five_times_slower(SpeedCase { fixed_ms: 700.0, tokens_a_ms: 6.0, noise: 0.2, pause_in: u32::MAX })]
-#[case::no_fixed_time(SpeedCase { fixed_ms: 0.5, tokens_a_ms: 100.0, noise: 0.2, pause_in: u32::MAX })]
-#[case::with_pauses(SpeedCase { fixed_ms: 20.0, tokens_a_ms: 100.0, noise: 0.2, pause_in: 40 })]
-fn a_speed_is_learned_from_fifty_requests(#[case] case: SpeedCase) {
+#[case::fast(SpeedCase { fixed_ms: 10.0, tokens_per_ms: 220.0, noise: 0.2, pause_every: u32::MAX })]
+#[case::slow(SpeedCase { fixed_ms: 150.0, tokens_per_ms: 30.0, noise: 0.2, pause_every: u32::MAX })]
+#[case::five_times_slower(SpeedCase { fixed_ms: 700.0, tokens_per_ms: 6.0, noise: 0.2, pause_every: u32::MAX })]
+#[case::no_fixed_time(SpeedCase { fixed_ms: 0.5, tokens_per_ms: 100.0, noise: 0.2, pause_every: u32::MAX })]
+#[case::with_pauses(SpeedCase { fixed_ms: 20.0, tokens_per_ms: 100.0, noise: 0.2, pause_every: 40 })]
+fn a_speed_is_learned_within_fifty_requests(#[case] case: SpeedCase) {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut fit = LineFit::new(PRIOR);
-    let time = |tokens: f64| case.fixed_ms + tokens / case.tokens_a_ms;
+    let time = |tokens: f64| case.fixed_ms + tokens / case.tokens_per_ms;
     for number in 1..=50_u32 {
         let tokens = rng.random_range(200.0..20_000.0);
         let noise = rng.random_range(1.0 - case.noise..1.0 + case.noise);
-        let pause = if number % case.pause_in == 0 {
+        let pause = if number % case.pause_every == 0 {
             2_000.0
         } else {
             0.0
@@ -55,15 +55,15 @@
         fit.note(tokens, time(tokens) * noise + pause);
     }
     let ratio = |tokens: f64| fit.line().at(tokens) / time(tokens);
-    let (middling, short, long) = (ratio(8_000.0), ratio(1_500.0), ratio(20_000.0));
-    assert!((0.8..1.2).contains(&middling), "{middling}");
+    let (medium, short, long) = (ratio(8_000.0), ratio(1_500.0), ratio(20_000.0));
+    assert!((0.8..1.2).contains(&medium), "{medium}");
     assert!((0.67..1.5).contains(&short), "{short}");
     assert!((0.67..1.5).contains(&long), "{long}");
 }
 
 // Engines become four times slower; within some seconds of load the fit follows.
 #[test]
-fn a_slow_down_is_followed() {
+fn the_fit_follows_a_slowdown() {
     let mut fit = LineFit::new(PRIOR);
     let mut rng = SmallRng::seed_from_u64(8);
     let mut note = |fit: &mut LineFit, token_ms: f64, times: u32| {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_line_never_runs_downhill_nor_begins_below_zero() {
+fn fitted_times_stay_positive() {
     let mut fit = LineFit::new(PRIOR);
     for number in 0..200 {
         let tokens = f64::from(number % 10) * 1_000.0;
@@ -100,27 +100,27 @@
 }
 
 #[test]
-fn services_and_kinds_of_work_are_learned_apart() {
-    let mut book = EngineBook::default();
+fn services_and_kinds_of_work_are_learned_separately() {
+    let mut speeds = EngineBook::default();
     let (fast, slow) = (ServiceName::from("fast"), ServiceName::from("slow"));
     for number in 0..60_u32 {
         let tokens = f64::from(number) * 100.0;
-        book.note(&fast, EngineWork::ReadAhead, tokens, 10.0 + tokens / 200.0);
-        book.note(&slow, EngineWork::ReadAhead, tokens, 100.0 + tokens / 20.0);
+        speeds.note(&fast, EngineWork::ReadAhead, tokens, 10.0 + tokens / 200.0);
+        speeds.note(&slow, EngineWork::ReadAhead, tokens, 100.0 + tokens / 20.0);
     }
-    let at = |service, work| book.line(service, work).at(4_000.0);
+    let at = |service, work| speeds.line(service, work).at(4_000.0);
     assert!(at(&fast, EngineWork::ReadAhead) < 40.0);
     assert!(at(&slow, EngineWork::ReadAhead) > 250.0);
     let untouched = EngineBook::default().line(&fast, EngineWork::TakeOver);
-    assert_eq!(book.line(&fast, EngineWork::TakeOver), untouched);
+    assert_eq!(speeds.line(&fast, EngineWork::TakeOver), untouched);
 }
 
-struct Bench {
+struct CoreFixture {
     core: DecisionCore,
     engines: Vec<Arc<TargetRecord>>,
 }
 
-impl Bench {
+impl CoreFixture {
     fn new(readers: usize, writers: usize) -> Self {
         let readers = (0..readers).map(|n| engine(&format!("p{n}"), EngineStage::Prefill));
         let writers = (0..writers).map(|n| engine(&format!("d{n}"), EngineStage::Decode));
@@ -152,21 +152,23 @@
             urgency: 1,
             objective_left: Duration::from_millis(objective_ms),
         };
-        self.core.place(&order, MonoTime(1_000)).expect("a place")
+        self.core
+            .place(&order, MonoTime(1_000))
+            .expect("a placement")
     }
 
     // Records prefills and first events; rates are in tokens per ms.
-    fn learn(&mut self, fixed_ms: f64, reader_rate: f64, writer_rate: f64) {
+    fn learn(&mut self, fixed_ms: f64, prefill_rate: f64, decode_rate: f64) {
         for number in 0..80_u32 {
             let tokens = f64::from(number % 20) * 800.0;
             for (at, engine) in self.engines.clone().into_iter().enumerate() {
-                let reads = engine.stage == Some(EngineStage::Prefill);
-                let (work, rate) = if reads {
-                    (EngineWork::ReadAhead, reader_rate)
+                let prefills = engine.stage == Some(EngineStage::Prefill);
+                let (work, rate) = if prefills {
+                    (EngineWork::ReadAhead, prefill_rate)
                 } else if at % 2 == 0 {
-                    (EngineWork::TakeOver, writer_rate)
+                    (EngineWork::TakeOver, decode_rate)
                 } else {
-                    (EngineWork::ReadHere, writer_rate)
+                    (EngineWork::ReadHere, decode_rate)
                 };
                 let timed = TimedWork {
                     engine,
@@ -185,25 +187,25 @@
 // per ms. With the constant speed of a slower deployment the estimate was a second, and
 // such requests were queued last or refused.
 #[test]
-fn a_request_that_fast_engines_serve_in_time_does_not_give_way() {
-    let mut bench = Bench::new(3, 3);
-    bench.learn(10.0, 300.0, 150.0);
-    for engine in bench.engines.clone() {
-        bench.core.load.begin(&engine.id, 1, 20_000);
+fn a_request_that_fast_engines_serve_in_time_is_not_deprioritized() {
+    let mut fixture = CoreFixture::new(3, 3);
+    fixture.learn(10.0, 300.0, 150.0);
+    for engine in fixture.engines.clone() {
+        fixture.core.load.begin(&engine.id, 1, 20_000);
     }
-    let place = bench.place(3_000, 200);
+    let place = fixture.place(3_000, 200);
     assert!(!place.gives_way, "{place:?}");
     assert!(place.expected_ms < 200.0, "{place:?}");
 }
 
 #[test]
-fn a_request_that_slow_engines_serve_too_late_gives_way() {
-    let mut bench = Bench::new(3, 3);
-    bench.learn(150.0, 30.0, 15.0);
-    for engine in bench.engines.clone() {
-        bench.core.load.begin(&engine.id, 1, 20_000);
+fn a_request_that_slow_engines_serve_too_late_is_deprioritized() {
+    let mut fixture = CoreFixture::new(3, 3);
+    fixture.learn(150.0, 30.0, 15.0);
+    for engine in fixture.engines.clone() {
+        fixture.core.load.begin(&engine.id, 1, 20_000);
     }
-    let place = bench.place(3_000, 200);
+    let place = fixture.place(3_000, 200);
     assert!(place.gives_way, "{place:?}");
     assert!(place.rank > 1);
 }
@@ -211,17 +213,20 @@
 // One engine of three takes three times as long as the others for the same work.
 #[test]
 fn a_slow_engine_gets_less_work() {
-    let mut bench = Bench::new(3, 2);
-    bench.learn(20.0, 100.0, 50.0);
-    let slow = bench.engines[0].clone();
+    let mut fixture = CoreFixture::new(3, 2);
+    fixture.learn(20.0, 100.0, 50.0);
+    let slow = fixture.engines[0].clone();
     for _ in 0..20 {
         let timed = TimedWork {
             engine: slow.clone(),
             work: EngineWork::ReadAhead,
             tokens: 4_000.0,
         };
-        bench.core.note_time(&timed, 180.0, MonoTime(2));
+        fixture.core.note_time(&timed, 180.0, MonoTime(2));
     }
-    let reader = bench.place(8_000, 1_000).reader.expect("a reader");
+    let reader = fixture
+        .place(8_000, 1_000)
+        .reader
+        .expect("a prefill engine");
     assert_ne!(reader.id, slow.id);
 }
--- a/tests/deciding_world/mod.rs
+++ b/tests/deciding_world/mod.rs
@@ -20,26 +20,26 @@
 
 /// Actual behaviour of an engine, independent of the daemons' estimates.
 #[derive(Clone, Copy, Debug)]
-pub struct FakeEngine {
+pub struct SimulatedEngine {
     /// Time of a prefill independent of its tokens.
     pub fixed_ms: f64,
     /// Tokens prefilled per millisecond.
     pub rate: f64,
     /// Start and end, in milliseconds, of the time in which it does not answer.
-    pub dark: Option<(f64, f64)>,
+    pub unresponsive: Option<(f64, f64)>,
 }
 
 /// Parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct WorldPlan {
+pub struct SimulationPlan {
     /// Number of daemons, which receive requests in round-robin order.
     pub daemons: usize,
     /// Interval between hints, in milliseconds.
     pub hint_ms: f64,
     /// Prefill engines.
-    pub readers: Vec<FakeEngine>,
+    pub readers: Vec<SimulatedEngine>,
     /// Requests per second.
-    pub per_second: f64,
+    pub requests_per_second: f64,
     /// Minimum and maximum tokens of a prompt.
     pub tokens: (u32, u32),
     /// Latency objective, in milliseconds.
@@ -50,7 +50,7 @@
 
 /// Outcome of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorldTally {
+pub struct SimulationTally {
     /// Number of requests.
     pub requests: u32,
     /// Requests prefilled within the objective.
@@ -59,7 +59,7 @@
     pub lost: u32,
 }
 
-struct RunningRead {
+struct RunningPrefill {
     end_ms: f64,
     sent_ms: f64,
     daemon: usize,
@@ -68,49 +68,49 @@
 }
 
 /// Time-out of a prefill, as in the gateway.
-const READ_WAIT_MS: f64 = 1_500.0;
+const PREFILL_TIMEOUT_MS: f64 = 1_500.0;
 /// Step of the virtual time, in milliseconds.
 const STEP_MS: f64 = 1.0;
 
-struct World {
-    plan: WorldPlan,
+struct Simulation {
+    plan: SimulationPlan,
     cores: Vec<DecisionCore>,
     engines: Vec<Arc<TargetRecord>>,
     free_at: IndexMap<TargetLife, f64>,
-    reads: Vec<RunningRead>,
-    tally: WorldTally,
+    prefills: Vec<RunningPrefill>,
+    tally: SimulationTally,
     last_key: u64,
 }
 
 /// Runs a simulation; the same seed gives the same run.
-pub fn play(plan: &WorldPlan, seed: u64) -> WorldTally {
+pub fn simulate(plan: &SimulationPlan, seed: u64) -> SimulationTally {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = World::new(plan.clone());
+    let mut simulation = Simulation::new(plan.clone());
     let (mut now, mut next_hint, mut turn) = (0.0, 0.0, 0);
     while now < plan.seconds * 1_000.0 {
-        world.end_reads(now);
+        simulation.end_prefills(now);
         if now >= next_hint {
-            world.hint(now);
+            simulation.hint(now);
             next_hint += plan.hint_ms;
         }
-        if rng.random::<f64>() < plan.per_second * STEP_MS / 1_000.0 {
+        if rng.random::<f64>() < plan.requests_per_second * STEP_MS / 1_000.0 {
             let tokens = rng.random_range(plan.tokens.0..=plan.tokens.1);
-            world.arrive(turn % plan.daemons, tokens, now);
+            simulation.arrive(turn % plan.daemons, tokens, now);
             turn += 1;
         }
         now += STEP_MS;
     }
-    world.tally
+    simulation.tally
 }
 
-impl World {
-    fn new(plan: WorldPlan) -> Self {
+impl Simulation {
+    fn new(plan: SimulationPlan) -> Self {
         let readers = (0..plan.readers.len()).map(|n| engine(n, "p", EngineStage::Prefill));
         let writers = (0..3).map(|n| engine(n, "d", EngineStage::Decode));
         let mut core = DecisionCore::new(PlacementWeights::default());
         core.caches.set_capacity(800_000);
         // Only prefill engines are under test: prefills on decode engines are expensive.
-        core.weights.disturbance = 1_000.0;
+        core.weights.interference = 1_000.0;
         let cores = (0..plan.daemons).map(|_| {
             let mut core = DecisionCore::new(core.weights);
             core.caches.set_capacity(800_000);
@@ -120,8 +120,8 @@
             cores: cores.collect(),
             engines: readers.chain(writers).map(Arc::new).collect(),
             free_at: IndexMap::new(),
-            reads: Vec::new(),
-            tally: WorldTally::default(),
+            prefills: Vec::new(),
+            tally: SimulationTally::default(),
             last_key: 0,
             plan,
         }
@@ -140,57 +140,59 @@
             urgency: 0,
             objective_left: Duration::from_millis(self.plan.objective_ms),
         };
-        let place = self.cores[daemon].place(&order, at(now)).expect("a place");
+        let place = self.cores[daemon]
+            .place(&order, at(now))
+            .expect("a placement");
         self.tally.requests += 1;
         let Some(reader) = place.reader.clone() else {
             return;
         };
         let number: usize = reader.id.as_str()[1..].parse().expect("a number");
-        let fake = self.plan.readers[number];
+        let simulated = self.plan.readers[number];
         let load = &mut self.cores[daemon].load;
         load.begin(&reader.id, place.rank, place.unread_tokens);
-        let dark = fake
-            .dark
+        let unresponsive = simulated
+            .unresponsive
             .is_some_and(|(from, to)| (from..to).contains(&now));
         let free_at = self.free_at.entry(reader.id.clone()).or_default();
-        let end_ms = if dark {
-            now + READ_WAIT_MS
+        let end_ms = if unresponsive {
+            now + PREFILL_TIMEOUT_MS
         } else {
-            *free_at = free_at.max(now) + f64::from(tokens) / fake.rate;
-            *free_at + fake.fixed_ms
+            *free_at = free_at.max(now) + f64::from(tokens) / simulated.rate;
+            *free_at + simulated.fixed_ms
         };
-        self.reads.push(RunningRead {
+        self.prefills.push(RunningPrefill {
             end_ms,
             sent_ms: now,
             daemon,
             place,
-            lost: dark,
+            lost: unresponsive,
         });
     }
 
-    fn end_reads(&mut self, now: f64) {
-        let (ended, going) = std::mem::take(&mut self.reads)
+    fn end_prefills(&mut self, now: f64) {
+        let (ended, going) = std::mem::take(&mut self.prefills)
             .into_iter()
-            .partition(|read| read.end_ms <= now);
-        self.reads = going;
-        for read in ended {
-            self.end_read(&read, now);
+            .partition(|prefill| prefill.end_ms <= now);
+        self.prefills = going;
+        for prefill in ended {
+            self.end_prefill(&prefill, now);
         }
     }
 
-    fn end_read(&mut self, read: &RunningRead, now: f64) {
-        let reader = read.place.reader.as_ref().expect("a reader");
-        let core = &mut self.cores[read.daemon];
+    fn end_prefill(&mut self, prefill: &RunningPrefill, now: f64) {
+        let reader = prefill.place.reader.as_ref().expect("a prefill engine");
+        let core = &mut self.cores[prefill.daemon];
         core.load
-            .end(&reader.id, read.place.rank, read.place.unread_tokens);
-        if read.lost {
+            .end(&reader.id, prefill.place.rank, prefill.place.unread_tokens);
+        if prefill.lost {
             core.note_result(&reader.id, SendResult::Silent, at(now));
             self.tally.lost += 1;
             return;
         }
-        let taken = read.end_ms - read.sent_ms;
+        let taken = prefill.end_ms - prefill.sent_ms;
         core.note_result(&reader.id, SendResult::Answered, at(now));
-        core.note_time(&read.place.timed_reading(reader), taken, at(now));
+        core.note_time(&prefill.place.timed_reading(reader), taken, at(now));
         if taken <= self.plan.objective_ms as f64 {
             self.tally.in_time += 1;
         }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -34,10 +34,10 @@
 // Guards against exceeding the fleet's retry budget: no daemon knows what the others have
 // spent, so each may only use its own share.
 #[rstest]
-#[case::quiet_fleet(BudgetCase { requests: 0, daemons: 7, within: (3, 7) })]
+#[case::idle_fleet(BudgetCase { requests: 0, daemons: 7, within: (3, 7) })]
 #[case::busy_fleet(BudgetCase { requests: 100, daemons: 7, within: (15, 27) })]
 #[case::large_fleet(BudgetCase { requests: 10, daemons: 100, within: (1, 2) })]
-fn repeats_stay_within_a_daemons_part(#[case] case: BudgetCase) {
+fn retries_stay_within_a_daemons_share(#[case] case: BudgetCase) {
     let service = ServiceName::from("ledger");
     let mut budget = RepeatBudget::new(RULE);
     let now = MonoTime(50_000);
@@ -46,12 +46,12 @@
         .filter(|_| budget.spend(&service, case.daemons, now))
         .count() as u32;
     let part = 0.2 * f64::from(case.requests) + 54.0 / case.daemons as f64;
-    assert!(f64::from(spent) <= part, "{spent} repeats of {part}");
+    assert!(f64::from(spent) <= part, "{spent} retries of {part}");
     assert!(case.within.0 <= spent && spent <= case.within.1, "{spent}");
 }
 
 #[test]
-fn any_window_holds_no_more_than_the_part() {
+fn no_window_exceeds_the_share() {
     // Retries are requested all the time; the check slides a window over them.
     let service = ServiceName::from("ledger");
     let mut budget = RepeatBudget::new(RULE);
@@ -69,14 +69,14 @@
     }
     assert!(
         spent_at.iter().any(|at| *at > 30_000),
-        "the budget fills again"
+        "the budget did not refill"
     );
 }
 
 // A target that does not answer costs its callers their whole timeout; one that answers
 // with failures may just be getting faulty requests.
 #[test]
-fn silence_in_a_row_leads_to_avoidance_and_an_answer_ends_it() {
+fn a_silent_target_is_avoided_until_it_answers() {
     let target = TargetLife::from("a");
     let mut book = HealthBook::default();
     let first = book.note(&target, SendResult::Silent, MonoTime(0));
@@ -86,14 +86,14 @@
     assert_eq!(second, Some(HealthChange::Avoided));
     assert!(book.view(&target, MonoTime(500)).avoided);
     let later = book.view(&target, MonoTime(1_100));
-    assert!(!later.avoided && later.unproved);
+    assert!(!later.avoided && later.unverified);
     let answered = book.note(&target, SendResult::Answered, MonoTime(1_200));
     assert_eq!(answered, Some(HealthChange::Proved));
-    assert!(!book.view(&target, MonoTime(1_201)).unproved);
+    assert!(!book.view(&target, MonoTime(1_201)).unverified);
 }
 
 #[test]
-fn failures_with_answers_raise_the_rate_and_do_not_avoid() {
+fn failed_answers_raise_the_failure_rate_without_avoidance() {
     let target = TargetLife::from("a");
     let mut book = HealthBook::default();
     (0..20).for_each(|at| {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn work_of_silent_daemons_is_left_out() {
+fn work_of_silent_peers_expires() {
     let target = TargetLife::from("a");
     let mut own = LoadBook::default();
     let mut other = LoadBook::default();
@@ -130,30 +130,30 @@
 }
 
 struct CacheCase {
-    held: &'static [(&'static str, u32)],
+    cached_parts: &'static [(&'static str, u32)],
     ready: bool,
     cached: u32,
     copyable: u32,
 }
 
 #[rstest]
-#[case::nothing(CacheCase { held: &[], ready: true, cached: 0, copyable: 0 })]
-#[case::leading(CacheCase { held: &[("x", 100), ("y", 50)], ready: true, cached: 150, copyable: 150 })]
-#[case::on_its_way(CacheCase { held: &[("x", 100), ("y", 50)], ready: false, cached: 150, copyable: 0 })]
-#[case::gap_at_the_front(CacheCase { held: &[("y", 50)], ready: true, cached: 0, copyable: 0 })]
+#[case::nothing(CacheCase { cached_parts: &[], ready: true, cached: 0, copyable: 0 })]
+#[case::leading(CacheCase { cached_parts: &[("x", 100), ("y", 50)], ready: true, cached: 150, copyable: 150 })]
+#[case::being_prefilled(CacheCase { cached_parts: &[("x", 100), ("y", 50)], ready: false, cached: 150, copyable: 0 })]
+#[case::first_part_not_cached(CacheCase { cached_parts: &[("y", 50)], ready: true, cached: 0, copyable: 0 })]
 fn only_leading_parts_count(#[case] case: CacheCase) {
     let engine = TargetLife::from("e");
     let mut book = CacheBook::default();
     book.set_capacity(10_000);
-    let held: Vec<_> = case
-        .held
+    let cached_parts: Vec<_> = case
+        .cached_parts
         .iter()
         .map(|(name, tokens)| part(name, *tokens))
         .collect();
     if case.ready {
-        book.note_held(&engine, &held, MonoTime(5));
+        book.note_held(&engine, &cached_parts, MonoTime(5));
     } else {
-        book.note_coming(&engine, &held, MonoTime(5));
+        book.note_coming(&engine, &cached_parts, MonoTime(5));
     }
     let prompt = [part("x", 100), part("y", 50), part("own", 30)];
     assert_eq!(
@@ -161,13 +161,13 @@
         case.cached
     );
     assert_eq!(
-        book.ready_tokens(&engine, &prompt, MonoTime(10)),
+        book.copyable_tokens(&engine, &prompt, MonoTime(10)),
         case.copyable
     );
 }
 
 #[test]
-fn the_least_recently_used_part_is_forgotten_first() {
+fn the_least_recently_used_part_is_evicted_first() {
     let engine = TargetLife::from("e");
     let mut book = CacheBook::default();
     book.set_capacity(250);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn homes_move_only_when_their_engine_goes() {
+fn homes_move_only_when_their_engine_leaves() {
     let engines: Vec<TargetLife> = (0..12).map(|n| TargetLife::from(format!("e{n}"))).collect();
     let home = |key: u64, without: usize| {
         let left = engines.iter().enumerate().filter(|(at, _)| *at != without);
@@ -212,30 +212,30 @@
 }
 
 struct DirectoryCase {
-    away: &'static [&'static str],
+    unreachable: &'static [&'static str],
     /// Daemons that cannot confirm which keys are valid.
-    unsure: &'static [&'static str],
+    unconfirmed: &'static [&'static str],
     centre: &'static str,
     ports: &'static [u16],
 }
 
 #[rstest]
-#[case::near(DirectoryCase { away: &[], unsure: &[], centre: "x", ports: &[1, 2] })]
-#[case::too_few_near(DirectoryCase { away: &["a"], unsure: &[], centre: "x", ports: &[2, 3] })]
-#[case::unknown_centre(DirectoryCase { away: &[], unsure: &[], centre: "q", ports: &[1, 2, 3] })]
-#[case::one_unsure(DirectoryCase { away: &[], unsure: &["c"], centre: "q", ports: &[1, 2] })]
-#[case::too_few_sure_near(DirectoryCase { away: &[], unsure: &["a"], centre: "x", ports: &[2, 3] })]
-#[case::none_sure(DirectoryCase { away: &[], unsure: &["a", "b", "c"], centre: "x", ports: &[1, 2] })]
-#[case::all_away(DirectoryCase { away: &["a", "b", "c"], unsure: &[], centre: "x", ports: &[] })]
-fn callers_are_sent_near_where_two_can_serve(#[case] case: DirectoryCase) {
+#[case::local(DirectoryCase { unreachable: &[], unconfirmed: &[], centre: "x", ports: &[1, 2] })]
+#[case::too_few_local(DirectoryCase { unreachable: &["a"], unconfirmed: &[], centre: "x", ports: &[2, 3] })]
+#[case::unknown_data_centre(DirectoryCase { unreachable: &[], unconfirmed: &[], centre: "q", ports: &[1, 2, 3] })]
+#[case::one_unconfirmed(DirectoryCase { unreachable: &[], unconfirmed: &["c"], centre: "q", ports: &[1, 2] })]
+#[case::too_few_confirmed_local(DirectoryCase { unreachable: &[], unconfirmed: &["a"], centre: "x", ports: &[2, 3] })]
+#[case::none_confirmed(DirectoryCase { unreachable: &[], unconfirmed: &["a", "b", "c"], centre: "x", ports: &[1, 2] })]
+#[case::all_unreachable(DirectoryCase { unreachable: &["a", "b", "c"], unconfirmed: &[], centre: "x", ports: &[] })]
+fn callers_get_local_daemons_if_two_can_serve(#[case] case: DirectoryCase) {
     let daemons = [
         daemon("a", "x", 1),
         daemon("b", "x", 2),
         daemon("c", "y", 3),
     ];
-    let usable = |id: &DaemonId| !case.away.contains(&id.as_str());
-    let sure = |id: &DaemonId| !case.unsure.contains(&id.as_str());
-    let found = addresses_for(&daemons, &CentreName::from(case.centre), usable, sure);
+    let usable = |id: &DaemonId| !case.unreachable.contains(&id.as_str());
+    let confirmed = |id: &DaemonId| !case.unconfirmed.contains(&id.as_str());
+    let found = addresses_for(&daemons, &CentreName::from(case.centre), usable, confirmed);
     let ports: Vec<u16> = found.iter().map(std::net::SocketAddr::port).collect();
     assert_eq!(ports, case.ports);
 }
@@ -254,7 +254,7 @@
 
 struct SplitCase {
     chunks: &'static [&'static str],
-    passed: &'static str,
+    forwarded: &'static str,
     last_id: Option<u64>,
     rest: &'static str,
 }
@@ -262,22 +262,22 @@
 // Guards against partial events in a caller's stream: after a target fails in the middle
 // of an event, another one resumes after the last complete event.
 #[rstest]
-#[case::one(SplitCase { chunks: &["id: 1\ndata: a\n\n"], passed: "id: 1\ndata: a\n\n", last_id: Some(1), rest: "" })]
-#[case::split_in_the_boundary(SplitCase { chunks: &["id: 1\n", "data: a\n", "\nid: 2"], passed: "id: 1\ndata: a\n\n", last_id: Some(1), rest: "id: 2" })]
-#[case::two_and_a_part(SplitCase { chunks: &["id: 1\n\nid: 2\n\nid: 3\nda"], passed: "id: 1\n\nid: 2\n\n", last_id: Some(2), rest: "id: 3\nda" })]
-#[case::carriage_returns(SplitCase { chunks: &["id: 7\r\ndata: a\r\n\r\nx"], passed: "id: 7\r\ndata: a\r\n\r\n", last_id: Some(7), rest: "x" })]
-#[case::no_number(SplitCase { chunks: &["data: a\n\n"], passed: "data: a\n\n", last_id: None, rest: "" })]
-fn only_whole_events_are_passed_on(#[case] case: SplitCase) {
+#[case::one(SplitCase { chunks: &["id: 1\ndata: a\n\n"], forwarded: "id: 1\ndata: a\n\n", last_id: Some(1), rest: "" })]
+#[case::split_in_the_boundary(SplitCase { chunks: &["id: 1\n", "data: a\n", "\nid: 2"], forwarded: "id: 1\ndata: a\n\n", last_id: Some(1), rest: "id: 2" })]
+#[case::two_and_a_partial_one(SplitCase { chunks: &["id: 1\n\nid: 2\n\nid: 3\nda"], forwarded: "id: 1\n\nid: 2\n\n", last_id: Some(2), rest: "id: 3\nda" })]
+#[case::carriage_returns(SplitCase { chunks: &["id: 7\r\ndata: a\r\n\r\nx"], forwarded: "id: 7\r\ndata: a\r\n\r\n", last_id: Some(7), rest: "x" })]
+#[case::no_number(SplitCase { chunks: &["data: a\n\n"], forwarded: "data: a\n\n", last_id: None, rest: "" })]
+fn only_complete_events_are_forwarded(#[case] case: SplitCase) {
     let mut splitter = EventSplitter::default();
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
     let mut last_id = None;
     for chunk in case.chunks {
         if let Some(batch) = splitter.push(chunk.as_bytes()) {
-            passed.extend_from_slice(&batch.bytes);
+            forwarded.extend_from_slice(&batch.bytes);
             last_id = batch.last_id.or(last_id);
         }
     }
-    assert_eq!(String::from_utf8_lossy(&passed), case.passed);
+    assert_eq!(String::from_utf8_lossy(&forwarded), case.forwarded);
     assert_eq!(last_id, case.last_id);
     assert_eq!(splitter.take_rest(), case.rest.as_bytes());
 }
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -21,9 +21,9 @@
 
 // Prefill engines do 42 tokens per ms; decode engines do 20, next to their own requests.
 fn lines() -> EngineLines {
-    let line = |fixed_ms, tokens_a_ms: f64| WorkLine {
+    let line = |fixed_ms, tokens_per_ms: f64| WorkLine {
         fixed_ms,
-        token_ms: 1.0 / tokens_a_ms,
+        token_ms: 1.0 / tokens_per_ms,
     };
     EngineLines {
         read_ahead: line(95.0, 42.0),
@@ -35,11 +35,11 @@
 fn state(id: &str, stage: EngineStage) -> EngineState {
     EngineState {
         record: Arc::new(engine(id, stage)),
-        held_tokens: 0,
-        ready_tokens: 0,
+        cached_tokens: 0,
+        copyable_tokens: 0,
         work: TargetWork::default(),
         health: healthy(),
-        may_get_work: true,
+        available: true,
     }
 }
 
@@ -73,14 +73,14 @@
     }
 }
 
-fn held(mut state: EngineState, tokens: u32) -> EngineState {
-    state.held_tokens = tokens;
-    state.ready_tokens = tokens;
+fn caching(mut state: EngineState, tokens: u32) -> EngineState {
+    state.cached_tokens = tokens;
+    state.copyable_tokens = tokens;
     state
 }
 
 #[test]
-fn a_long_prompt_is_read_on_a_prefill_engine_and_handed_over() {
+fn a_long_prompt_is_prefilled_on_a_prefill_engine() {
     let engines = [
         state("p", EngineStage::Prefill),
         state("d", EngineStage::Decode),
@@ -92,16 +92,16 @@
         &prompt(0, 8_000),
         1,
     )
-    .expect("a place");
-    assert_eq!(place.reader.expect("a reader").id.as_str(), "p");
+    .expect("a placement");
+    assert_eq!(place.reader.expect("a prefill engine").id.as_str(), "p");
     assert_eq!(place.writer.id.as_str(), "d");
 }
 
 #[test]
-fn a_prompt_that_a_decode_engine_holds_is_read_there() {
+fn a_prompt_cached_at_a_decode_engine_is_prefilled_there() {
     let engines = [
         state("p", EngineStage::Prefill),
-        held(state("d1", EngineStage::Decode), 13_000),
+        caching(state("d1", EngineStage::Decode), 13_000),
         state("d2", EngineStage::Decode),
     ];
     let place = choose(
@@ -111,7 +111,7 @@
         &prompt(13_000, 100),
         1,
     )
-    .expect("a place");
+    .expect("a placement");
     assert!(place.reader.is_none());
     assert_eq!(place.writer.id.as_str(), "d1");
     assert_eq!(place.unread_tokens, 100);
@@ -120,12 +120,12 @@
 // Recomputing a shared part takes an engine hundreds of milliseconds and evicts other
 // parts from its cache; a copy takes a few milliseconds.
 #[test]
-fn a_shared_part_is_copied_from_the_engine_that_holds_it() {
-    let mut holder = held(state("d1", EngineStage::Decode), 13_000);
-    holder.work = work(40, 30_000);
+fn a_shared_part_is_copied_from_the_engine_that_caches_it() {
+    let mut source = caching(state("d1", EngineStage::Decode), 13_000);
+    source.work = work(40, 30_000);
     let engines = [
         state("p", EngineStage::Prefill),
-        holder,
+        source,
         state("d2", EngineStage::Decode),
     ];
     let place = choose(
@@ -135,19 +135,19 @@
         &prompt(13_000, 3_000),
         1,
     )
-    .expect("a place");
-    assert_eq!(place.fetch_from.expect("a holder").id.as_str(), "d1");
+    .expect("a placement");
+    assert_eq!(place.fetch_from.expect("a source").id.as_str(), "d1");
     assert_eq!(place.unread_tokens, 3_000);
     assert_eq!(place.reread_tokens, 0);
 }
 
 #[test]
-fn a_part_on_its_way_is_waited_for_at_its_engine() {
-    let mut coming = state("p1", EngineStage::Prefill);
-    coming.held_tokens = 13_000;
-    coming.work = work(1, 13_000);
+fn a_request_waits_at_the_engine_that_prefills_its_shared_part() {
+    let mut prefilling = state("p1", EngineStage::Prefill);
+    prefilling.cached_tokens = 13_000;
+    prefilling.work = work(1, 13_000);
     let engines = [
-        coming,
+        prefilling,
         state("p2", EngineStage::Prefill),
         state("d", EngineStage::Decode),
     ];
@@ -158,39 +158,39 @@
         &prompt(13_000, 500),
         1,
     )
-    .expect("a place");
-    assert_eq!(place.reader.expect("a reader").id.as_str(), "p1");
+    .expect("a placement");
+    assert_eq!(place.reader.expect("a prefill engine").id.as_str(), "p1");
     assert!(place.fetch_from.is_none());
 }
 
-struct NoChoiceCase {
+struct DecodeCase {
     engines: fn() -> Vec<EngineState>,
     writer: Option<&'static str>,
 }
 
 #[rstest]
-#[case::none(NoChoiceCase { engines: Vec::new, writer: None })]
-#[case::readers_only(NoChoiceCase { engines: || vec![state("p", EngineStage::Prefill)], writer: None })]
-#[case::writers_only(NoChoiceCase { engines: || vec![state("d", EngineStage::Decode)], writer: Some("d") })]
-#[case::none_may_get_work(NoChoiceCase {
-    engines: || vec![EngineState { may_get_work: false, ..state("d", EngineStage::Decode) }],
+#[case::none(DecodeCase { engines: Vec::new, writer: None })]
+#[case::prefill_engines_only(DecodeCase { engines: || vec![state("p", EngineStage::Prefill)], writer: None })]
+#[case::decode_engines_only(DecodeCase { engines: || vec![state("d", EngineStage::Decode)], writer: Some("d") })]
+#[case::none_available(DecodeCase {
+    engines: || vec![EngineState { available: false, ..state("d", EngineStage::Decode) }],
     writer: None,
 })]
-#[case::silent_ones_are_last(NoChoiceCase {
+#[case::a_silent_engine_is_the_last_choice(DecodeCase {
     engines: || {
         let silent = HealthView { avoided: true, ..healthy() };
         vec![EngineState { health: silent, ..state("d1", EngineStage::Decode) }, state("d2", EngineStage::Decode)]
     },
     writer: Some("d2"),
 })]
-#[case::a_silent_one_is_better_than_none(NoChoiceCase {
+#[case::a_silent_engine_is_better_than_none(DecodeCase {
     engines: || {
         let silent = HealthView { avoided: true, ..healthy() };
         vec![EngineState { health: silent, ..state("d1", EngineStage::Decode) }]
     },
     writer: Some("d1"),
 })]
-fn who_generates(#[case] case: NoChoiceCase) {
+fn which_engine_generates(#[case] case: DecodeCase) {
     let place = choose(
         &PlacementWeights::default(),
         &lines(),
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_handed_over_prompt_goes_where_it_disturbs_least() {
+fn a_transferred_prompt_goes_to_the_least_busy_decode_engine() {
     let mut busy = state("d1", EngineStage::Decode);
     busy.work = work(30, 0);
     let engines = [
@@ -218,11 +218,11 @@
         &prompt(0, 500),
         1,
     );
-    assert_eq!(writer.expect("a writer").id.as_str(), "d2");
+    assert_eq!(writer.expect("a decode engine").id.as_str(), "d2");
 }
 
 #[test]
-fn own_reading_is_told_from_waiting() {
+fn own_prefill_time_excludes_queueing() {
     let mut reader = state("p", EngineStage::Prefill);
     reader.work = work(1, 42_000);
     let engines = [reader, state("d", EngineStage::Decode)];
@@ -233,7 +233,7 @@
         &prompt(0, 40_000),
         1,
     )
-    .expect("a place");
+    .expect("a placement");
     assert!(place.own_ms > 900.0, "{}", place.own_ms);
     assert!(place.expected_ms > place.own_ms);
 }
@@ -254,18 +254,25 @@
 #[case::twelve(12, 0.42, 5)]
 #[case::no_share(12, 0.0, 1)]
 #[case::whole_share(12, 1.0, 10)]
-fn readers_wanted(#[case] engines: usize, #[case] share: f64, #[case] wanted: usize) {
+fn number_of_prefill_engines(#[case] engines: usize, #[case] share: f64, #[case] wanted: usize) {
     assert_eq!(wanted_readers(engines, share), wanted);
 }
 
 #[test]
-fn changes_are_few_at_once_and_take_idle_engines() {
+fn changes_are_limited_and_prefer_idle_engines() {
     let engines = fleet(2, 6);
     let running = |id: &TargetLife| if id.as_str() == "d0" { 9 } else { 0 };
     let wanted = wishes(&engines, running, 5, 2);
-    let ids: Vec<&str> = wanted.iter().map(|wish| wish.engine.id.as_str()).collect();
+    let ids: Vec<&str> = wanted
+        .iter()
+        .map(|change| change.engine.id.as_str())
+        .collect();
     assert_eq!(ids, ["d1", "d2"]);
-    assert!(wanted.iter().all(|wish| wish.stage == EngineStage::Prefill));
+    assert!(
+        wanted
+            .iter()
+            .all(|change| change.stage == EngineStage::Prefill)
+    );
     assert!(wishes(&engines, running, 2, 2).is_empty());
     let back = wishes(&engines, running, 1, 8);
     assert_eq!(back.len(), 1);
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -34,7 +34,7 @@
 /// Clock at the start of a case, in milliseconds.
 const STARTED: u64 = 60_000;
 
-struct RegistryCase {
+struct TargetsCase {
     steps: &'static [(u64, Step)],
     left: &'static [&'static str],
 }
@@ -43,70 +43,70 @@
 // store was reachable is a departure. One that disappears around an outage may just have
 // expired; if its target is running, it is back within two seconds of the store's return.
 #[rstest]
-#[case::present(RegistryCase { steps: &[(0, Set("a")), (0, Set("b"))], left: &["a", "b"] })]
-#[case::leaving(RegistryCase { steps: &[(0, Set("a")), (10, Leaving("a"))], left: &[] })]
-#[case::leaving_stays_leaving(RegistryCase {
+#[case::present(TargetsCase { steps: &[(0, Set("a")), (0, Set("b"))], left: &["a", "b"] })]
+#[case::leaving(TargetsCase { steps: &[(0, Set("a")), (10, Leaving("a"))], left: &[] })]
+#[case::a_departure_is_final(TargetsCase {
     steps: &[(0, Set("a")), (10, Leaving("a")), (20, Set("a")), (30, Listed(&["a"]))],
     left: &[],
 })]
-#[case::gone_while_the_store_answers(RegistryCase {
+#[case::gone_while_the_store_answers(TargetsCase {
     steps: &[(0, Set("a")), (9_000, Removed("a"))],
     left: &[],
 })]
-#[case::missing_in_a_listing(RegistryCase {
+#[case::missing_in_a_listing(TargetsCase {
     steps: &[(0, Set("a")), (0, Set("b")), (9_000, Listed(&["b"]))],
     left: &["b"],
 })]
-#[case::missing_just_after_an_outage(RegistryCase {
+#[case::missing_just_after_an_outage(TargetsCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (200, Listed(&[])), (1_900, Expire)],
     left: &["a"],
 })]
-#[case::back_after_an_outage(RegistryCase {
+#[case::back_after_an_outage(TargetsCase {
     steps: &[
         (0, Set("a")), (100, StoreFailed), (200, Listed(&[])), (1_900, Set("a")), (9_000, Expire),
     ],
     left: &["a"],
 })]
-#[case::not_back_after_an_outage(RegistryCase {
+#[case::not_back_after_an_outage(TargetsCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (200, Listed(&[])), (2_300, Expire)],
     left: &[],
 })]
 // The store refused requests until 100 and answers since. A target whose entry is removed
 // at 2,400 has left, so nothing may be sent to it.
-#[case::removed_well_after_the_return(RegistryCase {
+#[case::removed_well_after_the_return(TargetsCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (2_400, Removed("a")), (3_000, Expire)],
     left: &[],
 })]
-#[case::long_after_an_outage(RegistryCase {
+#[case::long_after_an_outage(TargetsCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (2_700, Removed("a"))],
     left: &[],
 })]
 // The store is reachable again from 200 on, but the listing of targets arrives late.
-#[case::listed_late_after_the_return(RegistryCase {
+#[case::listed_late_after_the_return(TargetsCase {
     steps: &[
         (0, Set("a")), (100, StoreFailed), (200, StoreAnswered), (1_900, Listed(&[])), (2_150, Expire),
     ],
     left: &[],
 })]
-#[case::listed_very_late_after_the_return(RegistryCase {
+#[case::listed_very_late_after_the_return(TargetsCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (200, StoreAnswered), (2_200, Listed(&[]))],
     left: &[],
 })]
 // A request hung on a lost connection while others were answered.
-#[case::removed_as_a_hung_call_fails(RegistryCase {
+#[case::removed_as_a_hung_call_fails(TargetsCase {
     steps: &[
         (0, Set("a")), (2_900, StoreAnswered), (3_200, CallFailed(100)), (3_300, Removed("a")),
     ],
     left: &[],
 })]
-#[case::missing_after_calls_that_all_hung(RegistryCase {
+#[case::missing_after_calls_that_all_hung(TargetsCase {
     steps: &[
         (0, Set("a")), (100, StoreAnswered), (3_200, CallFailed(90)), (3_300, Listed(&[])), (5_100, Expire),
     ],
     left: &["a"],
 })]
-#[case::unknown_removed(RegistryCase { steps: &[(0, Removed("x")), (1, Set("a"))], left: &["a"] })]
-fn what_is_left(#[case] case: RegistryCase) {
+#[case::unknown_removed(TargetsCase { steps: &[(0, Removed("x")), (1, Set("a"))], left: &["a"] })]
+fn which_targets_are_left(#[case] case: TargetsCase) {
     let mut registry = TargetRegistry::default();
     for (at, step) in case.steps {
         apply(&mut registry, step, MonoTime(*at + STARTED));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_departure_noticed_by_an_answer_counts_like_an_announced_one() {
+fn a_departure_detected_from_an_answer_counts_like_an_announced_one() {
     let mut registry = TargetRegistry::default();
     take(&mut registry, named(record("a"), 0), 1);
     registry.depart(&TargetLife::from("a"), MonoTime(2));
@@ -156,9 +156,9 @@
     }
 }
 
-struct LifeCase {
+struct IncarnationCase {
     // Changes from the store or a peer, in order of arrival.
-    news: fn() -> Vec<EntryNews>,
+    changes: fn() -> Vec<EntryNews>,
     // Start time of the incarnation that gets work at the end.
     serving: Option<u64>,
 }
@@ -167,46 +167,46 @@
 // incarnation has to get work at once; outdated information about the old one must not
 // remove it, however late it arrives.
 #[rstest]
-#[case::a_new_life_after_a_departure(LifeCase {
-    news: || vec![life(1, 10), leaving(1, 11), gone("a", 12), life(2, 13)],
+#[case::a_restart_after_a_departure(IncarnationCase {
+    changes: || vec![incarnation(1, 10), leaving(1, 11), gone("a", 12), incarnation(2, 13)],
     serving: Some(2),
 })]
-#[case::leaving_stays_leaving_within_a_life(LifeCase {
-    news: || vec![life(1, 10), leaving(1, 11), life(1, 12)],
+#[case::a_departure_is_final_for_an_incarnation(IncarnationCase {
+    changes: || vec![incarnation(1, 10), leaving(1, 11), incarnation(1, 12)],
     serving: None,
 })]
-#[case::a_new_life_over_a_crashed_one(LifeCase {
-    news: || vec![life(1, 10), life(2, 11)],
+#[case::a_restart_after_a_crash(IncarnationCase {
+    changes: || vec![incarnation(1, 10), incarnation(2, 11)],
     serving: Some(2),
 })]
-#[case::the_old_entry_seen_late(LifeCase {
-    news: || vec![life(1, 10), life(2, 12), life(1, 10)],
+#[case::the_old_entry_arrives_late(IncarnationCase {
+    changes: || vec![incarnation(1, 10), incarnation(2, 12), incarnation(1, 10)],
     serving: Some(2),
 })]
-#[case::the_old_departure_seen_late(LifeCase {
-    news: || vec![life(1, 10), life(2, 12), leaving(1, 11)],
+#[case::the_old_departure_arrives_late(IncarnationCase {
+    changes: || vec![incarnation(1, 10), incarnation(2, 12), leaving(1, 11)],
     serving: Some(2),
 })]
-#[case::the_old_end_seen_late(LifeCase {
-    news: || vec![life(1, 10), life(2, 12), gone("a", 11)],
+#[case::the_old_removal_arrives_late(IncarnationCase {
+    changes: || vec![incarnation(1, 10), incarnation(2, 12), gone("a", 11)],
     serving: Some(2),
 })]
-#[case::the_new_life_leaves_too(LifeCase {
-    news: || vec![leaving(1, 10), life(2, 11), leaving(2, 12), life(2, 13)],
+#[case::the_new_incarnation_leaves_too(IncarnationCase {
+    changes: || vec![leaving(1, 10), incarnation(2, 11), leaving(2, 12), incarnation(2, 13)],
     serving: None,
 })]
-#[case::a_clock_that_stepped_back(LifeCase {
-    news: || vec![life(9, 10), leaving(9, 11), life(4, 12)],
+#[case::a_clock_that_stepped_back(IncarnationCase {
+    changes: || vec![incarnation(9, 10), leaving(9, 11), incarnation(4, 12)],
     serving: Some(4),
 })]
-#[case::a_start_that_was_not_told_before(LifeCase {
-    news: || vec![named(record("a"), 10), life(3, 11)],
+#[case::a_start_time_not_reported_before(IncarnationCase {
+    changes: || vec![named(record("a"), 10), incarnation(3, 11)],
     serving: Some(3),
 })]
-fn which_life_gets_work(#[case] case: LifeCase) {
+fn which_incarnation_gets_work(#[case] case: IncarnationCase) {
     let mut registry = TargetRegistry::default();
-    for news in (case.news)() {
-        take(&mut registry, news, 60_000);
+    for change in (case.changes)() {
+        take(&mut registry, change, 60_000);
     }
     let services = registry.by_service();
     let serving = services.values().flatten().next();
@@ -215,23 +215,23 @@
 }
 
 #[test]
-fn a_departure_noticed_late_ends_only_the_life_that_it_is_of() {
+fn a_late_departure_ends_only_its_own_incarnation() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, life(1, 10), 1);
-    take(&mut registry, life(2, 11), 2);
-    registry.depart(&life_of(1), MonoTime(3));
+    take(&mut registry, incarnation(1, 10), 1);
+    take(&mut registry, incarnation(2, 11), 2);
+    registry.depart(&incarnation_id(1), MonoTime(3));
     assert_eq!(left(&registry), ["a"]);
-    registry.depart(&life_of(2), MonoTime(4));
+    registry.depart(&incarnation_id(2), MonoTime(4));
     assert!(left(&registry).is_empty());
 }
 
-struct EndCase {
+struct RemovalCase {
     // Changes of entry "a" that this daemon read.
-    news: fn() -> Vec<EntryNews>,
+    changes: fn() -> Vec<EntryNews>,
     // Whether the entry then disappears around an outage of the store.
     missing: bool,
     // Revision up to which a peer reports the entry removed.
-    told: u64,
+    announced: u64,
     late: fn() -> Vec<EntryNews>,
     left: &'static [&'static str],
 }
@@ -239,73 +239,73 @@
 // Guards against work for a target whose entry was removed, as peers report while this
 // daemon cannot reach the store, and against reports about an older entry of the name.
 #[rstest]
-#[case::while_it_is_here(EndCase {
-    news: || vec![life(1, 10)], missing: false, told: 11, late: Vec::new, left: &[],
+#[case::while_it_is_present(RemovalCase {
+    changes: || vec![incarnation(1, 10)], missing: false, announced: 11, late: Vec::new, left: &[],
 })]
-#[case::while_it_is_missing(EndCase {
-    news: || vec![life(1, 10)], missing: true, told: 11, late: Vec::new, left: &[],
+#[case::while_it_is_missing(RemovalCase {
+    changes: || vec![incarnation(1, 10)], missing: true, announced: 11, late: Vec::new, left: &[],
 })]
-#[case::missing_in_their_listing(EndCase {
-    news: || vec![life(1, 10)], missing: false, told: 10, late: Vec::new, left: &[],
+#[case::missing_in_the_peers_listing(RemovalCase {
+    changes: || vec![incarnation(1, 10)], missing: false, announced: 10, late: Vec::new, left: &[],
 })]
-#[case::seen_again_in_an_old_listing(EndCase {
-    news: || vec![life(1, 10)], missing: false, told: 10, late: || vec![life(1, 10)], left: &[],
+#[case::seen_again_in_an_old_listing(RemovalCase {
+    changes: || vec![incarnation(1, 10)], missing: false, announced: 10, late: || vec![incarnation(1, 10)], left: &[],
 })]
-#[case::before_the_entry_is_seen(EndCase {
-    news: Vec::new, missing: false, told: 11, late: || vec![life(1, 10)], left: &[],
+#[case::before_the_entry_is_seen(RemovalCase {
+    changes: Vec::new, missing: false, announced: 11, late: || vec![incarnation(1, 10)], left: &[],
 })]
-#[case::written_again_since(EndCase {
-    news: || vec![life(1, 10), life(1, 12)], missing: false, told: 11, late: Vec::new, left: &["a"],
+#[case::written_again_since(RemovalCase {
+    changes: || vec![incarnation(1, 10), incarnation(1, 12)], missing: false, announced: 11, late: Vec::new, left: &["a"],
 })]
-#[case::written_again_later(EndCase {
-    news: || vec![life(1, 10)], missing: true, told: 11, late: || vec![life(1, 12)], left: &["a"],
+#[case::written_again_later(RemovalCase {
+    changes: || vec![incarnation(1, 10)], missing: true, announced: 11, late: || vec![incarnation(1, 12)], left: &["a"],
 })]
-fn what_another_daemon_saw_end(#[case] case: EndCase) {
+fn removals_reported_by_a_peer(#[case] case: RemovalCase) {
     let mut registry = TargetRegistry::default();
-    for news in (case.news)() {
-        take(&mut registry, news, 60_000);
+    for change in (case.changes)() {
+        take(&mut registry, change, 60_000);
     }
     if case.missing {
         registry.note_store_failure(MonoTime(60_100), MonoTime(60_100));
         registry.replace(Vec::new(), EntrySource::Store, MonoTime(60_200));
         assert_eq!(left(&registry), ["a"]);
     }
-    registry.take_end(&TargetId::from("a"), case.told, MonoTime(60_300));
-    for news in (case.late)() {
-        take(&mut registry, news, 60_400);
+    registry.take_end(&TargetId::from("a"), case.announced, MonoTime(60_300));
+    for change in (case.late)() {
+        take(&mut registry, change, 60_400);
     }
     assert_eq!(left(&registry), case.left);
 }
 
-struct ToldCase {
+struct AnnouncedRemovalCase {
     failed: bool,
     source: EntrySource,
-    told: &'static [u64],
+    announced: &'static [u64],
 }
 
 // Guards against a removal announced by a daemon that cannot be sure of it, because the
 // store was just unreachable or the removal came from a hub.
 #[rstest]
-#[case::heard_all_along(ToldCase { failed: false, source: EntrySource::Store, told: &[11] })]
-#[case::after_a_failure(ToldCase { failed: true, source: EntrySource::Store, told: &[] })]
-#[case::from_a_hub(ToldCase { failed: false, source: EntrySource::Hub, told: &[] })]
-fn which_ends_are_told(#[case] case: ToldCase) {
+#[case::store_always_reachable(AnnouncedRemovalCase { failed: false, source: EntrySource::Store, announced: &[11] })]
+#[case::after_a_failure(AnnouncedRemovalCase { failed: true, source: EntrySource::Store, announced: &[] })]
+#[case::from_a_hub(AnnouncedRemovalCase { failed: false, source: EntrySource::Hub, announced: &[] })]
+fn which_removals_are_announced(#[case] case: AnnouncedRemovalCase) {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, life(1, 10), 60_000);
+    take(&mut registry, incarnation(1, 10), 60_000);
     if case.failed {
         registry.note_store_failure(MonoTime(60_100), MonoTime(60_100));
     }
     registry.take(gone("a", 11), case.source, MonoTime(60_200));
-    let told = registry.notes();
-    let told: Vec<u64> = told.map(|kept| kept.note.revision).collect();
-    assert_eq!(told, case.told);
+    let announced = registry.notes();
+    let announced: Vec<u64> = announced.map(|kept| kept.note.revision).collect();
+    assert_eq!(announced, case.announced);
 }
 
 // Guards against two daemons that announce a removal to each other forever.
 #[test]
-fn an_end_that_is_told_again_is_no_news() {
+fn a_repeated_removal_is_not_announced_again() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, life(1, 10), 60_000);
+    take(&mut registry, incarnation(1, 10), 60_000);
     let name = TargetId::from("a");
     assert!(registry.take_end(&name, 11, MonoTime(60_100)));
     let late = MonoTime(95_000);
@@ -318,79 +318,79 @@
 // Guards against a removal that disconnected members of a hub never receive, because the
 // hub first got it with store objects relayed by another hub.
 #[test]
-fn an_end_that_came_with_objects_of_a_hub_is_told_on() {
+fn a_removal_known_from_a_hub_is_still_announced() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, life(1, 10), 60_000);
+    take(&mut registry, incarnation(1, 10), 60_000);
     registry.take(gone("a", 11), EntrySource::Hub, MonoTime(60_050));
     assert!(registry.take_end(&TargetId::from("a"), 11, MonoTime(60_100)));
     assert_eq!(registry.notes().count(), 1);
 }
 
-struct BeginCase {
+struct AdditionCase {
     // Revision up to which this daemon has read all changes of the store.
     read_through: u64,
-    told: u64,
+    announced: u64,
     left: &'static [&'static str],
 }
 
 // Guards against a departed target that is added again by an outdated update of a peer.
 #[rstest]
-#[case::not_read_yet(BeginCase { read_through: 9, told: 10, left: &["a"] })]
-#[case::read_already(BeginCase { read_through: 10, told: 10, left: &[] })]
-#[case::read_further(BeginCase { read_through: 70, told: 10, left: &[] })]
-fn what_another_daemon_saw_begin(#[case] case: BeginCase) {
+#[case::not_read_yet(AdditionCase { read_through: 9, announced: 10, left: &["a"] })]
+#[case::read_already(AdditionCase { read_through: 10, announced: 10, left: &[] })]
+#[case::read_further(AdditionCase { read_through: 70, announced: 10, left: &[] })]
+fn additions_reported_by_a_peer(#[case] case: AdditionCase) {
     let mut registry = TargetRegistry::default();
     registry.replace(Vec::new(), EntrySource::Store, MonoTime(60_000));
     registry.note_read_through(case.read_through);
-    let begun = life(1, case.told);
-    registry.take(begun, EntrySource::Peer, MonoTime(60_100));
+    let added = incarnation(1, case.announced);
+    registry.take(added, EntrySource::Peer, MonoTime(60_100));
     assert_eq!(left(&registry), case.left);
 }
 
-struct OverCase {
+struct AnnouncedAdditionCase {
     change: fn(&mut TargetRegistry),
-    told: usize,
+    announced: usize,
 }
 
 // Guards against announcing an entry as added that is no longer present.
 #[rstest]
-#[case::here(OverCase { change: |_| {}, told: 1 })]
-#[case::leaving(OverCase { change: |registry| take(registry, leaving(1, 11), 60_200), told: 0 })]
-#[case::at_its_address_no_more(OverCase {
-    change: |registry| registry.depart(&life_of(1), MonoTime(60_200)), told: 0,
+#[case::present_now(AnnouncedAdditionCase { change: |_| {}, announced: 1 })]
+#[case::leaving(AnnouncedAdditionCase { change: |registry| take(registry, leaving(1, 11), 60_200), announced: 0 })]
+#[case::departed(AnnouncedAdditionCase {
+    change: |registry| registry.depart(&incarnation_id(1), MonoTime(60_200)), announced: 0,
 })]
-#[case::unreadable(OverCase { change: |registry| take(registry, unreadable("a", 11), 60_200), told: 0 })]
-#[case::missing(OverCase {
+#[case::unreadable(AnnouncedAdditionCase { change: |registry| take(registry, unreadable("a", 11), 60_200), announced: 0 })]
+#[case::missing(AnnouncedAdditionCase {
     change: |registry| {
         registry.note_store_failure(MonoTime(60_100), MonoTime(60_100));
         registry.replace(Vec::new(), EntrySource::Store, MonoTime(60_200));
     },
-    told: 0,
+    announced: 0,
 })]
-fn which_begins_are_told(#[case] case: OverCase) {
+fn which_additions_are_announced(#[case] case: AnnouncedAdditionCase) {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, life(1, 10), 60_000);
+    take(&mut registry, incarnation(1, 10), 60_000);
     registry.note_begun(&TargetId::from("a"), b"value", MonoTime(60_000));
     (case.change)(&mut registry);
-    assert_eq!(registry.notes().count(), case.told);
+    assert_eq!(registry.notes().count(), case.announced);
 }
 
-struct TurnCase {
+struct ScheduleCase {
     // When the message is made; an earlier one, at 0, contained all updates known then.
     at: u64,
-    told: &'static [u64],
+    announced: &'static [u64],
 }
 
 // Guards against removals that a daemon never receives because it connected later or was
 // disconnected at the time, and against repeating all of them in each message.
 #[rstest]
-#[case::news(TurnCase { at: 400, told: &[2] })]
-#[case::nothing_new(TurnCase { at: 999, told: &[] })]
-#[case::all_again(TurnCase { at: 1_000, told: &[1, 2] })]
-#[case::one_told_for_long(TurnCase { at: 21_100, told: &[2] })]
-#[case::both_told_for_long(TurnCase { at: 40_000, told: &[] })]
-fn which_ends_a_word_carries(#[case] case: TurnCase) {
-    let noted = |revision: u64, at: u64| KeptNote {
+#[case::new_ones(ScheduleCase { at: 400, announced: &[2] })]
+#[case::no_new_ones(ScheduleCase { at: 999, announced: &[] })]
+#[case::all_repeated(ScheduleCase { at: 1_000, announced: &[1, 2] })]
+#[case::one_announced_for_long(ScheduleCase { at: 21_100, announced: &[2] })]
+#[case::both_announced_for_long(ScheduleCase { at: 40_000, announced: &[] })]
+fn which_removals_a_message_contains(#[case] case: ScheduleCase) {
+    let update_at = |revision: u64, at: u64| KeptNote {
         note: EntryNote {
             name: TargetId::from("a"),
             revision,
@@ -399,19 +399,19 @@
         at: MonoTime(at),
     };
     let mut turns = EntryTurns::default();
-    let first = [noted(1, 0)];
+    let first = [update_at(1, 0)];
     assert_eq!(turns.pick(&first, MonoTime(9_000)).len(), 1);
-    let all = [noted(1, 0), noted(2, 9_300)];
-    let told = turns.pick(&all, MonoTime(9_000 + case.at));
-    let told: Vec<u64> = told.iter().map(|end| end.revision).collect();
-    assert_eq!(told, case.told);
+    let all = [update_at(1, 0), update_at(2, 9_300)];
+    let announced = turns.pick(&all, MonoTime(9_000 + case.at));
+    let announced: Vec<u64> = announced.iter().map(|update| update.revision).collect();
+    assert_eq!(announced, case.announced);
 }
 
 // Guards against messages that saturate the links when a fleet starts or many entries
 // reappear, and against added entries that are then never announced.
 #[test]
-fn begins_go_into_words_by_turns() {
-    let begun = |number: usize| KeptNote {
+fn additions_are_spread_over_messages() {
+    let added = |number: usize| KeptNote {
         note: EntryNote {
             name: TargetId::from(format!("t{number}")),
             revision: 1 + number as u64,
@@ -419,24 +419,28 @@
         },
         at: MonoTime(9_000),
     };
-    let begins: Vec<KeptNote> = (0..40).map(begun).collect();
+    let additions: Vec<KeptNote> = (0..40).map(added).collect();
     let mut turns = EntryTurns::default();
-    let mut told: Vec<u64> = Vec::new();
+    let mut announced: Vec<u64> = Vec::new();
     for tick in 0..75 {
-        let word = turns.pick(&begins, MonoTime(9_000 + 40 * tick));
-        assert!(word.len() <= 16, "{} begins in a word", word.len());
-        told.extend(word.iter().map(|note| note.revision));
+        let message = turns.pick(&additions, MonoTime(9_000 + 40 * tick));
+        assert!(
+            message.len() <= 16,
+            "{} additions in a message",
+            message.len()
+        );
+        announced.extend(message.iter().map(|note| note.revision));
     }
-    assert_eq!(told.len(), 48);
-    told.sort_unstable();
-    told.dedup();
-    assert_eq!(told.len(), 40);
+    assert_eq!(announced.len(), 48);
+    announced.sort_unstable();
+    announced.dedup();
+    assert_eq!(announced.len(), 40);
 }
 
 // Another program overwrites a target's entry. The old content may be outdated, so the
 // target gets no work until it writes the entry again; other targets are not affected.
 #[test]
-fn an_entry_that_turns_unreadable_names_no_target_until_it_is_written_again() {
+fn a_target_whose_entry_becomes_unreadable_gets_no_work_until_it_writes_again() {
     let mut registry = TargetRegistry::default();
     take(&mut registry, named(record("a"), 10), 1);
     take(&mut registry, named(record("b"), 11), 1);
@@ -455,7 +459,7 @@
     assert_eq!(left(&registry), ["b"]);
 }
 
-struct StrangerCase {
+struct ConfiguredCase {
     records: fn() -> Vec<TargetRecord>,
     engines: bool,
     left: &'static [&'static str],
@@ -464,27 +468,27 @@
 // Guards against prompts and stage orders sent to targets that are no engines of a
 // configured service.
 #[rstest]
-#[case::engines(StrangerCase {
+#[case::engines(ConfiguredCase {
     records: || vec![engine("e1", EngineStage::Decode), target("odd", "127.0.0.1:9")],
     engines: true,
     left: &["e1"],
 })]
-#[case::engines_that_tell_no_stage(StrangerCase {
+#[case::engines_without_a_stage(ConfiguredCase {
     records: || vec![target("e1", "127.0.0.1:9")],
     engines: true,
     left: &["e1"],
 })]
-#[case::plain_targets(StrangerCase {
+#[case::plain_targets(ConfiguredCase {
     records: || vec![target("a", "127.0.0.1:9"), target("b", "127.0.0.1:9")],
     engines: false,
     left: &["a", "b"],
 })]
-#[case::a_service_that_is_not_configured(StrangerCase {
+#[case::a_service_that_is_not_configured(ConfiguredCase {
     records: || vec![TargetRecord { service: ServiceName::from("odd"), ..record("a") }],
     engines: false,
     left: &[],
 })]
-fn which_records_name_targets(#[case] case: StrangerCase) {
+fn which_records_become_targets(#[case] case: ConfiguredCase) {
     let mut registry = TargetRegistry::default();
     for record in (case.records)() {
         take(&mut registry, named(record, 1), 1);
@@ -501,8 +505,8 @@
     assert_eq!(left, case.left);
 }
 
-fn take(registry: &mut TargetRegistry, news: EntryNews, at: u64) {
-    registry.take(news, EntrySource::Store, MonoTime(at));
+fn take(registry: &mut TargetRegistry, change: EntryNews, at: u64) {
+    registry.take(change, EntrySource::Store, MonoTime(at));
 }
 
 fn named(record: TargetRecord, revision: u64) -> EntryNews {
@@ -529,13 +533,13 @@
     }
 }
 
-fn life_of(born: u64) -> TargetLife {
+fn incarnation_id(born: u64) -> TargetLife {
     TargetLife::new(TargetId::from("a"), Some(UnixTime(born)))
 }
 
-fn life(born: u64, revision: u64) -> EntryNews {
+fn incarnation(born: u64, revision: u64) -> EntryNews {
     let record = TargetRecord {
-        id: life_of(born),
+        id: incarnation_id(born),
         ..record("a")
     };
     named(record, revision)
@@ -543,7 +547,7 @@
 
 fn leaving(born: u64, revision: u64) -> EntryNews {
     let record = TargetRecord {
-        id: life_of(born),
+        id: incarnation_id(born),
         leaving: true,
         ..record("a")
     };
