--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -28,7 +28,7 @@
 
 /// How long departures, and the last revision of removed entries, are remembered: longer
 /// than outdated information about them can take to arrive.
-const DEPARTURE_RETENTION: Duration = Duration::from_secs(120);
+const DEPARTURE_TTL: Duration = Duration::from_secs(120);
 /// Source of information about an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntrySource {
@@ -255,16 +255,14 @@
             }
             expired.is_none()
         });
-        self.departed
-            .retain(|_, at| now.since(*at) < DEPARTURE_RETENTION);
+        self.departed.retain(|_, at| now.since(*at) < DEPARTURE_TTL);
         // Kept for longer than peers announce an update: if it were forgotten earlier, it
         // would be new again and announced forever.
         self.notes
-            .retain(|_, kept| now.since(kept.at) < DEPARTURE_RETENTION);
+            .retain(|_, kept| now.since(kept.at) < DEPARTURE_TTL);
         let entries = &self.entries;
-        self.seen.retain(|name, seen| {
-            entries.contains_key(name) || now.since(seen.at) < DEPARTURE_RETENTION
-        });
+        self.seen
+            .retain(|name, seen| entries.contains_key(name) || now.since(seen.at) < DEPARTURE_TTL);
         before != self.entries.len()
     }
 
