--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -132,7 +132,7 @@
 }
 
 impl TargetRegistry {
-    /// Records that the store did not answer a request sent at `asked`.
+    /// Records that the store did not answer a request sent at `sent_at`.
     pub fn note_store_failure(&mut self, sent_at: MonoTime, now: MonoTime) {
         self.contact.note_failure(sent_at, now);
     }
