--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -21,7 +21,7 @@
         route: &mut RouteRule,
         caller: &CallerRequest,
     ) -> Result<CallerAccess, Failure> {
-        if !routes.asks_for_keys() {
+        if !routes.requires_keys() {
             return Ok(CallerAccess::Open);
         }
         if route.public {
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// Returns the refusal, so that the caller does not try one engine after another.
-    pub(super) fn check_still(&self, access: &CallerAccess) -> Result<(), Failure> {
+    pub(super) fn recheck_access(&self, access: &CallerAccess) -> Result<(), Failure> {
         if self.may_still_send(access) {
             return Ok(());
         }
--- a/src/gateway/deciding/affinity.rs
+++ b/src/gateway/deciding/affinity.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::model::PromptPart;
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Time since its last use after which a part is assumed to be evicted. Engines evict
 /// the least recently used parts; under load, parts stay cached for tens of seconds.
@@ -33,12 +33,12 @@
 
 /// Estimate of which prompt parts each engine caches.
 #[derive(Clone, Debug, Default)]
-pub struct CacheBook {
-    engines: IndexMap<TargetLife, IndexMap<u64, CachedPart>>,
+pub struct CacheIndex {
+    engines: IndexMap<TargetIncarnation, IndexMap<u64, CachedPart>>,
     capacity_tokens: u64,
 }
 
-impl CacheBook {
+impl CacheIndex {
     /// Sets the KV cache capacity of an engine, which running requests share.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.capacity_tokens = tokens * CACHE_SHARE_PERCENT / 100;
@@ -47,20 +47,30 @@
     /// Returns the tokens of the leading parts that an engine probably caches, or will
     /// cache by the time that a request sent now is prefilled.
     #[must_use]
-    pub fn cached_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
+    pub fn cached_tokens(
+        &self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+    ) -> u32 {
         self.leading_tokens(engine, parts, now, |_| true)
     }
 
     /// Returns the tokens of the leading parts that another engine could copy from this
     /// one.
     #[must_use]
-    pub fn copyable_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
+    pub fn copyable_tokens(
+        &self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+    ) -> u32 {
         self.leading_tokens(engine, parts, now, |part| part.ready)
     }
 
     fn leading_tokens(
         &self,
-        engine: &TargetLife,
+        engine: &TargetIncarnation,
         parts: &[PromptPart],
         now: MonoTime,
         counts: impl Fn(&CachedPart) -> bool,
@@ -77,17 +87,28 @@
     }
 
     /// Records that an engine has prefilled a prompt, or received its KV cache.
-    pub fn note_held(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) {
+    pub fn note_cached(&mut self, engine: &TargetIncarnation, parts: &[PromptPart], now: MonoTime) {
         self.note(engine, parts, now, true);
     }
 
     /// Records that a prompt was sent to an engine for prefill. Requests that share its
     /// parts do better to wait there than to have them recomputed elsewhere.
-    pub fn note_coming(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) {
+    pub fn note_prefilling(
+        &mut self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+    ) {
         self.note(engine, parts, now, false);
     }
 
-    fn note(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime, ready: bool) {
+    fn note(
+        &mut self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+        ready: bool,
+    ) {
         let cached = self.engines.entry(engine.clone()).or_default();
         for part in parts {
             let tokens = part.tokens;
@@ -111,7 +132,7 @@
     }
 
     /// Removes engines for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(&TargetLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&TargetIncarnation) -> bool) {
         self.engines.retain(|engine, _| keep(engine));
     }
 }
@@ -135,7 +156,7 @@
 /// Returns the weight of an engine as home of a shared part; the highest weight is the
 /// first home.
 #[must_use]
-pub fn home_weight(key: u64, engine: &TargetLife) -> u64 {
+pub fn home_weight(key: u64, engine: &TargetIncarnation) -> u64 {
     weight(key, engine.as_str())
 }
 
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::deciding::TimedWork;
 use crate::gateway::deciding::affinity;
-use crate::gateway::deciding::engine_model::{EngineLines, EngineWork};
+use crate::gateway::deciding::engine_model::{EngineLatencies, EngineWork};
 use crate::gateway::deciding::health::HealthView;
 use crate::gateway::deciding::load::TargetWork;
 use crate::gateway::model::{EngineStage, PromptShape, TargetRecord};
@@ -106,7 +106,7 @@
 
 /// Engines chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EnginePlace {
+pub struct EnginePlacement {
     /// Prefill engine; `None` where the decode engine prefills the prompt itself.
     pub reader: Option<Arc<TargetRecord>>,
     /// Engine that generates the tokens.
@@ -129,10 +129,10 @@
     pub gives_way: bool,
 }
 
-impl EnginePlace {
+impl EnginePlacement {
     /// Returns the prefill of the prompt at `engine` as work whose time is measured.
     #[must_use]
-    pub fn timed_reading(&self, engine: &Arc<TargetRecord>) -> TimedWork {
+    pub fn timed_prefill(&self, engine: &Arc<TargetRecord>) -> TimedWork {
         let work = match (self.reader.is_some(), self.gives_way) {
             (true, false) => EngineWork::ReadAhead,
             (true, true) => EngineWork::ReadAheadLate,
@@ -164,11 +164,11 @@
 #[must_use]
 pub fn choose(
     weights: &PlacementWeights,
-    lines: &EngineLines,
+    lines: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
-) -> Option<EnginePlace> {
+) -> Option<EnginePlacement> {
     let context = ChoiceContext::new(weights, lines, engines, prompt, rank);
     let local = context.cheapest(|e| !e.is_prefill_engine() && e.available)?;
     let Some(remote) = context.cheapest(|e| e.is_prefill_engine() && e.available) else {
@@ -180,7 +180,7 @@
     if remote.cost_ms + decode.cost >= local.cost_ms {
         return Some(local_placement(&local, rank));
     }
-    Some(EnginePlace {
+    Some(EnginePlacement {
         reader: Some(remote.engine.record.clone()),
         writer: writer.record.clone(),
         fetch_from: remote.fetch_from.map(|source| source.record.clone()),
@@ -199,9 +199,9 @@
 /// A prefill takes up to seconds, in which engines leave and loads change, so the decode
 /// engine is chosen again once it is done.
 #[must_use]
-pub fn choose_writer(
+pub fn choose_decode_engine(
     weights: &PlacementWeights,
-    lines: &EngineLines,
+    lines: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
@@ -210,8 +210,8 @@
     context.writer().map(|(engine, _)| engine.record.clone())
 }
 
-fn local_placement(option: &PrefillOption<'_>, rank: u8) -> EnginePlace {
-    EnginePlace {
+fn local_placement(option: &PrefillOption<'_>, rank: u8) -> EnginePlacement {
+    EnginePlacement {
         reader: None,
         writer: option.engine.record.clone(),
         fetch_from: option.fetch_from.map(|source| source.record.clone()),
@@ -236,7 +236,7 @@
 
 struct ChoiceContext<'a> {
     weights: &'a PlacementWeights,
-    lines: &'a EngineLines,
+    lines: &'a EngineLatencies,
     engines: &'a [EngineState],
     prompt: &'a PromptShape,
     rank: u8,
@@ -248,7 +248,7 @@
 impl<'a> ChoiceContext<'a> {
     fn new(
         weights: &'a PlacementWeights,
-        lines: &'a EngineLines,
+        lines: &'a EngineLatencies,
         engines: &'a [EngineState],
         prompt: &'a PromptShape,
         rank: u8,
@@ -298,7 +298,7 @@
         let discount = if is_home { weights.home_discount } else { 0.0 };
         let recompute_tokens = weights.recompute_weight * f64::from(recomputed) * (1.0 - discount);
         let pace = engine.health.pace;
-        let waiting = engine.work.unread_before(self.rank);
+        let waiting = engine.work.prefill_tokens_before(self.rank);
         let (line, interference_factor, running) = if engine.is_prefill_engine() {
             (self.lines.read_ahead, 1.0, 0.0)
         } else {
@@ -328,7 +328,7 @@
     fn writer(&self) -> Option<(&'a EngineState, DecodeCost)> {
         let fits = |e: &&EngineState| !e.is_prefill_engine() && e.available;
         let costs = self.engines.iter().filter(fits).map(|engine| {
-            let waiting = f64::from(engine.work.unread_before(self.rank));
+            let waiting = f64::from(engine.work.prefill_tokens_before(self.rank));
             let pace = engine.health.pace;
             let expected = self.lines.take_over.at(waiting) * pace + engine.health_penalty_ms();
             let copied = self
--- a/src/gateway/deciding/engine_model.rs
+++ b/src/gateway/deciding/engine_model.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::deciding::line_fit::{LineFit, WorkLine};
+use crate::gateway::deciding::line_fit::{LatencyFit, LinearLatency};
 use crate::names::ServiceName;
 
 /// Kind of work whose latency is learned. Its size is the number of tokens to prefill
@@ -43,57 +43,57 @@
 
     // Values between those of known engines, which differ by a factor of eight. They
     // weigh as much as two observations and fade within a second of load.
-    fn prior(self) -> WorkLine {
+    fn prior(self) -> LinearLatency {
         let (fixed_ms, token_ms) = match self {
             Self::ReadAhead | Self::ReadAheadLate => (40.0, 0.01),
             Self::ReadHere | Self::ReadHereLate => (40.0, 0.02),
             Self::TakeOver => (30.0, 0.02),
         };
-        WorkLine { fixed_ms, token_ms }
+        LinearLatency { fixed_ms, token_ms }
     }
 }
 
 /// Latencies that the placement of one request is based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EngineLines {
+pub struct EngineLatencies {
     /// Prefill on a prefill engine.
-    pub read_ahead: WorkLine,
+    pub read_ahead: LinearLatency,
     /// Prefill on the decode engine.
-    pub read_here: WorkLine,
+    pub read_here: LinearLatency,
     /// Transfer of the KV cache to the decode engine.
-    pub take_over: WorkLine,
+    pub take_over: LinearLatency,
 }
 
 /// Learned latencies of the engines, by service and kind of work.
 #[derive(Clone, Debug, Default)]
-pub struct EngineBook {
-    fits: IndexMap<(ServiceName, EngineWork), LineFit>,
+pub struct EngineSpeeds {
+    fits: IndexMap<(ServiceName, EngineWork), LatencyFit>,
 }
 
-impl EngineBook {
+impl EngineSpeeds {
     /// Records the time that work on `tokens` took.
     pub fn note(&mut self, service: &ServiceName, work: EngineWork, tokens: f64, taken_ms: f64) {
         let fit = self.fits.entry((service.clone(), work));
-        let fit = fit.or_insert_with(|| LineFit::new(work.prior()));
+        let fit = fit.or_insert_with(|| LatencyFit::new(work.prior()));
         fit.note(tokens, taken_ms);
     }
 
     /// Returns the latency of one kind of work.
     #[must_use]
-    pub fn line(&self, service: &ServiceName, work: EngineWork) -> WorkLine {
+    pub fn line(&self, service: &ServiceName, work: EngineWork) -> LinearLatency {
         let fit = self.fits.get(&(service.clone(), work));
-        fit.map_or_else(|| work.prior(), LineFit::line)
+        fit.map_or_else(|| work.prior(), LatencyFit::line)
     }
 
     /// Returns the latencies for a request, deprioritised or not.
     #[must_use]
-    pub fn lines(&self, service: &ServiceName, gives_way: bool) -> EngineLines {
+    pub fn lines(&self, service: &ServiceName, gives_way: bool) -> EngineLatencies {
         let (ahead, here) = if gives_way {
             (EngineWork::ReadAheadLate, EngineWork::ReadHereLate)
         } else {
             (EngineWork::ReadAhead, EngineWork::ReadHere)
         };
-        EngineLines {
+        EngineLatencies {
             read_ahead: self.line(service, ahead),
             read_here: self.line(service, here),
             take_over: self.line(service, EngineWork::TakeOver),
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Consecutive sends without an answer after which a target is avoided.
 const SILENT_SENDS_TO_AVOID: u32 = 2;
@@ -83,16 +83,16 @@
 
 /// Health of all targets that requests were sent to.
 #[derive(Clone, Debug, Default)]
-pub struct HealthBook {
-    targets: IndexMap<TargetLife, TargetHealth>,
+pub struct HealthTracker {
+    targets: IndexMap<TargetIncarnation, TargetHealth>,
 }
 
-impl HealthBook {
+impl HealthTracker {
     /// Records the result of a send; returns whether the target is now avoided or has
     /// recovered.
     pub fn note(
         &mut self,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         result: SendResult,
         now: MonoTime,
     ) -> Option<HealthChange> {
@@ -110,7 +110,7 @@
     }
 
     /// Records the time of an answer and the time expected of engines of its kind.
-    pub fn note_time(&mut self, target: &TargetLife, taken_ms: f64, expected_ms: f64) {
+    pub fn note_time(&mut self, target: &TargetIncarnation, taken_ms: f64, expected_ms: f64) {
         let health = self.targets.entry(target.clone()).or_default();
         let ratio = (taken_ms / expected_ms.max(1.0)).clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
         health.pace += SLOWDOWN_WEIGHT * (ratio - health.pace);
@@ -118,7 +118,7 @@
 
     /// Returns a target's health for a choice.
     #[must_use]
-    pub fn view(&self, target: &TargetLife, now: MonoTime) -> HealthView {
+    pub fn view(&self, target: &TargetIncarnation, now: MonoTime) -> HealthView {
         let unknown = TargetHealth::default();
         let health = self.targets.get(target).unwrap_or(&unknown);
         HealthView {
@@ -130,7 +130,7 @@
     }
 
     /// Removes targets for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(&TargetLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&TargetIncarnation) -> bool) {
         self.targets.retain(|target, _| keep(target));
     }
 }
--- a/src/gateway/deciding/line_fit.rs
+++ b/src/gateway/deciding/line_fit.rs
@@ -17,14 +17,14 @@
 
 /// Latency of work: a fixed time plus a time per token, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorkLine {
+pub struct LinearLatency {
     /// Time independent of the number of tokens.
     pub fixed_ms: f64,
     /// Time per token.
     pub token_ms: f64,
 }
 
-impl WorkLine {
+impl LinearLatency {
     /// Returns the time of work on `tokens`.
     #[must_use]
     pub fn at(&self, tokens: f64) -> f64 {
@@ -37,21 +37,21 @@
 /// The weight of old observations decays, so that the fit follows engines that become
 /// slow. Outliers, such as after a pause of the whole instance, are clamped.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LineFit {
-    prior: WorkLine,
+pub struct LatencyFit {
+    prior: LinearLatency,
     weight: f64,
     sum_x: f64,
     sum_y: f64,
     sum_xx: f64,
     sum_xy: f64,
     mean_deviation: f64,
-    line: WorkLine,
+    line: LinearLatency,
 }
 
-impl LineFit {
+impl LatencyFit {
     /// Creates a fit without observations, which returns `prior`.
     #[must_use]
-    pub fn new(prior: WorkLine) -> Self {
+    pub fn new(prior: LinearLatency) -> Self {
         Self {
             prior,
             weight: 0.0,
@@ -66,7 +66,7 @@
 
     /// Returns the current estimate.
     #[must_use]
-    pub fn line(&self) -> WorkLine {
+    pub fn line(&self) -> LinearLatency {
         self.line
     }
 
@@ -94,7 +94,7 @@
         self.line = self.fitted();
     }
 
-    fn fitted(&self) -> WorkLine {
+    fn fitted(&self) -> LinearLatency {
         let (near, far) = (self.prior.fixed_ms, self.prior.at(PRIOR_TOKENS));
         let weight = self.weight + 2.0 * PRIOR_WEIGHT;
         let sum_x = self.sum_x + PRIOR_WEIGHT * PRIOR_TOKENS;
@@ -107,11 +107,11 @@
         let token_ms = slope.max(MIN_TOKEN_MS);
         let fixed_ms = (sum_y - token_ms * sum_x) / weight;
         if fixed_ms >= MIN_FIXED_MS {
-            return WorkLine { fixed_ms, token_ms };
+            return LinearLatency { fixed_ms, token_ms };
         }
         // Best fit with the fixed time at its lower bound.
         let token_ms = (sum_xy - MIN_FIXED_MS * sum_x) / sum_xx;
-        WorkLine {
+        LinearLatency {
             fixed_ms: MIN_FIXED_MS,
             token_ms: token_ms.max(MIN_TOKEN_MS),
         }
--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Age from which the work reported by a peer is ignored.
 const PEER_LOAD_TTL: Duration = Duration::from_millis(1_500);
@@ -62,7 +62,7 @@
 impl TargetWork {
     /// Returns the tokens that are prefilled before those of a new request of `rank`.
     #[must_use]
-    pub fn unread_before(&self, rank: u8) -> u32 {
+    pub fn prefill_tokens_before(&self, rank: u8) -> u32 {
         self.unread[..=rank_index(rank)].iter().sum()
     }
 }
@@ -89,13 +89,13 @@
 }
 
 /// Outstanding work by target.
-pub type WorkByTarget = IndexMap<TargetLife, TargetWork>;
+pub type WorkByTarget = IndexMap<TargetIncarnation, TargetWork>;
 
 /// Work that was assigned to a peer and is not yet contained in its reports.
 #[derive(Clone, Debug)]
 struct ReservedWork {
     number: u64,
-    target: TargetLife,
+    target: TargetIncarnation,
     work: TargetWork,
     at: MonoTime,
 }
@@ -105,7 +105,7 @@
 
 /// Outstanding work of this daemon and of its peers.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     own: WorkByTarget,
     others: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
     reserved: IndexMap<DaemonId, Vec<ReservedWork>>,
@@ -115,16 +115,16 @@
     peer_sum: WorkByTarget,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Records the start of a request of a rank with `unread_tokens` to prefill.
-    pub fn begin(&mut self, target: &TargetLife, rank: u8, unread_tokens: u32) {
+    pub fn begin(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
         let work = self.own.entry(target.clone()).or_default();
         work.running += 1;
         work.unread[rank_index(rank)] += unread_tokens;
     }
 
     /// Records that tokens counted by [`Self::begin`] were prefilled.
-    pub fn note_read(&mut self, target: &TargetLife, rank: u8, tokens: u32) {
+    pub fn note_read(&mut self, target: &TargetIncarnation, rank: u8, tokens: u32) {
         if let Some(work) = self.own.get_mut(target) {
             let unread = &mut work.unread[rank_index(rank)];
             *unread = unread.saturating_sub(tokens);
@@ -132,7 +132,7 @@
     }
 
     /// Records the end of a request, of whose prompt `unread_tokens` were not prefilled.
-    pub fn end(&mut self, target: &TargetLife, rank: u8, unread_tokens: u32) {
+    pub fn end(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
         self.note_read(target, rank, unread_tokens);
         if let Some(work) = self.own.get_mut(target) {
             work.running = work.running.saturating_sub(1);
@@ -143,7 +143,7 @@
     }
 
     /// Replaces the work reported by a peer.
-    pub fn set_other(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
+    pub fn set_peer_work(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
         self.others.insert(daemon, (now, work));
         self.update_peer_sum(now);
     }
@@ -154,7 +154,7 @@
     pub fn promise(
         &mut self,
         (daemon, number): (&DaemonId, u64),
-        target: &TargetLife,
+        target: &TargetIncarnation,
         (rank, unread_tokens): (u8, u32),
         now: MonoTime,
     ) {
@@ -181,7 +181,7 @@
     }
 
     /// Drops reservations of a peer up to the number that its report contains.
-    pub fn settle_promises(&mut self, daemon: &DaemonId, through: u64) {
+    pub fn release_reservations(&mut self, daemon: &DaemonId, through: u64) {
         self.reported_through.insert(daemon.clone(), through);
         if let Some(reserved) = self.reserved.get_mut(daemon) {
             reserved.retain(|reservation| reservation.number > through);
@@ -218,7 +218,7 @@
 
     /// Returns all known work at a target.
     #[must_use]
-    pub fn total(&self, target: &TargetLife) -> TargetWork {
+    pub fn total(&self, target: &TargetIncarnation) -> TargetWork {
         let mut total = self.own.get(target).copied().unwrap_or_default();
         total.add(&self.peer_sum.get(target).copied().unwrap_or_default());
         total
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::model::{EngineStage, TargetRecord};
 use crate::names::CentreName;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Fewest decode engines to keep: they can also prefill, while a prefill engine cannot
 /// generate.
@@ -23,7 +23,7 @@
 
 /// A planned change of an engine's stage.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StageWish {
+pub struct StageChangePlan {
     /// Engine to change.
     pub engine: Arc<TargetRecord>,
     /// Stage that it is to change to.
@@ -32,7 +32,7 @@
 
 /// Returns how many of `engines` should be prefill engines, for a given share of them.
 #[must_use]
-pub fn wanted_readers(engines: usize, share: f64) -> usize {
+pub fn prefill_engine_count(engines: usize, share: f64) -> usize {
     let max = engines.saturating_sub(MIN_DECODE_ENGINES);
     let wanted = (share * engines as f64).round() as usize;
     let min = usize::from(max > 0);
@@ -44,10 +44,10 @@
 #[must_use]
 pub fn wishes(
     engines: &[Arc<TargetRecord>],
-    running: impl Fn(&TargetLife) -> u32,
+    running: impl Fn(&TargetIncarnation) -> u32,
     wanted: usize,
     at_once: usize,
-) -> Vec<StageWish> {
+) -> Vec<StageChangePlan> {
     let prefill_engines = engines.iter().filter(|e| is_prefill_engine(e)).count();
     let (stage, count) = if prefill_engines < wanted {
         (EngineStage::Prefill, wanted - prefill_engines)
@@ -71,7 +71,7 @@
         };
         let engine = candidates.swap_remove(at);
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
-        wishes.push(StageWish {
+        wishes.push(StageChangePlan {
             engine: engine.clone(),
             stage,
         });
--- a/src/gateway/model.rs
+++ b/src/gateway/model.rs
@@ -7,11 +7,11 @@
 
 use crate::access_key::KeyDigest;
 use crate::names::{CentreName, ServiceName, WorkspaceName};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Whether and how requests of a route may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RepeatRule {
+pub enum RetryRule {
     /// A request may run any number of times.
     Idempotent,
     /// A request may run at most once.
@@ -22,10 +22,10 @@
     ResumableStream,
 }
 
-impl RepeatRule {
+impl RetryRule {
     /// Returns whether a request may be retried although an earlier send may have run.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
@@ -55,7 +55,7 @@
     /// Prefix of the path, beginning and ending with a slash.
     pub path_prefix: String,
     /// Whether requests may be retried.
-    pub repeat: RepeatRule,
+    pub repeat: RetryRule,
     /// Longest time for a request, from its arrival to the end of its answer.
     pub time_limit: Duration,
     /// Latency objective of an answer, or of its first event.
@@ -65,7 +65,7 @@
     /// Rank of the requests; 0 is the most urgent.
     pub urgency: u8,
     /// Maximum number of targets that one attempt of a caller may be sent to.
-    pub most_targets: u32,
+    pub max_targets: u32,
     /// Services that requests are split between.
     pub shares: Vec<ServiceShare>,
     /// Whether callers need no key even if the configuration names workspaces.
@@ -115,7 +115,7 @@
     /// Name that routes and targets refer to.
     pub name: ServiceName,
     /// Maximum number of connections that one target accepts in total.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Set where the targets are model engines.
     pub engine: Option<EngineLimits>,
     /// Set where targets may be ordered from the platform.
@@ -146,9 +146,9 @@
     /// Maximum size of a request's body.
     pub body_bytes: usize,
     /// Maximum time for the head of a request to arrive.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Maximum time that a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One complete version of the configuration.
@@ -190,7 +190,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetRecord {
     /// Incarnation of the target that wrote the entry.
-    pub id: TargetLife,
+    pub id: TargetIncarnation,
     /// Service that it offers.
     pub service: ServiceName,
     /// Address that it listens on.
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -4,13 +4,13 @@
 //! Treating each disappearance as a departure would empty the fleet after an outage;
 //! ignoring them would send work to targets that are gone. So an entry that disappears
 //! while the store was reachable is removed at once; one that disappears around an outage
-//! may reappear within [`REAPPEAR_TIME`] of the store's return, unless a peer that could
+//! may reappear within [`ENTRY_RETURN_TIME`] of the store's return, unless a peer that could
 //! reach the store throughout reports its removal.
 //!
 //! A departure ends one incarnation of a target. Of two entries of a name the one with
 //! the higher store revision is newer; targets' own clocks may step.
 //!
-//! [`REAPPEAR_TIME`]: crate::gateway::store_contact::REAPPEAR_TIME
+//! [`ENTRY_RETURN_TIME`]: crate::gateway::store_contact::ENTRY_RETURN_TIME
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 
 use crate::gateway::fleet::TargetsByService;
 use crate::gateway::model::TargetRecord;
-use crate::gateway::port::WireFault;
-use crate::gateway::store_contact::StoreContact;
+use crate::gateway::port::WireError;
+use crate::gateway::store_contact::StoreOutageTracker;
 use crate::names::{MonoTime, TargetId, millis};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// How long departures, and the last revision of removed entries, are remembered: longer
 /// than outdated information about them can take to arrive.
@@ -58,12 +58,12 @@
     /// The entry describes a target.
     Named(TargetRecord),
     /// The entry could not be decoded, because another program wrote or overwrote it.
-    Unreadable(WireFault),
+    Unreadable(WireError),
 }
 
 /// One entry as it was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EntryNews {
+pub struct EntryChange {
     /// Name of the entry.
     pub name: TargetId,
     /// Store revision of its last change; 0 where unknown.
@@ -89,7 +89,7 @@
 
 /// Update that daemons send each other about an entry: it was added or removed.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
-pub struct EntryNote {
+pub struct EntryUpdate {
     /// Name of the entry.
     pub name: TargetId,
     /// Revision of the change. A removal covers all revisions up to it.
@@ -100,9 +100,9 @@
 
 /// An update that was received or made recently.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KeptNote {
+pub struct RecentUpdate {
     /// The update.
-    pub note: EntryNote,
+    pub note: EntryUpdate,
     /// When this daemon learned of it.
     pub at: MonoTime,
 }
@@ -119,14 +119,14 @@
     entries: IndexMap<TargetId, TargetEntry>,
     // Incarnations that departed. An older entry may still arrive from a peer or a stale
     // read; a departure is final for the incarnation.
-    departed: IndexMap<TargetLife, MonoTime>,
+    departed: IndexMap<TargetIncarnation, MonoTime>,
     // Newest revision seen of each name, so that older entries are ignored.
     seen: IndexMap<TargetId, SeenRevision>,
     // Entries added or certainly removed, for daemons that cannot reach the store.
-    notes: IndexMap<TargetId, KeptNote>,
+    notes: IndexMap<TargetId, RecentUpdate>,
     // Unreadable entries, with the revision that was logged.
     unreadable: IndexMap<TargetId, u64>,
-    contact: StoreContact,
+    contact: StoreOutageTracker,
     // Revision up to which this daemon itself has read all changes.
     read_through: u64,
 }
@@ -148,7 +148,7 @@
     }
 
     /// Replaces all entries by a complete listing.
-    pub fn replace(&mut self, listing: Vec<EntryNews>, source: EntrySource, now: MonoTime) {
+    pub fn replace(&mut self, listing: Vec<EntryChange>, source: EntrySource, now: MonoTime) {
         let listed_names: Vec<TargetId> =
             listing.iter().map(|change| change.name.clone()).collect();
         for change in listing {
@@ -169,8 +169,8 @@
 
     /// Applies the change of one entry, unless a newer one of its name is known; returns
     /// true if it adds an incarnation of a target.
-    pub fn take(&mut self, change: EntryNews, source: EntrySource, now: MonoTime) -> bool {
-        let EntryNews {
+    pub fn take(&mut self, change: EntryChange, source: EntrySource, now: MonoTime) -> bool {
+        let EntryChange {
             name,
             revision,
             content,
@@ -200,7 +200,7 @@
 
     /// Records the departure of an incarnation, announced by the target itself or detected
     /// from an answer at its address.
-    pub fn depart(&mut self, life: &TargetLife, now: MonoTime) {
+    pub fn depart(&mut self, life: &TargetIncarnation, now: MonoTime) {
         let current = self.entries.get(life.name());
         if current.is_some_and(|entry| entry.record.id == *life) {
             self.entries.swap_remove(life.name());
@@ -231,7 +231,7 @@
 
     /// Returns the entries added or removed recently, without added ones that are no longer
     /// present, for whatever reason.
-    pub fn notes(&self) -> impl Iterator<Item = &KeptNote> {
+    pub fn notes(&self) -> impl Iterator<Item = &RecentUpdate> {
         let is_present = |name: &TargetId| {
             let entry = self.entries.get(name);
             entry.is_some_and(|entry| entry.missing.is_none())
@@ -268,7 +268,7 @@
 
     /// Returns when the next missing entry is due for removal.
     #[must_use]
-    pub fn next_given_up(&self) -> Option<MonoTime> {
+    pub fn next_expiry(&self) -> Option<MonoTime> {
         self.missing().map(|(_, missing)| missing.until).min()
     }
 
@@ -292,17 +292,17 @@
 
     /// Returns whether an incarnation of a target has departed.
     #[must_use]
-    pub fn has_departed(&self, life: &TargetLife) -> bool {
+    pub fn has_departed(&self, life: &TargetIncarnation) -> bool {
         self.departed.contains_key(life)
     }
 
     /// Returns the incarnations that departed and are still remembered.
-    pub fn departed(&self) -> impl Iterator<Item = &TargetLife> {
+    pub fn departed(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.departed.keys()
     }
 
     /// Returns the entries that are missing in the store and whose targets still get work.
-    pub fn missing(&self) -> impl Iterator<Item = (&TargetLife, MissingEntry)> {
+    pub fn missing(&self) -> impl Iterator<Item = (&TargetIncarnation, MissingEntry)> {
         let entries = self.entries.values();
         entries.filter_map(|entry| Some((&entry.record.id, entry.missing?)))
     }
@@ -340,7 +340,7 @@
     }
 
     fn remove_or_mark_missing(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
-        if let Some(until) = self.contact.reappears_until(now) {
+        if let Some(until) = self.contact.entry_return_deadline(now) {
             self.mark_missing(name, until, source, now);
             return;
         }
@@ -372,12 +372,13 @@
         if revision == 0 {
             return;
         }
-        let note = EntryNote {
+        let note = EntryUpdate {
             name: name.clone(),
             revision,
             value,
         };
-        self.notes.insert(name.clone(), KeptNote { note, at: now });
+        self.notes
+            .insert(name.clone(), RecentUpdate { note, at: now });
     }
 
     fn seen_revision(&self, name: &TargetId) -> u64 {
@@ -415,7 +416,7 @@
         &mut self,
         name: &TargetId,
         revision: u64,
-        fault: &WireFault,
+        fault: &WireError,
         source: EntrySource,
     ) {
         let logged_revision = self.unreadable.insert(name.clone(), revision);
--- a/src/target_life.rs
+++ b/src/target_incarnation.rs
@@ -12,9 +12,9 @@
 /// its announcements. State about a target is therefore keyed by incarnation, in daemons
 /// and in their messages, and dropped when the incarnation ends.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct TargetLife(TargetId, Option<UnixTime>);
+pub struct TargetIncarnation(TargetId, Option<UnixTime>);
 
-impl TargetLife {
+impl TargetIncarnation {
     /// Creates the identity from the target's name and its start time, if the target
     /// reports one.
     #[must_use]
@@ -42,19 +42,19 @@
     }
 }
 
-impl From<&str> for TargetLife {
+impl From<&str> for TargetIncarnation {
     fn from(name: &str) -> Self {
         Self(TargetId::from(name), None)
     }
 }
 
-impl From<String> for TargetLife {
+impl From<String> for TargetIncarnation {
     fn from(name: String) -> Self {
         Self(TargetId::from(name), None)
     }
 }
 
-impl fmt::Display for TargetLife {
+impl fmt::Display for TargetIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -5,18 +5,18 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::budget::{BudgetRule, RepeatBudget};
+use pistachiowick::gateway::budget::{BudgetRule, RetryLimiter};
 use pistachiowick::gateway::deciding::affinity::{
-    CacheBook, home_weight, part_key, shared_key, shared_tokens,
+    CacheIndex, home_weight, part_key, shared_key, shared_tokens,
 };
-use pistachiowick::gateway::deciding::health::{HealthBook, HealthChange, SendResult};
-use pistachiowick::gateway::deciding::load::LoadBook;
+use pistachiowick::gateway::deciding::health::{HealthChange, HealthTracker, SendResult};
+use pistachiowick::gateway::deciding::load::LoadTracker;
 use pistachiowick::gateway::directory::addresses_for;
 use pistachiowick::gateway::event_split::EventSplitter;
-use pistachiowick::gateway::members::{DaemonRecord, InstanceStrength};
+use pistachiowick::gateway::members::{DaemonRecord, InstanceCapacity};
 use pistachiowick::gateway::model::PromptPart;
 use pistachiowick::names::{CentreName, DaemonId, MonoTime, ServiceName};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 const RULE: BudgetRule = BudgetRule {
@@ -39,7 +39,7 @@
 #[case::large_fleet(BudgetCase { requests: 10, daemons: 100, within: (1, 2) })]
 fn retries_stay_within_a_daemons_share(#[case] case: BudgetCase) {
     let service = ServiceName::from("ledger");
-    let mut budget = RepeatBudget::new(RULE);
+    let mut budget = RetryLimiter::new(RULE);
     let now = MonoTime(50_000);
     (0..case.requests).for_each(|_| budget.note_request(&service, now));
     let spent = (0..1_000)
@@ -54,7 +54,7 @@
 fn no_window_exceeds_the_share() {
     // Retries are requested all the time; the check slides a window over them.
     let service = ServiceName::from("ledger");
-    let mut budget = RepeatBudget::new(RULE);
+    let mut budget = RetryLimiter::new(RULE);
     let mut spent_at = Vec::new();
     for now in (0..60_000).step_by(50) {
         if budget.spend(&service, 1, MonoTime(now)) {
@@ -77,8 +77,8 @@
 // with failures may just be getting faulty requests.
 #[test]
 fn a_silent_target_is_avoided_until_it_answers() {
-    let target = TargetLife::from("a");
-    let mut book = HealthBook::default();
+    let target = TargetIncarnation::from("a");
+    let mut book = HealthTracker::default();
     let first = book.note(&target, SendResult::Silent, MonoTime(0));
     assert_eq!(first, None);
     assert!(!book.view(&target, MonoTime(1)).avoided);
@@ -94,8 +94,8 @@
 
 #[test]
 fn failed_answers_raise_the_failure_rate_without_avoidance() {
-    let target = TargetLife::from("a");
-    let mut book = HealthBook::default();
+    let target = TargetIncarnation::from("a");
+    let mut book = HealthTracker::default();
     (0..20).for_each(|at| {
         book.note(&target, SendResult::Failed, MonoTime(at));
     });
@@ -106,20 +106,20 @@
 
 #[test]
 fn work_of_silent_peers_expires() {
-    let target = TargetLife::from("a");
-    let mut own = LoadBook::default();
-    let mut other = LoadBook::default();
+    let target = TargetIncarnation::from("a");
+    let mut own = LoadTracker::default();
+    let mut other = LoadTracker::default();
     other.begin(&target, 2, 500);
     own.begin(&target, 0, 100);
-    own.set_other(DaemonId::from("b"), other.own().clone(), MonoTime(0));
+    own.set_peer_work(DaemonId::from("b"), other.own().clone(), MonoTime(0));
     assert_eq!(own.total(&target).running, 2);
-    assert_eq!(own.total(&target).unread_before(0), 100);
-    assert_eq!(own.total(&target).unread_before(2), 600);
+    assert_eq!(own.total(&target).prefill_tokens_before(0), 100);
+    assert_eq!(own.total(&target).prefill_tokens_before(2), 600);
     own.expire(MonoTime(2_000));
     assert_eq!(own.total(&target).running, 1);
     own.end(&target, 0, 100);
     assert_eq!(own.total(&target).running, 0);
-    assert_eq!(own.total(&target).unread_before(9), 0);
+    assert_eq!(own.total(&target).prefill_tokens_before(9), 0);
 }
 
 fn part(name: &str, tokens: u32) -> PromptPart {
@@ -142,8 +142,8 @@
 #[case::being_prefilled(CacheCase { cached_parts: &[("x", 100), ("y", 50)], ready: false, cached: 150, copyable: 0 })]
 #[case::first_part_not_cached(CacheCase { cached_parts: &[("y", 50)], ready: true, cached: 0, copyable: 0 })]
 fn only_leading_parts_count(#[case] case: CacheCase) {
-    let engine = TargetLife::from("e");
-    let mut book = CacheBook::default();
+    let engine = TargetIncarnation::from("e");
+    let mut book = CacheIndex::default();
     book.set_capacity(10_000);
     let cached_parts: Vec<_> = case
         .cached_parts
@@ -151,9 +151,9 @@
         .map(|(name, tokens)| part(name, *tokens))
         .collect();
     if case.ready {
-        book.note_held(&engine, &cached_parts, MonoTime(5));
+        book.note_cached(&engine, &cached_parts, MonoTime(5));
     } else {
-        book.note_coming(&engine, &cached_parts, MonoTime(5));
+        book.note_prefilling(&engine, &cached_parts, MonoTime(5));
     }
     let prompt = [part("x", 100), part("y", 50), part("own", 30)];
     assert_eq!(
@@ -168,13 +168,13 @@
 
 #[test]
 fn the_least_recently_used_part_is_evicted_first() {
-    let engine = TargetLife::from("e");
-    let mut book = CacheBook::default();
+    let engine = TargetIncarnation::from("e");
+    let mut book = CacheIndex::default();
     book.set_capacity(250);
-    book.note_held(&engine, &[part("x", 100)], MonoTime(1));
-    book.note_held(&engine, &[part("y", 100)], MonoTime(2));
-    book.note_held(&engine, &[part("x", 100)], MonoTime(3));
-    book.note_held(&engine, &[part("z", 100)], MonoTime(4));
+    book.note_cached(&engine, &[part("x", 100)], MonoTime(1));
+    book.note_cached(&engine, &[part("y", 100)], MonoTime(2));
+    book.note_cached(&engine, &[part("x", 100)], MonoTime(3));
+    book.note_cached(&engine, &[part("z", 100)], MonoTime(4));
     assert_eq!(
         book.cached_tokens(&engine, &[part("x", 100)], MonoTime(5)),
         100
@@ -187,7 +187,9 @@
 
 #[test]
 fn homes_move_only_when_their_engine_leaves() {
-    let engines: Vec<TargetLife> = (0..12).map(|n| TargetLife::from(format!("e{n}"))).collect();
+    let engines: Vec<TargetIncarnation> = (0..12)
+        .map(|n| TargetIncarnation::from(format!("e{n}")))
+        .collect();
     let home = |key: u64, without: usize| {
         let left = engines.iter().enumerate().filter(|(at, _)| *at != without);
         left.max_by_key(|(_, id)| home_weight(key, id))
@@ -248,7 +250,7 @@
         peers: ([127, 0, 0, 1], port).into(),
         centre: CentreName::from(centre),
         leaving: false,
-        strength: InstanceStrength::default(),
+        strength: InstanceCapacity::default(),
     }
 }
 
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -3,16 +3,16 @@
 mod gateway_samples;
 
 use gateway_samples::{SERVICE, config, engine, engine_config, route, target};
-use pistachiowick::gateway::fleet::leave_out_strangers;
+use pistachiowick::gateway::fleet::remove_unconfigured;
 use pistachiowick::gateway::model::{EngineStage, TargetRecord};
-use pistachiowick::gateway::peers::entry_turns::EntryTurns;
-use pistachiowick::gateway::port::WireFault;
+use pistachiowick::gateway::peers::entry_broadcasts::EntryBroadcasts;
+use pistachiowick::gateway::port::WireError;
 use pistachiowick::gateway::registry::{
-    EntryContent, EntryNews, EntryNote, EntrySource, KeptNote, TargetRegistry,
+    EntryChange, EntryContent, EntrySource, EntryUpdate, RecentUpdate, TargetRegistry,
 };
 use pistachiowick::gateway::routes::RouteTable;
 use pistachiowick::names::{MonoTime, ServiceName, TargetId, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
@@ -118,10 +118,10 @@
 fn a_departure_detected_from_an_answer_counts_like_an_announced_one() {
     let mut registry = TargetRegistry::default();
     take(&mut registry, named(record("a"), 0), 1);
-    registry.depart(&TargetLife::from("a"), MonoTime(2));
+    registry.depart(&TargetIncarnation::from("a"), MonoTime(2));
     take(&mut registry, named(record("a"), 0), 3);
     assert!(left(&registry).is_empty());
-    assert!(registry.has_departed(&TargetLife::from("a")));
+    assert!(registry.has_departed(&TargetIncarnation::from("a")));
 }
 
 fn apply(registry: &mut TargetRegistry, step: &Step, now: MonoTime) {
@@ -158,7 +158,7 @@
 
 struct IncarnationCase {
     // Changes from the store or a peer, in order of arrival.
-    changes: fn() -> Vec<EntryNews>,
+    changes: fn() -> Vec<EntryChange>,
     // Start time of the incarnation that gets work at the end.
     serving: Option<u64>,
 }
@@ -227,12 +227,12 @@
 
 struct RemovalCase {
     // Changes of entry "a" that this daemon read.
-    changes: fn() -> Vec<EntryNews>,
+    changes: fn() -> Vec<EntryChange>,
     // Whether the entry then disappears around an outage of the store.
     missing: bool,
     // Revision up to which a peer reports the entry removed.
     announced: u64,
-    late: fn() -> Vec<EntryNews>,
+    late: fn() -> Vec<EntryChange>,
     left: &'static [&'static str],
 }
 
@@ -311,8 +311,8 @@
     let late = MonoTime(95_000);
     registry.expire(late);
     assert!(!registry.take_end(&name, 11, late));
-    let kept: Vec<KeptNote> = registry.notes().cloned().collect();
-    assert!(EntryTurns::default().pick(&kept, late).is_empty());
+    let kept: Vec<RecentUpdate> = registry.notes().cloned().collect();
+    assert!(EntryBroadcasts::default().pick(&kept, late).is_empty());
 }
 
 // Guards against a removal that disconnected members of a hub never receive, because the
@@ -390,15 +390,15 @@
 #[case::one_announced_for_long(ScheduleCase { at: 21_100, announced: &[2] })]
 #[case::both_announced_for_long(ScheduleCase { at: 40_000, announced: &[] })]
 fn which_removals_a_message_contains(#[case] case: ScheduleCase) {
-    let update_at = |revision: u64, at: u64| KeptNote {
-        note: EntryNote {
+    let update_at = |revision: u64, at: u64| RecentUpdate {
+        note: EntryUpdate {
             name: TargetId::from("a"),
             revision,
             value: None,
         },
         at: MonoTime(at),
     };
-    let mut turns = EntryTurns::default();
+    let mut turns = EntryBroadcasts::default();
     let first = [update_at(1, 0)];
     assert_eq!(turns.pick(&first, MonoTime(9_000)).len(), 1);
     let all = [update_at(1, 0), update_at(2, 9_300)];
@@ -411,16 +411,16 @@
 // reappear, and against added entries that are then never announced.
 #[test]
 fn additions_are_spread_over_messages() {
-    let added = |number: usize| KeptNote {
-        note: EntryNote {
+    let added = |number: usize| RecentUpdate {
+        note: EntryUpdate {
             name: TargetId::from(format!("t{number}")),
             revision: 1 + number as u64,
             value: Some(ByteBuf::from(vec![b' '; 300])),
         },
         at: MonoTime(9_000),
     };
-    let additions: Vec<KeptNote> = (0..40).map(added).collect();
-    let mut turns = EntryTurns::default();
+    let additions: Vec<RecentUpdate> = (0..40).map(added).collect();
+    let mut turns = EntryBroadcasts::default();
     let mut announced: Vec<u64> = Vec::new();
     for tick in 0..75 {
         let message = turns.pick(&additions, MonoTime(9_000 + 40 * tick));
@@ -500,44 +500,44 @@
         config(1, routes)
     };
     let mut targets = registry.by_service();
-    leave_out_strangers(&mut targets, &RouteTable::from(routes));
+    remove_unconfigured(&mut targets, &RouteTable::from(routes));
     let left: Vec<&str> = targets.values().flatten().map(|r| r.id.as_str()).collect();
     assert_eq!(left, case.left);
 }
 
-fn take(registry: &mut TargetRegistry, change: EntryNews, at: u64) {
+fn take(registry: &mut TargetRegistry, change: EntryChange, at: u64) {
     registry.take(change, EntrySource::Store, MonoTime(at));
 }
 
-fn named(record: TargetRecord, revision: u64) -> EntryNews {
-    EntryNews {
+fn named(record: TargetRecord, revision: u64) -> EntryChange {
+    EntryChange {
         name: record.id.name().clone(),
         revision,
         content: EntryContent::Named(record),
     }
 }
 
-fn gone(name: &str, revision: u64) -> EntryNews {
-    EntryNews {
+fn gone(name: &str, revision: u64) -> EntryChange {
+    EntryChange {
         name: TargetId::from(name),
         revision,
         content: EntryContent::Gone,
     }
 }
 
-fn unreadable(name: &str, revision: u64) -> EntryNews {
-    EntryNews {
+fn unreadable(name: &str, revision: u64) -> EntryChange {
+    EntryChange {
         name: TargetId::from(name),
         revision,
-        content: EntryContent::Unreadable(WireFault::new("state", "asleep", "ready or draining")),
+        content: EntryContent::Unreadable(WireError::new("state", "asleep", "ready or draining")),
     }
 }
 
-fn incarnation_id(born: u64) -> TargetLife {
-    TargetLife::new(TargetId::from("a"), Some(UnixTime(born)))
+fn incarnation_id(born: u64) -> TargetIncarnation {
+    TargetIncarnation::new(TargetId::from("a"), Some(UnixTime(born)))
 }
 
-fn incarnation(born: u64, revision: u64) -> EntryNews {
+fn incarnation(born: u64, revision: u64) -> EntryChange {
     let record = TargetRecord {
         id: incarnation_id(born),
         ..record("a")
@@ -545,7 +545,7 @@
     named(record, revision)
 }
 
-fn leaving(born: u64, revision: u64) -> EntryNews {
+fn leaving(born: u64, revision: u64) -> EntryChange {
     let record = TargetRecord {
         id: incarnation_id(born),
         leaving: true,
