--- a/src/control/peer_desk.rs
+++ b/src/control/peer_desk.rs
@@ -170,7 +170,7 @@
     pub fn refute_by_reports(&self, fleet: &FleetView, now: MonoTime) {
         let reports = |target: &TargetIncarnation| {
             let report = fleet.targets.get(target.name())?.report.as_ref()?;
-            let same = target.born() == Some(UnixTime(report.incarnation.0));
+            let same = target.started_at() == Some(UnixTime(report.incarnation.0));
             (same && now.since(report.taken_at) < FRESH_REPORT).then_some(())
         };
         self.crashes.lock().note_entries(
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -225,7 +225,7 @@
     /// Where a target keeps its name when it starts again, only a connection from before the
     /// end shows that it was none.
     pub fn note_answer(&mut self, target: &TargetIncarnation, times: ExchangeTimes, now: MonoTime) {
-        let keeps_name = target.born().is_some();
+        let keeps_name = target.started_at().is_some();
         self.refute_ends(target, now, |end| {
             if !end.own {
                 false
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -192,7 +192,7 @@
     pub fn note_read(&mut self) {
         let mut core = self.gateway.core.borrow_mut();
         core.load
-            .note_read(&self.target, self.rank, self.unread_tokens);
+            .note_prefilled(&self.target, self.rank, self.unread_tokens);
         self.unread_tokens = 0;
     }
 }
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -211,7 +211,7 @@
             return false;
         }
         log::info!(target_id = id.as_str(); "target is not at its address any more");
-        self.registry.depart(id, clock::mono_now());
+        self.registry.mark_departed(id, clock::mono_now());
         true
     }
 
@@ -220,7 +220,7 @@
         let mut changed = false;
         for note in notes {
             changed |= match note.value {
-                None => self.registry.take_end(&note.name, note.revision, now),
+                None => self.registry.apply_removal(&note.name, note.revision, now),
                 Some(value) => self.take_begun(&note.name, note.revision, value.into_vec()),
             };
         }
@@ -244,9 +244,9 @@
         let now = clock::mono_now();
         let news = self.decode_target(object);
         let name = news.name.clone();
-        let begins = self.registry.take(news, source, now);
+        let begins = self.registry.apply(news, source, now);
         if let Some(value) = object.value.as_ref().filter(|_| begins) {
-            self.registry.note_begun(&name, value, now);
+            self.registry.note_added(&name, value, now);
         }
         begins
     }
@@ -254,7 +254,7 @@
     // Told again and again: what is kept of a busy daemon's log may be its last seconds.
     fn report_missing(&self) {
         let now = clock::mono_now();
-        let missing = self.registry.missing();
+        let missing = self.registry.missing_entries();
         let missing: Vec<String> = missing.map(|(id, _)| id.to_string()).collect();
         metrics::gauge!("pistachiowick_entries_missing").set(missing.len() as f64);
         if !missing.is_empty() {
@@ -428,10 +428,10 @@
             targets_known: self.targets_known,
             config_source: self.config_source.clone(),
             departed: self.registry.departed().cloned().collect(),
-            entry_notes: self.registry.notes().cloned().collect(),
+            entry_notes: self.registry.recent_updates().cloned().collect(),
             missing: self
                 .registry
-                .missing()
+                .missing_entries()
                 .map(|(id, entry)| (id.clone(), entry))
                 .collect(),
             daemons: self.members.all(),
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -108,9 +108,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePlacement {
     /// Prefill engine; `None` where the decode engine prefills the prompt itself.
-    pub reader: Option<Arc<TargetRecord>>,
+    pub prefill_engine: Option<Arc<TargetRecord>>,
     /// Engine that generates the tokens.
-    pub writer: Arc<TargetRecord>,
+    pub decode_engine: Arc<TargetRecord>,
     /// Engine that the prefilling engine copies shared parts from.
     pub fetch_from: Option<Arc<TargetRecord>>,
     /// Rank of the request in engines' queues.
@@ -118,31 +118,31 @@
     /// Expected time to the first token, in milliseconds.
     pub expected_ms: f64,
     /// Part of the expected time that prefilling the request itself takes.
-    pub own_ms: f64,
+    pub own_prefill_ms: f64,
     /// Tokens of the prompt that the engine still has to prefill.
-    pub unread_tokens: u32,
+    pub pending_prefill_tokens: u32,
     /// Shared tokens among them, which are recomputed.
-    pub reread_tokens: u32,
+    pub recomputed_tokens: u32,
     /// Tokens of other requests that the engine prefills before.
-    pub waiting_tokens: u32,
+    pub queued_ahead_tokens: u32,
     /// Whether it is queued behind all requests that can still meet their objective.
-    pub gives_way: bool,
+    pub deprioritized: bool,
 }
 
 impl EnginePlacement {
     /// Returns the prefill of the prompt at `engine` as work whose time is measured.
     #[must_use]
     pub fn timed_prefill(&self, engine: &Arc<TargetRecord>) -> TimedWork {
-        let work = match (self.reader.is_some(), self.gives_way) {
-            (true, false) => EngineWork::ReadAhead,
-            (true, true) => EngineWork::ReadAheadLate,
-            (false, false) => EngineWork::ReadHere,
-            (false, true) => EngineWork::ReadHereLate,
+        let work = match (self.prefill_engine.is_some(), self.deprioritized) {
+            (true, false) => EngineWork::RemotePrefill,
+            (true, true) => EngineWork::RemotePrefillLate,
+            (false, false) => EngineWork::LocalPrefill,
+            (false, true) => EngineWork::LocalPrefillLate,
         };
         TimedWork {
             engine: engine.clone(),
             work,
-            tokens: f64::from(self.unread_tokens) + f64::from(self.waiting_tokens),
+            tokens: f64::from(self.pending_prefill_tokens) + f64::from(self.queued_ahead_tokens),
         }
     }
 }
@@ -154,43 +154,43 @@
     // Expected time plus the cost to other requests; the option with the least is chosen.
     cost_ms: f64,
     expected_ms: f64,
-    own_ms: f64,
-    unread_tokens: u32,
-    reread_tokens: u32,
-    waiting_tokens: u32,
+    own_prefill_ms: f64,
+    pending_prefill_tokens: u32,
+    recomputed_tokens: u32,
+    queued_ahead_tokens: u32,
 }
 
 /// Chooses engines for a prompt of a rank; `None` if no decode engine is available.
 #[must_use]
-pub fn choose(
+pub fn choose_engines(
     weights: &PlacementWeights,
-    lines: &EngineLatencies,
+    latencies: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
 ) -> Option<EnginePlacement> {
-    let context = ChoiceContext::new(weights, lines, engines, prompt, rank);
+    let context = ChoiceContext::new(weights, latencies, engines, prompt, rank);
     let local = context.cheapest(|e| !e.is_prefill_engine() && e.available)?;
     let Some(remote) = context.cheapest(|e| e.is_prefill_engine() && e.available) else {
         return Some(local_placement(&local, rank));
     };
-    let Some((writer, decode)) = context.writer() else {
+    let Some((decode_engine, decode)) = context.decode_engine() else {
         return Some(local_placement(&local, rank));
     };
     if remote.cost_ms + decode.cost >= local.cost_ms {
         return Some(local_placement(&local, rank));
     }
     Some(EnginePlacement {
-        reader: Some(remote.engine.record.clone()),
-        writer: writer.record.clone(),
+        prefill_engine: Some(remote.engine.record.clone()),
+        decode_engine: decode_engine.record.clone(),
         fetch_from: remote.fetch_from.map(|source| source.record.clone()),
         rank,
         expected_ms: remote.expected_ms + decode.expected,
-        own_ms: remote.own_ms,
-        unread_tokens: remote.unread_tokens,
-        reread_tokens: remote.reread_tokens,
-        waiting_tokens: remote.waiting_tokens,
-        gives_way: false,
+        own_prefill_ms: remote.own_prefill_ms,
+        pending_prefill_tokens: remote.pending_prefill_tokens,
+        recomputed_tokens: remote.recomputed_tokens,
+        queued_ahead_tokens: remote.queued_ahead_tokens,
+        deprioritized: false,
     })
 }
 
@@ -201,27 +201,29 @@
 #[must_use]
 pub fn choose_decode_engine(
     weights: &PlacementWeights,
-    lines: &EngineLatencies,
+    latencies: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
 ) -> Option<Arc<TargetRecord>> {
-    let context = ChoiceContext::new(weights, lines, engines, prompt, rank);
-    context.writer().map(|(engine, _)| engine.record.clone())
+    let context = ChoiceContext::new(weights, latencies, engines, prompt, rank);
+    context
+        .decode_engine()
+        .map(|(engine, _)| engine.record.clone())
 }
 
 fn local_placement(option: &PrefillOption<'_>, rank: u8) -> EnginePlacement {
     EnginePlacement {
-        reader: None,
-        writer: option.engine.record.clone(),
+        prefill_engine: None,
+        decode_engine: option.engine.record.clone(),
         fetch_from: option.fetch_from.map(|source| source.record.clone()),
         rank,
         expected_ms: option.expected_ms,
-        own_ms: option.own_ms,
-        unread_tokens: option.unread_tokens,
-        reread_tokens: option.reread_tokens,
-        waiting_tokens: option.waiting_tokens,
-        gives_way: false,
+        own_prefill_ms: option.own_prefill_ms,
+        pending_prefill_tokens: option.pending_prefill_tokens,
+        recomputed_tokens: option.recomputed_tokens,
+        queued_ahead_tokens: option.queued_ahead_tokens,
+        deprioritized: false,
     }
 }
 
@@ -236,7 +238,7 @@
 
 struct ChoiceContext<'a> {
     weights: &'a PlacementWeights,
-    lines: &'a EngineLatencies,
+    latencies: &'a EngineLatencies,
     engines: &'a [EngineState],
     prompt: &'a PromptShape,
     rank: u8,
@@ -248,7 +250,7 @@
 impl<'a> ChoiceContext<'a> {
     fn new(
         weights: &'a PlacementWeights,
-        lines: &'a EngineLatencies,
+        latencies: &'a EngineLatencies,
         engines: &'a [EngineState],
         prompt: &'a PromptShape,
         rank: u8,
@@ -264,7 +266,7 @@
             .max_by_key(|e| e.copyable_tokens);
         Self {
             weights,
-            lines,
+            latencies,
             engines,
             prompt,
             rank,
@@ -289,7 +291,7 @@
             .map_or(0, |source| source.copyable_tokens.min(shared));
         let copied = from_source.saturating_sub(cached);
         let fetch_from = self.source.filter(|_| copied > 0);
-        let unread = self.prompt.prompt_tokens.saturating_sub(cached + copied);
+        let pending_prefill = self.prompt.prompt_tokens.saturating_sub(cached + copied);
         let recomputed = self.shared_tokens.saturating_sub(cached + copied);
         let is_home = self
             .home
@@ -297,40 +299,43 @@
         let weights = self.weights;
         let discount = if is_home { weights.home_discount } else { 0.0 };
         let recompute_tokens = weights.recompute_weight * f64::from(recomputed) * (1.0 - discount);
-        let pace = engine.health.pace;
+        let slowdown = engine.health.slowdown;
         let waiting = engine.work.prefill_tokens_before(self.rank);
-        let (line, interference_factor, running) = if engine.is_prefill_engine() {
-            (self.lines.read_ahead, 1.0, 0.0)
+        let (latency, interference_factor, running) = if engine.is_prefill_engine() {
+            (self.latencies.remote_prefill, 1.0, 0.0)
         } else {
             let interference_factor = 1.0 + weights.interference * f64::from(engine.work.running);
             let running = engine.running_ms(weights.running_ms);
-            (self.lines.read_here, interference_factor, running)
+            (self.latencies.local_prefill, interference_factor, running)
         };
-        let own_ms = f64::from(unread) * line.token_ms * pace;
-        let waiting_ms = f64::from(waiting) * line.token_ms * pace;
-        let expected_ms = line.fixed_ms * pace + own_ms + waiting_ms + engine.health_penalty_ms();
-        let cost_to_others_ms =
-            (own_ms + recompute_tokens * pace * line.token_ms) * interference_factor - own_ms;
+        let own_prefill_ms = f64::from(pending_prefill) * latency.token_ms * slowdown;
+        let waiting_ms = f64::from(waiting) * latency.token_ms * slowdown;
+        let expected_ms =
+            latency.fixed_ms * slowdown + own_prefill_ms + waiting_ms + engine.health_penalty_ms();
+        let cost_to_others_ms = (own_prefill_ms + recompute_tokens * slowdown * latency.token_ms)
+            * interference_factor
+            - own_prefill_ms;
         let copying_ms = f64::from(copied) * weights.copy_ms;
         PrefillOption {
             engine,
             fetch_from,
             cost_ms: expected_ms + cost_to_others_ms + running + copying_ms,
             expected_ms,
-            own_ms,
-            unread_tokens: unread,
-            reread_tokens: recomputed,
-            waiting_tokens: waiting,
+            own_prefill_ms,
+            pending_prefill_tokens: pending_prefill,
+            recomputed_tokens: recomputed,
+            queued_ahead_tokens: waiting,
         }
     }
 
     // Returns the decode engine with the least cost for a prompt prefilled elsewhere.
-    fn writer(&self) -> Option<(&'a EngineState, DecodeCost)> {
+    fn decode_engine(&self) -> Option<(&'a EngineState, DecodeCost)> {
         let fits = |e: &&EngineState| !e.is_prefill_engine() && e.available;
         let costs = self.engines.iter().filter(fits).map(|engine| {
             let waiting = f64::from(engine.work.prefill_tokens_before(self.rank));
-            let pace = engine.health.pace;
-            let expected = self.lines.take_over.at(waiting) * pace + engine.health_penalty_ms();
+            let slowdown = engine.health.slowdown;
+            let expected =
+                self.latencies.kv_transfer.at(waiting) * slowdown + engine.health_penalty_ms();
             let copied = self
                 .prompt
                 .prompt_tokens
--- a/src/gateway/deciding/engine_model.rs
+++ b/src/gateway/deciding/engine_model.rs
@@ -17,15 +17,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum EngineWork {
     /// Prefill on a prefill engine for a decode engine, until the answer.
-    ReadAhead,
+    #[serde(rename = "ReadAhead")]
+    RemotePrefill,
     /// The same for a deprioritised request, which later requests overtake.
-    ReadAheadLate,
+    #[serde(rename = "ReadAheadLate")]
+    RemotePrefillLate,
     /// Prefill on the decode engine itself, until the first event.
-    ReadHere,
+    #[serde(rename = "ReadHere")]
+    LocalPrefill,
     /// The same for a deprioritised request.
-    ReadHereLate,
+    #[serde(rename = "ReadHereLate")]
+    LocalPrefillLate,
     /// Transfer of the KV cache of a prompt prefilled elsewhere, until the first event.
-    TakeOver,
+    #[serde(rename = "TakeOver")]
+    KvTransfer,
 }
 
 impl EngineWork {
@@ -33,11 +38,11 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::ReadAhead => "read_ahead",
-            Self::ReadAheadLate => "read_ahead_late",
-            Self::ReadHere => "read_here",
-            Self::ReadHereLate => "read_here_late",
-            Self::TakeOver => "take_over",
+            Self::RemotePrefill => "read_ahead",
+            Self::RemotePrefillLate => "read_ahead_late",
+            Self::LocalPrefill => "read_here",
+            Self::LocalPrefillLate => "read_here_late",
+            Self::KvTransfer => "take_over",
         }
     }
 
@@ -45,9 +50,9 @@
     // weigh as much as two observations and fade within a second of load.
     fn prior(self) -> LinearLatency {
         let (fixed_ms, token_ms) = match self {
-            Self::ReadAhead | Self::ReadAheadLate => (40.0, 0.01),
-            Self::ReadHere | Self::ReadHereLate => (40.0, 0.02),
-            Self::TakeOver => (30.0, 0.02),
+            Self::RemotePrefill | Self::RemotePrefillLate => (40.0, 0.01),
+            Self::LocalPrefill | Self::LocalPrefillLate => (40.0, 0.02),
+            Self::KvTransfer => (30.0, 0.02),
         };
         LinearLatency { fixed_ms, token_ms }
     }
@@ -57,11 +62,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineLatencies {
     /// Prefill on a prefill engine.
-    pub read_ahead: LinearLatency,
+    pub remote_prefill: LinearLatency,
     /// Prefill on the decode engine.
-    pub read_here: LinearLatency,
+    pub local_prefill: LinearLatency,
     /// Transfer of the KV cache to the decode engine.
-    pub take_over: LinearLatency,
+    pub kv_transfer: LinearLatency,
 }
 
 /// Learned latencies of the engines, by service and kind of work.
@@ -80,23 +85,23 @@
 
     /// Returns the latency of one kind of work.
     #[must_use]
-    pub fn line(&self, service: &ServiceName, work: EngineWork) -> LinearLatency {
+    pub fn latency(&self, service: &ServiceName, work: EngineWork) -> LinearLatency {
         let fit = self.fits.get(&(service.clone(), work));
-        fit.map_or_else(|| work.prior(), LatencyFit::line)
+        fit.map_or_else(|| work.prior(), LatencyFit::latency)
     }
 
     /// Returns the latencies for a request, deprioritised or not.
     #[must_use]
-    pub fn lines(&self, service: &ServiceName, gives_way: bool) -> EngineLatencies {
-        let (ahead, here) = if gives_way {
-            (EngineWork::ReadAheadLate, EngineWork::ReadHereLate)
+    pub fn latencies(&self, service: &ServiceName, deprioritized: bool) -> EngineLatencies {
+        let (ahead, here) = if deprioritized {
+            (EngineWork::RemotePrefillLate, EngineWork::LocalPrefillLate)
         } else {
-            (EngineWork::ReadAhead, EngineWork::ReadHere)
+            (EngineWork::RemotePrefill, EngineWork::LocalPrefill)
         };
         EngineLatencies {
-            read_ahead: self.line(service, ahead),
-            read_here: self.line(service, here),
-            take_over: self.line(service, EngineWork::TakeOver),
+            remote_prefill: self.latency(service, ahead),
+            local_prefill: self.latency(service, here),
+            kv_transfer: self.latency(service, EngineWork::KvTransfer),
         }
     }
 }
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -43,7 +43,7 @@
     /// The target is avoided from now on.
     Avoided,
     /// The target was avoided and has answered again.
-    Proved,
+    Recovered,
 }
 
 /// Health record of one target.
@@ -53,7 +53,7 @@
     avoided_until: Option<MonoTime>,
     next_avoid_time: Duration,
     failure_rate: f64,
-    pace: f64,
+    slowdown: f64,
 }
 
 impl Default for TargetHealth {
@@ -63,7 +63,7 @@
             avoided_until: None,
             next_avoid_time: MIN_AVOID_TIME,
             failure_rate: 0.0,
-            pace: INITIAL_SLOWDOWN,
+            slowdown: INITIAL_SLOWDOWN,
         }
     }
 }
@@ -78,7 +78,7 @@
     /// Share of recent sends that failed.
     pub failure_rate: f64,
     /// Moving mean of the measured time divided by the expected time.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 /// Health of all targets that requests were sent to.
@@ -104,7 +104,7 @@
             SendResult::Answered | SendResult::Failed => {
                 health.consecutive_silent = 0;
                 health.next_avoid_time = MIN_AVOID_TIME;
-                health.avoided_until.take().map(|_| HealthChange::Proved)
+                health.avoided_until.take().map(|_| HealthChange::Recovered)
             }
         }
     }
@@ -113,7 +113,7 @@
     pub fn note_time(&mut self, target: &TargetIncarnation, taken_ms: f64, expected_ms: f64) {
         let health = self.targets.entry(target.clone()).or_default();
         let ratio = (taken_ms / expected_ms.max(1.0)).clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
-        health.pace += SLOWDOWN_WEIGHT * (ratio - health.pace);
+        health.slowdown += SLOWDOWN_WEIGHT * (ratio - health.slowdown);
     }
 
     /// Returns a target's health for a choice.
@@ -125,7 +125,7 @@
             avoided: health.avoided_until.is_some_and(|until| now < until),
             unverified: health.avoided_until.is_some(),
             failure_rate: health.failure_rate,
-            pace: health.pace,
+            slowdown: health.slowdown,
         }
     }
 
--- a/src/gateway/deciding/line_fit.rs
+++ b/src/gateway/deciding/line_fit.rs
@@ -45,7 +45,7 @@
     sum_xx: f64,
     sum_xy: f64,
     mean_deviation: f64,
-    line: LinearLatency,
+    latency: LinearLatency,
 }
 
 impl LatencyFit {
@@ -60,19 +60,19 @@
             sum_xx: 0.0,
             sum_xy: 0.0,
             mean_deviation: prior.at(PRIOR_TOKENS),
-            line: prior,
+            latency: prior,
         }
     }
 
     /// Returns the current estimate.
     #[must_use]
-    pub fn line(&self) -> LinearLatency {
-        self.line
+    pub fn latency(&self) -> LinearLatency {
+        self.latency
     }
 
     /// Records the time that work on `tokens` took.
     pub fn note(&mut self, tokens: f64, taken_ms: f64) {
-        let expected = self.line.at(tokens);
+        let expected = self.latency.at(tokens);
         let max_deviation = OUTLIER_DEVIATIONS * self.mean_deviation;
         let taken = taken_ms.clamp(expected - max_deviation, expected + max_deviation);
         self.mean_deviation +=
@@ -91,7 +91,7 @@
         self.sum_y += taken;
         self.sum_xx += tokens * tokens;
         self.sum_xy += tokens * taken;
-        self.line = self.fitted();
+        self.latency = self.fitted();
     }
 
     fn fitted(&self) -> LinearLatency {
--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -21,7 +21,7 @@
     /// Requests that were sent and have not ended.
     pub running: u32,
     /// Pending prefill tokens by rank; engines prefill the more urgent ranks first.
-    pub unread: [u32; RANKS],
+    pub pending_prefill: [u32; RANKS],
 }
 
 /// Wire form of [`TargetWork`]: lists only ranks with tokens, since most have none.
@@ -30,7 +30,7 @@
 
 impl From<TargetWork> for WorkWire {
     fn from(work: TargetWork) -> Self {
-        let ranks = (0..).zip(work.unread);
+        let ranks = (0..).zip(work.pending_prefill);
         Self(
             work.running,
             ranks.filter(|(_, tokens)| *tokens > 0).collect(),
@@ -52,8 +52,8 @@
             ..Self::default()
         };
         for (rank, tokens) in ranks {
-            let unread = work.unread.get_mut(usize::from(rank));
-            *unread.ok_or(UnknownRank(rank))? = tokens;
+            let pending_prefill = work.pending_prefill.get_mut(usize::from(rank));
+            *pending_prefill.ok_or(UnknownRank(rank))? = tokens;
         }
         Ok(work)
     }
@@ -63,7 +63,7 @@
     /// Returns the tokens that are prefilled before those of a new request of `rank`.
     #[must_use]
     pub fn prefill_tokens_before(&self, rank: u8) -> u32 {
-        self.unread[..=rank_index(rank)].iter().sum()
+        self.pending_prefill[..=rank_index(rank)].iter().sum()
     }
 }
 
@@ -71,14 +71,14 @@
     /// Subtracts work from a sum that contains it.
     pub fn subtract(&mut self, other: &Self) {
         self.running = self.running.saturating_sub(other.running);
-        for (sum, tokens) in self.unread.iter_mut().zip(other.unread) {
+        for (sum, tokens) in self.pending_prefill.iter_mut().zip(other.pending_prefill) {
             *sum = sum.saturating_sub(tokens);
         }
     }
 
     fn add(&mut self, other: &Self) {
         self.running += other.running;
-        for (sum, tokens) in self.unread.iter_mut().zip(other.unread) {
+        for (sum, tokens) in self.pending_prefill.iter_mut().zip(other.pending_prefill) {
             *sum += tokens;
         }
     }
@@ -106,8 +106,8 @@
 /// Outstanding work of this daemon and of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
-    own: WorkByTarget,
-    others: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
+    local: WorkByTarget,
+    peers: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
     reserved: IndexMap<DaemonId, Vec<ReservedWork>>,
     // Highest reservation number that a daemon's last report contains.
     reported_through: IndexMap<DaemonId, u64>,
@@ -116,46 +116,46 @@
 }
 
 impl LoadTracker {
-    /// Records the start of a request of a rank with `unread_tokens` to prefill.
-    pub fn begin(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
-        let work = self.own.entry(target.clone()).or_default();
+    /// Records the start of a request of a rank with `pending_prefill_tokens` to prefill.
+    pub fn begin(&mut self, target: &TargetIncarnation, rank: u8, pending_prefill_tokens: u32) {
+        let work = self.local.entry(target.clone()).or_default();
         work.running += 1;
-        work.unread[rank_index(rank)] += unread_tokens;
+        work.pending_prefill[rank_index(rank)] += pending_prefill_tokens;
     }
 
     /// Records that tokens counted by [`Self::begin`] were prefilled.
-    pub fn note_read(&mut self, target: &TargetIncarnation, rank: u8, tokens: u32) {
-        if let Some(work) = self.own.get_mut(target) {
-            let unread = &mut work.unread[rank_index(rank)];
-            *unread = unread.saturating_sub(tokens);
+    pub fn note_prefilled(&mut self, target: &TargetIncarnation, rank: u8, tokens: u32) {
+        if let Some(work) = self.local.get_mut(target) {
+            let pending_prefill = &mut work.pending_prefill[rank_index(rank)];
+            *pending_prefill = pending_prefill.saturating_sub(tokens);
         }
     }
 
-    /// Records the end of a request, of whose prompt `unread_tokens` were not prefilled.
-    pub fn end(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
-        self.note_read(target, rank, unread_tokens);
-        if let Some(work) = self.own.get_mut(target) {
+    /// Records the end of a request with `pending_prefill_tokens` left to prefill.
+    pub fn end(&mut self, target: &TargetIncarnation, rank: u8, pending_prefill_tokens: u32) {
+        self.note_prefilled(target, rank, pending_prefill_tokens);
+        if let Some(work) = self.local.get_mut(target) {
             work.running = work.running.saturating_sub(1);
             if work.running == 0 {
-                self.own.swap_remove(target);
+                self.local.swap_remove(target);
             }
         }
     }
 
     /// Replaces the work reported by a peer.
     pub fn set_peer_work(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
-        self.others.insert(daemon, (now, work));
+        self.peers.insert(daemon, (now, work));
         self.update_peer_sum(now);
     }
 
     /// Reserves work (rank and pending prefill tokens) that a peer sends and will report
     /// itself. Its report names the number of the last reservation that it contains;
     /// reservations that arrive after that report are ignored.
-    pub fn promise(
+    pub fn reserve(
         &mut self,
         (daemon, number): (&DaemonId, u64),
         target: &TargetIncarnation,
-        (rank, unread_tokens): (u8, u32),
+        (rank, pending_prefill_tokens): (u8, u32),
         now: MonoTime,
     ) {
         if self
@@ -169,7 +169,7 @@
             running: 1,
             ..TargetWork::default()
         };
-        work.unread[rank_index(rank)] = unread_tokens;
+        work.pending_prefill[rank_index(rank)] = pending_prefill_tokens;
         self.peer_sum.entry(target.clone()).or_default().add(&work);
         let reserved = self.reserved.entry(daemon.clone()).or_default();
         reserved.push(ReservedWork {
@@ -195,17 +195,17 @@
 
     /// Returns the work of this daemon.
     #[must_use]
-    pub fn own(&self) -> &WorkByTarget {
-        &self.own
+    pub fn local(&self) -> &WorkByTarget {
+        &self.local
     }
 
     /// Returns the sum of the work of this daemon and of the peers for which `includes` is
     /// true.
     #[must_use]
-    pub fn summed(&self, includes: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
-        let mut sum = self.own.clone();
-        let others = self.others.iter().filter(|(daemon, _)| includes(daemon));
-        for (target, work) in others.flat_map(|(_, (_, work))| work) {
+    pub fn sum_with(&self, includes: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
+        let mut sum = self.local.clone();
+        let peers = self.peers.iter().filter(|(daemon, _)| includes(daemon));
+        for (target, work) in peers.flat_map(|(_, (_, work))| work) {
             sum.entry(target.clone()).or_default().add(work);
         }
         let reserved = self.reserved.iter().filter(|(daemon, _)| includes(daemon));
@@ -219,22 +219,22 @@
     /// Returns all known work at a target.
     #[must_use]
     pub fn total(&self, target: &TargetIncarnation) -> TargetWork {
-        let mut total = self.own.get(target).copied().unwrap_or_default();
+        let mut total = self.local.get(target).copied().unwrap_or_default();
         total.add(&self.peer_sum.get(target).copied().unwrap_or_default());
         total
     }
 
     /// Returns the number of peers whose work is known.
     #[must_use]
-    pub fn others(&self) -> usize {
-        self.others.len()
+    pub fn peer_count(&self) -> usize {
+        self.peers.len()
     }
 
     fn update_peer_sum(&mut self, now: MonoTime) {
-        self.others
+        self.peers
             .retain(|_, (at, _)| now.since(*at) < PEER_LOAD_TTL);
         self.peer_sum.clear();
-        for (target, work) in self.others.values().flat_map(|(_, work)| work) {
+        for (target, work) in self.peers.values().flat_map(|(_, work)| work) {
             self.peer_sum.entry(target.clone()).or_default().add(work);
         }
         for reserved in self.reserved.values_mut() {
--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -114,11 +114,11 @@
             work,
             tokens,
         } = timed;
-        let pace = self.health.view(&engine.id, now).pace;
-        let expected = self.engines.line(&engine.service, *work).at(*tokens);
+        let slowdown = self.health.view(&engine.id, now).slowdown;
+        let expected = self.engines.latency(&engine.service, *work).at(*tokens);
         self.health.note_time(&engine.id, taken_ms, expected);
         self.engines.note(&engine.service, *work, *tokens, taken_ms);
-        taken_ms / (expected * pace)
+        taken_ms / (expected * slowdown)
     }
 
     /// Records parts of a prompt that an engine caches (`ready`) or is prefilling.
@@ -149,16 +149,25 @@
     pub fn place(&self, order: &PlacementQuery<'_>, now: MonoTime) -> Option<EnginePlacement> {
         let engines = self.engine_states(&order.choices, &order.prompt.parts, now);
         let service = order.choices.service();
-        let choose = |rank, gives_way| {
-            let lines = self.engines.lines(&service, gives_way);
-            let place = engine_choice::choose(&self.weights, &lines, &engines, order.prompt, rank)?;
-            Some(EnginePlacement { gives_way, ..place })
+        let choose = |rank, deprioritized| {
+            let latencies = self.engines.latencies(&service, deprioritized);
+            let place = engine_choice::choose_engines(
+                &self.weights,
+                &latencies,
+                &engines,
+                order.prompt,
+                rank,
+            )?;
+            Some(EnginePlacement {
+                deprioritized,
+                ..place
+            })
         };
         let on_time = choose(order.urgency, false)?;
         // A request that misses its objective by waiting is queued behind those that can
         // still meet theirs. One that misses it by its own prefill time is not: the
         // longest prompts would never be served.
-        let waiting_ms = on_time.expected_ms - on_time.own_ms;
+        let waiting_ms = on_time.expected_ms - on_time.own_prefill_ms;
         if waiting_ms <= order.objective_left.as_secs_f64() * 1_000.0 {
             return Some(on_time);
         }
@@ -175,8 +184,9 @@
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
         let engines = self.engine_states(choices, &prompt.parts, now);
-        let lines = self.engines.lines(&choices.service(), false);
-        engine_choice::choose(&self.weights, &lines, &engines, prompt, rank)?.reader
+        let latencies = self.engines.latencies(&choices.service(), false);
+        engine_choice::choose_engines(&self.weights, &latencies, &engines, prompt, rank)?
+            .prefill_engine
     }
 
     /// Chooses the decode engine for a prompt that was prefilled elsewhere.
@@ -184,7 +194,7 @@
     /// A prefill takes up to seconds, in which engines leave and loads change, so the
     /// decode engine is chosen again once it is done.
     #[must_use]
-    pub fn writer(
+    pub fn choose_decode_engine(
         &self,
         choices: &EngineCandidates<'_>,
         prompt: &PromptShape,
@@ -192,15 +202,15 @@
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
         let engines = self.engine_states(choices, &prompt.parts, now);
-        let lines = self.engines.lines(&choices.service(), false);
-        engine_choice::choose_decode_engine(&self.weights, &lines, &engines, prompt, rank)
+        let latencies = self.engines.latencies(&choices.service(), false);
+        engine_choice::choose_decode_engine(&self.weights, &latencies, &engines, prompt, rank)
     }
 
     /// Chooses a target of a service without model engines. `draw` returns random numbers
     /// from 0 to 1, so that daemons with the same knowledge do not all choose the same
     /// target.
     #[must_use]
-    pub fn plain_target<'a>(
+    pub fn choose_plain_target<'a>(
         &self,
         targets: impl Iterator<Item = &'a Arc<TargetRecord>>,
         mut draw: impl FnMut() -> f64,
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -16,9 +16,11 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WorkRate {
     /// Prompt tokens to prefill.
-    pub read_tokens: f64,
+    #[serde(rename = "read_tokens")]
+    pub prefill_tokens: f64,
     /// Tokens to generate.
-    pub written_tokens: f64,
+    #[serde(rename = "written_tokens")]
+    pub decode_tokens: f64,
 }
 
 /// A planned change of an engine's stage.
@@ -42,7 +44,7 @@
 /// Returns up to `at_once` changes that bring the number of prefill engines among
 /// `engines` to `wanted`: the least busy engines first, spread over data centres.
 #[must_use]
-pub fn wishes(
+pub fn plan_changes(
     engines: &[Arc<TargetRecord>],
     running: impl Fn(&TargetIncarnation) -> u32,
     wanted: usize,
@@ -60,8 +62,8 @@
     for engine in engines.iter().filter(|e| e.stage == Some(stage)) {
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
     }
-    let mut wishes = Vec::new();
-    while wishes.len() < count.min(at_once) && !candidates.is_empty() {
+    let mut planned_changes = Vec::new();
+    while planned_changes.len() < count.min(at_once) && !candidates.is_empty() {
         let key = |e: &&Arc<TargetRecord>| {
             let same_stage = in_centre.get(&e.centre).copied().unwrap_or(0);
             (same_stage, running(&e.id), e.id.clone())
@@ -71,12 +73,12 @@
         };
         let engine = candidates.swap_remove(at);
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
-        wishes.push(StageChangePlan {
+        planned_changes.push(StageChangePlan {
             engine: engine.clone(),
             stage,
         });
     }
-    wishes
+    planned_changes
 }
 
 fn is_prefill_engine(engine: &TargetRecord) -> bool {
--- a/src/gateway/deciding/work_meter.rs
+++ b/src/gateway/deciding/work_meter.rs
@@ -16,10 +16,10 @@
 
 impl WorkMeter {
     /// Records placed work.
-    pub fn note(&mut self, read_tokens: u32, written_tokens: u32, now: MonoTime) {
+    pub fn note(&mut self, prefill_tokens: u32, decode_tokens: u32, now: MonoTime) {
         self.decay(now);
-        self.rate.read_tokens += f64::from(read_tokens) / TIME_CONSTANT_S;
-        self.rate.written_tokens += f64::from(written_tokens) / TIME_CONSTANT_S;
+        self.rate.prefill_tokens += f64::from(prefill_tokens) / TIME_CONSTANT_S;
+        self.rate.decode_tokens += f64::from(decode_tokens) / TIME_CONSTANT_S;
     }
 
     /// Returns the mean rate, decayed to `now`.
@@ -31,8 +31,8 @@
 
     fn decay(&mut self, now: MonoTime) {
         let factor = (-now.since(self.at).as_secs_f64() / TIME_CONSTANT_S).exp();
-        self.rate.read_tokens *= factor;
-        self.rate.written_tokens *= factor;
+        self.rate.prefill_tokens *= factor;
+        self.rate.decode_tokens *= factor;
         self.at = now;
     }
 }
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -83,7 +83,7 @@
     let view = gateway.view();
     let limits = view.routes.as_ref().map(|routes| routes.limits);
     let idle = limits.map_or(FIRST_IDLE_TIME, |limits| limits.idle_timeout);
-    let head_bytes = limits.map_or(FIRST_HEAD_BYTES, |limits| limits.head_bytes);
+    let head_bytes = limits.map_or(FIRST_HEAD_BYTES, |limits| limits.max_header_bytes);
     let header_timeout = limits.map_or(FIRST_HEAD_TIME, |limits| limits.header_timeout);
     let clock = Rc::new(HeaderTimer::default());
     let (served, ticking) = (gateway.clone(), clock.clone());
--- a/src/gateway/fleet_tasks/server_plan.rs
+++ b/src/gateway/fleet_tasks/server_plan.rs
@@ -72,14 +72,14 @@
     if f64::from(each * count) * price >= f64::from(provided) {
         return None;
     }
-    let base = rule.fewest;
+    let base = rule.min_per_centre;
     let mut wishes: Vec<CentreWish> = centres
         .iter()
         .map(|at| CentreWish {
             centre: at.centre.clone(),
             firm: base,
             // Both kinds together stay below the most that are allowed.
-            reclaimable: each.min(rule.most.saturating_sub(at.firm.max(base))),
+            reclaimable: each.min(rule.max_per_centre.saturating_sub(at.firm.max(base))),
         })
         .collect();
     stand_in(rule, provided, centres, &mut wishes);
@@ -110,7 +110,7 @@
     for index in cheapest {
         let (at, wish) = (&centres[index], &mut wishes[index]);
         let taken = wish.firm + wish.reclaimable.max(at.reclaimable);
-        let more = rule.most.saturating_sub(taken).min(missing);
+        let more = rule.max_per_centre.saturating_sub(taken).min(missing);
         wish.firm += more;
         missing -= more;
     }
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -203,7 +203,7 @@
             reclaimable: true,
         };
         let last = self.orders.get(&subject);
-        let starting = |last: &&LastOrder| now.since(last.at) < rule.boot + START_SLACK;
+        let starting = |last: &&LastOrder| now.since(last.at) < rule.boot_time + START_SLACK;
         last.filter(starting).map_or(0, |last| last.count)
     }
 
@@ -231,7 +231,7 @@
             let due = match last {
                 None => next != there,
                 Some(last) if last.count != next => true,
-                Some(last) => next > there && now.since(last.at) > rule.boot + LATE_TIME,
+                Some(last) => next > there && now.since(last.at) > rule.boot_time + LATE_TIME,
             };
             (due && !paused).then_some((subject, next))
         })
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -103,7 +103,7 @@
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
-        let patience = caller.patience.unwrap_or(route.time_limit);
+        let patience = caller.timeout.unwrap_or(route.time_limit);
         let due = arrived + patience.min(route.time_limit);
         let body = read_request_body(body, &routes, due).await?;
         let mut headers = head.headers;
@@ -154,7 +154,7 @@
         let mut begun = false;
         let mut last = Err(Failure::refused("no target is known", NOTHING_YET_WAIT));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &trail) {
-            let more = trail.may_add(call) && call.route.repeat.may_retry();
+            let more = trail.may_add(call) && call.route.retry.may_retry();
             let end = self.send_plain(&target, call, more).await;
             let again = match &end {
                 PlainEnd::Whole(_) => false,
@@ -287,7 +287,7 @@
             .iter()
             .filter(|t| !trail.has(&t.id) && newest.holds(&t.id));
         let core = self.core.borrow();
-        core.plain_target(untried, || rng.random(), clock::mono_now())
+        core.choose_plain_target(untried, || rng.random(), clock::mono_now())
     }
 }
 
@@ -366,7 +366,7 @@
     routes: &RouteTable,
     due: Instant,
 ) -> Result<Bytes, Failure> {
-    let limit = routes.limits.body_bytes;
+    let limit = routes.limits.max_body_bytes;
     if http_body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -84,15 +84,15 @@
         was_read: bool,
         trail: &SendHistory,
     ) -> EnginePlacement {
-        if place.reader.is_none() || !was_read {
+        if place.prefill_engine.is_none() || !was_read {
             return place;
         }
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
         let writer = self.with_choices(call, trail, |choices| {
             let core = self.core.borrow();
-            core.writer(&choices, &prompt, urgency, clock::mono_now())
+            core.choose_decode_engine(&choices, &prompt, urgency, clock::mono_now())
         });
-        place.writer = writer.unwrap_or(place.writer);
+        place.decode_engine = writer.unwrap_or(place.decode_engine);
         place
     }
 
@@ -100,8 +100,11 @@
         let now = clock::mono_now();
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
-        core.work.note(place.unread_tokens, written, now);
-        let reader = place.reader.as_ref().unwrap_or(&place.writer);
+        core.work.note(place.pending_prefill_tokens, written, now);
+        let reader = place
+            .prefill_engine
+            .as_ref()
+            .unwrap_or(&place.decode_engine);
         if let Some(prompt) = &call.caller.prompt {
             core.note_parts(&reader.id, &prompt.parts, false, now);
             let mut peers = self.peers.borrow_mut();
@@ -113,16 +116,16 @@
             request = call.caller.id.as_str(),
             route = call.route.name.as_str(),
             reader = reader.id.as_str(),
-            writer = place.writer.id.as_str(),
-            hand_over = place.reader.is_some(),
+            writer = place.decode_engine.id.as_str(),
+            hand_over = place.prefill_engine.is_some(),
             prompt_tokens = prompt.map_or(0, |p| p.prompt_tokens),
-            unread_tokens = place.unread_tokens,
-            reread_tokens = place.reread_tokens,
+            unread_tokens = place.pending_prefill_tokens,
+            reread_tokens = place.recomputed_tokens,
             rank = place.rank,
             waiting_tokens = load.total(&reader.id).prefill_tokens_before(place.rank),
             fetch_from = place.fetch_from.as_ref().map_or("", |holder| holder.id.as_str()),
-            running = load.total(&place.writer.id).running,
-            others_known = load.others(),
+            running = load.total(&place.decode_engine.id).running,
+            others_known = load.peer_count(),
             expected_ms = place.expected_ms as u64;
             "placed"
         );
@@ -135,10 +138,10 @@
         mut handle: Option<CacheHandleGuard>,
         trail: &mut SendHistory,
     ) -> Started {
-        let writer = &place.writer;
+        let writer = &place.decode_engine;
         let unread = match handle {
             Some(_) => 0,
-            None => place.unread_tokens,
+            None => place.pending_prefill_tokens,
         };
         let mut work = InFlightGuard::begin(self, &writer.id, place.rank, unread);
         let mut timed = self.timed_start(place, handle.is_some());
@@ -158,7 +161,7 @@
             }
             if self.may_retry(call) {
                 timed = None;
-                let fetch_from = Some(place.reader.as_deref().unwrap_or(writer));
+                let fetch_from = Some(place.prefill_engine.as_deref().unwrap_or(writer));
                 outcome = self
                     .send_writer(call, writer, SendMode::Run, fetch_from, place.rank, sent)
                     .await;
@@ -202,7 +205,7 @@
         };
         trail.sent.push(writer.id.clone());
         let refused = failure.retry_after.is_some();
-        let repeats = refused || call.route.repeat.may_retry();
+        let repeats = refused || call.route.retry.may_retry();
         if repeats && trail.may_send(call) && self.may_retry(call) {
             return Started::Again(failure);
         }
@@ -221,9 +224,9 @@
     // Other work that a writer takes up between the choice and the send is not in the
     // size, as it would not be for the next choice.
     fn timed_start(&self, place: &EnginePlacement, was_read: bool) -> Option<TimedWork> {
-        let writer = &place.writer;
+        let writer = &place.decode_engine;
         if !was_read {
-            let chosen = place.reader.is_none();
+            let chosen = place.prefill_engine.is_none();
             return chosen.then(|| place.timed_prefill(writer));
         }
         let core = self.core.borrow();
@@ -233,7 +236,7 @@
             .prefill_tokens_before(place.rank);
         Some(TimedWork {
             engine: writer.clone(),
-            work: EngineWork::TakeOver,
+            work: EngineWork::KvTransfer,
             tokens: f64::from(waiting),
         })
     }
@@ -292,7 +295,7 @@
         let relay = EventRelay::new(
             self.clone(),
             call.clone(),
-            place.writer.clone(),
+            place.decode_engine.clone(),
             answer,
             trail,
             work,
@@ -389,7 +392,7 @@
         .max(call.route.objective * PATIENCE_OBJECTIVES)
         .max(gap * PATIENCE_GAPS);
     let left = patience.saturating_sub(call.arrived.elapsed());
-    let waiting_ms = place.expected_ms - place.own_ms;
+    let waiting_ms = place.expected_ms - place.own_prefill_ms;
     let late = waiting_ms > left.as_secs_f64() * 1_000.0 * LATE_SHARE;
     late.then(|| {
         let reason = format!("the first event would take {:.0} ms", place.expected_ms);
--- a/src/gateway/model.rs
+++ b/src/gateway/model.rs
@@ -55,7 +55,7 @@
     /// Prefix of the path, beginning and ending with a slash.
     pub path_prefix: String,
     /// Whether requests may be retried.
-    pub repeat: RetryRule,
+    pub retry: RetryRule,
     /// Longest time for a request, from its arrival to the end of its answer.
     pub time_limit: Duration,
     /// Latency objective of an answer, or of its first event.
@@ -126,11 +126,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingRule {
     /// Minimum number in a data centre.
-    pub fewest: u32,
+    pub min_per_centre: u32,
     /// Maximum number in a data centre, reclaimable ones included.
-    pub most: u32,
+    pub max_per_centre: u32,
     /// Time from the order until a target serves requests.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// Price of a reclaimable target relative to a permanent one; `None` where there are
     /// no reclaimable ones.
     pub reclaimable_price: Option<f64>,
@@ -142,9 +142,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
     /// Maximum size of a request's head.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Maximum size of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Maximum time for the head of a request to arrive.
     pub header_timeout: Duration,
     /// Maximum time that a connection may be idle.
@@ -235,7 +235,7 @@
     /// Identifier of this attempt.
     pub id: String,
     /// Time that the caller still waits for the answer.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Set for generation requests.
     pub prompt: Option<PromptShape>,
     /// Last event that the caller already has of a stream that it resumes.
--- a/src/gateway/peers/book.rs
+++ b/src/gateway/peers/book.rs
@@ -126,8 +126,8 @@
         let alive = self.heard.values();
         let alive = alive.filter(|state| state.is_fresh(now));
         alive.fold(WorkRate::default(), |sum, state| WorkRate {
-            read_tokens: sum.read_tokens + state.rate.read_tokens,
-            written_tokens: sum.written_tokens + state.rate.written_tokens,
+            prefill_tokens: sum.prefill_tokens + state.rate.prefill_tokens,
+            decode_tokens: sum.decode_tokens + state.rate.decode_tokens,
         })
     }
 
--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -35,12 +35,12 @@
         let longest = if tells_all { TOLD_TIME } else { NEWS_TIME };
         let fresh = notes.iter().filter(|kept| now.since(kept.at) < longest);
         let (mut due, begins): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
-            fresh.partition(|kept| kept.note.value.is_none());
+            fresh.partition(|kept| kept.update.value.is_none());
         if tells_all {
             self.told_all_at = Some(now);
             due.extend(self.turn_of(&begins));
         }
-        due.into_iter().map(|kept| kept.note.clone()).collect()
+        due.into_iter().map(|kept| kept.update.clone()).collect()
     }
 
     fn turn_of<'a>(&mut self, begins: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -110,8 +110,8 @@
         let own = self.core.borrow_mut().work.rate(now);
         let others = self.peers.borrow().work_rate(now);
         WorkRate {
-            read_tokens: own.read_tokens + others.read_tokens,
-            written_tokens: own.written_tokens + others.written_tokens,
+            prefill_tokens: own.prefill_tokens + others.prefill_tokens,
+            decode_tokens: own.decode_tokens + others.decode_tokens,
         }
     }
 
@@ -119,7 +119,7 @@
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let rate = self.work_rate();
-        rate.read_tokens + rate.written_tokens < 1.0
+        rate.prefill_tokens + rate.decode_tokens < 1.0
     }
 
     /// Place of this daemon in an order that all daemons share; 0 is the first.
@@ -141,14 +141,18 @@
     }
 
     fn has_new_work(&self) -> bool {
-        *self.core.borrow().load.own() != *self.last_sent_work.borrow()
+        *self.core.borrow().load.local() != *self.last_sent_work.borrow()
     }
 
     fn hint(&self, role: &PeerRole) -> PeerHint {
         let view = self.view();
         let mut core = self.core.borrow_mut();
         let rate = core.work.rate(clock::mono_now());
-        let work = core.load.own().iter().map(|(id, work)| (id.clone(), *work));
+        let work = core
+            .load
+            .local()
+            .iter()
+            .map(|(id, work)| (id.clone(), *work));
         let mut peers = self.peers.borrow_mut();
         PeerHint {
             from: self.daemon.clone(),
@@ -221,7 +225,7 @@
         let counts = |id: &DaemonId| whole || *id == hint.from || direct.contains(id);
         // What is placed from now on is told after this.
         let placed_through = self.tell_placements();
-        let work = self.core.borrow().load.summed(counts);
+        let work = self.core.borrow().load.sum_with(counts);
         PeerSummary {
             from: hint.from.clone(),
             life: hint.life,
@@ -357,7 +361,7 @@
 
     fn take_entry_notes(&self, mut notes: Vec<EntryUpdate>) {
         let view = self.view();
-        let is_kept = |note: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.note == *note);
+        let is_kept = |note: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.update == *note);
         notes.retain(|note| !is_kept(note));
         if !notes.is_empty() {
             // The control thread ends only with the process.
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -238,16 +238,16 @@
             None => None,
         };
         Some(EnginePlacement {
-            reader,
-            writer: find(&engines.writer)?,
+            prefill_engine: reader,
+            decode_engine: find(&engines.writer)?,
             fetch_from: engines.fetch_from.as_ref().and_then(find),
             rank: engines.rank,
             expected_ms: engines.expected_ms,
-            own_ms: engines.own_ms,
-            unread_tokens: engines.unread_tokens,
-            reread_tokens: engines.reread_tokens,
-            waiting_tokens: engines.waiting_tokens,
-            gives_way: engines.gives_way,
+            own_prefill_ms: engines.own_ms,
+            pending_prefill_tokens: engines.unread_tokens,
+            recomputed_tokens: engines.reread_tokens,
+            queued_ahead_tokens: engines.waiting_tokens,
+            deprioritized: engines.gives_way,
         })
     }
 
@@ -292,13 +292,19 @@
         if !self.hubs.borrow().is_hub() {
             return;
         }
-        let reader = place.reader.as_ref().unwrap_or(&place.writer);
-        let writer = place.reader.as_ref().map(|_| place.writer.id.clone());
+        let reader = place
+            .prefill_engine
+            .as_ref()
+            .unwrap_or(&place.decode_engine);
+        let writer = place
+            .prefill_engine
+            .as_ref()
+            .map(|_| place.decode_engine.id.clone());
         self.placements.borrow_mut().note(PlacementRecord {
             reader: reader.id.clone(),
             writer,
             rank: place.rank,
-            unread_tokens: place.unread_tokens,
+            unread_tokens: place.pending_prefill_tokens,
             parts: prompt.parts.iter().map(|p| (p.key, p.tokens)).collect(),
         });
         self.placed.notify_one();
@@ -333,9 +339,9 @@
         let numbered = (&notes.from, notes.number);
         for note in &notes.placed {
             core.load
-                .promise(numbered, &note.reader, (note.rank, note.unread_tokens), now);
+                .reserve(numbered, &note.reader, (note.rank, note.unread_tokens), now);
             if let Some(writer) = &note.writer {
-                core.load.promise(numbered, writer, (note.rank, 0), now);
+                core.load.reserve(numbered, writer, (note.rank, 0), now);
             }
             core.note_parts(&note.reader, &parts_of(&note.parts), false, now);
         }
@@ -349,14 +355,21 @@
         place: &EnginePlacement,
     ) {
         let now = clock::mono_now();
-        let reader = place.reader.as_ref().unwrap_or(&place.writer);
+        let reader = place
+            .prefill_engine
+            .as_ref()
+            .unwrap_or(&place.decode_engine);
         let mut core = self.core.borrow_mut();
         let asker = (&question.from, question.number);
-        core.load
-            .promise(asker, &reader.id, (place.rank, place.unread_tokens), now);
-        if place.reader.is_some() {
+        core.load.reserve(
+            asker,
+            &reader.id,
+            (place.rank, place.pending_prefill_tokens),
+            now,
+        );
+        if place.prefill_engine.is_some() {
             core.load
-                .promise(asker, &place.writer.id, (place.rank, 0), now);
+                .reserve(asker, &place.decode_engine.id, (place.rank, 0), now);
         }
         core.note_parts(&reader.id, &prompt.parts, false, now);
     }
@@ -388,16 +401,19 @@
 impl From<&EnginePlacement> for PlacedEngines {
     fn from(place: &EnginePlacement) -> Self {
         Self {
-            reader: place.reader.as_ref().map(|reader| reader.id.clone()),
-            writer: place.writer.id.clone(),
+            reader: place
+                .prefill_engine
+                .as_ref()
+                .map(|reader| reader.id.clone()),
+            writer: place.decode_engine.id.clone(),
             fetch_from: place.fetch_from.as_ref().map(|holder| holder.id.clone()),
             rank: place.rank,
             expected_ms: place.expected_ms,
-            own_ms: place.own_ms,
-            unread_tokens: place.unread_tokens,
-            reread_tokens: place.reread_tokens,
-            waiting_tokens: place.waiting_tokens,
-            gives_way: place.gives_way,
+            own_ms: place.own_prefill_ms,
+            unread_tokens: place.pending_prefill_tokens,
+            reread_tokens: place.recomputed_tokens,
+            waiting_tokens: place.queued_ahead_tokens,
+            gives_way: place.deprioritized,
         }
     }
 }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -40,7 +40,7 @@
         place: &EnginePlacement,
         trail: &mut SendHistory,
     ) -> Result<Option<CacheHandleGuard>, Failure> {
-        let Some(mut reader) = place.reader.clone() else {
+        let Some(mut reader) = place.prefill_engine.clone() else {
             return Ok(None);
         };
         if trail.prompt_read && !self.may_retry(call) {
@@ -90,7 +90,8 @@
         place: &EnginePlacement,
     ) -> Reading {
         let sent = Instant::now();
-        let _work = InFlightGuard::begin(self, &reader.id, place.rank, place.unread_tokens);
+        let _work =
+            InFlightGuard::begin(self, &reader.id, place.rank, place.pending_prefill_tokens);
         let patience = Duration::from_secs_f64(place.expected_ms * READ_PATIENCE / 1_000.0);
         let until = sent + patience.max(SHORTEST_READ_WAIT);
         let fetch_from = place.fetch_from.as_deref();
@@ -109,7 +110,11 @@
         if let Reading::Kept(_) = reading {
             self.note_cached(call, reader);
             // What waits at a reader that was not chosen first is not known here.
-            if place.reader.as_ref().is_some_and(|r| r.id == reader.id) {
+            if place
+                .prefill_engine
+                .as_ref()
+                .is_some_and(|r| r.id == reader.id)
+            {
                 self.note_time(&place.timed_prefill(reader), sent.elapsed());
             }
         }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RecentUpdate {
     /// The update.
-    pub note: EntryUpdate,
+    pub update: EntryUpdate,
     /// When this daemon learned of it.
     pub at: MonoTime,
 }
@@ -123,10 +123,10 @@
     // Newest revision seen of each name, so that older entries are ignored.
     seen: IndexMap<TargetId, SeenRevision>,
     // Entries added or certainly removed, for daemons that cannot reach the store.
-    notes: IndexMap<TargetId, RecentUpdate>,
+    recent_updates: IndexMap<TargetId, RecentUpdate>,
     // Unreadable entries, with the revision that was logged.
     unreadable: IndexMap<TargetId, u64>,
-    contact: StoreOutageTracker,
+    outage: StoreOutageTracker,
     // Revision up to which this daemon itself has read all changes.
     read_through: u64,
 }
@@ -134,12 +134,12 @@
 impl TargetRegistry {
     /// Records that the store did not answer a request sent at `sent_at`.
     pub fn note_store_failure(&mut self, sent_at: MonoTime, now: MonoTime) {
-        self.contact.note_failure(sent_at, now);
+        self.outage.note_failure(sent_at, now);
     }
 
     /// Records that the store answered a request of any kind.
     pub fn note_store_answer(&mut self, now: MonoTime) {
-        self.contact.note_answer(now);
+        self.outage.note_answer(now);
     }
 
     /// Records that all changes up to a revision were applied.
@@ -152,7 +152,7 @@
         let listed_names: Vec<TargetId> =
             listing.iter().map(|change| change.name.clone()).collect();
         for change in listing {
-            self.take(change, source, now);
+            self.apply(change, source, now);
         }
         let missing: Vec<TargetId> = self
             .entries
@@ -169,7 +169,7 @@
 
     /// Applies the change of one entry, unless a newer one of its name is known; returns
     /// true if it adds an incarnation of a target.
-    pub fn take(&mut self, change: EntryChange, source: EntrySource, now: MonoTime) -> bool {
+    pub fn apply(&mut self, change: EntryChange, source: EntrySource, now: MonoTime) -> bool {
         let EntryChange {
             name,
             revision,
@@ -200,12 +200,12 @@
 
     /// Records the departure of an incarnation, announced by the target itself or detected
     /// from an answer at its address.
-    pub fn depart(&mut self, life: &TargetIncarnation, now: MonoTime) {
-        let current = self.entries.get(life.name());
-        if current.is_some_and(|entry| entry.record.id == *life) {
-            self.entries.swap_remove(life.name());
+    pub fn mark_departed(&mut self, incarnation: &TargetIncarnation, now: MonoTime) {
+        let current = self.entries.get(incarnation.name());
+        if current.is_some_and(|entry| entry.record.id == *incarnation) {
+            self.entries.swap_remove(incarnation.name());
         }
-        self.departed.insert(life.clone(), now);
+        self.departed.insert(incarnation.clone(), now);
     }
 
     /// Applies a peer's update that an entry was removed; returns true if it was not known
@@ -213,7 +213,7 @@
     ///
     /// Its sender could reach the store throughout. So the removal takes effect at once,
     /// even if this daemon cannot tell it from an entry that expired in an outage.
-    pub fn take_end(&mut self, name: &TargetId, revision: u64, now: MonoTime) -> bool {
+    pub fn apply_removal(&mut self, name: &TargetId, revision: u64, now: MonoTime) -> bool {
         if self.is_outdated(name, revision) {
             return false;
         }
@@ -224,20 +224,21 @@
     }
 
     /// Records that an entry was added, to be announced to peers.
-    pub fn note_begun(&mut self, name: &TargetId, value: &[u8], now: MonoTime) {
+    pub fn note_added(&mut self, name: &TargetId, value: &[u8], now: MonoTime) {
         let value = Some(ByteBuf::from(value));
         self.record_update(name, self.seen_revision(name), value, now);
     }
 
     /// Returns the entries added or removed recently, without added ones that are no longer
     /// present, for whatever reason.
-    pub fn notes(&self) -> impl Iterator<Item = &RecentUpdate> {
+    pub fn recent_updates(&self) -> impl Iterator<Item = &RecentUpdate> {
         let is_present = |name: &TargetId| {
             let entry = self.entries.get(name);
             entry.is_some_and(|entry| entry.missing.is_none())
         };
-        let kept = self.notes.values();
-        kept.filter(move |kept| kept.note.value.is_none() || is_present(&kept.note.name))
+        let recent = self.recent_updates.values();
+        recent
+            .filter(move |recent| recent.update.value.is_none() || is_present(&recent.update.name))
     }
 
     /// Removes missing entries that did not reappear in time; returns true if there were
@@ -258,8 +259,8 @@
         self.departed.retain(|_, at| now.since(*at) < DEPARTURE_TTL);
         // Kept for longer than peers announce an update: if it were forgotten earlier, it
         // would be new again and announced forever.
-        self.notes
-            .retain(|_, kept| now.since(kept.at) < DEPARTURE_TTL);
+        self.recent_updates
+            .retain(|_, recent| now.since(recent.at) < DEPARTURE_TTL);
         let entries = &self.entries;
         self.seen
             .retain(|name, seen| entries.contains_key(name) || now.since(seen.at) < DEPARTURE_TTL);
@@ -269,7 +270,9 @@
     /// Returns when the next missing entry is due for removal.
     #[must_use]
     pub fn next_expiry(&self) -> Option<MonoTime> {
-        self.missing().map(|(_, missing)| missing.until).min()
+        self.missing_entries()
+            .map(|(_, missing)| missing.until)
+            .min()
     }
 
     /// Returns the targets that may get work, by service and in the same order on all
@@ -292,8 +295,8 @@
 
     /// Returns whether an incarnation of a target has departed.
     #[must_use]
-    pub fn has_departed(&self, life: &TargetIncarnation) -> bool {
-        self.departed.contains_key(life)
+    pub fn has_departed(&self, incarnation: &TargetIncarnation) -> bool {
+        self.departed.contains_key(incarnation)
     }
 
     /// Returns the incarnations that departed and are still remembered.
@@ -302,7 +305,7 @@
     }
 
     /// Returns the entries that are missing in the store and whose targets still get work.
-    pub fn missing(&self) -> impl Iterator<Item = (&TargetIncarnation, MissingEntry)> {
+    pub fn missing_entries(&self) -> impl Iterator<Item = (&TargetIncarnation, MissingEntry)> {
         let entries = self.entries.values();
         entries.filter_map(|entry| Some((&entry.record.id, entry.missing?)))
     }
@@ -319,7 +322,7 @@
         }
         if record.leaving {
             log::info!(target_id = record.id.as_str(), revision = revision, source = source.as_str(); "target is leaving");
-            self.depart(&record.id, now);
+            self.mark_departed(&record.id, now);
             return false;
         }
         let before = self.entries.get(record.id.name());
@@ -340,7 +343,7 @@
     }
 
     fn remove_or_mark_missing(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
-        if let Some(until) = self.contact.entry_return_deadline(now) {
+        if let Some(until) = self.outage.entry_return_deadline(now) {
             self.mark_missing(name, until, source, now);
             return;
         }
@@ -372,13 +375,13 @@
         if revision == 0 {
             return;
         }
-        let note = EntryUpdate {
+        let update = EntryUpdate {
             name: name.clone(),
             revision,
             value,
         };
-        self.notes
-            .insert(name.clone(), RecentUpdate { note, at: now });
+        self.recent_updates
+            .insert(name.clone(), RecentUpdate { update, at: now });
     }
 
     fn seen_revision(&self, name: &TargetId) -> u64 {
@@ -400,7 +403,7 @@
         }
         entry.missing = Some(MissingEntry { since: now, until });
         metrics::counter!("pistachiowick_entries_missing_total").increment(1);
-        let failed_for = self.contact.failed_for(now).unwrap_or_default();
+        let failed_for = self.outage.failed_for(now).unwrap_or_default();
         log::info!(
             target_id = name.as_str(),
             source = source.as_str(),
@@ -429,11 +432,11 @@
 
     // A removed entry reappears only with a higher revision.
     fn is_outdated(&self, name: &TargetId, revision: u64) -> bool {
-        let removal = self
-            .notes
+        let removed = self
+            .recent_updates
             .get(name)
-            .filter(|kept| kept.note.value.is_none());
-        let covered = removal.is_some_and(|kept| revision <= kept.note.revision);
+            .filter(|recent| recent.update.value.is_none());
+        let covered = removed.is_some_and(|recent| revision <= recent.update.revision);
         revision > 0 && (covered || revision < self.seen_revision(name))
     }
 
@@ -458,7 +461,7 @@
     };
     log::info!(
         target_id = record.id.as_str(),
-        born = record.id.born().map_or(0, |born| born.0),
+        born = record.id.started_at().map_or(0, |born| born.0),
         address = record.address.to_string(),
         service = record.service.as_str(),
         stage = record.stage.map_or("", |stage| stage.as_str()),
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -193,7 +193,7 @@
     ) -> Result<http::Response<Incoming>, SendError> {
         let address = lease.record.address;
         while let Some(mut kept) = self.take_kept(&lease.record.id) {
-            if !plan.call.route.repeat.may_retry() && kept.idle_since.elapsed() > SURE_IDLE {
+            if !plan.call.route.retry.may_retry() && kept.idle_since.elapsed() > SURE_IDLE {
                 continue;
             }
             match kept.send(request, plan.until).await {
@@ -342,7 +342,7 @@
             Some(HealthChange::Avoided) => {
                 log::warn!(target_id = target.id.as_str(), address = target.address.to_string(); "target gives no answers; avoided for a while");
             }
-            Some(HealthChange::Proved) => {
+            Some(HealthChange::Recovered) => {
                 log::info!(target_id = target.id.as_str(), address = target.address.to_string(); "target answers again");
             }
             None => {}
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -198,7 +198,7 @@
                 CHANGES_AT_ONCE.saturating_sub(self.changes.len())
             };
             let running = |id: &TargetIncarnation| core.load.total(id).running;
-            wishes.extend(stage_plan::wishes(&after, running, wanted, at_once));
+            wishes.extend(stage_plan::plan_changes(&after, running, wanted, at_once));
         }
         wishes
     }
@@ -305,7 +305,7 @@
         until: MonoTime,
     ) -> Result<OrderOutcome, SendError> {
         let report = self.read_report(engine).await?;
-        if report.born.is_some() && report.born != engine.id.born() {
+        if report.born.is_some() && report.born != engine.id.started_at() {
             // Its entry lags: the life that was to be changed has ended.
             self.notify_departed(&engine.id);
             return Err(SendError::NotSent("the engine started again".to_owned()));
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -194,7 +194,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RetryRule::ResumableStream && self.trail.may_send(&self.call)
+        self.call.route.retry == RetryRule::ResumableStream && self.trail.may_send(&self.call)
     }
 
     // Continues after the last whole event that the caller has. The answer keeps
@@ -214,10 +214,14 @@
         if !self.gateway.may_retry(&self.call) {
             return false;
         }
-        let engine = place.writer;
+        let engine = place.decode_engine;
         self.trail.sent.push(engine.id.clone());
-        let mut work =
-            InFlightGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
+        let mut work = InFlightGuard::begin(
+            &self.gateway,
+            &engine.id,
+            place.rank,
+            place.pending_prefill_tokens,
+        );
         let order = self.gateway.order(
             &self.call,
             &engine,
--- a/src/target_incarnation.rs
+++ b/src/target_incarnation.rs
@@ -18,8 +18,8 @@
     /// Creates the identity from the target's name and its start time, if the target
     /// reports one.
     #[must_use]
-    pub fn new(name: TargetId, born: Option<UnixTime>) -> Self {
-        Self(name, born)
+    pub fn new(name: TargetId, started_at: Option<UnixTime>) -> Self {
+        Self(name, started_at)
     }
 
     /// Returns the target's name, which its incarnations share.
@@ -31,7 +31,7 @@
     /// Returns the start time by the target's own clock, which may step; start times
     /// distinguish incarnations but do not order them.
     #[must_use]
-    pub fn born(&self) -> Option<UnixTime> {
+    pub fn started_at(&self) -> Option<UnixTime> {
         self.1
     }
 
--- a/tests/deciding_times.rs
+++ b/tests/deciding_times.rs
@@ -54,7 +54,7 @@
         };
         fit.note(tokens, time(tokens) * noise + pause);
     }
-    let ratio = |tokens: f64| fit.line().at(tokens) / time(tokens);
+    let ratio = |tokens: f64| fit.latency().at(tokens) / time(tokens);
     let (medium, short, long) = (ratio(8_000.0), ratio(1_500.0), ratio(20_000.0));
     assert!((0.8..1.2).contains(&medium), "{medium}");
     assert!((0.67..1.5).contains(&short), "{short}");
@@ -74,8 +74,8 @@
     };
     note(&mut fit, 0.01, 200);
     note(&mut fit, 0.04, 150);
-    let line = fit.line();
-    assert!((0.03..0.05).contains(&line.token_ms), "{line:?}");
+    let latency = fit.latency();
+    assert!((0.03..0.05).contains(&latency.token_ms), "{latency:?}");
 }
 
 // With requests of one size only, the fixed time and the time per token cannot be told
@@ -84,7 +84,7 @@
 fn times_of_one_size_are_known_at_that_size() {
     let mut fit = LatencyFit::new(PRIOR);
     (0..100).for_each(|_| fit.note(3_000.0, 90.0));
-    let at = fit.line().at(3_000.0);
+    let at = fit.latency().at(3_000.0);
     assert!((85.0..95.0).contains(&at), "{at}");
 }
 
@@ -95,8 +95,11 @@
         let tokens = f64::from(number % 10) * 1_000.0;
         fit.note(tokens, 400.0 - tokens / 30.0);
     }
-    let line = fit.line();
-    assert!(line.token_ms > 0.0 && line.fixed_ms > 0.0, "{line:?}");
+    let latency = fit.latency();
+    assert!(
+        latency.token_ms > 0.0 && latency.fixed_ms > 0.0,
+        "{latency:?}"
+    );
 }
 
 #[test]
@@ -105,14 +108,24 @@
     let (fast, slow) = (ServiceName::from("fast"), ServiceName::from("slow"));
     for number in 0..60_u32 {
         let tokens = f64::from(number) * 100.0;
-        speeds.note(&fast, EngineWork::ReadAhead, tokens, 10.0 + tokens / 200.0);
-        speeds.note(&slow, EngineWork::ReadAhead, tokens, 100.0 + tokens / 20.0);
+        speeds.note(
+            &fast,
+            EngineWork::RemotePrefill,
+            tokens,
+            10.0 + tokens / 200.0,
+        );
+        speeds.note(
+            &slow,
+            EngineWork::RemotePrefill,
+            tokens,
+            100.0 + tokens / 20.0,
+        );
     }
-    let at = |service, work| speeds.line(service, work).at(4_000.0);
-    assert!(at(&fast, EngineWork::ReadAhead) < 40.0);
-    assert!(at(&slow, EngineWork::ReadAhead) > 250.0);
-    let untouched = EngineSpeeds::default().line(&fast, EngineWork::TakeOver);
-    assert_eq!(speeds.line(&fast, EngineWork::TakeOver), untouched);
+    let at = |service, work| speeds.latency(service, work).at(4_000.0);
+    assert!(at(&fast, EngineWork::RemotePrefill) < 40.0);
+    assert!(at(&slow, EngineWork::RemotePrefill) > 250.0);
+    let untouched = EngineSpeeds::default().latency(&fast, EngineWork::KvTransfer);
+    assert_eq!(speeds.latency(&fast, EngineWork::KvTransfer), untouched);
 }
 
 struct CoreFixture {
@@ -164,11 +177,11 @@
             for (at, engine) in self.engines.clone().into_iter().enumerate() {
                 let prefills = engine.stage == Some(EngineStage::Prefill);
                 let (work, rate) = if prefills {
-                    (EngineWork::ReadAhead, prefill_rate)
+                    (EngineWork::RemotePrefill, prefill_rate)
                 } else if at % 2 == 0 {
-                    (EngineWork::TakeOver, decode_rate)
+                    (EngineWork::KvTransfer, decode_rate)
                 } else {
-                    (EngineWork::ReadHere, decode_rate)
+                    (EngineWork::LocalPrefill, decode_rate)
                 };
                 let timed = TimedWork {
                     engine,
@@ -194,7 +207,7 @@
         fixture.core.load.begin(&engine.id, 1, 20_000);
     }
     let place = fixture.place(3_000, 200);
-    assert!(!place.gives_way, "{place:?}");
+    assert!(!place.deprioritized, "{place:?}");
     assert!(place.expected_ms < 200.0, "{place:?}");
 }
 
@@ -206,7 +219,7 @@
         fixture.core.load.begin(&engine.id, 1, 20_000);
     }
     let place = fixture.place(3_000, 200);
-    assert!(place.gives_way, "{place:?}");
+    assert!(place.deprioritized, "{place:?}");
     assert!(place.rank > 1);
 }
 
@@ -219,14 +232,14 @@
     for _ in 0..20 {
         let timed = TimedWork {
             engine: slow.clone(),
-            work: EngineWork::ReadAhead,
+            work: EngineWork::RemotePrefill,
             tokens: 4_000.0,
         };
         fixture.core.note_time(&timed, 180.0, MonoTime(2));
     }
-    let reader = fixture
+    let prefill_engine = fixture
         .place(8_000, 1_000)
-        .reader
+        .prefill_engine
         .expect("a prefill engine");
-    assert_ne!(reader.id, slow.id);
+    assert_ne!(prefill_engine.id, slow.id);
 }
--- a/tests/deciding_world/mod.rs
+++ b/tests/deciding_world/mod.rs
@@ -144,17 +144,17 @@
             .place(&order, at(now))
             .expect("a placement");
         self.tally.requests += 1;
-        let Some(reader) = place.reader.clone() else {
+        let Some(prefill_engine) = place.prefill_engine.clone() else {
             return;
         };
-        let number: usize = reader.id.as_str()[1..].parse().expect("a number");
+        let number: usize = prefill_engine.id.as_str()[1..].parse().expect("a number");
         let simulated = self.plan.readers[number];
         let load = &mut self.cores[daemon].load;
-        load.begin(&reader.id, place.rank, place.unread_tokens);
+        load.begin(&prefill_engine.id, place.rank, place.pending_prefill_tokens);
         let unresponsive = simulated
             .unresponsive
             .is_some_and(|(from, to)| (from..to).contains(&now));
-        let free_at = self.free_at.entry(reader.id.clone()).or_default();
+        let free_at = self.free_at.entry(prefill_engine.id.clone()).or_default();
         let end_ms = if unresponsive {
             now + PREFILL_TIMEOUT_MS
         } else {
@@ -181,25 +181,32 @@
     }
 
     fn end_prefill(&mut self, prefill: &RunningPrefill, now: f64) {
-        let reader = prefill.place.reader.as_ref().expect("a prefill engine");
+        let prefill_engine = prefill
+            .place
+            .prefill_engine
+            .as_ref()
+            .expect("a prefill engine");
         let core = &mut self.cores[prefill.daemon];
-        core.load
-            .end(&reader.id, prefill.place.rank, prefill.place.unread_tokens);
+        core.load.end(
+            &prefill_engine.id,
+            prefill.place.rank,
+            prefill.place.pending_prefill_tokens,
+        );
         if prefill.lost {
-            core.note_result(&reader.id, SendResult::Silent, at(now));
+            core.note_result(&prefill_engine.id, SendResult::Silent, at(now));
             self.tally.lost += 1;
             return;
         }
         let taken = prefill.end_ms - prefill.sent_ms;
-        core.note_result(&reader.id, SendResult::Answered, at(now));
-        core.note_time(&prefill.place.timed_prefill(reader), taken, at(now));
+        core.note_result(&prefill_engine.id, SendResult::Answered, at(now));
+        core.note_time(&prefill.place.timed_prefill(prefill_engine), taken, at(now));
         if taken <= self.plan.objective_ms as f64 {
             self.tally.in_time += 1;
         }
     }
 
     fn hint(&mut self, now: f64) {
-        let work: Vec<_> = self.cores.iter().map(|c| c.load.own().clone()).collect();
+        let work: Vec<_> = self.cores.iter().map(|c| c.load.local().clone()).collect();
         for (own, core) in self.cores.iter_mut().enumerate() {
             for (other, work) in work.iter().enumerate().filter(|(other, _)| *other != own) {
                 let id = DaemonId::from(format!("n{other}"));
--- a/tests/duties_servers.rs
+++ b/tests/duties_servers.rs
@@ -11,9 +11,9 @@
 
 fn rule(price: Option<f64>) -> ScalingRule {
     ScalingRule {
-        fewest: 1,
-        most: 60,
-        boot: Duration::from_secs(4),
+        min_per_centre: 1,
+        max_per_centre: 60,
+        boot_time: Duration::from_secs(4),
         reclaimable_price: price,
         centre_prices: [("a", 0.85), ("b", 1.2), ("c", 1.0)]
             .map(|(centre, price)| (CentreName::from(centre), price))
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -88,7 +88,7 @@
     let later = book.view(&target, MonoTime(1_100));
     assert!(!later.avoided && later.unverified);
     let answered = book.note(&target, SendResult::Answered, MonoTime(1_200));
-    assert_eq!(answered, Some(HealthChange::Proved));
+    assert_eq!(answered, Some(HealthChange::Recovered));
     assert!(!book.view(&target, MonoTime(1_201)).unverified);
 }
 
@@ -111,7 +111,7 @@
     let mut other = LoadTracker::default();
     other.begin(&target, 2, 500);
     own.begin(&target, 0, 100);
-    own.set_peer_work(DaemonId::from("b"), other.own().clone(), MonoTime(0));
+    own.set_peer_work(DaemonId::from("b"), other.local().clone(), MonoTime(0));
     assert_eq!(own.total(&target).running, 2);
     assert_eq!(own.total(&target).prefill_tokens_before(0), 100);
     assert_eq!(own.total(&target).prefill_tokens_before(2), 600);
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -7,28 +7,28 @@
 use gateway_samples::engine;
 use pistachiowick::gateway::deciding::affinity::part_key;
 use pistachiowick::gateway::deciding::engine_choice::{
-    EngineState, PlacementWeights, choose, choose_decode_engine,
+    EngineState, PlacementWeights, choose_decode_engine, choose_engines,
 };
 use pistachiowick::gateway::deciding::engine_model::EngineLatencies;
 use pistachiowick::gateway::deciding::health::{HealthTracker, HealthView};
 use pistachiowick::gateway::deciding::line_fit::LinearLatency;
 use pistachiowick::gateway::deciding::load::{LoadTracker, TargetWork};
-use pistachiowick::gateway::deciding::stage_plan::{prefill_engine_count, wishes};
+use pistachiowick::gateway::deciding::stage_plan::{plan_changes, prefill_engine_count};
 use pistachiowick::gateway::model::{EngineStage, PromptPart, PromptShape, TargetRecord};
 use pistachiowick::names::MonoTime;
 use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 // Prefill engines do 42 tokens per ms; decode engines do 20, next to their own requests.
-fn lines() -> EngineLatencies {
-    let line = |fixed_ms, tokens_per_ms: f64| LinearLatency {
+fn latencies() -> EngineLatencies {
+    let latency = |fixed_ms, tokens_per_ms: f64| LinearLatency {
         fixed_ms,
         token_ms: 1.0 / tokens_per_ms,
     };
     EngineLatencies {
-        read_ahead: line(95.0, 42.0),
-        read_here: line(95.0, 20.0),
-        take_over: line(20.0, 20.0),
+        remote_prefill: latency(95.0, 42.0),
+        local_prefill: latency(95.0, 20.0),
+        kv_transfer: latency(20.0, 20.0),
     }
 }
 
@@ -85,16 +85,19 @@
         state("p", EngineStage::Prefill),
         state("d", EngineStage::Decode),
     ];
-    let place = choose(
+    let place = choose_engines(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &engines,
         &prompt(0, 8_000),
         1,
     )
     .expect("a placement");
-    assert_eq!(place.reader.expect("a prefill engine").id.as_str(), "p");
-    assert_eq!(place.writer.id.as_str(), "d");
+    assert_eq!(
+        place.prefill_engine.expect("a prefill engine").id.as_str(),
+        "p"
+    );
+    assert_eq!(place.decode_engine.id.as_str(), "d");
 }
 
 #[test]
@@ -104,17 +107,17 @@
         caching(state("d1", EngineStage::Decode), 13_000),
         state("d2", EngineStage::Decode),
     ];
-    let place = choose(
+    let place = choose_engines(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &engines,
         &prompt(13_000, 100),
         1,
     )
     .expect("a placement");
-    assert!(place.reader.is_none());
-    assert_eq!(place.writer.id.as_str(), "d1");
-    assert_eq!(place.unread_tokens, 100);
+    assert!(place.prefill_engine.is_none());
+    assert_eq!(place.decode_engine.id.as_str(), "d1");
+    assert_eq!(place.pending_prefill_tokens, 100);
 }
 
 // Recomputing a shared part takes an engine hundreds of milliseconds and evicts other
@@ -128,17 +131,17 @@
         source,
         state("d2", EngineStage::Decode),
     ];
-    let place = choose(
+    let place = choose_engines(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &engines,
         &prompt(13_000, 3_000),
         1,
     )
     .expect("a placement");
     assert_eq!(place.fetch_from.expect("a source").id.as_str(), "d1");
-    assert_eq!(place.unread_tokens, 3_000);
-    assert_eq!(place.reread_tokens, 0);
+    assert_eq!(place.pending_prefill_tokens, 3_000);
+    assert_eq!(place.recomputed_tokens, 0);
 }
 
 #[test]
@@ -151,55 +154,58 @@
         state("p2", EngineStage::Prefill),
         state("d", EngineStage::Decode),
     ];
-    let place = choose(
+    let place = choose_engines(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &engines,
         &prompt(13_000, 500),
         1,
     )
     .expect("a placement");
-    assert_eq!(place.reader.expect("a prefill engine").id.as_str(), "p1");
+    assert_eq!(
+        place.prefill_engine.expect("a prefill engine").id.as_str(),
+        "p1"
+    );
     assert!(place.fetch_from.is_none());
 }
 
 struct DecodeCase {
     engines: fn() -> Vec<EngineState>,
-    writer: Option<&'static str>,
+    decode_engine: Option<&'static str>,
 }
 
 #[rstest]
-#[case::none(DecodeCase { engines: Vec::new, writer: None })]
-#[case::prefill_engines_only(DecodeCase { engines: || vec![state("p", EngineStage::Prefill)], writer: None })]
-#[case::decode_engines_only(DecodeCase { engines: || vec![state("d", EngineStage::Decode)], writer: Some("d") })]
+#[case::none(DecodeCase { engines: Vec::new, decode_engine: None })]
+#[case::prefill_engines_only(DecodeCase { engines: || vec![state("p", EngineStage::Prefill)], decode_engine: None })]
+#[case::decode_engines_only(DecodeCase { engines: || vec![state("d", EngineStage::Decode)], decode_engine: Some("d") })]
 #[case::none_available(DecodeCase {
     engines: || vec![EngineState { available: false, ..state("d", EngineStage::Decode) }],
-    writer: None,
+    decode_engine: None,
 })]
 #[case::a_silent_engine_is_the_last_choice(DecodeCase {
     engines: || {
         let silent = HealthView { avoided: true, ..healthy() };
         vec![EngineState { health: silent, ..state("d1", EngineStage::Decode) }, state("d2", EngineStage::Decode)]
     },
-    writer: Some("d2"),
+    decode_engine: Some("d2"),
 })]
 #[case::a_silent_engine_is_better_than_none(DecodeCase {
     engines: || {
         let silent = HealthView { avoided: true, ..healthy() };
         vec![EngineState { health: silent, ..state("d1", EngineStage::Decode) }]
     },
-    writer: Some("d1"),
+    decode_engine: Some("d1"),
 })]
 fn which_engine_generates(#[case] case: DecodeCase) {
-    let place = choose(
+    let place = choose_engines(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &(case.engines)(),
         &prompt(0, 500),
         1,
     );
-    let writer = place.map(|place| place.writer.id.to_string());
-    assert_eq!(writer.as_deref(), case.writer);
+    let decode_engine = place.map(|place| place.decode_engine.id.to_string());
+    assert_eq!(decode_engine.as_deref(), case.decode_engine);
 }
 
 #[test]
@@ -211,31 +217,31 @@
         busy,
         state("d2", EngineStage::Decode),
     ];
-    let writer = choose_decode_engine(
+    let decode_engine = choose_decode_engine(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &engines,
         &prompt(0, 500),
         1,
     );
-    assert_eq!(writer.expect("a decode engine").id.as_str(), "d2");
+    assert_eq!(decode_engine.expect("a decode engine").id.as_str(), "d2");
 }
 
 #[test]
 fn own_prefill_time_excludes_queueing() {
-    let mut reader = state("p", EngineStage::Prefill);
-    reader.work = work(1, 42_000);
-    let engines = [reader, state("d", EngineStage::Decode)];
-    let place = choose(
+    let mut prefill_engine = state("p", EngineStage::Prefill);
+    prefill_engine.work = work(1, 42_000);
+    let engines = [prefill_engine, state("d", EngineStage::Decode)];
+    let place = choose_engines(
         &PlacementWeights::default(),
-        &lines(),
+        &latencies(),
         &engines,
         &prompt(0, 40_000),
         1,
     )
     .expect("a placement");
-    assert!(place.own_ms > 900.0, "{}", place.own_ms);
-    assert!(place.expected_ms > place.own_ms);
+    assert!(place.own_prefill_ms > 900.0, "{}", place.own_prefill_ms);
+    assert!(place.expected_ms > place.own_prefill_ms);
 }
 
 fn fleet(readers: usize, writers: usize) -> Vec<Arc<TargetRecord>> {
@@ -262,7 +268,7 @@
 fn changes_are_limited_and_prefer_idle_engines() {
     let engines = fleet(2, 6);
     let running = |id: &TargetIncarnation| if id.as_str() == "d0" { 9 } else { 0 };
-    let wanted = wishes(&engines, running, 5, 2);
+    let wanted = plan_changes(&engines, running, 5, 2);
     let ids: Vec<&str> = wanted
         .iter()
         .map(|change| change.engine.id.as_str())
@@ -273,8 +279,8 @@
             .iter()
             .all(|change| change.stage == EngineStage::Prefill)
     );
-    assert!(wishes(&engines, running, 2, 2).is_empty());
-    let back = wishes(&engines, running, 1, 8);
+    assert!(plan_changes(&engines, running, 2, 2).is_empty());
+    let back = plan_changes(&engines, running, 1, 8);
     assert_eq!(back.len(), 1);
     assert_eq!(back[0].stage, EngineStage::Decode);
 }
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -177,8 +177,8 @@
     let mut all = LoadTracker::default();
     all.begin(&target, 1, 300);
     all.begin(&target, 1, 500);
-    let mut sum = all.summed(|_| true);
-    subtract(&mut sum, own.own());
+    let mut sum = all.sum_with(|_| true);
+    subtract(&mut sum, own.local());
     own.set_peer_work(DaemonId::from("hub"), sum, MonoTime(0));
     assert_eq!(own.total(&target).running, 2);
     assert_eq!(own.total(&target).prefill_tokens_before(1), 800);
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -66,16 +66,16 @@
 fn a_place_counts_once(#[case] case: PromiseCase) {
     let (member, engine) = (DaemonId::from("member"), TargetIncarnation::from("e1"));
     let mut load = LoadTracker::default();
-    load.promise((&member, 4), &engine, (1, 1_000), NOW);
+    load.reserve((&member, 4), &engine, (1, 1_000), NOW);
     if let Some(through) = case.told {
         let mut own = LoadTracker::default();
         own.begin(&engine, 1, case.told_tokens);
         load.release_reservations(&member, through);
-        load.set_peer_work(member, own.own().clone(), after(50));
+        load.set_peer_work(member, own.local().clone(), after(50));
     }
     load.expire(after(case.wait_ms));
     assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
-    let summed = load.summed(|_| true);
+    let summed = load.sum_with(|_| true);
     let summed = summed
         .get(&engine)
         .map_or(0, |work| work.prefill_tokens_before(1));
@@ -102,8 +102,8 @@
     load.release_reservations(&hub, case.through);
     let mut told = LoadTracker::default();
     told.begin(&engine, 1, 500);
-    load.set_peer_work(hub.clone(), told.own().clone(), NOW);
-    load.promise((&hub, case.number), &engine, (1, 1_000), NOW);
+    load.set_peer_work(hub.clone(), told.local().clone(), NOW);
+    load.reserve((&hub, case.number), &engine, (1, 1_000), NOW);
     load.expire(after(50));
     assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
 }
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -109,7 +109,7 @@
 fn which_targets_are_left(#[case] case: TargetsCase) {
     let mut registry = TargetRegistry::default();
     for (at, step) in case.steps {
-        apply(&mut registry, step, MonoTime(*at + STARTED));
+        run_step(&mut registry, step, MonoTime(*at + STARTED));
     }
     assert_eq!(left(&registry), case.left);
 }
@@ -117,20 +117,20 @@
 #[test]
 fn a_departure_detected_from_an_answer_counts_like_an_announced_one() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, named(record("a"), 0), 1);
-    registry.depart(&TargetIncarnation::from("a"), MonoTime(2));
-    take(&mut registry, named(record("a"), 0), 3);
+    apply(&mut registry, named(record("a"), 0), 1);
+    registry.mark_departed(&TargetIncarnation::from("a"), MonoTime(2));
+    apply(&mut registry, named(record("a"), 0), 3);
     assert!(left(&registry).is_empty());
     assert!(registry.has_departed(&TargetIncarnation::from("a")));
 }
 
-fn apply(registry: &mut TargetRegistry, step: &Step, now: MonoTime) {
+fn run_step(registry: &mut TargetRegistry, step: &Step, now: MonoTime) {
     if !matches!(step, StoreFailed | CallFailed(_) | Expire) {
         registry.note_store_answer(now);
     }
     match step {
         Set(id) => {
-            registry.take(named(record(id), 0), EntrySource::Store, now);
+            registry.apply(named(record(id), 0), EntrySource::Store, now);
         }
         Leaving(id) => {
             let leaving = true;
@@ -138,10 +138,10 @@
                 leaving,
                 ..record(id)
             };
-            registry.take(named(record, 0), EntrySource::Store, now);
+            registry.apply(named(record, 0), EntrySource::Store, now);
         }
         Removed(id) => {
-            registry.take(gone(id, 0), EntrySource::Store, now);
+            registry.apply(gone(id, 0), EntrySource::Store, now);
         }
         Listed(ids) => {
             let listing = ids.iter().map(|id| named(record(id), 0)).collect();
@@ -206,22 +206,22 @@
 fn which_incarnation_gets_work(#[case] case: IncarnationCase) {
     let mut registry = TargetRegistry::default();
     for change in (case.changes)() {
-        take(&mut registry, change, 60_000);
+        apply(&mut registry, change, 60_000);
     }
     let services = registry.by_service();
     let serving = services.values().flatten().next();
-    let born = serving.and_then(|record| record.id.born());
-    assert_eq!(born.map(|born| born.0), case.serving);
+    let started_at = serving.and_then(|record| record.id.started_at());
+    assert_eq!(started_at.map(|started_at| started_at.0), case.serving);
 }
 
 #[test]
 fn a_late_departure_ends_only_its_own_incarnation() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, incarnation(1, 10), 1);
-    take(&mut registry, incarnation(2, 11), 2);
-    registry.depart(&incarnation_id(1), MonoTime(3));
+    apply(&mut registry, incarnation(1, 10), 1);
+    apply(&mut registry, incarnation(2, 11), 2);
+    registry.mark_departed(&incarnation_id(1), MonoTime(3));
     assert_eq!(left(&registry), ["a"]);
-    registry.depart(&incarnation_id(2), MonoTime(4));
+    registry.mark_departed(&incarnation_id(2), MonoTime(4));
     assert!(left(&registry).is_empty());
 }
 
@@ -263,16 +263,16 @@
 fn removals_reported_by_a_peer(#[case] case: RemovalCase) {
     let mut registry = TargetRegistry::default();
     for change in (case.changes)() {
-        take(&mut registry, change, 60_000);
+        apply(&mut registry, change, 60_000);
     }
     if case.missing {
         registry.note_store_failure(MonoTime(60_100), MonoTime(60_100));
         registry.replace(Vec::new(), EntrySource::Store, MonoTime(60_200));
         assert_eq!(left(&registry), ["a"]);
     }
-    registry.take_end(&TargetId::from("a"), case.announced, MonoTime(60_300));
+    registry.apply_removal(&TargetId::from("a"), case.announced, MonoTime(60_300));
     for change in (case.late)() {
-        take(&mut registry, change, 60_400);
+        apply(&mut registry, change, 60_400);
     }
     assert_eq!(left(&registry), case.left);
 }
@@ -291,13 +291,13 @@
 #[case::from_a_hub(AnnouncedRemovalCase { failed: false, source: EntrySource::Hub, announced: &[] })]
 fn which_removals_are_announced(#[case] case: AnnouncedRemovalCase) {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, incarnation(1, 10), 60_000);
+    apply(&mut registry, incarnation(1, 10), 60_000);
     if case.failed {
         registry.note_store_failure(MonoTime(60_100), MonoTime(60_100));
     }
-    registry.take(gone("a", 11), case.source, MonoTime(60_200));
-    let announced = registry.notes();
-    let announced: Vec<u64> = announced.map(|kept| kept.note.revision).collect();
+    registry.apply(gone("a", 11), case.source, MonoTime(60_200));
+    let announced = registry.recent_updates();
+    let announced: Vec<u64> = announced.map(|recent| recent.update.revision).collect();
     assert_eq!(announced, case.announced);
 }
 
@@ -305,14 +305,14 @@
 #[test]
 fn a_repeated_removal_is_not_announced_again() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, incarnation(1, 10), 60_000);
+    apply(&mut registry, incarnation(1, 10), 60_000);
     let name = TargetId::from("a");
-    assert!(registry.take_end(&name, 11, MonoTime(60_100)));
+    assert!(registry.apply_removal(&name, 11, MonoTime(60_100)));
     let late = MonoTime(95_000);
     registry.expire(late);
-    assert!(!registry.take_end(&name, 11, late));
-    let kept: Vec<RecentUpdate> = registry.notes().cloned().collect();
-    assert!(EntryBroadcasts::default().pick(&kept, late).is_empty());
+    assert!(!registry.apply_removal(&name, 11, late));
+    let recent: Vec<RecentUpdate> = registry.recent_updates().cloned().collect();
+    assert!(EntryBroadcasts::default().pick(&recent, late).is_empty());
 }
 
 // Guards against a removal that disconnected members of a hub never receive, because the
@@ -320,10 +320,10 @@
 #[test]
 fn a_removal_known_from_a_hub_is_still_announced() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, incarnation(1, 10), 60_000);
-    registry.take(gone("a", 11), EntrySource::Hub, MonoTime(60_050));
-    assert!(registry.take_end(&TargetId::from("a"), 11, MonoTime(60_100)));
-    assert_eq!(registry.notes().count(), 1);
+    apply(&mut registry, incarnation(1, 10), 60_000);
+    registry.apply(gone("a", 11), EntrySource::Hub, MonoTime(60_050));
+    assert!(registry.apply_removal(&TargetId::from("a"), 11, MonoTime(60_100)));
+    assert_eq!(registry.recent_updates().count(), 1);
 }
 
 struct AdditionCase {
@@ -343,7 +343,7 @@
     registry.replace(Vec::new(), EntrySource::Store, MonoTime(60_000));
     registry.note_read_through(case.read_through);
     let added = incarnation(1, case.announced);
-    registry.take(added, EntrySource::Peer, MonoTime(60_100));
+    registry.apply(added, EntrySource::Peer, MonoTime(60_100));
     assert_eq!(left(&registry), case.left);
 }
 
@@ -355,11 +355,11 @@
 // Guards against announcing an entry as added that is no longer present.
 #[rstest]
 #[case::present_now(AnnouncedAdditionCase { change: |_| {}, announced: 1 })]
-#[case::leaving(AnnouncedAdditionCase { change: |registry| take(registry, leaving(1, 11), 60_200), announced: 0 })]
+#[case::leaving(AnnouncedAdditionCase { change: |registry| apply(registry, leaving(1, 11), 60_200), announced: 0 })]
 #[case::departed(AnnouncedAdditionCase {
-    change: |registry| registry.depart(&incarnation_id(1), MonoTime(60_200)), announced: 0,
+    change: |registry| registry.mark_departed(&incarnation_id(1), MonoTime(60_200)), announced: 0,
 })]
-#[case::unreadable(AnnouncedAdditionCase { change: |registry| take(registry, unreadable("a", 11), 60_200), announced: 0 })]
+#[case::unreadable(AnnouncedAdditionCase { change: |registry| apply(registry, unreadable("a", 11), 60_200), announced: 0 })]
 #[case::missing(AnnouncedAdditionCase {
     change: |registry| {
         registry.note_store_failure(MonoTime(60_100), MonoTime(60_100));
@@ -369,10 +369,10 @@
 })]
 fn which_additions_are_announced(#[case] case: AnnouncedAdditionCase) {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, incarnation(1, 10), 60_000);
-    registry.note_begun(&TargetId::from("a"), b"value", MonoTime(60_000));
+    apply(&mut registry, incarnation(1, 10), 60_000);
+    registry.note_added(&TargetId::from("a"), b"value", MonoTime(60_000));
     (case.change)(&mut registry);
-    assert_eq!(registry.notes().count(), case.announced);
+    assert_eq!(registry.recent_updates().count(), case.announced);
 }
 
 struct ScheduleCase {
@@ -391,7 +391,7 @@
 #[case::both_announced_for_long(ScheduleCase { at: 40_000, announced: &[] })]
 fn which_removals_a_message_contains(#[case] case: ScheduleCase) {
     let update_at = |revision: u64, at: u64| RecentUpdate {
-        note: EntryUpdate {
+        update: EntryUpdate {
             name: TargetId::from("a"),
             revision,
             value: None,
@@ -412,7 +412,7 @@
 #[test]
 fn additions_are_spread_over_messages() {
     let added = |number: usize| RecentUpdate {
-        note: EntryUpdate {
+        update: EntryUpdate {
             name: TargetId::from(format!("t{number}")),
             revision: 1 + number as u64,
             value: Some(ByteBuf::from(vec![b' '; 300])),
@@ -429,7 +429,7 @@
             "{} additions in a message",
             message.len()
         );
-        announced.extend(message.iter().map(|note| note.revision));
+        announced.extend(message.iter().map(|update| update.revision));
     }
     assert_eq!(announced.len(), 48);
     announced.sort_unstable();
@@ -442,18 +442,18 @@
 #[test]
 fn a_target_whose_entry_becomes_unreadable_gets_no_work_until_it_writes_again() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, named(record("a"), 10), 1);
-    take(&mut registry, named(record("b"), 11), 1);
-    take(&mut registry, unreadable("a", 12), 2);
+    apply(&mut registry, named(record("a"), 10), 1);
+    apply(&mut registry, named(record("b"), 11), 1);
+    apply(&mut registry, unreadable("a", 12), 2);
     assert_eq!(left(&registry), ["b"]);
-    take(&mut registry, named(record("a"), 13), 3);
+    apply(&mut registry, named(record("a"), 13), 3);
     assert_eq!(left(&registry), ["a", "b"]);
 }
 
 #[test]
 fn an_unreadable_entry_in_a_listing_costs_only_itself() {
     let mut registry = TargetRegistry::default();
-    take(&mut registry, named(record("a"), 10), 1);
+    apply(&mut registry, named(record("a"), 10), 1);
     let listing = vec![named(record("b"), 11), unreadable("odd", 12)];
     registry.replace(listing, EntrySource::Store, MonoTime(2));
     assert_eq!(left(&registry), ["b"]);
@@ -491,7 +491,7 @@
 fn which_records_become_targets(#[case] case: ConfiguredCase) {
     let mut registry = TargetRegistry::default();
     for record in (case.records)() {
-        take(&mut registry, named(record, 1), 1);
+        apply(&mut registry, named(record, 1), 1);
     }
     let routes = vec![route("r", "h", "/")];
     let routes = if case.engines {
@@ -505,8 +505,8 @@
     assert_eq!(left, case.left);
 }
 
-fn take(registry: &mut TargetRegistry, change: EntryChange, at: u64) {
-    registry.take(change, EntrySource::Store, MonoTime(at));
+fn apply(registry: &mut TargetRegistry, change: EntryChange, at: u64) {
+    registry.apply(change, EntrySource::Store, MonoTime(at));
 }
 
 fn named(record: TargetRecord, revision: u64) -> EntryChange {
@@ -533,21 +533,21 @@
     }
 }
 
-fn incarnation_id(born: u64) -> TargetIncarnation {
-    TargetIncarnation::new(TargetId::from("a"), Some(UnixTime(born)))
+fn incarnation_id(started_at: u64) -> TargetIncarnation {
+    TargetIncarnation::new(TargetId::from("a"), Some(UnixTime(started_at)))
 }
 
-fn incarnation(born: u64, revision: u64) -> EntryChange {
+fn incarnation(started_at: u64, revision: u64) -> EntryChange {
     let record = TargetRecord {
-        id: incarnation_id(born),
+        id: incarnation_id(started_at),
         ..record("a")
     };
     named(record, revision)
 }
 
-fn leaving(born: u64, revision: u64) -> EntryChange {
+fn leaving(started_at: u64, revision: u64) -> EntryChange {
     let record = TargetRecord {
-        id: incarnation_id(born),
+        id: incarnation_id(started_at),
         leaving: true,
         ..record("a")
     };
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -58,7 +58,7 @@
         objective_left: Duration::from_millis(500),
     };
     let place = core.place(&order, now).expect("engines that generate");
-    place.writer.id.clone()
+    place.decode_engine.id.clone()
 }
 
 /// Who saw what of an engine.
@@ -95,7 +95,7 @@
     for taken_ms in case.own_ms {
         let timed = TimedWork {
             engine: troubled.clone(),
-            work: EngineWork::ReadHere,
+            work: EngineWork::LocalPrefill,
             tokens: 1_460.0,
         };
         core.note_time(&timed, *taken_ms, now);
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -42,8 +42,8 @@
         running: 12,
         ..TargetWork::default()
     };
-    work.unread[1] = 9_800;
-    work.unread[3] = 15_200;
+    work.pending_prefill[1] = 9_800;
+    work.pending_prefill[3] = 15_200;
     (life, work)
 }
 
