--- a/src/gateway/deciding/engine_model.rs
+++ b/src/gateway/deciding/engine_model.rs
@@ -93,14 +93,14 @@
     /// Returns the latencies for a request, deprioritised or not.
     #[must_use]
     pub fn latencies(&self, service: &ServiceName, deprioritized: bool) -> EngineLatencies {
-        let (ahead, here) = if deprioritized {
+        let (remote_prefill, local_prefill) = if deprioritized {
             (EngineWork::RemotePrefillLate, EngineWork::LocalPrefillLate)
         } else {
             (EngineWork::RemotePrefill, EngineWork::LocalPrefill)
         };
         EngineLatencies {
-            remote_prefill: self.latency(service, ahead),
-            local_prefill: self.latency(service, here),
+            remote_prefill: self.latency(service, remote_prefill),
+            local_prefill: self.latency(service, local_prefill),
             kv_transfer: self.latency(service, EngineWork::KvTransfer),
         }
     }
--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -146,16 +146,16 @@
 
     /// Chooses engines for a request; `None` if no decode engine is available.
     #[must_use]
-    pub fn place(&self, order: &PlacementQuery<'_>, now: MonoTime) -> Option<EnginePlacement> {
-        let engines = self.engine_states(&order.choices, &order.prompt.parts, now);
-        let service = order.choices.service();
+    pub fn place(&self, query: &PlacementQuery<'_>, now: MonoTime) -> Option<EnginePlacement> {
+        let engines = self.engine_states(&query.choices, &query.prompt.parts, now);
+        let service = query.choices.service();
         let choose = |rank, deprioritized| {
             let latencies = self.engines.latencies(&service, deprioritized);
             let place = engine_choice::choose_engines(
                 &self.weights,
                 &latencies,
                 &engines,
-                order.prompt,
+                query.prompt,
                 rank,
             )?;
             Some(EnginePlacement {
@@ -163,15 +163,15 @@
                 ..place
             })
         };
-        let on_time = choose(order.urgency, false)?;
+        let on_time = choose(query.urgency, false)?;
         // A request that misses its objective by waiting is queued behind those that can
         // still meet theirs. One that misses it by its own prefill time is not: the
         // longest prompts would never be served.
         let waiting_ms = on_time.expected_ms - on_time.own_prefill_ms;
-        if waiting_ms <= order.objective_left.as_secs_f64() * 1_000.0 {
+        if waiting_ms <= query.objective_left.as_secs_f64() * 1_000.0 {
             return Some(on_time);
         }
-        choose(order.urgency.saturating_add(LATE_RANKS).min(9), true)
+        choose(query.urgency.saturating_add(LATE_RANKS).min(9), true)
     }
 
     /// Chooses another prefill engine in place of the one chosen before.
@@ -216,13 +216,13 @@
         mut draw: impl FnMut() -> f64,
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
-        let scored = targets.map(|target| {
+        let costs = targets.map(|target| {
             let health = self.health.view(&target.id, now);
             let running = self.load.total(&target.id).running;
             let cost = plain_cost(running, target.slots, health) + draw() * TIE_RANGE;
             (cost, target)
         });
-        let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
+        let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         best.map(|(_, target)| target.clone())
     }
 
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -36,25 +36,25 @@
 #[must_use]
 pub fn prefill_engine_count(engines: usize, share: f64) -> usize {
     let max = engines.saturating_sub(MIN_DECODE_ENGINES);
-    let wanted = (share * engines as f64).round() as usize;
+    let desired = (share * engines as f64).round() as usize;
     let min = usize::from(max > 0);
-    wanted.clamp(min, max)
+    desired.clamp(min, max)
 }
 
 /// Returns up to `at_once` changes that bring the number of prefill engines among
-/// `engines` to `wanted`: the least busy engines first, spread over data centres.
+/// `engines` to `desired`: the least busy engines first, spread over data centres.
 #[must_use]
 pub fn plan_changes(
     engines: &[Arc<TargetRecord>],
     running: impl Fn(&TargetIncarnation) -> u32,
-    wanted: usize,
+    desired: usize,
     at_once: usize,
 ) -> Vec<StageChangePlan> {
     let prefill_engines = engines.iter().filter(|e| is_prefill_engine(e)).count();
-    let (stage, count) = if prefill_engines < wanted {
-        (EngineStage::Prefill, wanted - prefill_engines)
+    let (stage, count) = if prefill_engines < desired {
+        (EngineStage::Prefill, desired - prefill_engines)
     } else {
-        (EngineStage::Decode, prefill_engines - wanted)
+        (EngineStage::Decode, prefill_engines - desired)
     };
     let mut candidates: Vec<&Arc<TargetRecord>> =
         engines.iter().filter(|e| e.stage != Some(stage)).collect();
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -461,7 +461,7 @@
     };
     log::info!(
         target_id = record.id.as_str(),
-        born = record.id.started_at().map_or(0, |born| born.0),
+        born = record.id.started_at().map_or(0, |at| at.0),
         address = record.address.to_string(),
         service = record.service.as_str(),
         stage = record.stage.map_or("", |stage| stage.as_str()),
--- a/tests/deciding_load.rs
+++ b/tests/deciding_load.rs
@@ -23,7 +23,7 @@
     let plan = |hint_ms| SimulationPlan {
         daemons: 7,
         hint_ms,
-        readers: vec![
+        prefill_engines: vec![
             SimulatedEngine {
                 fixed_ms: 10.0,
                 rate: 300.0,
--- a/tests/deciding_times.rs
+++ b/tests/deciding_times.rs
@@ -134,14 +134,19 @@
 }
 
 impl CoreFixture {
-    fn new(readers: usize, writers: usize) -> Self {
-        let readers = (0..readers).map(|n| engine(&format!("p{n}"), EngineStage::Prefill));
-        let writers = (0..writers).map(|n| engine(&format!("d{n}"), EngineStage::Decode));
+    fn new(prefill_engines: usize, decode_engines: usize) -> Self {
+        let prefill_engines =
+            (0..prefill_engines).map(|n| engine(&format!("p{n}"), EngineStage::Prefill));
+        let decode_engines =
+            (0..decode_engines).map(|n| engine(&format!("d{n}"), EngineStage::Decode));
         let mut core = DecisionCore::new(PlacementWeights::default());
         core.caches.set_capacity(800_000);
         Self {
             core,
-            engines: readers.chain(writers).map(Arc::new).collect(),
+            engines: prefill_engines
+                .chain(decode_engines)
+                .map(Arc::new)
+                .collect(),
         }
     }
 
@@ -155,7 +160,7 @@
                 tokens: own,
             }],
         };
-        let order = PlacementQuery {
+        let query = PlacementQuery {
             choices: EngineCandidates {
                 engines: &self.engines,
                 changing: &[],
@@ -166,7 +171,7 @@
             objective_left: Duration::from_millis(objective_ms),
         };
         self.core
-            .place(&order, MonoTime(1_000))
+            .place(&query, MonoTime(1_000))
             .expect("a placement")
     }
 
--- a/tests/deciding_world/mod.rs
+++ b/tests/deciding_world/mod.rs
@@ -37,7 +37,7 @@
     /// Interval between hints, in milliseconds.
     pub hint_ms: f64,
     /// Prefill engines.
-    pub readers: Vec<SimulatedEngine>,
+    pub prefill_engines: Vec<SimulatedEngine>,
     /// Requests per second.
     pub requests_per_second: f64,
     /// Minimum and maximum tokens of a prompt.
@@ -105,8 +105,9 @@
 
 impl Simulation {
     fn new(plan: SimulationPlan) -> Self {
-        let readers = (0..plan.readers.len()).map(|n| engine(n, "p", EngineStage::Prefill));
-        let writers = (0..3).map(|n| engine(n, "d", EngineStage::Decode));
+        let prefill_engines =
+            (0..plan.prefill_engines.len()).map(|n| engine(n, "p", EngineStage::Prefill));
+        let decode_engines = (0..3).map(|n| engine(n, "d", EngineStage::Decode));
         let mut core = DecisionCore::new(PlacementWeights::default());
         core.caches.set_capacity(800_000);
         // Only prefill engines are under test: prefills on decode engines are expensive.
@@ -118,7 +119,10 @@
         });
         Self {
             cores: cores.collect(),
-            engines: readers.chain(writers).map(Arc::new).collect(),
+            engines: prefill_engines
+                .chain(decode_engines)
+                .map(Arc::new)
+                .collect(),
             free_at: IndexMap::new(),
             prefills: Vec::new(),
             tally: SimulationTally::default(),
@@ -130,7 +134,7 @@
     fn arrive(&mut self, daemon: usize, tokens: u32, now: f64) {
         self.last_key += 1;
         let prompt = prompt(self.last_key, tokens);
-        let order = PlacementQuery {
+        let query = PlacementQuery {
             choices: EngineCandidates {
                 engines: &self.engines,
                 changing: &[],
@@ -141,14 +145,14 @@
             objective_left: Duration::from_millis(self.plan.objective_ms),
         };
         let place = self.cores[daemon]
-            .place(&order, at(now))
+            .place(&query, at(now))
             .expect("a placement");
         self.tally.requests += 1;
         let Some(prefill_engine) = place.prefill_engine.clone() else {
             return;
         };
         let number: usize = prefill_engine.id.as_str()[1..].parse().expect("a number");
-        let simulated = self.plan.readers[number];
+        let simulated = self.plan.prefill_engines[number];
         let load = &mut self.cores[daemon].load;
         load.begin(&prefill_engine.id, place.rank, place.pending_prefill_tokens);
         let unresponsive = simulated
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -78,28 +78,28 @@
 #[test]
 fn a_silent_target_is_avoided_until_it_answers() {
     let target = TargetIncarnation::from("a");
-    let mut book = HealthTracker::default();
-    let first = book.note(&target, SendResult::Silent, MonoTime(0));
+    let mut tracker = HealthTracker::default();
+    let first = tracker.note(&target, SendResult::Silent, MonoTime(0));
     assert_eq!(first, None);
-    assert!(!book.view(&target, MonoTime(1)).avoided);
-    let second = book.note(&target, SendResult::Silent, MonoTime(10));
+    assert!(!tracker.view(&target, MonoTime(1)).avoided);
+    let second = tracker.note(&target, SendResult::Silent, MonoTime(10));
     assert_eq!(second, Some(HealthChange::Avoided));
-    assert!(book.view(&target, MonoTime(500)).avoided);
-    let later = book.view(&target, MonoTime(1_100));
+    assert!(tracker.view(&target, MonoTime(500)).avoided);
+    let later = tracker.view(&target, MonoTime(1_100));
     assert!(!later.avoided && later.unverified);
-    let answered = book.note(&target, SendResult::Answered, MonoTime(1_200));
+    let answered = tracker.note(&target, SendResult::Answered, MonoTime(1_200));
     assert_eq!(answered, Some(HealthChange::Recovered));
-    assert!(!book.view(&target, MonoTime(1_201)).unverified);
+    assert!(!tracker.view(&target, MonoTime(1_201)).unverified);
 }
 
 #[test]
 fn failed_answers_raise_the_failure_rate_without_avoidance() {
     let target = TargetIncarnation::from("a");
-    let mut book = HealthTracker::default();
+    let mut tracker = HealthTracker::default();
     (0..20).for_each(|at| {
-        book.note(&target, SendResult::Failed, MonoTime(at));
+        tracker.note(&target, SendResult::Failed, MonoTime(at));
     });
-    let view = book.view(&target, MonoTime(30));
+    let view = tracker.view(&target, MonoTime(30));
     assert!(!view.avoided);
     assert!(view.failure_rate > 0.8);
 }
@@ -107,19 +107,19 @@
 #[test]
 fn work_of_silent_peers_expires() {
     let target = TargetIncarnation::from("a");
-    let mut own = LoadTracker::default();
+    let mut local = LoadTracker::default();
     let mut other = LoadTracker::default();
     other.begin(&target, 2, 500);
-    own.begin(&target, 0, 100);
-    own.set_peer_work(DaemonId::from("b"), other.local().clone(), MonoTime(0));
-    assert_eq!(own.total(&target).running, 2);
-    assert_eq!(own.total(&target).prefill_tokens_before(0), 100);
-    assert_eq!(own.total(&target).prefill_tokens_before(2), 600);
-    own.expire(MonoTime(2_000));
-    assert_eq!(own.total(&target).running, 1);
-    own.end(&target, 0, 100);
-    assert_eq!(own.total(&target).running, 0);
-    assert_eq!(own.total(&target).prefill_tokens_before(9), 0);
+    local.begin(&target, 0, 100);
+    local.set_peer_work(DaemonId::from("b"), other.local().clone(), MonoTime(0));
+    assert_eq!(local.total(&target).running, 2);
+    assert_eq!(local.total(&target).prefill_tokens_before(0), 100);
+    assert_eq!(local.total(&target).prefill_tokens_before(2), 600);
+    local.expire(MonoTime(2_000));
+    assert_eq!(local.total(&target).running, 1);
+    local.end(&target, 0, 100);
+    assert_eq!(local.total(&target).running, 0);
+    assert_eq!(local.total(&target).prefill_tokens_before(9), 0);
 }
 
 fn part(name: &str, tokens: u32) -> PromptPart {
@@ -143,25 +143,25 @@
 #[case::first_part_not_cached(CacheCase { cached_parts: &[("y", 50)], ready: true, cached: 0, copyable: 0 })]
 fn only_leading_parts_count(#[case] case: CacheCase) {
     let engine = TargetIncarnation::from("e");
-    let mut book = CacheIndex::default();
-    book.set_capacity(10_000);
+    let mut index = CacheIndex::default();
+    index.set_capacity(10_000);
     let cached_parts: Vec<_> = case
         .cached_parts
         .iter()
         .map(|(name, tokens)| part(name, *tokens))
         .collect();
     if case.ready {
-        book.note_cached(&engine, &cached_parts, MonoTime(5));
+        index.note_cached(&engine, &cached_parts, MonoTime(5));
     } else {
-        book.note_prefilling(&engine, &cached_parts, MonoTime(5));
+        index.note_prefilling(&engine, &cached_parts, MonoTime(5));
     }
     let prompt = [part("x", 100), part("y", 50), part("own", 30)];
     assert_eq!(
-        book.cached_tokens(&engine, &prompt, MonoTime(10)),
+        index.cached_tokens(&engine, &prompt, MonoTime(10)),
         case.cached
     );
     assert_eq!(
-        book.copyable_tokens(&engine, &prompt, MonoTime(10)),
+        index.copyable_tokens(&engine, &prompt, MonoTime(10)),
         case.copyable
     );
 }
@@ -169,18 +169,18 @@
 #[test]
 fn the_least_recently_used_part_is_evicted_first() {
     let engine = TargetIncarnation::from("e");
-    let mut book = CacheIndex::default();
-    book.set_capacity(250);
-    book.note_cached(&engine, &[part("x", 100)], MonoTime(1));
-    book.note_cached(&engine, &[part("y", 100)], MonoTime(2));
-    book.note_cached(&engine, &[part("x", 100)], MonoTime(3));
-    book.note_cached(&engine, &[part("z", 100)], MonoTime(4));
+    let mut index = CacheIndex::default();
+    index.set_capacity(250);
+    index.note_cached(&engine, &[part("x", 100)], MonoTime(1));
+    index.note_cached(&engine, &[part("y", 100)], MonoTime(2));
+    index.note_cached(&engine, &[part("x", 100)], MonoTime(3));
+    index.note_cached(&engine, &[part("z", 100)], MonoTime(4));
     assert_eq!(
-        book.cached_tokens(&engine, &[part("x", 100)], MonoTime(5)),
+        index.cached_tokens(&engine, &[part("x", 100)], MonoTime(5)),
         100
     );
     assert_eq!(
-        book.cached_tokens(&engine, &[part("y", 100)], MonoTime(5)),
+        index.cached_tokens(&engine, &[part("y", 100)], MonoTime(5)),
         0
     );
 }
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -47,10 +47,10 @@
     HealthTracker::default().view(&TargetIncarnation::from("new"), MonoTime(0))
 }
 
-fn work(running: u32, unread: u32) -> TargetWork {
+fn work(running: u32, pending: u32) -> TargetWork {
     let target = TargetIncarnation::from("t");
     let mut load = LoadTracker::default();
-    load.begin(&target, 1, unread);
+    load.begin(&target, 1, pending);
     (1..running).for_each(|_| load.begin(&target, 1, 0));
     load.total(&target)
 }
@@ -85,7 +85,7 @@
         state("p", EngineStage::Prefill),
         state("d", EngineStage::Decode),
     ];
-    let place = choose_engines(
+    let placement = choose_engines(
         &PlacementWeights::default(),
         &latencies(),
         &engines,
@@ -94,10 +94,14 @@
     )
     .expect("a placement");
     assert_eq!(
-        place.prefill_engine.expect("a prefill engine").id.as_str(),
+        placement
+            .prefill_engine
+            .expect("a prefill engine")
+            .id
+            .as_str(),
         "p"
     );
-    assert_eq!(place.decode_engine.id.as_str(), "d");
+    assert_eq!(placement.decode_engine.id.as_str(), "d");
 }
 
 #[test]
@@ -107,7 +111,7 @@
         caching(state("d1", EngineStage::Decode), 13_000),
         state("d2", EngineStage::Decode),
     ];
-    let place = choose_engines(
+    let placement = choose_engines(
         &PlacementWeights::default(),
         &latencies(),
         &engines,
@@ -115,9 +119,9 @@
         1,
     )
     .expect("a placement");
-    assert!(place.prefill_engine.is_none());
-    assert_eq!(place.decode_engine.id.as_str(), "d1");
-    assert_eq!(place.pending_prefill_tokens, 100);
+    assert!(placement.prefill_engine.is_none());
+    assert_eq!(placement.decode_engine.id.as_str(), "d1");
+    assert_eq!(placement.pending_prefill_tokens, 100);
 }
 
 // Recomputing a shared part takes an engine hundreds of milliseconds and evicts other
@@ -131,7 +135,7 @@
         source,
         state("d2", EngineStage::Decode),
     ];
-    let place = choose_engines(
+    let placement = choose_engines(
         &PlacementWeights::default(),
         &latencies(),
         &engines,
@@ -139,9 +143,9 @@
         1,
     )
     .expect("a placement");
-    assert_eq!(place.fetch_from.expect("a source").id.as_str(), "d1");
-    assert_eq!(place.pending_prefill_tokens, 3_000);
-    assert_eq!(place.recomputed_tokens, 0);
+    assert_eq!(placement.fetch_from.expect("a source").id.as_str(), "d1");
+    assert_eq!(placement.pending_prefill_tokens, 3_000);
+    assert_eq!(placement.recomputed_tokens, 0);
 }
 
 #[test]
@@ -154,7 +158,7 @@
         state("p2", EngineStage::Prefill),
         state("d", EngineStage::Decode),
     ];
-    let place = choose_engines(
+    let placement = choose_engines(
         &PlacementWeights::default(),
         &latencies(),
         &engines,
@@ -163,10 +167,14 @@
     )
     .expect("a placement");
     assert_eq!(
-        place.prefill_engine.expect("a prefill engine").id.as_str(),
+        placement
+            .prefill_engine
+            .expect("a prefill engine")
+            .id
+            .as_str(),
         "p1"
     );
-    assert!(place.fetch_from.is_none());
+    assert!(placement.fetch_from.is_none());
 }
 
 struct DecodeCase {
@@ -197,14 +205,14 @@
     decode_engine: Some("d1"),
 })]
 fn which_engine_generates(#[case] case: DecodeCase) {
-    let place = choose_engines(
+    let placement = choose_engines(
         &PlacementWeights::default(),
         &latencies(),
         &(case.engines)(),
         &prompt(0, 500),
         1,
     );
-    let decode_engine = place.map(|place| place.decode_engine.id.to_string());
+    let decode_engine = placement.map(|placement| placement.decode_engine.id.to_string());
     assert_eq!(decode_engine.as_deref(), case.decode_engine);
 }
 
@@ -232,7 +240,7 @@
     let mut prefill_engine = state("p", EngineStage::Prefill);
     prefill_engine.work = work(1, 42_000);
     let engines = [prefill_engine, state("d", EngineStage::Decode)];
-    let place = choose_engines(
+    let placement = choose_engines(
         &PlacementWeights::default(),
         &latencies(),
         &engines,
@@ -240,14 +248,22 @@
         1,
     )
     .expect("a placement");
-    assert!(place.own_prefill_ms > 900.0, "{}", place.own_prefill_ms);
-    assert!(place.expected_ms > place.own_prefill_ms);
+    assert!(
+        placement.own_prefill_ms > 900.0,
+        "{}",
+        placement.own_prefill_ms
+    );
+    assert!(placement.expected_ms > placement.own_prefill_ms);
 }
 
-fn fleet(readers: usize, writers: usize) -> Vec<Arc<TargetRecord>> {
-    let readers = (0..readers).map(|n| engine(&format!("p{n}"), EngineStage::Prefill));
-    let writers = (0..writers).map(|n| engine(&format!("d{n}"), EngineStage::Decode));
-    readers.chain(writers).map(Arc::new).collect()
+fn fleet(prefill_engines: usize, decode_engines: usize) -> Vec<Arc<TargetRecord>> {
+    let prefill_engines =
+        (0..prefill_engines).map(|n| engine(&format!("p{n}"), EngineStage::Prefill));
+    let decode_engines = (0..decode_engines).map(|n| engine(&format!("d{n}"), EngineStage::Decode));
+    prefill_engines
+        .chain(decode_engines)
+        .map(Arc::new)
+        .collect()
 }
 
 // At least two decode engines are kept: they can also prefill, while a prefill engine
@@ -260,22 +276,22 @@
 #[case::twelve(12, 0.42, 5)]
 #[case::no_share(12, 0.0, 1)]
 #[case::whole_share(12, 1.0, 10)]
-fn number_of_prefill_engines(#[case] engines: usize, #[case] share: f64, #[case] wanted: usize) {
-    assert_eq!(prefill_engine_count(engines, share), wanted);
+fn number_of_prefill_engines(#[case] engines: usize, #[case] share: f64, #[case] expected: usize) {
+    assert_eq!(prefill_engine_count(engines, share), expected);
 }
 
 #[test]
 fn changes_are_limited_and_prefer_idle_engines() {
     let engines = fleet(2, 6);
     let running = |id: &TargetIncarnation| if id.as_str() == "d0" { 9 } else { 0 };
-    let wanted = plan_changes(&engines, running, 5, 2);
-    let ids: Vec<&str> = wanted
+    let changes = plan_changes(&engines, running, 5, 2);
+    let ids: Vec<&str> = changes
         .iter()
         .map(|change| change.engine.id.as_str())
         .collect();
     assert_eq!(ids, ["d1", "d2"]);
     assert!(
-        wanted
+        changes
             .iter()
             .all(|change| change.stage == EngineStage::Prefill)
     );
