--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,18 +1,19 @@
-//! Which addresses callers are told to use.
+//! Chooses the daemon addresses that callers receive from the directory.
 
 use std::net::SocketAddr;
 
 use crate::gateway::members::DaemonRecord;
 use crate::names::{CentreName, DaemonId};
 
-/// Most addresses in an answer; callers count no more.
+/// Most addresses in a response; callers ignore any beyond these.
 pub const MAX_ADDRESSES: usize = 64;
-/// Fewest daemons of the caller's data centre that are worth naming alone.
-const FEWEST_NEAR: usize = 2;
+/// Fewest daemons of the caller's data centre for which others are left out.
+const MIN_LOCAL_DAEMONS: usize = 2;
 
-/// Chooses addresses for a caller in `centre`: the daemons there, or all where
-/// these are too few for one to fail. Daemons that leave or for which `usable`
-/// is false are left out; so are those that refuse keys while others do not.
+/// Returns the addresses for a caller in `centre`: those of the daemons there, or of all
+/// daemons where there are too few to survive the failure of one. Leaves out daemons that
+/// are leaving or not `usable`, and those that cannot confirm workspace keys while others
+/// can.
 #[must_use]
 pub fn addresses_for(
     daemons: &[DaemonRecord],
@@ -21,19 +22,19 @@
     confirms_keys: impl Fn(&DaemonId) -> bool,
 ) -> Vec<SocketAddr> {
     let staying = daemons.iter().filter(|daemon| !daemon.leaving);
-    let mut good: Vec<&DaemonRecord> = staying.filter(|d| usable(&d.id)).collect();
-    if good.iter().any(|daemon| confirms_keys(&daemon.id)) {
-        good.retain(|daemon| confirms_keys(&daemon.id));
+    let mut eligible: Vec<&DaemonRecord> = staying.filter(|d| usable(&d.id)).collect();
+    if eligible.iter().any(|daemon| confirms_keys(&daemon.id)) {
+        eligible.retain(|daemon| confirms_keys(&daemon.id));
     }
-    let near: Vec<&DaemonRecord> = good
+    let local: Vec<&DaemonRecord> = eligible
         .iter()
         .copied()
         .filter(|daemon| daemon.centre == *centre)
         .collect();
-    let chosen = if near.len() >= FEWEST_NEAR {
-        near
+    let chosen = if local.len() >= MIN_LOCAL_DAEMONS {
+        local
     } else {
-        good
+        eligible
     };
     let addresses = chosen.into_iter().map(|daemon| daemon.callers);
     addresses.take(MAX_ADDRESSES).collect()
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -1,4 +1,4 @@
-//! Generation on model engines: where the prompt is read, where tokens are made.
+//! Generation on model engines: placement of the prefill and decode phases.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::gateway::deciding::engine_model::EngineWork;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::deciding::{EngineCandidates, PlacementQuery, TimedWork};
-use crate::gateway::forward::lost;
+use crate::gateway::forward::lost_answer;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::port::{SendMode, SendOrder};
 use crate::gateway::reading::CacheHandleGuard;
@@ -23,106 +23,111 @@
 use crate::gateway::stream::{EventRelay, FirstEventTimer};
 use crate::target_incarnation::TargetIncarnation;
 
-/// Time to come back after a refusal by an engine.
-pub(super) const ENGINE_BUSY_WAIT: Duration = Duration::from_millis(200);
-/// Largest failure of an engine that is passed on, in bytes.
-const MOST_FAILURE_BYTES: usize = 1 << 20;
-/// Shortest time after which callers give up a stream without a first event, as the
-/// users state it; so are the two below.
-const SHORTEST_PATIENCE: Duration = Duration::from_secs(2);
-const PATIENCE_OBJECTIVES: u32 = 4;
-const PATIENCE_GAPS: u32 = 8;
-/// Part of that time which a request may spend waiting for others. Its own reading
-/// is not counted, or the largest prompts would be refused first.
-const LATE_SHARE: f64 = 0.7;
-/// Time to come back after a refusal for overload.
-const OVERLOAD_WAIT: Duration = Duration::from_millis(900);
+/// Retry time after a refusal by an engine.
+pub(super) const ENGINE_BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Largest failure answer of an engine that is forwarded, in bytes.
+const MAX_FAILURE_BYTES: usize = 1 << 20;
+/// Callers abandon a stream without a first event after the longest of this time and the
+/// two multiples below; users of the service state all three values.
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// In latency objectives of the route.
+const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
+/// In gap objectives of the route.
+const CALLER_TIMEOUT_GAPS: u32 = 8;
+/// Share of the caller's time-out that a request may wait for other requests. Its own
+/// prefill time is not counted; otherwise the largest prompts would be refused first.
+const MAX_QUEUE_SHARE: f64 = 0.7;
+/// Retry time after a refusal because of overload.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(900);
 
 impl Gateway {
-    /// Runs a generation request up to the head of its answer.
+    /// Runs a generation request until the head of its answer.
     ///
     /// # Errors
     ///
-    /// Returns the failure that the caller is told.
+    /// Returns the failure to report to the caller.
     pub async fn generate(self: Rc<Self>, call: Rc<RoutedRequest>) -> Result<Reply, Failure> {
-        let mut trail = SendHistory::default();
-        let started = self.generate_along(&call, &mut trail).await;
+        let mut history = SendHistory::default();
+        let started = self.generate_with_history(&call, &mut history).await;
         started.map_err(|failure| match failure.retry_after {
-            Some(_) if trail.may_have_run => lost(&call, failure.reason),
+            Some(_) if history.may_have_run => lost_answer(&call, failure.reason),
             _ => failure,
         })
     }
 
-    async fn generate_along(
+    async fn generate_with_history(
         self: &Rc<Self>,
         call: &Rc<RoutedRequest>,
-        trail: &mut SendHistory,
+        history: &mut SendHistory,
     ) -> Result<Reply, Failure> {
-        let mut last = Failure::refused("no engine is known", ENGINE_BUSY_WAIT);
-        while let Some(place) = self.place_request(call, trail).await {
+        let mut last = Failure::refused(
+            "no engine of the service is available; retry later",
+            ENGINE_BUSY_RETRY_AFTER,
+        );
+        while let Some(place) = self.place_request(call, history).await {
             self.recheck_access(&call.access)?;
             self.check_quarantine(call)?;
-            if let Some(refusal) = too_late(call, &place) {
+            if let Some(refusal) = overload_refusal(call, &place) {
                 return Err(refusal);
             }
-            self.note_placed(call, &place);
-            let handle = self.read_ahead(call, &place, trail).await?;
-            let place = self.with_writer(call, place, handle.is_some(), trail);
-            match self.start(call, &place, handle, trail).await {
+            self.record_placement(call, &place);
+            let handle = self.prefill_remotely(call, &place, history).await?;
+            let place = self.reselect_decode_engine(call, place, handle.is_some(), history);
+            match self.start(call, &place, handle, history).await {
                 Started::Reply(reply) => return Ok(reply),
-                Started::Again(failure) => last = failure,
-                Started::Ended(failure) => return Err(failure),
+                Started::Retry(failure) => last = failure,
+                Started::Failed(failure) => return Err(failure),
             }
         }
         Err(last)
     }
 
-    fn with_writer(
+    fn reselect_decode_engine(
         &self,
         call: &RoutedRequest,
         mut place: EnginePlacement,
-        was_read: bool,
-        trail: &SendHistory,
+        was_prefilled: bool,
+        history: &SendHistory,
     ) -> EnginePlacement {
-        if place.prefill_engine.is_none() || !was_read {
+        if place.prefill_engine.is_none() || !was_prefilled {
             return place;
         }
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
-        let writer = self.with_choices(call, trail, |choices| {
+        let decode_engine = self.with_choices(call, history, |choices| {
             let core = self.core.borrow();
             core.choose_decode_engine(&choices, &prompt, urgency, clock::mono_now())
         });
-        place.decode_engine = writer.unwrap_or(place.decode_engine);
+        place.decode_engine = decode_engine.unwrap_or(place.decode_engine);
         place
     }
 
-    fn note_placed(&self, call: &RoutedRequest, place: &EnginePlacement) {
+    fn record_placement(&self, call: &RoutedRequest, place: &EnginePlacement) {
         let now = clock::mono_now();
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
         core.work.note(place.pending_prefill_tokens, written, now);
-        let reader = place
+        let prefill_engine = place
             .prefill_engine
             .as_ref()
             .unwrap_or(&place.decode_engine);
         if let Some(prompt) = &call.caller.prompt {
-            core.note_parts(&reader.id, &prompt.parts, false, now);
+            core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
             let mut peers = self.peers.borrow_mut();
-            peers.note_cached(&reader.id, &prompt.parts, false);
+            peers.note_cached(&prefill_engine.id, &prompt.parts, false);
         }
         let load = &core.load;
         let prompt = call.caller.prompt.as_ref();
         log::info!(
             request = call.caller.id.as_str(),
             route = call.route.name.as_str(),
-            reader = reader.id.as_str(),
+            reader = prefill_engine.id.as_str(),
             writer = place.decode_engine.id.as_str(),
             hand_over = place.prefill_engine.is_some(),
             prompt_tokens = prompt.map_or(0, |p| p.prompt_tokens),
             unread_tokens = place.pending_prefill_tokens,
             reread_tokens = place.recomputed_tokens,
             rank = place.rank,
-            waiting_tokens = load.total(&reader.id).prefill_tokens_before(place.rank),
+            waiting_tokens = load.total(&prefill_engine.id).prefill_tokens_before(place.rank),
             fetch_from = place.fetch_from.as_ref().map_or("", |holder| holder.id.as_str()),
             running = load.total(&place.decode_engine.id).running,
             others_known = load.peer_count(),
@@ -136,83 +141,97 @@
         call: &Rc<RoutedRequest>,
         place: &EnginePlacement,
         mut handle: Option<CacheHandleGuard>,
-        trail: &mut SendHistory,
+        history: &mut SendHistory,
     ) -> Started {
-        let writer = &place.decode_engine;
-        let unread = match handle {
+        let decode_engine = &place.decode_engine;
+        let pending_tokens = match handle {
             Some(_) => 0,
             None => place.pending_prefill_tokens,
         };
-        let mut work = InFlightGuard::begin(self, &writer.id, place.rank, unread);
-        let mut timed = self.timed_start(place, handle.is_some());
+        let mut in_flight =
+            InFlightGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
+        let mut timed = self.timed_work(place, handle.is_some());
         let fetch_from = place.fetch_from.as_deref().filter(|_| handle.is_none());
         let sent = Instant::now();
         let mode = handle
             .as_ref()
             .map_or(SendMode::Run, CacheHandleGuard::mode);
         let mut outcome = self
-            .send_writer(call, writer, mode, fetch_from, place.rank, sent)
+            .send_run(call, decode_engine, mode, fetch_from, place.rank, sent)
             .await;
         if handle.is_some() && matches!(outcome, SendOutcome::Refused(_)) {
-            // The memory could not be had. The same engine can still read by itself,
-            // which is no further target.
+            // The decode engine could not import the KV cache. It can still prefill the
+            // prompt itself, which does not count as another target.
             if let Some(handle) = &mut handle {
                 handle.forget();
             }
             if self.may_retry(call) {
                 timed = None;
-                let fetch_from = Some(place.prefill_engine.as_deref().unwrap_or(writer));
+                let fetch_from = Some(place.prefill_engine.as_deref().unwrap_or(decode_engine));
                 outcome = self
-                    .send_writer(call, writer, SendMode::Run, fetch_from, place.rank, sent)
+                    .send_run(
+                        call,
+                        decode_engine,
+                        SendMode::Run,
+                        fetch_from,
+                        place.rank,
+                        sent,
+                    )
                     .await;
             }
         }
         let failure = match outcome {
             SendOutcome::Answered(answer) => {
-                trail.sent.push(writer.id.clone());
+                history.sent.push(decode_engine.id.clone());
                 if let Some(handle) = &mut handle {
                     handle.forget();
                 }
                 if !answer.head.status.is_success() {
-                    return self.fail_with(call, writer, *answer).await;
+                    return self.pass_on_failure(call, decode_engine, *answer).await;
                 }
-                self.note_cached(call, writer);
-                work.note_read();
-                let watch = FirstEventTimer { sent, timed };
-                let relay = self.relay(call, place, *answer, trail.clone(), (work, watch));
+                self.note_cached(call, decode_engine);
+                in_flight.note_prefilled();
+                let first_event_timer = FirstEventTimer { sent, timed };
+                let relay = self.relay(
+                    call,
+                    place,
+                    *answer,
+                    history.clone(),
+                    (in_flight, first_event_timer),
+                );
                 return Started::Reply(relay);
             }
             SendOutcome::NotSent(reason) => {
-                trail.unreached.push(writer.id.clone());
-                return Started::Again(Failure::refused(reason, ENGINE_BUSY_WAIT));
+                history.unreached.push(decode_engine.id.clone());
+                return Started::Retry(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
             }
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                trail.unreached.push(writer.id.clone());
-                let reason = "the engine left its address or does other work now";
-                let failure = Failure::refused(reason, ENGINE_BUSY_WAIT);
-                // The next send is a repeat, as this one arrived somewhere.
+                history.unreached.push(decode_engine.id.clone());
+                let reason = "the engine left its address or changed its stage; retry later";
+                let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
+                // This send arrived at a target, so the next one is a retry.
                 return if self.may_retry(call) {
-                    Started::Again(failure)
+                    Started::Retry(failure)
                 } else {
-                    Started::Ended(failure)
+                    Started::Failed(failure)
                 };
             }
-            SendOutcome::Refused(reason) => Failure::refused(reason, ENGINE_BUSY_WAIT),
+            SendOutcome::Refused(reason) => Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER),
             SendOutcome::Unclear(reason) => {
-                trail.may_have_run = true;
-                lost(call, reason)
+                history.may_have_run = true;
+                lost_answer(call, reason)
             }
         };
-        trail.sent.push(writer.id.clone());
+        history.sent.push(decode_engine.id.clone());
         let refused = failure.retry_after.is_some();
-        let repeats = refused || call.route.retry.may_retry();
-        if repeats && trail.may_send(call) && self.may_retry(call) {
-            return Started::Again(failure);
+        let can_retry = refused || call.route.retry.may_retry();
+        if can_retry && history.may_send(call) && self.may_retry(call) {
+            return Started::Retry(failure);
         }
-        Started::Ended(failure)
+        Started::Failed(failure)
     }
 
-    /// Notes the time of work at an engine.
+    /// Records how long work at an engine took.
     pub fn note_time(&self, timed: &TimedWork, taken: Duration) {
         let taken_ms = taken.as_secs_f64() * 1_000.0;
         let mut core = self.core.borrow_mut();
@@ -221,30 +240,30 @@
             .record(ratio);
     }
 
-    // Other work that a writer takes up between the choice and the send is not in the
-    // size, as it would not be for the next choice.
-    fn timed_start(&self, place: &EnginePlacement, was_read: bool) -> Option<TimedWork> {
-        let writer = &place.decode_engine;
-        if !was_read {
+    // The size leaves out other work that the decode engine starts between placement and
+    // send, since the next placement will not know such work either.
+    fn timed_work(&self, place: &EnginePlacement, was_prefilled: bool) -> Option<TimedWork> {
+        let decode_engine = &place.decode_engine;
+        if !was_prefilled {
             let chosen = place.prefill_engine.is_none();
-            return chosen.then(|| place.timed_prefill(writer));
+            return chosen.then(|| place.timed_prefill(decode_engine));
         }
         let core = self.core.borrow();
         let waiting = core
             .load
-            .total(&writer.id)
+            .total(&decode_engine.id)
             .prefill_tokens_before(place.rank);
         Some(TimedWork {
-            engine: writer.clone(),
+            engine: decode_engine.clone(),
             work: EngineWork::KvTransfer,
             tokens: f64::from(waiting),
         })
     }
 
-    async fn send_writer(
+    async fn send_run(
         &self,
         call: &RoutedRequest,
-        writer: &TargetRecord,
+        decode_engine: &TargetRecord,
         mode: SendMode,
         fetch_from: Option<&TargetRecord>,
         rank: u8,
@@ -255,13 +274,15 @@
             _ => "run",
         };
         let resume_after = call.caller.resume_after;
-        let order = self.order(call, writer, mode, resume_after, fetch_from, rank);
-        let outcome = self.send(writer, call.plan(call.due), &order).await;
-        call.log_send(writer, step, outcome.as_str(), sent);
+        let order = self.order(call, decode_engine, mode, resume_after, fetch_from, rank);
+        let outcome = self
+            .send(decode_engine, call.plan(call.deadline), &order)
+            .await;
+        call.log_send(decode_engine, step, outcome.as_str(), sent);
         outcome
     }
 
-    /// Makes the order of a send to an engine.
+    /// Returns the parameters of a send to an engine.
     #[must_use]
     pub fn order(
         &self,
@@ -288,8 +309,8 @@
         call: &Rc<RoutedRequest>,
         place: &EnginePlacement,
         answer: TargetAnswer,
-        trail: SendHistory,
-        (work, watch): (InFlightGuard, FirstEventTimer),
+        history: SendHistory,
+        (in_flight, first_event_timer): (InFlightGuard, FirstEventTimer),
     ) -> Reply {
         let head = answer.head.clone();
         let relay = EventRelay::new(
@@ -297,31 +318,31 @@
             call.clone(),
             place.decode_engine.clone(),
             answer,
-            trail,
-            work,
-            watch,
+            history,
+            in_flight,
+            first_event_timer,
         );
         stream_reply(head, relay.into_frames())
     }
 
-    async fn fail_with(
+    async fn pass_on_failure(
         &self,
         call: &RoutedRequest,
         engine: &TargetRecord,
         answer: TargetAnswer,
     ) -> Started {
         self.note_result(engine, SendResult::Failed);
-        let body = client::read_body(answer.body, MOST_FAILURE_BYTES, call.due).await;
+        let body = client::read_body(answer.body, MAX_FAILURE_BYTES, call.deadline).await;
         match body {
             Ok(body) => {
-                answer.lease.give_back(&answer.head);
+                answer.connection.return_to_pool(&answer.head);
                 Started::Reply(whole_reply(answer.head, body))
             }
-            Err(fault) => {
-                if let BodyError::Cut(reason) = &fault {
+            Err(error) => {
+                if let BodyError::Cut(reason) = &error {
                     self.record_connection_loss(call, engine, reason);
                 }
-                Started::Ended(lost(call, fault.to_string()))
+                Started::Failed(lost_answer(call, error.to_string()))
             }
         }
     }
@@ -336,11 +357,11 @@
         peers.note_cached(&engine.id, &prompt.parts, true);
     }
 
-    /// Chooses the engines of a request among those that its trail leaves.
+    /// Chooses the engines of a request among those that it was not sent to yet.
     #[must_use]
-    pub fn place(&self, call: &RoutedRequest, trail: &SendHistory) -> Option<EnginePlacement> {
+    pub fn place(&self, call: &RoutedRequest, history: &SendHistory) -> Option<EnginePlacement> {
         let prompt = call.prompt();
-        self.with_choices(call, trail, |choices| {
+        self.with_choices(call, history, |choices| {
             let order = PlacementQuery {
                 choices,
                 prompt: &prompt,
@@ -351,7 +372,7 @@
         })
     }
 
-    /// Engines that are being changed, by this daemon or another one.
+    /// Returns the engines whose stage is being changed, by this daemon or a peer.
     #[must_use]
     pub fn changing(&self) -> Vec<TargetIncarnation> {
         let peers = self.peers.borrow();
@@ -360,48 +381,52 @@
         all.cloned().collect()
     }
 
-    /// Engines of a list that still may get work, as they are now: an engine may have
-    /// changed its stage since a request arrived.
+    /// Returns the current records of the engines in a list that may still receive work:
+    /// an engine may have changed its stage since a request arrived.
     #[must_use]
-    pub fn staying(&self, engines: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>> {
-        let newest = self.view();
-        let staying = engines.iter().filter_map(|engine| newest.find(&engine.id));
-        staying.cloned().collect()
+    pub fn eligible(&self, engines: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>> {
+        let current = self.view();
+        let eligible = engines.iter().filter_map(|engine| current.find(&engine.id));
+        eligible.cloned().collect()
     }
 
     pub(super) fn with_choices<T>(
         &self,
         call: &RoutedRequest,
-        trail: &SendHistory,
+        history: &SendHistory,
         decide: impl FnOnce(EngineCandidates<'_>) -> T,
     ) -> T {
-        let excluded: Vec<TargetIncarnation> = trail.tried().cloned().collect();
+        let excluded: Vec<TargetIncarnation> = history.tried().cloned().collect();
         decide(EngineCandidates {
-            engines: &self.staying(call.view.service_targets(&call.service.name)),
+            engines: &self.eligible(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: &excluded,
         })
     }
 }
 
-// A caller of a stream gives up when the first event does not come. Work for it
-// would be in vain and hold up others; told at once, it may come back in time.
-fn too_late(call: &RoutedRequest, place: &EnginePlacement) -> Option<Failure> {
+// Refuses a stream whose first event would come after the caller's time-out. Its work
+// would be wasted and delay other requests; after an early refusal the caller can still
+// retry in time.
+fn overload_refusal(call: &RoutedRequest, place: &EnginePlacement) -> Option<Failure> {
     let gap = call.route.gap_objective.unwrap_or_default();
-    let patience = SHORTEST_PATIENCE
-        .max(call.route.objective * PATIENCE_OBJECTIVES)
-        .max(gap * PATIENCE_GAPS);
-    let left = patience.saturating_sub(call.arrived.elapsed());
+    let caller_timeout = MIN_CALLER_TIMEOUT
+        .max(call.route.objective * CALLER_TIMEOUT_OBJECTIVES)
+        .max(gap * CALLER_TIMEOUT_GAPS);
+    let left = caller_timeout.saturating_sub(call.arrived.elapsed());
     let waiting_ms = place.expected_ms - place.own_prefill_ms;
-    let late = waiting_ms > left.as_secs_f64() * 1_000.0 * LATE_SHARE;
-    late.then(|| {
-        let reason = format!("the first event would take {:.0} ms", place.expected_ms);
-        Failure::refused(reason, OVERLOAD_WAIT)
+    let overloaded = waiting_ms > left.as_secs_f64() * 1_000.0 * MAX_QUEUE_SHARE;
+    overloaded.then(|| {
+        let reason = format!(
+            "overloaded: the first event would take {:.0} ms; retry later",
+            place.expected_ms
+        );
+        Failure::refused(reason, OVERLOAD_RETRY_AFTER)
     })
 }
 
 enum Started {
     Reply(Reply),
-    Again(Failure),
-    Ended(Failure),
+    Retry(Failure),
+    Failed(Failure),
 }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a caller's request to one target, over a kept or a new connection.
+//! Sends a caller's request to one target, over an idle or a new connection.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,45 +15,45 @@
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::{HealthChange, SendResult};
 use crate::gateway::model::TargetRecord;
-use crate::gateway::pool::LinkPool;
+use crate::gateway::pool::ConnectionPool;
 use crate::gateway::port::{SendMode, SendOrder, TargetQuery};
 use crate::names::MonoTime;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Longest time for a new connection. Connections take a few milliseconds; a
-/// target that needs longer is away, and the request can still go elsewhere.
-const CONNECT_WAIT: Duration = Duration::from_millis(400);
-/// Longest idle time of a connection for a request that may not be repeated: if
-/// the target dropped the connection meanwhile, the request would be lost.
-const SURE_IDLE: Duration = Duration::from_millis(1_500);
+/// Longest time to open a connection. This normally takes a few milliseconds; a slower
+/// target is unreachable, and the request can still be sent to another one.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Longest idle time of a connection on which a request that must not be retried is sent:
+/// if the target has closed the connection meanwhile, the request is lost.
+const MAX_IDLE_WITHOUT_RETRY: Duration = Duration::from_millis(1_500);
 
-/// Time to free a kept prompt; it expires by itself after some seconds.
-const FREE_WAIT: Duration = Duration::from_millis(800);
-/// Largest answer to the freeing of a prompt, in bytes.
-const MOST_FREE_ANSWER: usize = 16 * 1024;
+/// Longest time to release a KV cache handle, which also expires after some seconds.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Largest answer to the release of a KV cache handle, in bytes.
+const MAX_RELEASE_ANSWER_BYTES: usize = 16 * 1024;
 
-/// Connections to one target that a daemon may always have.
-const FEWEST_CONNECTIONS: u32 = 2;
+/// Connections that a daemon may always open to one target.
+const MIN_CONNECTIONS: u32 = 2;
 
-/// What became of a send.
+/// Outcome of a send.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The target answered, with a success or a failure of its own.
+    /// The target answered, with a success or with its own failure.
     Answered(Box<TargetAnswer>),
     /// The target states that it did not run the request.
     Refused(String),
     /// Another target answered at the address and did not run the request.
     WrongTarget,
-    /// The target meant does other work now and did not run the request.
+    /// The intended target does another kind of work now and did not run the request.
     WrongWork,
-    /// No byte left.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It may have run.
+    /// The request may have run.
     Unclear(String),
 }
 
 impl SendOutcome {
-    /// Returns the outcome's name in logs.
+    /// Returns the name of the outcome in logs.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -67,58 +67,58 @@
     }
 }
 
-/// The head of an answer, with the body still to be read.
+/// An answer whose body is still to be read.
 #[derive(Debug)]
 pub struct TargetAnswer {
     /// Status and headers.
     pub head: Parts,
     /// Body as it arrives.
     pub body: Incoming,
-    /// The connection that it arrives on.
-    pub lease: PooledConnection,
-    /// What it takes for a proof that the target lives.
+    /// Connection that the answer arrives on.
+    pub connection: PooledConnection,
+    /// Times from which to tell whether the answer shows that the target is alive.
     pub times: ExchangeTimes,
 }
 
-/// A connection in use. Dropped before [`PooledConnection::give_back`] it is closed, by
-/// which the target learns that nobody waits any more.
+/// A connection in use. If dropped before [`PooledConnection::return_to_pool`], it is closed, so that
+/// the target sees that the request was abandoned.
 #[derive(Debug)]
 pub struct PooledConnection {
-    link: Option<HttpConnection>,
+    inner: Option<HttpConnection>,
     record: Rc<TargetRecord>,
-    pool: Rc<RefCell<LinkPool>>,
+    pool: Rc<RefCell<ConnectionPool>>,
 }
 
 impl PooledConnection {
-    fn new(pool: &Rc<RefCell<LinkPool>>, record: &TargetRecord) -> Self {
-        pool.borrow_mut().note_busy(&record.id, true);
+    fn new(pool: &Rc<RefCell<ConnectionPool>>, record: &TargetRecord) -> Self {
+        pool.borrow_mut().count_busy(&record.id, true);
         Self {
-            link: None,
+            inner: None,
             record: Rc::new(record.clone()),
             pool: pool.clone(),
         }
     }
 
     fn opened(&self) -> Option<MonoTime> {
-        self.link.as_ref().map(|link| link.opened)
+        self.inner.as_ref().map(|inner| inner.opened)
     }
 
-    /// Keeps the connection for later requests, after a whole answer.
-    pub fn give_back(mut self, head: &Parts) {
-        if let Some(link) = self.link.take() {
+    /// Returns the connection to the pool after a whole answer.
+    pub fn return_to_pool(mut self, head: &Parts) {
+        if let Some(inner) = self.inner.take() {
             let target = &self.record.id;
-            self.pool.borrow_mut().put(target, link, &head.headers);
+            self.pool.borrow_mut().put(target, inner, &head.headers);
         }
     }
 }
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        self.pool.borrow_mut().note_busy(&self.record.id, false);
+        self.pool.borrow_mut().count_busy(&self.record.id, false);
     }
 }
 
-/// Makes the request of a call that carries no caller's request.
+/// Returns the HTTP request for a query that the daemon itself sends to a target.
 #[must_use]
 pub fn query_request(target: &TargetRecord, query: TargetQuery) -> OutgoingRequest {
     let mut headers = query.headers;
@@ -127,24 +127,24 @@
     }
     OutgoingRequest {
         method: query.method,
-        // The adapter's paths are constants and names that engines gave.
+        // The paths are constants of the adapter and names assigned by engines.
         uri: query.path.parse().unwrap_or_default(),
         headers,
         body: query.body,
     }
 }
 
-/// A caller's request as it is sent on, and until when.
+/// One send of a caller's request.
 #[derive(Clone, Copy)]
 pub struct SendPlan<'a> {
     /// The caller's request.
     pub call: &'a RoutedRequest,
-    /// Until when the head of the answer is waited for.
-    pub until: Instant,
+    /// Deadline for the head of the answer.
+    pub deadline: Instant,
 }
 
 impl Gateway {
-    /// Sends a request to a target and waits for the head of its answer.
+    /// Sends a request to a target and waits for the head of the answer.
     pub async fn send(
         &self,
         target: &TargetRecord,
@@ -152,28 +152,30 @@
         order: &SendOrder,
     ) -> SendOutcome {
         if !self.view().holds(&target.id) {
-            // It may have announced its departure since it was chosen.
-            return SendOutcome::NotSent(format!("{} has left", target.id));
+            // It may have announced its departure after it was selected.
+            return SendOutcome::NotSent(format!("{} is leaving or gone", target.id));
         }
         if self.is_held(plan.call) {
-            return SendOutcome::NotSent("its work is held".to_owned());
+            return SendOutcome::NotSent("its work is quarantined".to_owned());
         }
         if !self.may_still_send(&order.access) {
-            return SendOutcome::NotSent("the caller's key cannot be confirmed".to_owned());
+            return SendOutcome::NotSent(
+                "the daemon cannot confirm that the workspace key is still valid".to_owned(),
+            );
         }
         let mut request = plan.call.request.clone();
         request.headers = (self.ports.wire.encode_send)(&plan.call.request.headers, order);
-        let mut lease = PooledConnection::new(&self.pool, target);
+        let mut connection = PooledConnection::new(&self.pool, target);
         let sent = clock::mono_now();
         let outcome = tokio::select! {
-            outcome = self.send_on(&mut lease, &request, plan) => outcome,
-            // The target may not have begun it, and is spared then.
+            outcome = self.send_over_connection(&mut connection, &request, plan) => outcome,
+            // If the target has not started the request yet, cancelling it spares the target.
             () = self.until_quarantined(plan.call) => {
-                return SendOutcome::Unclear("given up, as its work is held now".to_owned());
+                return SendOutcome::Unclear("cancelled: its work was quarantined meanwhile".to_owned());
             }
         };
         let outcome = match outcome {
-            Ok(response) => self.judge(target, plan.call, order, response, (lease, sent)),
+            Ok(response) => self.classify(target, plan.call, order, response, (connection, sent)),
             Err(SendError::NotSent(reason)) => SendOutcome::NotSent(reason),
             Err(SendError::Unclear(reason)) => SendOutcome::Unclear(reason),
             Err(SendError::Cut(reason)) => {
@@ -185,104 +187,115 @@
         outcome
     }
 
-    async fn send_on(
+    async fn send_over_connection(
         &self,
-        lease: &mut PooledConnection,
+        connection: &mut PooledConnection,
         request: &OutgoingRequest,
         plan: SendPlan<'_>,
     ) -> Result<http::Response<Incoming>, SendError> {
-        let address = lease.record.address;
-        while let Some(mut kept) = self.take_kept(&lease.record.id) {
-            if !plan.call.route.retry.may_retry() && kept.idle_since.elapsed() > SURE_IDLE {
+        let address = connection.record.address;
+        while let Some(mut idle) = self.take_idle(&connection.record.id) {
+            if !plan.call.route.retry.may_retry()
+                && idle.idle_since.elapsed() > MAX_IDLE_WITHOUT_RETRY
+            {
                 continue;
             }
-            match kept.send(request, plan.until).await {
-                // Closed before the first byte: a new connection is no second send.
+            match idle.send(request, plan.deadline).await {
+                // The connection was closed before the first byte, so using a new one is not a
+                // second send.
                 Err(SendError::NotSent(_)) => {}
                 other => {
-                    lease.link = Some(kept);
+                    connection.inner = Some(idle);
                     return other;
                 }
             }
         }
-        if self.pool.borrow().open(&lease.record.id) > self.connection_share(&lease.record) {
+        if self.pool.borrow().open(&connection.record.id)
+            > self.connection_share(&connection.record)
+        {
             return Err(SendError::NotSent(format!(
-                "{address} has this daemon's share of connections"
+                "this daemon already has its share of the connections to {address}"
             )));
         }
-        let until = plan.until.min(Instant::now() + CONNECT_WAIT);
+        let deadline = plan.deadline.min(Instant::now() + CONNECT_TIMEOUT);
         metrics::counter!("pistachiowick_target_connections_total").increment(1);
-        let mut link = HttpConnection::open(address, until).await?;
-        let answer = link.send(request, plan.until).await;
-        lease.link = Some(link);
+        let mut inner = HttpConnection::open(address, deadline).await?;
+        let answer = inner.send(request, plan.deadline).await;
+        connection.inner = Some(inner);
         answer
     }
 
-    // Targets reset connections beyond what they accept from all daemons together, and
-    // the requests on them with it. Staying within one's part needs no message.
+    // Targets reset connections, and the requests on them, above a limit for all daemons
+    // together. Equal shares keep the daemons within it without coordination.
     fn connection_share(&self, target: &TargetRecord) -> u32 {
         let view = self.view();
         let routes = view.routes.as_ref();
         let rule = routes.and_then(|routes| routes.service(&target.service));
         let accepted = rule.map_or(u32::MAX, |rule| rule.max_connections);
         let daemons = u32::try_from(self.daemon_count()).unwrap_or(u32::MAX);
-        (accepted / daemons).max(FEWEST_CONNECTIONS)
+        (accepted / daemons).max(MIN_CONNECTIONS)
     }
 
-    // A step of its own, so that the pool is not borrowed across a wait.
-    fn take_kept(&self, target: &TargetIncarnation) -> Option<HttpConnection> {
+    // A separate function, so that the pool is not borrowed across an `await`.
+    fn take_idle(&self, target: &TargetIncarnation) -> Option<HttpConnection> {
         self.pool.borrow_mut().take(target, Instant::now())
     }
 
-    fn judge(
+    fn classify(
         &self,
         target: &TargetRecord,
         call: &RoutedRequest,
         order: &SendOrder,
         response: http::Response<Incoming>,
-        (lease, sent): (PooledConnection, MonoTime),
+        (connection, sent): (PooledConnection, MonoTime),
     ) -> SendOutcome {
         let (head, body) = response.into_parts();
         let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
-        let foreign = marks.request_id.as_deref();
-        if foreign.is_some_and(|answered| answered != call.caller.id) {
-            return SendOutcome::Unclear(format!("{} answered another request", target.id));
+        let answered_id = marks.request_id.as_deref();
+        if answered_id.is_some_and(|answered| answered != call.caller.id) {
+            return SendOutcome::Unclear(format!(
+                "{} sent the answer of another request",
+                target.id
+            ));
         }
         if marks.misdirected {
-            // An engine that changed its stage refuses in the same way as another target
-            // at its address. It has not left: taking it for gone kept it idle for minutes.
-            let by_other = marks.answered_by.is_some_and(|by| by != *target.id.name());
-            return if by_other {
+            // An engine in another stage refuses in the same way as another target at its
+            // address, but it has not departed: marking it departed left it idle for minutes.
+            let other_target = marks.answered_by.is_some_and(|by| by != *target.id.name());
+            return if other_target {
                 SendOutcome::WrongTarget
             } else {
                 SendOutcome::WrongWork
             };
         }
         if marks.not_run {
-            // The short body of a refusal is not awaited; the connection goes with it.
-            return SendOutcome::Refused(format!("{} said {}", target.id, head.status));
+            // The connection is closed instead of reading the refusal's body.
+            return SendOutcome::Refused(format!(
+                "{} refused the request with status {}",
+                target.id, head.status
+            ));
         }
-        // The answer to a reading is for this daemon alone; callers get signed ones only.
+        // Answers to callers must be signed; the answer to a prefill stays in this daemon.
         let is_run = order.mode != SendMode::ReadPrompt;
         if is_run && head.status.is_success() && !marks.signed {
-            return SendOutcome::Unclear(format!("{} did not sign its answer", target.id));
+            return SendOutcome::Unclear(format!("{} sent an unsigned answer", target.id));
         }
         let times = ExchangeTimes {
-            opened: lease.opened().unwrap_or(sent),
+            opened: connection.opened().unwrap_or(sent),
             sent,
         };
         SendOutcome::Answered(Box::new(TargetAnswer {
             head,
             body,
-            lease,
+            connection,
             times,
         }))
     }
 
     fn note_outcome(&self, target: &TargetRecord, outcome: &SendOutcome) {
         let result = match outcome {
-            // Whether the answer is whole is known at its end only.
-            // Nor does an engine fail that was asked for what it does no more.
+            // Whether the answer is complete is only known at its end, and an engine that
+            // changed its stage has not failed.
             SendOutcome::Answered(_) | SendOutcome::WrongWork => return,
             SendOutcome::Refused(_) | SendOutcome::WrongTarget => SendResult::Failed,
             SendOutcome::NotSent(_) | SendOutcome::Unclear(_) => SendResult::Silent,
@@ -293,45 +306,46 @@
         }
     }
 
-    /// Frees a prompt that an engine keeps and that nobody will take.
-    pub async fn release_handle(&self, reader: &TargetRecord, name: &str) {
+    /// Releases a KV cache handle that no other engine will use.
+    pub async fn release_handle(&self, prefill_engine: &TargetRecord, name: &str) {
         let query = (self.ports.wire.release_handle)(name);
-        let until = Instant::now() + FREE_WAIT;
-        let request = query_request(reader, query);
-        let mut lease = PooledConnection::new(&self.pool, reader);
-        let link = match self.take_kept(&reader.id) {
-            Some(link) => Ok(link),
-            None => HttpConnection::open(reader.address, until).await,
+        let deadline = Instant::now() + RELEASE_TIMEOUT;
+        let request = query_request(prefill_engine, query);
+        let mut connection = PooledConnection::new(&self.pool, prefill_engine);
+        let inner = match self.take_idle(&prefill_engine.id) {
+            Some(inner) => Ok(inner),
+            None => HttpConnection::open(prefill_engine.address, deadline).await,
         };
-        let called = match link {
-            Ok(link) => {
-                let link = lease.link.insert(link);
-                client::call(link, &request, MOST_FREE_ANSWER, until).await
+        let result = match inner {
+            Ok(inner) => {
+                let inner = connection.inner.insert(inner);
+                client::call(inner, &request, MAX_RELEASE_ANSWER_BYTES, deadline).await
             }
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
-        match called {
-            Ok((head, _)) => lease.give_back(&head),
-            Err(fault) => {
-                log::debug!(target_id = reader.id.as_str(); "kept prompt not freed, it expires: {fault}");
+        match result {
+            Ok((head, _)) => connection.return_to_pool(&head),
+            Err(error) => {
+                log::debug!(target_id = prefill_engine.id.as_str(); "cannot release a KV cache handle, which will expire: {error}");
             }
         }
     }
 
-    /// Notes that the body of a target's answer was not read to its end.
+    /// Records that the body of a target's answer was not read to its end.
     pub fn record_body_error(
         &self,
         call: &RoutedRequest,
         target: &TargetRecord,
-        fault: &BodyError,
+        error: &BodyError,
     ) {
-        if let BodyError::Cut(reason) = fault {
+        if let BodyError::Cut(reason) = error {
             self.record_connection_loss(call, target, reason);
         }
         self.note_result(target, SendResult::Failed);
     }
 
-    /// Notes what came of a send, and logs a target that is avoided from now on.
+    /// Records the result of a send, and logs whether the target is now avoided or answers
+    /// again.
     pub fn note_result(&self, target: &TargetRecord, result: SendResult) {
         let now = clock::mono_now();
         if self.uses_remote_placement() {
@@ -340,7 +354,7 @@
         let changed = self.core.borrow_mut().note_result(&target.id, result, now);
         match changed {
             Some(HealthChange::Avoided) => {
-                log::warn!(target_id = target.id.as_str(), address = target.address.to_string(); "target gives no answers; avoided for a while");
+                log::warn!(target_id = target.id.as_str(), address = target.address.to_string(); "target does not answer; avoiding it for a while");
             }
             Some(HealthChange::Recovered) => {
                 log::info!(target_id = target.id.as_str(), address = target.address.to_string(); "target answers again");
