--- a/src/crashes/book.rs
+++ b/src/crashes/book.rs
@@ -9,122 +9,124 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::crashes::news::{CrashNews, WorkNote};
+use crate::crashes::news::{CrashBroadcasts, WorkNote};
 use crate::crashes::work_digest::WorkDigest;
 use crate::names::{MonoTime, millis};
 use crate::target_life::TargetLife;
 
 /// Targets that work may end before it is held.
-pub const MOST_ENDS: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 /// Time for which work that ended fewer targets stays a suspect.
-const SUSPECT_TIME: Duration = Duration::from_secs(600);
+const SUSPICION_RETENTION: Duration = Duration::from_secs(600);
 /// Time before the end of that, and of the next one, in which others are told nothing more.
-const FORGET_MARGIN: Duration = Duration::from_secs(30);
+const EXPIRY_MARGIN: Duration = Duration::from_secs(30);
 /// Time for which held work that nobody asks for is remembered.
-const HELD_TIME: Duration = Duration::from_secs(24 * 3_600);
+const QUARANTINE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 /// Time after the last end at which held work is tried once: then, and if it ends another
 /// target, once more. After that it is held until an operator lets it go.
-const TRIAL_PAUSES: [Duration; 2] = [Duration::from_secs(600), Duration::from_secs(3_600)];
+const TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(600), Duration::from_secs(3_600)];
 /// Time after which a trial of which nothing was heard counts as over.
-const TRIAL_TIME: Duration = Duration::from_secs(60);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time until a target that ended one connection is told of: most such targets live on, and
 /// show it within this time.
-const PROOF_TIME: Duration = Duration::from_millis(200);
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(200);
 /// Most works that are remembered; those that ended fewer targets give way first.
-const MOST_WORKS: usize = 8_192;
+const MAX_WORKS: usize = 8_192;
 /// Most lives kept of a work.
-const MOST_LIVES: usize = 16;
+const MAX_INCARNATIONS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
-struct EndRecord {
+struct CrashRecord {
     at: MonoTime,
     // Seen here, not heard of another daemon.
-    own: bool,
+    local: bool,
     // Whether others know of it.
-    shared: bool,
+    announced: bool,
     // Whether the target lives on, or the work ran to its end.
     refuted: bool,
 }
 
 #[derive(Clone, Debug)]
 struct WorkRecord {
-    ends: IndexMap<TargetLife, EndRecord>,
-    last_end: MonoTime,
-    last_asked: MonoTime,
+    crashes: IndexMap<TargetLife, CrashRecord>,
+    last_crash: MonoTime,
+    last_requested: MonoTime,
     trial_at: Option<MonoTime>,
 }
 
 impl WorkRecord {
     fn new(seen: MonoTime) -> Self {
         Self {
-            ends: IndexMap::new(),
-            last_end: seen,
-            last_asked: seen,
+            crashes: IndexMap::new(),
+            last_crash: seen,
+            last_requested: seen,
             trial_at: None,
         }
     }
 
-    fn count(&self) -> usize {
-        self.ends.values().filter(|end| !end.refuted).count()
+    fn crash_count(&self) -> usize {
+        self.crashes.values().filter(|crash| !crash.refuted).count()
     }
 
     fn is_held(&self) -> bool {
-        self.count() >= MOST_ENDS
+        self.crash_count() >= MAX_CRASHES
     }
 
     fn next_trial(&self) -> Option<MonoTime> {
-        let pause = TRIAL_PAUSES.get(self.count().checked_sub(MOST_ENDS)?)?;
-        Some(self.last_end.plus(*pause))
+        let delay = TRIAL_DELAYS.get(self.crash_count().checked_sub(MAX_CRASHES)?)?;
+        Some(self.last_crash.plus(*delay))
     }
 
     fn age(&self, now: MonoTime) -> Duration {
         let seen = if self.is_held() {
-            self.last_asked.max(self.last_end)
+            self.last_requested.max(self.last_crash)
         } else {
-            self.last_end
+            self.last_crash
         };
         now.since(seen)
     }
 
-    fn longest(&self) -> Duration {
+    fn retention(&self) -> Duration {
         if self.is_held() {
-            HELD_TIME
+            QUARANTINE_RETENTION
         } else {
-            SUSPECT_TIME
+            SUSPICION_RETENTION
         }
     }
 
-    fn is_over(&self, now: MonoTime) -> bool {
-        self.age(now) >= self.longest()
+    fn is_expired(&self, now: MonoTime) -> bool {
+        self.age(now) >= self.retention()
     }
 
     // Told for less time than it is kept: a daemon that forgot it would learn it anew.
-    fn is_told_again(&self, now: MonoTime) -> bool {
-        let shared = self.ends.values().filter(|end| end.shared);
-        shared.count() > 1 && self.age(now) + FORGET_MARGIN < self.longest()
+    fn needs_rebroadcast(&self, now: MonoTime) -> bool {
+        let announced = self.crashes.values().filter(|crash| crash.announced);
+        announced.count() > 1 && self.age(now) + EXPIRY_MARGIN < self.retention()
     }
 
     // Makes room for another life; true where there is.
-    fn drop_refuted(&mut self) -> bool {
-        if self.ends.len() < MOST_LIVES {
+    fn make_incarnation_room(&mut self) -> bool {
+        if self.crashes.len() < MAX_INCARNATIONS {
             return true;
         }
-        let refuted = self.ends.values().position(|end| end.refuted);
-        refuted.is_some_and(|oldest| self.ends.shift_remove_index(oldest).is_some())
+        let refuted = self.crashes.values().position(|crash| crash.refuted);
+        refuted.is_some_and(|oldest| self.crashes.shift_remove_index(oldest).is_some())
     }
 
     // Others know of those ends only that they were told.
     fn note(&self, work: WorkDigest, now: MonoTime) -> WorkNote {
-        let shared = self.ends.iter().filter(|(_, end)| end.shared);
-        let (refuted, ends): (Vec<_>, Vec<_>) = shared.partition(|(_, end)| end.refuted);
-        let lives = |found: Vec<(&TargetLife, &EndRecord)>| {
-            let lives = found.into_iter().map(|(life, _)| life.clone());
-            lives.collect()
+        let announced = self.crashes.iter().filter(|(_, crash)| crash.announced);
+        let (refuted, crashes): (Vec<_>, Vec<_>) = announced.partition(|(_, crash)| crash.refuted);
+        let incarnations = |found: Vec<(&TargetLife, &CrashRecord)>| {
+            let incarnations = found
+                .into_iter()
+                .map(|(incarnation, _)| incarnation.clone());
+            incarnations.collect()
         };
         WorkNote {
             work,
-            ends: lives(ends),
-            refuted: lives(refuted),
+            crashes: incarnations(crashes),
+            refuted: incarnations(refuted),
             age_ms: millis(self.age(now)),
         }
     }
@@ -155,8 +157,8 @@
 pub struct CrashBook {
     works: IndexMap<WorkDigest, WorkRecord>,
     // Suspicions by the life that may still refute them.
-    suspects: IndexMap<TargetLife, IndexSet<WorkDigest>>,
-    news: CrashNews,
+    suspicions: IndexMap<TargetLife, IndexSet<WorkDigest>>,
+    broadcasts: CrashBroadcasts,
 }
 
 impl CrashBook {
@@ -169,23 +171,23 @@
     /// Takes a connection that ended under a run of `work`; true when the work is held from
     /// now on.
     pub fn note_end(&mut self, work: WorkDigest, target: &TargetLife, now: MonoTime) -> bool {
-        let end = EndRecord {
+        let crash = CrashRecord {
             at: now,
-            own: true,
-            shared: false,
+            local: true,
+            announced: false,
             refuted: false,
         };
-        if !self.take_end(work, target, end, now) {
+        if !self.insert_crash(work, target, crash, now) {
             return false;
         }
-        let count = self.works.get(&work).map_or(0, WorkRecord::count);
-        let wait = if count == 1 {
-            PROOF_TIME
+        let crash_count = self.works.get(&work).map_or(0, WorkRecord::crash_count);
+        let wait = if crash_count == 1 {
+            CONFIRMATION_DELAY
         } else {
             Duration::ZERO
         };
-        self.news.tell(work, now.plus(wait));
-        count == MOST_ENDS
+        self.broadcasts.schedule(work, now.plus(wait));
+        crash_count == MAX_CRASHES
     }
 
     /// Takes what another daemon, or the store, tells of work; true when it is held from now
@@ -193,24 +195,24 @@
     pub fn take_note(&mut self, note: &WorkNote, relays: bool, now: MonoTime) -> bool {
         let was_held = self.is_held(note.work);
         let seen = MonoTime(now.0.saturating_sub(note.age_ms));
-        let end = EndRecord {
+        let crash = CrashRecord {
             at: now,
-            own: false,
-            shared: true,
+            local: false,
+            announced: true,
             refuted: false,
         };
         let mut changed = false;
-        for target in &note.ends {
-            changed |= self.take_end(note.work, target, end, seen);
+        for target in &note.crashes {
+            changed |= self.insert_crash(note.work, target, crash, seen);
         }
         for target in &note.refuted {
-            changed |= self.take_refuted(note.work, target, end, seen);
+            changed |= self.insert_refuted(note.work, target, crash, seen);
         }
         if let Some(record) = self.works.get_mut(&note.work) {
-            record.last_asked = record.last_asked.max(seen);
+            record.last_requested = record.last_requested.max(seen);
         }
         if changed && relays {
-            self.news.tell(note.work, now);
+            self.broadcasts.schedule(note.work, now);
         }
         !was_held && self.is_held(note.work)
     }
@@ -219,21 +221,21 @@
     ///
     /// Where a target keeps its name when it starts again, only a connection from before the
     /// end shows that it was none.
-    pub fn note_answer(&mut self, target: &TargetLife, times: AnswerTimes, now: MonoTime) {
-        let keeps_name = target.born().is_some();
-        self.refute_ends(target, now, |end| {
-            if !end.own {
+    pub fn record_answer(&mut self, target: &TargetLife, times: AnswerTimes, now: MonoTime) {
+        let keeps_id = target.born().is_some();
+        self.refute_crashes(target, now, |crash| {
+            if !crash.local {
                 false
-            } else if times.opened < end.at {
-                times.sent > end.at || now.since(end.at) >= PROOF_TIME
+            } else if times.opened < crash.at {
+                times.sent > crash.at || now.since(crash.at) >= CONFIRMATION_DELAY
             } else {
-                times.sent > end.at && !keeps_name
+                times.sent > crash.at && !keeps_id
             }
         });
     }
 
     /// Takes which targets have an entry in the store, which was heard all the time from
-    /// `heard_since` on.
+    /// `reachable_since` on.
     ///
     /// The entry of a target that ended lapses within `lapse_time` while the store is there;
     /// one that is not gone after that is of a target that lives.
@@ -241,14 +243,14 @@
         &mut self,
         has_entry: impl Fn(&TargetLife) -> bool,
         lapse_time: Duration,
-        heard_since: MonoTime,
+        reachable_since: MonoTime,
         now: MonoTime,
     ) {
-        let alive = self.suspects.keys().filter(|target| has_entry(target));
+        let alive = self.suspicions.keys().filter(|target| has_entry(target));
         let alive: Vec<TargetLife> = alive.cloned().collect();
         for target in alive {
-            self.refute_ends(&target, now, |end| {
-                now.since(end.at.max(heard_since)) >= lapse_time
+            self.refute_crashes(&target, now, |crash| {
+                now.since(crash.at.max(reachable_since)) >= lapse_time
             });
         }
     }
@@ -258,25 +260,27 @@
         let Some(record) = self.works.get(&work) else {
             return;
         };
-        let lives: Vec<TargetLife> = record.ends.keys().cloned().collect();
-        for target in &lives {
+        let incarnations: Vec<TargetLife> = record.crashes.keys().cloned().collect();
+        for target in &incarnations {
             self.refute(work, target);
         }
-        self.tell_refuted(work, now);
+        self.announce_refuted(work, now);
     }
 
     /// What may be done with work now. One daemon of the fleet `tries` held work.
-    pub fn standing(&mut self, work: WorkDigest, tries: bool, now: MonoTime) -> WorkStanding {
+    pub fn standing(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStanding {
         let Some(record) = self.works.get_mut(&work) else {
             return WorkStanding::Free;
         };
-        record.last_asked = now;
+        record.last_requested = now;
         if !record.is_held() {
             return WorkStanding::Free;
         }
         let next = record.next_trial();
-        let on_trial = record.trial_at.is_some_and(|at| now.since(at) < TRIAL_TIME);
-        if tries && !on_trial && next.is_some_and(|at| at <= now) {
+        let on_trial = record
+            .trial_at
+            .is_some_and(|at| now.since(at) < TRIAL_TIMEOUT);
+        if may_try && !on_trial && next.is_some_and(|at| at <= now) {
             record.trial_at = Some(now);
             return WorkStanding::Trial;
         }
@@ -291,23 +295,25 @@
 
     /// Targets that ended under work, as far as not refuted.
     #[must_use]
-    pub fn ends(&self, work: WorkDigest) -> Vec<TargetLife> {
+    pub fn crashed_targets(&self, work: WorkDigest) -> Vec<TargetLife> {
         let record = self.works.get(&work);
-        let ends = record.into_iter().flat_map(|record| &record.ends);
-        let counted = ends.filter(|(_, end)| !end.refuted);
-        counted.map(|(life, _)| life.clone()).collect()
+        let crashes = record.into_iter().flat_map(|record| &record.crashes);
+        let unrefuted = crashes.filter(|(_, crash)| !crash.refuted);
+        unrefuted
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect()
     }
 
     /// Whether anything of a work is remembered.
     #[must_use]
-    pub fn knows(&self, work: WorkDigest) -> bool {
+    pub fn contains(&self, work: WorkDigest) -> bool {
         self.works.contains_key(&work)
     }
 
     /// Works that are held.
-    pub fn held(&self) -> impl Iterator<Item = WorkDigest> {
-        let held = self.works.iter().filter(|(_, record)| record.is_held());
-        held.map(|(work, _)| *work)
+    pub fn quarantined(&self) -> impl Iterator<Item = WorkDigest> {
+        let quarantined = self.works.iter().filter(|(_, record)| record.is_held());
+        quarantined.map(|(work, _)| *work)
     }
 
     /// Works that are remembered.
@@ -322,13 +328,16 @@
             return Vec::new();
         }
         let repeated = self.works.iter();
-        let repeated = repeated.filter(|(_, record)| record.is_told_again(now));
+        let repeated = repeated.filter(|(_, record)| record.needs_rebroadcast(now));
         let repeated: Vec<WorkDigest> = repeated.map(|(work, _)| *work).collect();
-        let due = self.news.pick(&repeated, now);
+        let due = self.broadcasts.select_due(&repeated, now);
         let mut notes = Vec::new();
         for work in due {
             if let Some(record) = self.works.get_mut(&work) {
-                record.ends.values_mut().for_each(|end| end.shared = true);
+                record
+                    .crashes
+                    .values_mut()
+                    .for_each(|crash| crash.announced = true);
                 notes.push(record.note(work, now));
             }
         }
@@ -337,125 +346,130 @@
 
     /// Forgets what is over.
     pub fn sweep(&mut self, now: MonoTime) {
-        let over = self.works.iter().filter(|(_, record)| record.is_over(now));
-        let over: Vec<WorkDigest> = over.map(|(work, _)| *work).collect();
-        over.into_iter().for_each(|work| self.forget(work));
+        let expired = self
+            .works
+            .iter()
+            .filter(|(_, record)| record.is_expired(now));
+        let expired: Vec<WorkDigest> = expired.map(|(work, _)| *work).collect();
+        expired.into_iter().for_each(|work| self.remove(work));
     }
 
-    fn take_end(
+    fn insert_crash(
         &mut self,
         work: WorkDigest,
         target: &TargetLife,
-        end: EndRecord,
+        crash: CrashRecord,
         seen: MonoTime,
     ) -> bool {
-        if !self.works.contains_key(&work) && self.works.len() >= MOST_WORKS {
-            self.make_room();
+        if !self.works.contains_key(&work) && self.works.len() >= MAX_WORKS {
+            self.evict_works();
         }
-        let fresh = || WorkRecord::new(seen);
-        let record = self.works.entry(work).or_insert_with(fresh);
-        if let Some(known) = record.ends.get_mut(target) {
-            known.own |= end.own;
+        let new_record = || WorkRecord::new(seen);
+        let record = self.works.entry(work).or_insert_with(new_record);
+        if let Some(known) = record.crashes.get_mut(target) {
+            known.local |= crash.local;
             return false;
         }
-        if !record.drop_refuted() {
+        if !record.make_incarnation_room() {
             return false;
         }
-        record.ends.insert(target.clone(), end);
-        record.last_end = record.last_end.max(seen);
+        record.crashes.insert(target.clone(), crash);
+        record.last_crash = record.last_crash.max(seen);
         record.trial_at = None;
-        let suspects = self.suspects.entry(target.clone()).or_default();
-        suspects.insert(work);
+        let suspicions = self.suspicions.entry(target.clone()).or_default();
+        suspicions.insert(work);
         true
     }
 
-    fn refute_ends(
+    fn refute_crashes(
         &mut self,
         target: &TargetLife,
         now: MonoTime,
-        refutes: impl Fn(&EndRecord) -> bool,
+        refutes: impl Fn(&CrashRecord) -> bool,
     ) {
-        let Some(suspects) = self.suspects.get(target) else {
+        let Some(suspicions) = self.suspicions.get(target) else {
             return;
         };
-        let refuted = suspects.iter().filter(|work| {
+        let refuted = suspicions.iter().filter(|work| {
             let record = self.works.get(*work);
-            let end = record.and_then(|record| record.ends.get(target));
-            end.is_some_and(|end| !end.refuted && refutes(end))
+            let crash = record.and_then(|record| record.crashes.get(target));
+            crash.is_some_and(|crash| !crash.refuted && refutes(crash))
         });
         let refuted: Vec<WorkDigest> = refuted.copied().collect();
         for work in refuted {
             self.refute(work, target);
-            self.tell_refuted(work, now);
+            self.announce_refuted(work, now);
         }
     }
 
-    fn take_refuted(
+    fn insert_refuted(
         &mut self,
         work: WorkDigest,
         target: &TargetLife,
-        end: EndRecord,
+        crash: CrashRecord,
         seen: MonoTime,
     ) -> bool {
         let known = self.works.get(&work);
-        let known = known.and_then(|record| record.ends.get(target));
-        if known.is_some_and(|end| end.refuted) {
+        let known = known.and_then(|record| record.crashes.get(target));
+        if known.is_some_and(|crash| crash.refuted) {
             return false;
         }
         // Kept also where the end was not heard of: word of it may still come.
-        self.take_end(work, target, end, seen);
+        self.insert_crash(work, target, crash, seen);
         self.refute(work, target);
         true
     }
 
     fn refute(&mut self, work: WorkDigest, target: &TargetLife) {
         let record = self.works.get_mut(&work);
-        if let Some(end) = record.and_then(|record| record.ends.get_mut(target)) {
-            end.refuted = true;
+        if let Some(crash) = record.and_then(|record| record.crashes.get_mut(target)) {
+            crash.refuted = true;
         }
-        self.clear_suspect(target, work);
+        self.remove_suspicion(target, work);
     }
 
-    fn clear_suspect(&mut self, target: &TargetLife, work: WorkDigest) {
-        if let Some(suspects) = self.suspects.get_mut(target) {
-            suspects.swap_remove(&work);
-            if suspects.is_empty() {
-                self.suspects.swap_remove(target);
+    fn remove_suspicion(&mut self, target: &TargetLife, work: WorkDigest) {
+        if let Some(suspicions) = self.suspicions.get_mut(target) {
+            suspicions.swap_remove(&work);
+            if suspicions.is_empty() {
+                self.suspicions.swap_remove(target);
             }
         }
     }
 
     // What nobody was told of needs no word.
-    fn tell_refuted(&mut self, work: WorkDigest, now: MonoTime) {
+    fn announce_refuted(&mut self, work: WorkDigest, now: MonoTime) {
         let Some(record) = self.works.get_mut(&work) else {
             return;
         };
-        record.ends.retain(|_, end| end.shared || !end.refuted);
-        if record.ends.is_empty() {
-            self.forget(work);
+        record
+            .crashes
+            .retain(|_, crash| crash.announced || !crash.refuted);
+        if record.crashes.is_empty() {
+            self.remove(work);
         } else {
-            self.news.tell(work, now);
+            self.broadcasts.schedule(work, now);
         }
     }
 
-    fn forget(&mut self, work: WorkDigest) {
-        self.news.drop(work);
+    fn remove(&mut self, work: WorkDigest) {
+        self.broadcasts.cancel(work);
         let Some(record) = self.works.swap_remove(&work) else {
             return;
         };
-        for target in record.ends.keys() {
-            self.clear_suspect(target, work);
+        for target in record.crashes.keys() {
+            self.remove_suspicion(target, work);
         }
     }
 
     // Forgets an eighth at once, so that a flood does not pay for each entry.
-    fn make_room(&mut self) {
+    fn evict_works(&mut self) {
         let all = self.works.iter();
         let mut all: Vec<(usize, MonoTime, WorkDigest)> = all
-            .map(|(work, record)| (record.count(), record.last_end, *work))
+            .map(|(work, record)| (record.crash_count(), record.last_crash, *work))
             .collect();
         all.sort_unstable();
-        let given_up = all.into_iter().take(MOST_WORKS / 8);
-        given_up.for_each(|(_, _, work)| self.forget(work));
+        let evicted = all.into_iter().take(MAX_WORKS / 8);
+        evicted.for_each(|(_, _, work)| self.remove(work));
     }
 }
--- a/src/crashes/news.rs
+++ b/src/crashes/news.rs
@@ -13,15 +13,15 @@
 use crate::target_life::TargetLife;
 
 /// How long news of a work are told, from the first word on.
-const NEWS_TIME: Duration = Duration::from_millis(600);
+const BROADCAST_TIME: Duration = Duration::from_millis(600);
 /// Time between two words with the same news.
-const NEWS_PAUSE: Duration = Duration::from_millis(150);
+const BROADCAST_INTERVAL: Duration = Duration::from_millis(150);
 /// Time between two words with old news.
-const TURN_EVERY: Duration = Duration::from_millis(1_000);
+const REBROADCAST_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Most works in a word beside news.
-const MOST_TURNS: usize = 32;
+const MAX_REBROADCASTS: usize = 32;
 /// Most news in a word.
-const MOST_NEWS: usize = 256;
+const MAX_UPDATES: usize = 256;
 
 /// What daemons tell each other of a work.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
@@ -29,7 +29,7 @@
     /// The work.
     pub work: WorkDigest,
     /// Lives of targets that ended under it.
-    pub ends: Vec<TargetLife>,
+    pub crashes: Vec<TargetLife>,
     /// Lives that seemed to and did not, or that ended for another reason.
     pub refuted: Vec<TargetLife>,
     /// Milliseconds since the last end, or since it was asked for where it is held.
@@ -37,61 +37,66 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct NewsTurn {
+struct PendingBroadcast {
     due: MonoTime,
     until: Option<MonoTime>,
 }
 
 /// What the words before contained.
 #[derive(Clone, Debug, Default)]
-pub struct CrashNews {
-    fresh: IndexMap<WorkDigest, NewsTurn>,
-    turned_at: Option<MonoTime>,
-    next_turn: usize,
+pub struct CrashBroadcasts {
+    pending: IndexMap<WorkDigest, PendingBroadcast>,
+    rebroadcast_at: Option<MonoTime>,
+    next_rebroadcast: usize,
 }
 
-impl CrashNews {
+impl CrashBroadcasts {
     /// Has news of a work told from `due` on.
-    pub fn tell(&mut self, work: WorkDigest, due: MonoTime) {
-        let turn = NewsTurn { due, until: None };
-        let told = self.fresh.entry(work).or_insert(turn);
-        told.due = told.due.min(due);
-        told.until = None;
+    pub fn schedule(&mut self, work: WorkDigest, due: MonoTime) {
+        let broadcast = PendingBroadcast { due, until: None };
+        let pending = self.pending.entry(work).or_insert(broadcast);
+        pending.due = pending.due.min(due);
+        pending.until = None;
     }
 
     /// Has nothing more told of a work.
-    pub fn drop(&mut self, work: WorkDigest) {
-        self.fresh.swap_remove(&work);
+    pub fn cancel(&mut self, work: WorkDigest) {
+        self.pending.swap_remove(&work);
     }
 
     /// Returns the works that a word tells of now; `repeated` are those that ended more than
     /// one target.
-    pub fn pick(&mut self, repeated: &[WorkDigest], now: MonoTime) -> Vec<WorkDigest> {
-        let mut picked = self.pick_news(now);
-        let waits = self.turned_at.is_some_and(|at| now.since(at) < TURN_EVERY);
-        if !waits && !repeated.is_empty() {
-            self.turned_at = Some(now);
-            let count = repeated.len().min(MOST_TURNS);
-            let from = self.next_turn % repeated.len();
-            self.next_turn = from + count;
-            let turns = repeated.iter().cycle().skip(from).take(count);
-            let turns: Vec<WorkDigest> = turns.filter(|w| !picked.contains(w)).copied().collect();
-            picked.extend(turns);
+    pub fn select_due(&mut self, repeated: &[WorkDigest], now: MonoTime) -> Vec<WorkDigest> {
+        let mut selected = self.select_updates(now);
+        let is_waiting = self
+            .rebroadcast_at
+            .is_some_and(|at| now.since(at) < REBROADCAST_INTERVAL);
+        if !is_waiting && !repeated.is_empty() {
+            self.rebroadcast_at = Some(now);
+            let count = repeated.len().min(MAX_REBROADCASTS);
+            let from = self.next_rebroadcast % repeated.len();
+            self.next_rebroadcast = from + count;
+            let rebroadcasts = repeated.iter().cycle().skip(from).take(count);
+            let rebroadcasts: Vec<WorkDigest> = rebroadcasts
+                .filter(|w| !selected.contains(w))
+                .copied()
+                .collect();
+            selected.extend(rebroadcasts);
         }
-        picked
+        selected
     }
 
-    fn pick_news(&mut self, now: MonoTime) -> Vec<WorkDigest> {
-        let mut picked = Vec::new();
-        for (work, turn) in &mut self.fresh {
-            if turn.due <= now && picked.len() < MOST_NEWS {
-                turn.until.get_or_insert(now.plus(NEWS_TIME));
-                turn.due = now.plus(NEWS_PAUSE);
-                picked.push(*work);
+    fn select_updates(&mut self, now: MonoTime) -> Vec<WorkDigest> {
+        let mut selected = Vec::new();
+        for (work, broadcast) in &mut self.pending {
+            if broadcast.due <= now && selected.len() < MAX_UPDATES {
+                broadcast.until.get_or_insert(now.plus(BROADCAST_TIME));
+                broadcast.due = now.plus(BROADCAST_INTERVAL);
+                selected.push(*work);
             }
         }
-        self.fresh
-            .retain(|_, turn| turn.until.is_none_or(|until| turn.due < until));
-        picked
+        self.pending
+            .retain(|_, broadcast| broadcast.until.is_none_or(|until| broadcast.due < until));
+        selected
     }
 }
--- a/src/gateway/duties/mod.rs
+++ b/src/gateway/duties/mod.rs
@@ -5,9 +5,9 @@
 //! when nothing of the one before can still be under way and its turn has lasted long
 //! enough: acting in turns would be taken for two holders.
 
+pub mod fleet_clock;
 pub mod server_desk;
 pub mod server_plan;
-pub mod true_time;
 pub mod usage_book;
 pub mod usage_desk;
 pub mod usage_ledger;
@@ -20,10 +20,10 @@
 use crate::authority::lease_state::{LeaseAuthority, LeaseTimes};
 use crate::clock;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::server_desk::{ServerDesk, ServerNews};
-use crate::gateway::duties::true_time::TrueClock;
-use crate::gateway::duties::usage_book::UsageBook;
-use crate::gateway::duties::usage_desk::{UsageDesk, UsageNews};
+use crate::gateway::duties::fleet_clock::FleetClock;
+use crate::gateway::duties::server_desk::{ServerEvent, ServerScaler};
+use crate::gateway::duties::usage_book::UsageCounts;
+use crate::gateway::duties::usage_desk::{UsageEvent, UsageReporter};
 use crate::gateway::lease_upkeep::{LeaseAnswer, LeaseUpkeep};
 use crate::gateway::port::DutyCaller;
 use crate::gateway::settings::DutySettings;
@@ -32,31 +32,31 @@
 use crate::timer::TimerService;
 
 /// Group of the lease: all duties together, so that they move together.
-const GROUP: &str = "duties";
+const LEASE_GROUP: &str = "duties";
 /// Kind of the store's objects in which duties keep what a successor has to know.
-const DUTY_KIND: &str = "pistachiowick-duties";
+const STATE_KIND: &str = "pistachiowick-duties";
 /// How often what is due is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Daemons that contend for the lease: one may be stopped while another one is cut off.
-const CONTENDERS: usize = 3;
+const MAX_CONTENDERS: usize = 3;
 /// Time after the start in which the fleet's roles settle, and nobody contends.
-const SETTLE_TIME: Duration = Duration::from_millis(3_000);
+const STARTUP_DELAY: Duration = Duration::from_millis(3_000);
 /// Longest time for the platform to take a call; a slow one takes hundreds of milliseconds.
 pub const CALL_WAIT: Duration = Duration::from_millis(1_000);
 /// Part of the lease before whose end the holder begins no call: longer than a call.
-const GUARD_PART: f64 = 0.4;
+const GUARD_FRACTION: f64 = 0.4;
 /// Part of the lease's time for which a call may still be under way after its end. One that
 /// was begun at the last moment is given up by the connection 2.5 s later, which is 0.43 of
 /// a lease of three seconds after its end.
-const FLIGHT_PART: f64 = 0.5;
+const IN_FLIGHT_FRACTION: f64 = 0.5;
 
 /// What this daemon counts of usage, and the time that it goes by.
 #[derive(Debug)]
 pub struct DutyBook {
     /// True time.
-    pub clock: TrueClock,
+    pub clock: FleetClock,
     /// Requests that began, by window and workspace.
-    pub usage: UsageBook,
+    pub usage: UsageCounts,
 }
 
 impl DutyBook {
@@ -64,145 +64,146 @@
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
-            clock: TrueClock::default(),
-            usage: UsageBook::new(window),
+            clock: FleetClock::default(),
+            usage: UsageCounts::new(window),
         }
     }
 
     /// Agrees on true time and puts what began into its windows.
     pub fn settle(&mut self, now: MonoTime) {
-        self.clock.settle(clock::unix_now(), now);
-        self.usage.sort_in(&self.clock, now);
+        self.clock.update_offset(clock::unix_now(), now);
+        self.usage.assign_windows(&self.clock, now);
     }
 }
 
 /// The right to act, for one look at what is due.
 #[derive(Clone, Debug)]
-pub struct DutyTurn {
+pub struct TaskPermit {
     /// Who acts.
     pub caller: DutyCaller,
     /// When no call may be begun any more, on the own clock.
     pub until: MonoTime,
 }
 
-impl DutyTurn {
+impl TaskPermit {
     /// Whether a call may still be begun.
     #[must_use]
-    pub fn lasts(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         clock::mono_now() < self.until
     }
 }
 
-enum DeskNews {
+enum TaskEvent {
     Lease(LeaseAnswer),
-    Usage(UsageNews),
-    Servers(ServerNews),
+    Usage(UsageEvent),
+    Servers(ServerEvent),
 }
 
-struct DutyDesk {
+struct FleetTasks {
     gateway: Rc<Gateway>,
     lease: LeaseUpkeep,
-    turn_time: Duration,
-    held: Option<(FenceNumber, MonoTime)>,
-    usage: UsageDesk,
-    servers: ServerDesk,
-    results: mpsc::UnboundedSender<DeskNews>,
+    lease_time: Duration,
+    held_lease: Option<(FenceNumber, MonoTime)>,
+    usage: UsageReporter,
+    servers: ServerScaler,
+    events_tx: mpsc::UnboundedSender<TaskEvent>,
 }
 
 /// Runs until the process ends.
 pub async fn run(gateway: Rc<Gateway>, settings: DutySettings) {
-    let (results, mut inbox) = mpsc::unbounded_channel();
-    let turn_time = settings.turn_time();
+    let (events_tx, mut events) = mpsc::unbounded_channel();
+    let lease_time = settings.turn_time();
     let times = LeaseTimes {
-        duration: turn_time,
-        guard: turn_time.mul_f64(GUARD_PART),
-        order_flight: turn_time.mul_f64(FLIGHT_PART),
+        duration: lease_time,
+        guard: lease_time.mul_f64(GUARD_FRACTION),
+        order_flight: lease_time.mul_f64(IN_FLIGHT_FRACTION),
     };
-    let mut desk = DutyDesk {
-        lease: LeaseUpkeep::new(gateway.clone(), GROUP, times),
-        turn_time,
-        held: None,
-        usage: UsageDesk::new(&settings),
-        servers: ServerDesk::default(),
+    let mut tasks = FleetTasks {
+        lease: LeaseUpkeep::new(gateway.clone(), LEASE_GROUP, times),
+        lease_time,
+        held_lease: None,
+        usage: UsageReporter::new(&settings),
+        servers: ServerScaler::default(),
         gateway,
-        results,
+        events_tx,
     };
     let timer = TimerService::start();
-    let mut looks = timer.every(LOOK_EVERY);
+    let mut ticks = timer.every(CHECK_INTERVAL);
     loop {
         tokio::select! {
-            _ = looks.next() => desk.look(clock::mono_now()),
-            Some(news) = inbox.recv() => desk.take(news, clock::mono_now()),
+            _ = ticks.next() => tasks.check(clock::mono_now()),
+            Some(event) = events.recv() => tasks.handle(event, clock::mono_now()),
         }
     }
 }
 
-impl DutyDesk {
-    fn look(&mut self, now: MonoTime) {
+impl FleetTasks {
+    fn check(&mut self, now: MonoTime) {
         self.gateway.duties.borrow_mut().settle(now);
         self.update_lease(now);
-        self.servers.watch(&self.gateway.view(), now);
-        let Some(turn) = self.turn(now) else {
+        self.servers.observe(&self.gateway.view(), now);
+        let Some(permit) = self.permit(now) else {
             return;
         };
-        let results = self.results.clone();
-        self.usage.look(&self.gateway, &turn, now, move |news| {
+        let events_tx = self.events_tx.clone();
+        self.usage.check(&self.gateway, &permit, now, move |event| {
             // The desk ends only with the process.
-            let _ = results.send(DeskNews::Usage(news));
-        });
-        let results = self.results.clone();
-        self.servers.look(&self.gateway, &turn, now, move |news| {
-            let _ = results.send(DeskNews::Servers(news));
+            let _ = events_tx.send(TaskEvent::Usage(event));
         });
+        let events_tx = self.events_tx.clone();
+        self.servers
+            .check(&self.gateway, &permit, now, move |event| {
+                let _ = events_tx.send(TaskEvent::Servers(event));
+            });
     }
 
     fn update_lease(&mut self, now: MonoTime) {
-        let rank = self.gateway.duty_rank(now);
-        let results = self.results.clone();
-        let contending = rank.filter(|rank| *rank < CONTENDERS);
+        let rank = self.gateway.task_rank(now);
+        let events_tx = self.events_tx.clone();
+        let contending = rank.filter(|rank| *rank < MAX_CONTENDERS);
         self.lease.keep(contending, now, move |answer| {
             // The desk ends only with the process.
-            let _ = results.send(DeskNews::Lease(answer));
+            let _ = events_tx.send(TaskEvent::Lease(answer));
         });
     }
 
     // The right to act now. Who takes the lease from a holder that gave it up could act
     // right after it, and hand it back as soon: the wait keeps three acts in turns apart.
-    fn turn(&mut self, now: MonoTime) -> Option<DutyTurn> {
+    fn permit(&mut self, now: MonoTime) -> Option<TaskPermit> {
         let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
             // A renewal that comes late only makes the holder wait: what it knows holds on.
             if !self.lease.is_held() {
-                self.change_turn(None);
+                self.change_lease(None);
             }
             return None;
         };
-        if self.held.is_none_or(|(known, _)| known != fence) {
-            self.change_turn(Some((fence, now)));
+        if self.held_lease.is_none_or(|(known, _)| known != fence) {
+            self.change_lease(Some((fence, now)));
         }
-        let (_, since) = self.held?;
-        let first = fence == FIRST_FENCE;
-        if !first && now.since(since) < self.turn_time + LOOK_EVERY {
+        let (_, since) = self.held_lease?;
+        let is_first = fence == FIRST_FENCE;
+        if !is_first && now.since(since) < self.lease_time + CHECK_INTERVAL {
             return None;
         }
         let caller = DutyCaller {
             holder: self.gateway.daemon.clone(),
             fence,
         };
-        Some(DutyTurn { caller, until })
+        Some(TaskPermit { caller, until })
     }
 
     // What a holder knows is read anew in each turn: another one may have acted between.
-    fn change_turn(&mut self, held: Option<(FenceNumber, MonoTime)>) {
-        self.held = held;
-        self.usage.end_turn();
-        self.servers.end_turn();
+    fn change_lease(&mut self, held_lease: Option<(FenceNumber, MonoTime)>) {
+        self.held_lease = held_lease;
+        self.usage.reset();
+        self.servers.reset();
     }
 
-    fn take(&mut self, news: DeskNews, now: MonoTime) {
-        match news {
-            DeskNews::Lease(answer) => self.lease.take(answer, now),
-            DeskNews::Usage(news) => self.usage.take(news, now),
-            DeskNews::Servers(news) => self.servers.take(news, now),
+    fn handle(&mut self, event: TaskEvent, now: MonoTime) {
+        match event {
+            TaskEvent::Lease(answer) => self.lease.take(answer, now),
+            TaskEvent::Usage(event) => self.usage.handle(event, now),
+            TaskEvent::Servers(event) => self.servers.handle(event, now),
         }
     }
 }
@@ -211,9 +212,9 @@
 const FIRST_FENCE: FenceNumber = FenceNumber(1);
 
 /// Returns the object in which a duty keeps what a successor has to know.
-fn duty_object(name: &str) -> ObjectName {
+fn state_object(name: &str) -> ObjectName {
     ObjectName {
-        kind: DUTY_KIND.to_owned(),
+        kind: STATE_KIND.to_owned(),
         name: name.to_owned(),
     }
 }
@@ -221,8 +222,8 @@
 impl Gateway {
     // Place of this daemon among those that may perform duties; `None` where it may not.
     // Members of a large fleet do not hear what others count.
-    fn duty_rank(&self, now: MonoTime) -> Option<usize> {
-        if self.stopping.get() || now.since(self.started) < SETTLE_TIME {
+    fn task_rank(&self, now: MonoTime) -> Option<usize> {
+        if self.stopping.get() || now.since(self.started) < STARTUP_DELAY {
             return None;
         }
         self.speaker_rank(now)
--- a/src/gateway/duties/server_desk.rs
+++ b/src/gateway/duties/server_desk.rs
@@ -8,8 +8,8 @@
 use tokio::task::spawn_local;
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::server_plan::{self, CentreTargets, CentreWish};
-use crate::gateway::duties::{DutyTurn, duty_object};
+use crate::gateway::duties::server_plan::{self, CentreTargets, DesiredCounts};
+use crate::gateway::duties::{TaskPermit, state_object};
 use crate::gateway::fleet::FleetView;
 use crate::gateway::model::{ScalingRule, TargetRecord};
 use crate::gateway::port::{OrderAnswer, ServerOrder};
@@ -17,21 +17,21 @@
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
 /// Name of the object that holds what the operator had provided.
-const PROVIDED: &str = "provided";
+const PROVIDED_OBJECT: &str = "provided";
 /// Time for which the number of targets has to stay the same to be taken for what the
 /// operator had provided: they register one by one when everything starts.
-const STEADY_TIME: Duration = Duration::from_millis(2_000);
+const STABLE_TIME: Duration = Duration::from_millis(2_000);
 /// Pause before servers that were not to be had are asked for again.
-const NONE_PAUSE: Duration = Duration::from_millis(1_500);
+const NO_CAPACITY_DELAY: Duration = Duration::from_millis(1_500);
 /// Pause before an order that the platform refused as faulty is tried again: only another
 /// configuration changes what it says, and calls are priced.
-const REFUSED_PAUSE: Duration = Duration::from_secs(10);
+const REFUSED_DELAY: Duration = Duration::from_secs(10);
 /// Pause after a call that came to nothing.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Time beyond their start in which ordered servers register here.
-const START_SLACK: Duration = Duration::from_millis(1_500);
+const REGISTRATION_SLACK: Duration = Duration::from_millis(1_500);
 /// Time beyond their start after which servers that did not come are ordered again.
-const LATE_TIME: Duration = Duration::from_millis(4_000);
+const OVERDUE_TIME: Duration = Duration::from_millis(4_000);
 
 /// Targets that the operator had provided before any were ordered, by service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -39,20 +39,20 @@
 
 /// What an order is about.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct OrderSubject {
+pub struct OrderKey {
     service: ServiceName,
     centre: CentreName,
     reclaimable: bool,
 }
 
 /// What came of a call.
-pub enum ServerNews {
+pub enum ServerEvent {
     /// What was provided was read.
     Read(Result<Option<StoredObject>, PlatformError>),
     /// What was provided was written.
     Written(Result<ObjectVersion, PlatformError>),
     /// Servers were ordered.
-    Ordered(OrderSubject, u32, Result<OrderAnswer, PlatformError>),
+    Ordered(OrderKey, u32, Result<OrderAnswer, PlatformError>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -63,88 +63,90 @@
 
 /// The duty as its holder performs it.
 #[derive(Debug, Default)]
-pub struct ServerDesk {
+pub struct ServerScaler {
     provided: Option<(ObjectVersion, ProvidedTargets)>,
     // Targets by service as last seen, and since when.
-    steady: Option<(IndexMap<ServiceName, u32>, MonoTime)>,
-    orders: IndexMap<OrderSubject, LastOrder>,
-    paused: IndexMap<OrderSubject, MonoTime>,
-    busy: bool,
-    wait_until: MonoTime,
+    stable: Option<(IndexMap<ServiceName, u32>, MonoTime)>,
+    orders: IndexMap<OrderKey, LastOrder>,
+    delayed: IndexMap<OrderKey, MonoTime>,
+    call_pending: bool,
+    backoff_until: MonoTime,
 }
 
-impl ServerDesk {
+impl ServerScaler {
     /// Forgets what only a holder knows.
-    pub fn end_turn(&mut self) {
+    pub fn reset(&mut self) {
         self.provided = None;
         self.orders.clear();
-        self.paused.clear();
+        self.delayed.clear();
     }
 
     /// Does what is due; `tell` gets what came of it.
-    pub fn look(
+    pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
-        turn: &DutyTurn,
+        permit: &TaskPermit,
         now: MonoTime,
-        tell: impl Fn(ServerNews) + 'static,
+        send: impl Fn(ServerEvent) + 'static,
     ) {
         let view = gateway.view();
         let scaled = scaled_services(&view);
-        if scaled.is_empty() || self.busy || now < self.wait_until {
+        if scaled.is_empty() || self.call_pending || now < self.backoff_until {
             return;
         }
-        let steady = self.is_steady(now);
+        let stable = self.is_stable(now);
         let Some((version, provided)) = &self.provided else {
-            self.busy = true;
+            self.call_pending = true;
             let store = gateway.ports.store.clone();
             spawn_local(async move {
-                tell(ServerNews::Read((store.read)(duty_object(PROVIDED)).await));
+                send(ServerEvent::Read(
+                    (store.read)(state_object(PROVIDED_OBJECT)).await,
+                ));
             });
             return;
         };
-        let all_known = scaled.iter().all(|(name, _)| provided.0.contains_key(name));
-        if !all_known {
-            if steady {
-                self.provide(gateway, &view, &scaled, *version, tell);
+        let all_recorded = scaled.iter().all(|(name, _)| provided.0.contains_key(name));
+        if !all_recorded {
+            if stable {
+                self.record_provided(gateway, &view, &scaled, *version, send);
             }
             return;
         }
-        if let Some((subject, count)) = self.due_order(&view, &scaled, now) {
-            self.busy = true;
-            order(gateway, turn, (subject, count), tell);
+        if let Some((key, count)) = self.due_order(&view, &scaled, now) {
+            self.call_pending = true;
+            place_order(gateway, permit, (key, count), send);
         }
     }
 
     /// Watches how many targets there are, also before this daemon performs the duty.
-    pub fn watch(&mut self, view: &FleetView, now: MonoTime) {
+    pub fn observe(&mut self, view: &FleetView, now: MonoTime) {
         let scaled = scaled_services(view).into_iter();
-        let counted: IndexMap<ServiceName, u32> = scaled
+        let counts: IndexMap<ServiceName, u32> = scaled
             .map(|(name, _)| {
                 let count = count(view, &name);
                 (name, count)
             })
             .collect();
-        let same = |(known, _): &(IndexMap<ServiceName, u32>, MonoTime)| *known == counted;
-        if !self.steady.as_ref().is_some_and(same) {
-            self.steady = Some((counted, now));
+        let same = |(known, _): &(IndexMap<ServiceName, u32>, MonoTime)| *known == counts;
+        if !self.stable.as_ref().is_some_and(same) {
+            self.stable = Some((counts, now));
         }
     }
 
-    fn is_steady(&self, now: MonoTime) -> bool {
-        let steady = self.steady.as_ref();
-        steady.is_some_and(|(_, since)| now.since(*since) >= STEADY_TIME)
+    fn is_stable(&self, now: MonoTime) -> bool {
+        let stable = self.stable.as_ref();
+        stable.is_some_and(|(_, since)| now.since(*since) >= STABLE_TIME)
     }
 
     // What is found before the first order is what the operator had provided. It is kept in
     // the store, or a later holder would take its own orders for it.
-    fn provide(
+    fn record_provided(
         &mut self,
         gateway: &Rc<Gateway>,
         view: &FleetView,
         scaled: &[(ServiceName, ScalingRule)],
         expected: ObjectVersion,
-        tell: impl Fn(ServerNews) + 'static,
+        send: impl Fn(ServerEvent) + 'static,
     ) {
         let Some((_, provided)) = &mut self.provided else {
             return;
@@ -154,14 +156,14 @@
         }
         log::info!(provided = format!("{:?}", provided.0); "targets provided by the operator");
         let write = ConditionalWrite {
-            object: duty_object(PROVIDED),
+            object: state_object(PROVIDED_OBJECT),
             expected,
             value: serde_json::to_vec(provided).unwrap_or_default(),
         };
-        self.busy = true;
+        self.call_pending = true;
         let store = gateway.ports.store.clone();
         spawn_local(async move {
-            tell(ServerNews::Written((store.write)(write).await));
+            send(ServerEvent::Written((store.write)(write).await));
         });
     }
 
@@ -171,16 +173,16 @@
         view: &FleetView,
         scaled: &[(ServiceName, ScalingRule)],
         now: MonoTime,
-    ) -> Option<(OrderSubject, u32)> {
+    ) -> Option<(OrderKey, u32)> {
         let (_, provided) = self.provided.as_ref()?;
         for (service, rule) in scaled {
             let mut centres = centres_of(view, service, rule);
             for at in &mut centres {
-                at.coming = self.coming(service, rule, &at.centre, now);
+                at.expected_reclaimable = self.expected_reclaimable(service, rule, &at.centre, now);
             }
-            let wishes = server_plan::plan(rule, *provided.0.get(service)?, &centres);
-            for (wish, at) in wishes.iter().flatten().zip(&centres) {
-                let due = self.due_at(service, rule, (wish, at), now);
+            let plan = server_plan::plan(rule, *provided.0.get(service)?, &centres);
+            for (desired, at) in plan.iter().flatten().zip(&centres) {
+                let due = self.due_order_in(service, rule, (desired, at), now);
                 if due.is_some() {
                     return due;
                 }
@@ -190,90 +192,92 @@
     }
 
     // Reclaimable ones that were ordered so lately that they may still be starting.
-    fn coming(
+    fn expected_reclaimable(
         &self,
         service: &ServiceName,
         rule: &ScalingRule,
         centre: &CentreName,
         now: MonoTime,
     ) -> u32 {
-        let subject = OrderSubject {
+        let key = OrderKey {
             service: service.clone(),
             centre: centre.clone(),
             reclaimable: true,
         };
-        let last = self.orders.get(&subject);
-        let starting = |last: &&LastOrder| now.since(last.at) < rule.boot + START_SLACK;
+        let last = self.orders.get(&key);
+        let starting = |last: &&LastOrder| now.since(last.at) < rule.boot + REGISTRATION_SLACK;
         last.filter(starting).map_or(0, |last| last.count)
     }
 
     // Reclaimable ones go first: firm ones leave once these serve.
-    fn due_at(
+    fn due_order_in(
         &self,
         service: &ServiceName,
         rule: &ScalingRule,
-        (wish, at): (&CentreWish, &CentreTargets),
+        (desired, at): (&DesiredCounts, &CentreTargets),
         now: MonoTime,
-    ) -> Option<(OrderSubject, u32)> {
+    ) -> Option<(OrderKey, u32)> {
         let kinds = [
-            (true, wish.reclaimable, at.reclaimable),
-            (false, wish.firm, at.firm),
+            (true, desired.reclaimable, at.reclaimable),
+            (false, desired.on_demand, at.on_demand),
         ];
-        kinds.into_iter().find_map(|(reclaimable, wanted, there)| {
-            let subject = OrderSubject {
-                service: service.clone(),
-                centre: wish.centre.clone(),
-                reclaimable,
-            };
-            let paused = self.paused.get(&subject).is_some_and(|until| now < *until);
-            let last = self.orders.get(&subject);
-            let next = server_plan::next_step(there, wanted, last.map(|last| last.count));
-            let due = match last {
-                None => next != there,
-                Some(last) if last.count != next => true,
-                Some(last) => next > there && now.since(last.at) > rule.boot + LATE_TIME,
-            };
-            (due && !paused).then_some((subject, next))
-        })
+        kinds
+            .into_iter()
+            .find_map(|(reclaimable, desired, current)| {
+                let key = OrderKey {
+                    service: service.clone(),
+                    centre: desired.centre.clone(),
+                    reclaimable,
+                };
+                let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
+                let last = self.orders.get(&key);
+                let next = server_plan::next_step(current, desired, last.map(|last| last.count));
+                let due = match last {
+                    None => next != current,
+                    Some(last) if last.count != next => true,
+                    Some(last) => next > current && now.since(last.at) > rule.boot + OVERDUE_TIME,
+                };
+                (due && !delayed).then_some((key, next))
+            })
     }
 
     /// Takes what came of a call.
-    pub fn take(&mut self, news: ServerNews, now: MonoTime) {
-        self.busy = false;
-        match news {
-            ServerNews::Read(Ok(found)) => self.provided = read_provided(found),
-            ServerNews::Written(Ok(version)) => {
+    pub fn handle(&mut self, event: ServerEvent, now: MonoTime) {
+        self.call_pending = false;
+        match event {
+            ServerEvent::Read(Ok(stored)) => self.provided = read_provided(stored),
+            ServerEvent::Written(Ok(version)) => {
                 if let Some((known, _)) = &mut self.provided {
                     *known = version;
                 }
             }
-            ServerNews::Read(Err(error)) => self.pause(&error, now),
-            ServerNews::Written(Err(error)) => {
+            ServerEvent::Read(Err(error)) => self.back_off(&error, now),
+            ServerEvent::Written(Err(error)) => {
                 self.provided = None;
-                self.pause(&error, now);
+                self.back_off(&error, now);
             }
-            ServerNews::Ordered(subject, count, Ok(OrderAnswer::Taken)) => {
-                self.orders.insert(subject, LastOrder { count, at: now });
+            ServerEvent::Ordered(key, count, Ok(OrderAnswer::Taken)) => {
+                self.orders.insert(key, LastOrder { count, at: now });
             }
-            ServerNews::Ordered(subject, _, Ok(OrderAnswer::NoneThere)) => {
-                self.orders.swap_remove(&subject);
-                self.paused.insert(subject, now.plus(NONE_PAUSE));
+            ServerEvent::Ordered(key, _, Ok(OrderAnswer::NoneThere)) => {
+                self.orders.swap_remove(&key);
+                self.delayed.insert(key, now.plus(NO_CAPACITY_DELAY));
             }
-            ServerNews::Ordered(subject, _, Err(error @ PlatformError::Refused { .. })) => {
-                self.orders.swap_remove(&subject);
-                self.paused.insert(subject, now.plus(REFUSED_PAUSE));
-                self.pause(&error, now);
+            ServerEvent::Ordered(key, _, Err(error @ PlatformError::Refused { .. })) => {
+                self.orders.swap_remove(&key);
+                self.delayed.insert(key, now.plus(REFUSED_DELAY));
+                self.back_off(&error, now);
             }
-            ServerNews::Ordered(subject, _, Err(error)) => {
-                self.orders.swap_remove(&subject);
-                self.pause(&error, now);
+            ServerEvent::Ordered(key, _, Err(error)) => {
+                self.orders.swap_remove(&key);
+                self.back_off(&error, now);
             }
         }
     }
 
-    fn pause(&mut self, error: &PlatformError, now: MonoTime) {
+    fn back_off(&mut self, error: &PlatformError, now: MonoTime) {
         log::warn!("servers not ordered yet: {error}");
-        self.wait_until = now.plus(RETRY_PAUSE);
+        self.backoff_until = now.plus(RETRY_DELAY);
     }
 }
 
@@ -294,15 +298,15 @@
         .centre_prices
         .iter()
         .map(|(centre, price)| {
-            let there = |t: &&std::sync::Arc<TargetRecord>| t.centre == *centre;
-            let (reclaimable, firm): (Vec<_>, Vec<_>) =
-                targets.iter().filter(there).partition(|t| t.reclaimable);
+            let current = |t: &&std::sync::Arc<TargetRecord>| t.centre == *centre;
+            let (reclaimable, on_demand): (Vec<_>, Vec<_>) =
+                targets.iter().filter(current).partition(|t| t.reclaimable);
             CentreTargets {
                 centre: centre.clone(),
                 price: *price,
-                firm: u32::try_from(firm.len()).unwrap_or(u32::MAX),
+                on_demand: u32::try_from(on_demand.len()).unwrap_or(u32::MAX),
                 reclaimable: u32::try_from(reclaimable.len()).unwrap_or(u32::MAX),
-                coming: 0,
+                expected_reclaimable: 0,
             }
         })
         .collect();
@@ -310,8 +314,8 @@
     centres
 }
 
-fn read_provided(found: Option<StoredObject>) -> Option<(ObjectVersion, ProvidedTargets)> {
-    let Some(StoredObject { version, value, .. }) = found else {
+fn read_provided(stored: Option<StoredObject>) -> Option<(ObjectVersion, ProvidedTargets)> {
+    let Some(StoredObject { version, value, .. }) = stored else {
         return Some((ObjectVersion(0), ProvidedTargets::default()));
     };
     match serde_json::from_slice(&value.unwrap_or_default()) {
@@ -325,33 +329,33 @@
     }
 }
 
-fn order(
+fn place_order(
     gateway: &Rc<Gateway>,
-    turn: &DutyTurn,
-    (subject, count): (OrderSubject, u32),
-    tell: impl Fn(ServerNews) + 'static,
+    permit: &TaskPermit,
+    (key, count): (OrderKey, u32),
+    send: impl Fn(ServerEvent) + 'static,
 ) {
-    let (ports, turn) = (gateway.ports.clone(), turn.clone());
-    let wanted = ServerOrder {
-        service: subject.service.clone(),
-        centre: subject.centre.clone(),
+    let (ports, permit) = (gateway.ports.clone(), permit.clone());
+    let desired = ServerOrder {
+        service: key.service.clone(),
+        centre: key.centre.clone(),
         count,
-        reclaimable: subject.reclaimable,
+        reclaimable: key.reclaimable,
     };
     spawn_local(async move {
-        let answer = match ports.duties.filter(|_| turn.lasts()) {
-            Some(duties) => (duties.order_servers)((turn.caller, wanted)).await,
+        let answer = match ports.duties.filter(|_| permit.is_valid()) {
+            Some(duties) => (duties.order_servers)((permit.caller, desired)).await,
             None => Err(PlatformError::Unavailable {
                 reason: "the right to order ended".to_owned(),
-                retry_after: RETRY_PAUSE,
+                retry_after: RETRY_DELAY,
             }),
         };
         log::info!(
-            centre = subject.centre.as_str(), reclaimable = subject.reclaimable, count = count,
+            centre = key.centre.as_str(), reclaimable = key.reclaimable, count = count,
             outcome = format!("{answer:?}");
             "servers ordered"
         );
         metrics::counter!("pistachiowick_server_orders_total").increment(1);
-        tell(ServerNews::Ordered(subject, count, answer));
+        send(ServerEvent::Ordered(key, count, answer));
     });
 }
--- a/src/gateway/duties/usage_book.rs
+++ b/src/gateway/duties/usage_book.rs
@@ -8,7 +8,7 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::duties::true_time::TrueClock;
+use crate::gateway::duties::fleet_clock::FleetClock;
 use crate::names::{DaemonId, MonoTime, WorkspaceName, millis};
 
 /// Number of a window: the time since 1970 in lengths of a window.
@@ -34,43 +34,43 @@
 
 /// Time after which all recent counts are told again, also those that did not change: a
 /// word may be lost. Well below the time in which a window's report is due.
-const TELL_ALL_EVERY: Duration = Duration::from_millis(1_000);
+const FULL_UPDATE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Windows that are told again, the newest ones.
-const WINDOWS_TOLD: u64 = 3;
+const WINDOWS_SENT: u64 = 3;
 /// Windows that are kept, for reports that wait while the store or the platform is away.
-const WINDOWS_KEPT: u64 = 24;
+const WINDOWS_RETAINED: u64 = 24;
 
 /// Counts of this daemon and of those that tell it theirs.
 #[derive(Debug)]
-pub struct UsageBook {
+pub struct UsageCounts {
     window: Duration,
     // Begun while true time was not agreed on yet.
     pending: Vec<(MonoTime, WorkspaceName)>,
-    own: WindowCounts,
+    local: WindowCounts,
     changed: IndexSet<(WindowNumber, WorkspaceName)>,
-    heard: IndexMap<(DaemonId, u64), WindowCounts>,
+    remote: IndexMap<(DaemonId, u64), WindowCounts>,
     relayed: Vec<DaemonUsage>,
-    told_all_at: MonoTime,
+    full_update_at: MonoTime,
 }
 
-impl UsageBook {
+impl UsageCounts {
     /// Creates a book for windows of a length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
             window,
             pending: Vec::new(),
-            own: IndexMap::new(),
+            local: IndexMap::new(),
             changed: IndexSet::new(),
-            heard: IndexMap::new(),
+            remote: IndexMap::new(),
             relayed: Vec::new(),
-            told_all_at: MonoTime(0),
+            full_update_at: MonoTime(0),
         }
     }
 
     /// Returns the window of a moment.
     #[must_use]
-    pub fn window_of(&self, clock: &TrueClock, moment: MonoTime) -> Option<WindowNumber> {
+    pub fn window_of(&self, clock: &FleetClock, moment: MonoTime) -> Option<WindowNumber> {
         let at = clock.at(moment)?;
         Some(at.0 / millis(self.window).max(1))
     }
@@ -81,38 +81,38 @@
     }
 
     /// Puts what began into its windows, once true time is known.
-    pub fn sort_in(&mut self, clock: &TrueClock, now: MonoTime) {
+    pub fn assign_windows(&mut self, clock: &FleetClock, now: MonoTime) {
         let Some(newest) = self.window_of(clock, now) else {
             return;
         };
         for (moment, workspace) in std::mem::take(&mut self.pending) {
             let window = self.window_of(clock, moment).unwrap_or(newest);
-            let counts = self.own.entry(window).or_default();
+            let counts = self.local.entry(window).or_default();
             *counts.entry(workspace.clone()).or_default() += 1;
             self.changed.insert((window, workspace));
         }
-        let kept = |window: &WindowNumber| *window + WINDOWS_KEPT > newest;
-        self.own.retain(|window, _| kept(window));
-        for counts in self.heard.values_mut() {
-            counts.retain(|window, _| kept(window));
+        let is_retained = |window: &WindowNumber| *window + WINDOWS_RETAINED > newest;
+        self.local.retain(|window, _| is_retained(window));
+        for counts in self.remote.values_mut() {
+            counts.retain(|window, _| is_retained(window));
         }
-        self.heard.retain(|_, counts| !counts.is_empty());
+        self.remote.retain(|_, counts| !counts.is_empty());
     }
 
     /// Returns own counts to tell: those that changed, and at times all recent ones.
     pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCell> {
         let changed = std::mem::take(&mut self.changed);
-        if now.since(self.told_all_at) < TELL_ALL_EVERY {
-            let own = |(window, workspace): (WindowNumber, WorkspaceName)| {
-                let count = *self.own.get(&window)?.get(&workspace)?;
+        if now.since(self.full_update_at) < FULL_UPDATE_INTERVAL {
+            let local = |(window, workspace): (WindowNumber, WorkspaceName)| {
+                let count = *self.local.get(&window)?.get(&workspace)?;
                 Some((window, workspace, count))
             };
-            return changed.into_iter().filter_map(own).collect();
+            return changed.into_iter().filter_map(local).collect();
         }
-        self.told_all_at = now;
-        let newest = self.own.keys().max().copied().unwrap_or(0);
-        let recent = self.own.iter();
-        let recent = recent.filter(|(window, _)| **window + WINDOWS_TOLD > newest);
+        self.full_update_at = now;
+        let newest = self.local.keys().max().copied().unwrap_or(0);
+        let recent = self.local.iter();
+        let recent = recent.filter(|(window, _)| **window + WINDOWS_SENT > newest);
         let cells = recent.flat_map(|(window, counts)| {
             let counts = counts.iter();
             counts.map(|(workspace, count)| (*window, workspace.clone(), *count))
@@ -121,16 +121,16 @@
     }
 
     /// Takes what a daemon counted; what members told goes on to other hubs.
-    pub fn note_heard(&mut self, told: DaemonUsage, from_member: bool) {
-        let life = (told.daemon.clone(), told.life);
-        for (window, workspace, count) in &told.cells {
-            let counts = self.heard.entry(life.clone()).or_default();
+    pub fn note_heard(&mut self, usage: DaemonUsage, from_member: bool) {
+        let life = (usage.daemon.clone(), usage.life);
+        for (window, workspace, count) in &usage.cells {
+            let counts = self.remote.entry(life.clone()).or_default();
             let counts = counts.entry(*window).or_default();
             let known = counts.entry(workspace.clone()).or_default();
             *known = (*known).max(*count);
         }
-        if from_member && !told.cells.is_empty() {
-            self.relayed.push(told);
+        if from_member && !usage.cells.is_empty() {
+            self.relayed.push(usage);
         }
     }
 
@@ -143,7 +143,7 @@
     #[must_use]
     pub fn total(&self, window: WindowNumber) -> WorkspaceCounts {
         let mut total = WorkspaceCounts::new();
-        let all = self.heard.values().chain([&self.own]);
+        let all = self.remote.values().chain([&self.local]);
         for counts in all.filter_map(|counts| counts.get(&window)) {
             for (workspace, count) in counts {
                 *total.entry(workspace.clone()).or_default() += count;
--- a/src/gateway/duties/usage_desk.rs
+++ b/src/gateway/duties/usage_desk.rs
@@ -8,22 +8,22 @@
 use crate::gateway::daemon::Gateway;
 use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
 use crate::gateway::duties::usage_ledger::{UsageLedger, UsageStep};
-use crate::gateway::duties::{DutyTurn, duty_object};
+use crate::gateway::duties::{TaskPermit, state_object};
 use crate::gateway::port::UsageReport;
 use crate::gateway::settings::DutySettings;
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
 /// Name of the object that holds the records.
-const LEDGER: &str = "usage";
+const LEDGER_OBJECT: &str = "usage";
 /// Part of the time in which a report is due for which counts are waited for after their
 /// window's end: what daemons tell takes a second, and the rest is left to a successor.
-const CLOSE_PART: f64 = 0.2;
+const CLOSE_FRACTION: f64 = 0.2;
 /// Pause after a call that came to nothing.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What came of a call.
-pub enum UsageNews {
+pub enum UsageEvent {
     /// The records were read.
     Read(Result<Option<StoredObject>, PlatformError>),
     /// Records were written.
@@ -34,118 +34,120 @@
 
 /// The duty as its holder performs it.
 #[derive(Debug)]
-pub struct UsageDesk {
-    close_after: Duration,
+pub struct UsageReporter {
+    close_delay: Duration,
     // As the store holds it; `None` until it was read in this turn.
     ledger: Option<(ObjectVersion, UsageLedger)>,
-    first: Option<WindowNumber>,
-    busy: bool,
-    wait_until: MonoTime,
+    first_window: Option<WindowNumber>,
+    call_pending: bool,
+    backoff_until: MonoTime,
 }
 
-impl UsageDesk {
+impl UsageReporter {
     /// Creates a desk.
     #[must_use]
     pub fn new(settings: &DutySettings) -> Self {
         Self {
-            close_after: settings.usage_due().mul_f64(CLOSE_PART),
+            close_delay: settings.usage_due().mul_f64(CLOSE_FRACTION),
             ledger: None,
-            first: None,
-            busy: false,
-            wait_until: MonoTime(0),
+            first_window: None,
+            call_pending: false,
+            backoff_until: MonoTime(0),
         }
     }
 
     /// Forgets what only a holder knows.
-    pub fn end_turn(&mut self) {
+    pub fn reset(&mut self) {
         self.ledger = None;
     }
 
     /// Does what is due; `tell` gets what came of it.
-    pub fn look(
+    pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
-        turn: &DutyTurn,
+        permit: &TaskPermit,
         now: MonoTime,
-        tell: impl Fn(UsageNews) + 'static,
+        send_event: impl Fn(UsageEvent) + 'static,
     ) {
-        if self.busy || now < self.wait_until {
+        if self.call_pending || now < self.backoff_until {
             return;
         }
         let Some((version, ledger)) = &self.ledger else {
-            self.busy = true;
+            self.call_pending = true;
             let store = gateway.ports.store.clone();
             spawn_local(async move {
-                tell(UsageNews::Read((store.read)(duty_object(LEDGER)).await));
+                send_event(UsageEvent::Read(
+                    (store.read)(state_object(LEDGER_OBJECT)).await,
+                ));
             });
             return;
         };
-        let book = gateway.duties.borrow();
-        let Some(current) = book.usage.window_of(&book.clock, now) else {
+        let meter = gateway.duties.borrow();
+        let Some(current) = meter.usage.window_of(&meter.clock, now) else {
             return;
         };
-        let first = *self.first.get_or_insert(current);
-        let Some(newest) = self.newest_closed(&book, now) else {
+        let first_window = *self.first_window.get_or_insert(current);
+        let Some(newest) = self.newest_closed(&meter, now) else {
             return;
         };
-        match ledger.next_step(newest, first) {
+        match ledger.next_step(newest, first_window) {
             UsageStep::Wait => {}
             UsageStep::Record(windows) => {
-                let counted = windows.into_iter().map(|w| (w, book.usage.total(w)));
-                let wanted = ledger.with(counted.collect());
-                self.busy = true;
-                record(gateway, *version, wanted, tell);
+                let counts = windows.into_iter().map(|w| (w, meter.usage.total(w)));
+                let updated = ledger.with_windows(counts.collect());
+                self.call_pending = true;
+                write_ledger(gateway, *version, updated, send_event);
             }
             UsageStep::Report(window) => {
                 let counts = ledger.windows[&window].counts.clone();
-                self.busy = true;
-                send(gateway, turn, (window, counts), tell);
+                self.call_pending = true;
+                send_report(gateway, permit, (window, counts), send_event);
             }
         }
     }
 
     // The newest window that has ended so long ago that its counts are in.
-    fn newest_closed(&self, book: &super::DutyBook, now: MonoTime) -> Option<WindowNumber> {
-        let moment = MonoTime(now.0.checked_sub(millis(self.close_after))?);
-        book.usage.window_of(&book.clock, moment)?.checked_sub(1)
+    fn newest_closed(&self, meter: &super::DutyBook, now: MonoTime) -> Option<WindowNumber> {
+        let moment = MonoTime(now.0.checked_sub(millis(self.close_delay))?);
+        meter.usage.window_of(&meter.clock, moment)?.checked_sub(1)
     }
 
     /// Takes what came of a call.
-    pub fn take(&mut self, news: UsageNews, now: MonoTime) {
-        self.busy = false;
-        match news {
-            UsageNews::Read(Ok(found)) => self.ledger = read_ledger(found),
-            UsageNews::Written(ledger, Ok(version)) => self.ledger = Some((version, ledger)),
-            UsageNews::Sent(window, Ok(())) => self.close(window),
+    pub fn handle(&mut self, event: UsageEvent, now: MonoTime) {
+        self.call_pending = false;
+        match event {
+            UsageEvent::Read(Ok(stored)) => self.ledger = read_ledger(stored),
+            UsageEvent::Written(ledger, Ok(version)) => self.ledger = Some((version, ledger)),
+            UsageEvent::Sent(window, Ok(())) => self.mark_reported(window),
             // The same report would be refused again, and hold up all later ones.
-            UsageNews::Sent(window, Err(error @ PlatformError::Refused { .. })) => {
+            UsageEvent::Sent(window, Err(error @ PlatformError::Refused { .. })) => {
                 log::error!(window = window; "usage given up: {error}");
-                self.close(window);
+                self.mark_reported(window);
             }
-            UsageNews::Read(Err(error)) => self.pause("read", &error, now),
-            UsageNews::Written(_, Err(error)) => {
+            UsageEvent::Read(Err(error)) => self.back_off("read", &error, now),
+            UsageEvent::Written(_, Err(error)) => {
                 // It may have landed all the same: only a look at the store tells.
                 self.ledger = None;
-                self.pause("write", &error, now);
+                self.back_off("write", &error, now);
             }
-            UsageNews::Sent(_, Err(error)) => self.pause("report", &error, now),
+            UsageEvent::Sent(_, Err(error)) => self.back_off("report", &error, now),
         }
     }
 
-    fn close(&mut self, window: WindowNumber) {
+    fn mark_reported(&mut self, window: WindowNumber) {
         if let Some((_, ledger)) = &mut self.ledger {
-            ledger.note_reported(window);
+            ledger.mark_reported(window);
         }
     }
 
-    fn pause(&mut self, call: &str, error: &PlatformError, now: MonoTime) {
+    fn back_off(&mut self, call: &str, error: &PlatformError, now: MonoTime) {
         log::warn!(call = call; "usage not reported yet: {error}");
-        self.wait_until = now.plus(RETRY_PAUSE);
+        self.backoff_until = now.plus(RETRY_DELAY);
     }
 }
 
-fn read_ledger(found: Option<StoredObject>) -> Option<(ObjectVersion, UsageLedger)> {
-    let Some(StoredObject { version, value, .. }) = found else {
+fn read_ledger(stored: Option<StoredObject>) -> Option<(ObjectVersion, UsageLedger)> {
+    let Some(StoredObject { version, value, .. }) = stored else {
         return Some((ObjectVersion(0), UsageLedger::default()));
     };
     let value = value.unwrap_or_default();
@@ -160,45 +162,45 @@
     }
 }
 
-fn record(
+fn write_ledger(
     gateway: &Rc<Gateway>,
     expected: ObjectVersion,
-    wanted: UsageLedger,
-    tell: impl Fn(UsageNews) + 'static,
+    updated: UsageLedger,
+    send_event: impl Fn(UsageEvent) + 'static,
 ) {
     let store = gateway.ports.store.clone();
     let write = ConditionalWrite {
-        object: duty_object(LEDGER),
+        object: state_object(LEDGER_OBJECT),
         expected,
-        value: wanted.encode(),
+        value: updated.encode(),
     };
     spawn_local(async move {
         let written = (store.write)(write).await;
-        tell(UsageNews::Written(wanted, written));
+        send_event(UsageEvent::Written(updated, written));
     });
 }
 
-fn send(
+fn send_report(
     gateway: &Rc<Gateway>,
-    turn: &DutyTurn,
+    permit: &TaskPermit,
     (window, counts): (WindowNumber, WorkspaceCounts),
-    tell: impl Fn(UsageNews) + 'static,
+    send_event: impl Fn(UsageEvent) + 'static,
 ) {
-    let (ports, turn) = (gateway.ports.clone(), turn.clone());
+    let (ports, permit) = (gateway.ports.clone(), permit.clone());
     spawn_local(async move {
-        let sent = match ports.duties.filter(|_| turn.lasts()) {
+        let sent = match ports.duties.filter(|_| permit.is_valid()) {
             Some(duties) => {
                 let report = UsageReport { window, counts };
-                (duties.report_usage)((turn.caller, report)).await
+                (duties.report_usage)((permit.caller, report)).await
             }
             None => Err(PlatformError::Unavailable {
                 reason: "the right to report ended".to_owned(),
-                retry_after: RETRY_PAUSE,
+                retry_after: RETRY_DELAY,
             }),
         };
         log::info!(window = window, sent = sent.is_ok(); "usage reported");
         let outcome = if sent.is_ok() { "taken" } else { "failed" };
         metrics::counter!("pistachiowick_usage_reports_total", "outcome" => outcome).increment(1);
-        tell(UsageNews::Sent(window, sent));
+        send_event(UsageEvent::Sent(window, sent));
     });
 }
--- a/src/gateway/duties/usage_ledger.rs
+++ b/src/gateway/duties/usage_ledger.rs
@@ -12,9 +12,9 @@
 use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
 
 /// Reported windows that stay in the record, so that its size is bounded.
-const REPORTED_KEPT: usize = 6;
+const REPORTED_RETAINED: usize = 6;
 /// Windows that are recorded late at most; what was counted before is lost by then.
-const MOST_LATE: u64 = 20;
+const MAX_WINDOWS_LATE: u64 = 20;
 
 /// What is recorded of one window.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -67,13 +67,13 @@
     /// first window of a fleet that has recorded none.
     #[must_use]
     pub fn next_step(&self, newest: WindowNumber, first: WindowNumber) -> UsageStep {
-        let open = self.windows.iter().find(|(_, record)| !record.reported);
-        if let Some((window, _)) = open {
+        let unreported = self.windows.iter().find(|(_, record)| !record.reported);
+        if let Some((window, _)) = unreported {
             return UsageStep::Report(*window);
         }
         let last = self.windows.last_key_value().map(|(window, _)| *window);
         let from = last.map_or(first, |last| last + 1);
-        let from = from.max((newest + 1).saturating_sub(MOST_LATE));
+        let from = from.max((newest + 1).saturating_sub(MAX_WINDOWS_LATE));
         if from > newest {
             return UsageStep::Wait;
         }
@@ -82,26 +82,26 @@
 
     /// Returns the ledger with further windows, to be written to the store.
     #[must_use]
-    pub fn with(&self, counted: Vec<(WindowNumber, WorkspaceCounts)>) -> Self {
+    pub fn with_windows(&self, counted: Vec<(WindowNumber, WorkspaceCounts)>) -> Self {
         let mut ledger = self.clone();
-        let surplus = ledger.windows.len().saturating_sub(REPORTED_KEPT);
+        let surplus = ledger.windows.len().saturating_sub(REPORTED_RETAINED);
         let old: Vec<WindowNumber> = ledger.windows.keys().take(surplus).copied().collect();
         ledger
             .windows
             .retain(|window, record| !(record.reported && old.contains(window)));
-        let fresh = counted.into_iter().map(|(window, counts)| {
+        let new_records = counted.into_iter().map(|(window, counts)| {
             let reported = false;
             (window, WindowRecord { counts, reported })
         });
         // What is recorded stays as it is.
-        for (window, record) in fresh {
+        for (window, record) in new_records {
             ledger.windows.entry(window).or_insert(record);
         }
         ledger
     }
 
     /// Notes that the platform has taken a window's report.
-    pub fn note_reported(&mut self, window: WindowNumber) {
+    pub fn mark_reported(&mut self, window: WindowNumber) {
         if let Some(record) = self.windows.get_mut(&window) {
             record.reported = true;
         }
--- a/src/gateway/held_work/mod.rs
+++ b/src/gateway/held_work/mod.rs
@@ -19,7 +19,7 @@
 use crate::crashes::work_digest::WorkDigest;
 use crate::gateway::call::RoutedCall;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::held_work::records::HeldRecord;
+use crate::gateway::held_work::records::QuarantineRecord;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::reply::Failure;
 use crate::gateway::store_follow::Feed;
@@ -29,34 +29,35 @@
 use crate::timer::TimerService;
 
 /// Why held work is not sent.
-const HELD: &str = "targets ended under each run of this request; it is not sent for now";
+const QUARANTINE_REASON: &str =
+    "targets ended under each run of this request; it is not sent for now";
 /// Time to come back for work that is not tried again by itself.
-const HELD_WAIT: Duration = Duration::from_secs(3_600);
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(3_600);
 /// How often it is looked whether held work is in the store.
-const KEEP_EVERY: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time that each daemon leaves to those before it to write held work to the store.
-const TURN_WAIT: Duration = Duration::from_secs(1);
+const WRITE_STAGGER: Duration = Duration::from_secs(1);
 /// Pause after a call that the store did not answer.
-const FAILED_WAIT: Duration = Duration::from_secs(1);
+const ERROR_DELAY: Duration = Duration::from_secs(1);
 /// How often it is looked in the store for work that an operator let go, while any is held.
-const RELEASE_EVERY: Duration = Duration::from_secs(20);
+const RELEASE_CHECK_INTERVAL: Duration = Duration::from_secs(20);
 /// Silence of the store, which is asked more often, after which entries may be old.
-const STORE_SILENCE: Duration = Duration::from_secs(4);
+const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What is known of the store's copy of a held work.
 #[derive(Clone, Debug)]
-struct KeptWork {
+struct StoredWork {
     route: String,
-    held_at: MonoTime,
-    ends: usize,
+    quarantined_at: MonoTime,
+    crashes: usize,
 }
 
 /// Which held works the store has.
 #[derive(Clone, Debug, Default)]
 pub struct HeldDesk {
-    kept: IndexMap<WorkDigest, KeptWork>,
-    looked_at: Option<MonoTime>,
-    heard_since: Option<MonoTime>,
+    works: IndexMap<WorkDigest, StoredWork>,
+    listed_at: Option<MonoTime>,
+    reachable_since: Option<MonoTime>,
 }
 
 /// Loads held work from the store, and keeps it there.
@@ -64,18 +65,18 @@
 /// A daemon that is fed by a hub is told of it, and asks for none itself.
 pub async fn run(gateway: Rc<Gateway>) {
     let timer = TimerService::start();
-    let mut ticks = timer.every(KEEP_EVERY);
+    let mut ticks = timer.every(CHECK_INTERVAL);
     let mut loaded = false;
     while ticks.next().await.is_some() {
-        let reads = !loaded && gateway.duty.get().watches(Feed::Targets);
-        let kept = if reads {
-            gateway.load_held().await
+        let needs_load = !loaded && gateway.duty.get().watches(Feed::Targets);
+        let result = if needs_load {
+            gateway.load_quarantine().await
         } else {
-            gateway.keep_held().await
+            gateway.save_quarantine().await
         };
-        loaded |= reads && kept.is_ok();
-        if kept.is_err() {
-            sleep(FAILED_WAIT).await;
+        loaded |= needs_load && result.is_ok();
+        if result.is_err() {
+            sleep(ERROR_DELAY).await;
         }
     }
 }
@@ -91,8 +92,8 @@
             return Ok(());
         }
         let (work, now) = (call.work(), clock::mono_now());
-        let tries = self.rank() == 0;
-        let standing = self.crashes.borrow_mut().standing(work, tries, now);
+        let may_try = self.rank() == 0;
+        let standing = self.crashes.borrow_mut().standing(work, may_try, now);
         match standing {
             WorkStanding::Free => Ok(()),
             WorkStanding::Trial => {
@@ -102,7 +103,10 @@
             }
             WorkStanding::Held(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
-                Err(Failure::refused(HELD, next.unwrap_or(HELD_WAIT)))
+                Err(Failure::refused(
+                    QUARANTINE_REASON,
+                    next.unwrap_or(QUARANTINE_RETRY_AFTER),
+                ))
             }
         }
     }
@@ -126,27 +130,27 @@
         let (work, now) = (call.work(), clock::mono_now());
         // A trial is one run.
         call.on_trial.set(false);
-        let holds = self.crashes.borrow_mut().note_end(work, &target.id, now);
+        let is_new = self.crashes.borrow_mut().note_end(work, &target.id, now);
         metrics::counter!("pistachiowick_answers_cut_total", "route" => call.route.name.clone())
             .increment(1);
         log::info!(
             request = call.caller.id.as_str(),
             work = work.to_string(),
             target_id = target.id.as_str(),
-            ends = self.crashes.borrow().ends(work).len(),
+            ends = self.crashes.borrow().crashed_targets(work).len(),
             waited_ms = millis(call.arrived.elapsed()),
             reason = reason;
             "connection ended under a request"
         );
-        if holds {
-            self.hold(work, &call.route.name, "own");
+        if is_new {
+            self.quarantine_work(work, &call.route.name, "own");
         }
     }
 
     /// Notes that a target answered to the end.
     pub fn note_answered(&self, target: &TargetRecord, times: AnswerTimes) {
         let mut crashes = self.crashes.borrow_mut();
-        crashes.note_answer(&target.id, times, clock::mono_now());
+        crashes.record_answer(&target.id, times, clock::mono_now());
     }
 
     /// Notes that work ran to its end. An answer without a length may end with its target.
@@ -159,27 +163,33 @@
     }
 
     /// Takes what other daemons tell of work that ended targets.
-    pub(in crate::gateway) fn take_work_notes(&self, notes: &[WorkNote]) {
-        if notes.is_empty() {
+    pub(in crate::gateway) fn take_work_notes(&self, reports: &[WorkNote]) {
+        if reports.is_empty() {
             return;
         }
         let relays = self.hubs.borrow().is_hub();
-        for note in notes {
-            self.take_work_note(note, relays, "", "peer");
+        for report in reports {
+            self.apply_crash_report(report, relays, "", "peer");
         }
     }
 
-    fn take_work_note(&self, note: &WorkNote, relays: bool, route: &str, source: &'static str) {
+    fn apply_crash_report(
+        &self,
+        report: &WorkNote,
+        relays: bool,
+        route: &str,
+        source: &'static str,
+    ) {
         let now = clock::mono_now();
-        let holds = self.crashes.borrow_mut().take_note(note, relays, now);
-        if holds {
-            self.hold(note.work, route, source);
+        let is_new = self.crashes.borrow_mut().take_note(report, relays, now);
+        if is_new {
+            self.quarantine_work(report.work, route, source);
         }
     }
 
-    fn hold(&self, work: WorkDigest, route: &str, source: &'static str) {
-        let ends = self.crashes.borrow().ends(work);
-        let targets: Vec<&str> = ends.iter().map(TargetLife::as_str).collect();
+    fn quarantine_work(&self, work: WorkDigest, route: &str, source: &'static str) {
+        let crashes = self.crashes.borrow().crashed_targets(work);
+        let targets: Vec<&str> = crashes.iter().map(TargetLife::as_str).collect();
         metrics::counter!("pistachiowick_works_held_total").increment(1);
         log::warn!(
             work = work.to_string(),
@@ -188,25 +198,29 @@
             targets = targets.join(" ");
             "work is held: targets ended under its runs"
         );
-        let kept = KeptWork {
+        let stored_work = StoredWork {
             route: route.to_owned(),
-            held_at: clock::mono_now(),
-            ends: 0,
+            quarantined_at: clock::mono_now(),
+            crashes: 0,
         };
-        self.held.borrow_mut().kept.entry(work).or_insert(kept);
+        self.held
+            .borrow_mut()
+            .works
+            .entry(work)
+            .or_insert(stored_work);
         self.newly_held.notify_waiters();
     }
 
     /// Drops suspicions of targets whose entries show that they live.
     pub(in crate::gateway) fn refute_by_entries(&self, now: MonoTime) {
-        let heard = self.pulse.age(now) < STORE_SILENCE;
-        let heard_since = {
-            let mut desk = self.held.borrow_mut();
-            let since = desk.heard_since.filter(|_| heard);
-            desk.heard_since = since.or(heard.then_some(now));
-            desk.heard_since
+        let is_reachable = self.pulse.age(now) < STORE_TIMEOUT;
+        let reachable_since = {
+            let mut quarantine = self.held.borrow_mut();
+            let since = quarantine.reachable_since.filter(|_| is_reachable);
+            quarantine.reachable_since = since.or(is_reachable.then_some(now));
+            quarantine.reachable_since
         };
-        let Some(heard_since) = heard_since else {
+        let Some(reachable_since) = reachable_since else {
             return;
         };
         let view = self.view();
@@ -214,17 +228,17 @@
             |target: &TargetLife| view.holds(target) && !view.missing.contains_key(target);
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
-        crashes.note_entries(has_entry, lapse_time, heard_since, now);
+        crashes.note_entries(has_entry, lapse_time, reachable_since, now);
     }
 
-    fn held_name(&self, work: WorkDigest) -> ObjectName {
+    fn quarantine_object(&self, work: WorkDigest) -> ObjectName {
         ObjectName {
             kind: self.ports.schema.held_kind.clone(),
             name: work.to_string(),
         }
     }
 
-    async fn load_held(&self) -> Result<(), PlatformError> {
+    async fn load_quarantine(&self) -> Result<(), PlatformError> {
         let kind = self.ports.schema.held_kind.clone();
         let objects = match (self.ports.store.list)(kind).await {
             Ok(batch) => batch.objects,
@@ -235,84 +249,86 @@
             Err(error) => return Err(error),
         };
         for object in &objects {
-            self.take_held_object(object);
+            self.apply_stored_quarantine(object);
         }
-        let mut held = self.held.borrow_mut();
-        held.looked_at = Some(clock::mono_now());
+        let mut quarantine = self.held.borrow_mut();
+        quarantine.listed_at = Some(clock::mono_now());
         // What the store lost is written again.
         let names: Vec<&str> = objects.iter().map(|o| o.object.name.as_str()).collect();
-        for (work, kept) in &mut held.kept {
+        for (work, stored_work) in &mut quarantine.works {
             if !names.contains(&work.to_string().as_str()) {
-                kept.ends = 0;
+                stored_work.crashes = 0;
             }
         }
         Ok(())
     }
 
-    fn take_held_object(&self, object: &StoredObject) {
+    fn apply_stored_quarantine(&self, object: &StoredObject) {
         let name = &object.object.name;
         let Some(value) = &object.value else {
             return;
         };
-        match HeldRecord::note(name, value) {
-            Ok(mut note) => {
+        match QuarantineRecord::decode_report(name, value) {
+            Ok(mut report) => {
                 // Only callers keep what is known here from being forgotten.
-                if self.crashes.borrow().knows(note.work) {
-                    note.age_ms = u64::MAX;
+                if self.crashes.borrow().contains(report.work) {
+                    report.age_ms = u64::MAX;
                 }
-                let count = note.ends.len();
-                self.take_work_note(&note, true, "", "store");
-                if let Some(kept) = self.held.borrow_mut().kept.get_mut(&note.work) {
-                    kept.ends = kept.ends.max(count);
+                let count = report.crashes.len();
+                self.apply_crash_report(&report, true, "", "store");
+                if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&report.work) {
+                    stored_work.crashes = stored_work.crashes.max(count);
                 }
             }
-            Err(fault) => log::warn!("{fault}"),
+            Err(error) => log::warn!("{error}"),
         }
     }
 
-    async fn keep_held(&self) -> Result<(), PlatformError> {
-        let held: Vec<WorkDigest> = self.crashes.borrow().held().collect();
-        metrics::gauge!("pistachiowick_works_held").set(held.len() as f64);
+    async fn save_quarantine(&self) -> Result<(), PlatformError> {
+        let quarantined: Vec<WorkDigest> = self.crashes.borrow().quarantined().collect();
+        metrics::gauge!("pistachiowick_works_held").set(quarantined.len() as f64);
         let (now, rank) = (clock::mono_now(), self.speaker_rank(clock::mono_now()));
         self.held
             .borrow_mut()
-            .kept
-            .retain(|work, _| held.contains(work));
-        let Some(rank) = rank.filter(|_| !held.is_empty()) else {
+            .works
+            .retain(|work, _| quarantined.contains(work));
+        let Some(rank) = rank.filter(|_| !quarantined.is_empty()) else {
             return Ok(());
         };
-        let wait = TURN_WAIT * u32::try_from(rank).unwrap_or(u32::MAX);
-        for work in held {
-            if self.is_unkept(work, wait, now) {
-                self.write_held(work).await?;
+        let delay = WRITE_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
+        for work in quarantined {
+            if self.needs_quarantine_write(work, delay, now) {
+                self.write_quarantine(work).await?;
             }
         }
-        let looked_at = self.held.borrow().looked_at;
-        if rank == 0 && looked_at.is_none_or(|at| now.since(at) >= RELEASE_EVERY) {
-            self.load_held().await?;
+        let listed_at = self.held.borrow().listed_at;
+        if rank == 0 && listed_at.is_none_or(|at| now.since(at) >= RELEASE_CHECK_INTERVAL) {
+            self.load_quarantine().await?;
         }
         Ok(())
     }
 
-    fn is_unkept(&self, work: WorkDigest, wait: Duration, now: MonoTime) -> bool {
-        let count = self.crashes.borrow().ends(work).len();
-        let desk = self.held.borrow();
-        let kept = desk.kept.get(&work);
-        kept.is_some_and(|kept| kept.ends < count && now.since(kept.held_at) >= wait)
+    fn needs_quarantine_write(&self, work: WorkDigest, delay: Duration, now: MonoTime) -> bool {
+        let count = self.crashes.borrow().crashed_targets(work).len();
+        let quarantine = self.held.borrow();
+        let stored_work = quarantine.works.get(&work);
+        stored_work.is_some_and(|stored_work| {
+            stored_work.crashes < count && now.since(stored_work.quarantined_at) >= delay
+        })
     }
 
-    async fn write_held(&self, work: WorkDigest) -> Result<(), PlatformError> {
-        let object = self.held_name(work);
+    async fn write_quarantine(&self, work: WorkDigest) -> Result<(), PlatformError> {
+        let object = self.quarantine_object(work);
         let stored = (self.ports.store.read)(object.clone()).await?;
         let stored = stored.filter(|stored| stored.value.is_some());
         let expected = stored.as_ref().map_or(ObjectVersion(0), |s| s.version);
         let value = stored.and_then(|stored| stored.value).unwrap_or_default();
-        let mut record = HeldRecord::decode(&object.name, &value).unwrap_or_default();
-        let ends = self.crashes.borrow().ends(work);
+        let mut record = QuarantineRecord::decode(&object.name, &value).unwrap_or_default();
+        let crashes = self.crashes.borrow().crashed_targets(work);
         if record.route.is_empty() {
-            record.route = self.kept_route(work);
+            record.route = self.quarantined_route(work);
         }
-        if record.add(&ends) {
+        if record.add_crashes(&crashes) {
             record.released = false;
             let write = ConditionalWrite {
                 object,
@@ -324,17 +340,19 @@
                 Err(PlatformError::Conflict { .. }) => return Ok(()),
                 written => written?,
             };
-            log::info!(work = work.to_string(), ends = ends.len(); "held work is kept in the store");
+            log::info!(work = work.to_string(), ends = crashes.len(); "held work is kept in the store");
         }
-        if let Some(kept) = self.held.borrow_mut().kept.get_mut(&work) {
-            kept.ends = ends.len();
+        if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&work) {
+            stored_work.crashes = crashes.len();
         }
         Ok(())
     }
 
-    fn kept_route(&self, work: WorkDigest) -> String {
-        let desk = self.held.borrow();
-        let kept = desk.kept.get(&work);
-        kept.map(|kept| kept.route.clone()).unwrap_or_default()
+    fn quarantined_route(&self, work: WorkDigest) -> String {
+        let quarantine = self.held.borrow();
+        let stored_work = quarantine.works.get(&work);
+        stored_work
+            .map(|stored_work| stored_work.route.clone())
+            .unwrap_or_default()
     }
 }
--- a/src/gateway/held_work/records.rs
+++ b/src/gateway/held_work/records.rs
@@ -11,7 +11,7 @@
 
 /// An object of the store that names no held work.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum HeldRecordFault {
+pub enum QuarantineRecordError {
     /// The object's name is no digest.
     #[error("held work {name:?} has no digest for its name; it is left out, delete it")]
     Name {
@@ -30,25 +30,26 @@
 
 /// A held work. Its digest is the object's name.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct HeldRecord {
+pub struct QuarantineRecord {
     /// Route that it came by, for operators.
     #[serde(default)]
     pub route: String,
     /// Lives of targets that ended under it.
-    pub ends: Vec<TargetLife>,
+    #[serde(rename = "ends")]
+    pub crashes: Vec<TargetLife>,
     /// Set by an operator to let it go.
     #[serde(default)]
     pub released: bool,
 }
 
-impl HeldRecord {
+impl QuarantineRecord {
     /// Reads a record.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the object.
-    pub fn decode(name: &str, value: &[u8]) -> Result<Self, HeldRecordFault> {
-        serde_json::from_slice(value).map_err(|error| HeldRecordFault::Value {
+    pub fn decode(name: &str, value: &[u8]) -> Result<Self, QuarantineRecordError> {
+        serde_json::from_slice(value).map_err(|error| QuarantineRecordError::Value {
             name: name.to_owned(),
             reason: error.to_string(),
         })
@@ -69,34 +70,36 @@
     /// # Errors
     ///
     /// Returns what is wrong with the object.
-    pub fn note(name: &str, value: &[u8]) -> Result<WorkNote, HeldRecordFault> {
-        let fault = |_: ParseIntError| HeldRecordFault::Name {
+    pub fn decode_report(name: &str, value: &[u8]) -> Result<WorkNote, QuarantineRecordError> {
+        let name_error = |_: ParseIntError| QuarantineRecordError::Name {
             name: name.to_owned(),
         };
-        let work: WorkDigest = name.parse().map_err(fault)?;
-        let Self { ends, released, .. } = Self::decode(name, value)?;
-        let (ends, refuted) = if released {
-            (Vec::new(), ends)
+        let work: WorkDigest = name.parse().map_err(name_error)?;
+        let Self {
+            crashes, released, ..
+        } = Self::decode(name, value)?;
+        let (crashes, refuted) = if released {
+            (Vec::new(), crashes)
         } else {
-            (ends, Vec::new())
+            (crashes, Vec::new())
         };
         Ok(WorkNote {
             work,
-            ends,
+            crashes,
             refuted,
             age_ms: 0,
         })
     }
 
     /// Adds lives that ended; true when one is new.
-    pub fn add(&mut self, ends: &[TargetLife]) -> bool {
-        let before = self.ends.len();
-        let unknown: Vec<TargetLife> = ends
+    pub fn add_crashes(&mut self, crashes: &[TargetLife]) -> bool {
+        let before = self.crashes.len();
+        let new_crashes: Vec<TargetLife> = crashes
             .iter()
-            .filter(|life| !self.ends.contains(life))
+            .filter(|incarnation| !self.crashes.contains(incarnation))
             .cloned()
             .collect();
-        self.ends.extend(unknown);
-        before != self.ends.len()
+        self.crashes.extend(new_crashes);
+        before != self.crashes.len()
     }
 }
--- a/tests/duties_servers.rs
+++ b/tests/duties_servers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::duties::server_plan::{CentreTargets, CentreWish, next_step, plan};
+use pistachiowick::gateway::duties::server_plan::{CentreTargets, DesiredCounts, next_step, plan};
 use pistachiowick::gateway::model::ScalingRule;
 use pistachiowick::names::CentreName;
 use rstest::rstest;
@@ -19,26 +19,28 @@
     }
 }
 
-fn centres(there: &[(u32, u32)], coming: u32) -> Vec<CentreTargets> {
-    let priced = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
-    let all = there.iter().zip(priced);
-    all.map(|((firm, reclaimable), (centre, price))| CentreTargets {
-        centre: CentreName::from(centre),
-        price,
-        firm: *firm,
-        reclaimable: *reclaimable,
-        coming,
-    })
+fn centres(current: &[(u32, u32)], expected_reclaimable: u32) -> Vec<CentreTargets> {
+    let prices = [("a", 0.85), ("b", 1.2), ("c", 1.0)];
+    let all = current.iter().zip(prices);
+    all.map(
+        |((on_demand, reclaimable), (centre, price))| CentreTargets {
+            centre: CentreName::from(centre),
+            price,
+            on_demand: *on_demand,
+            reclaimable: *reclaimable,
+            expected_reclaimable,
+        },
+    )
     .collect()
 }
 
 struct PlanCase {
     price: Option<f64>,
     /// Firm and reclaimable ones that serve, by data centre.
-    there: &'static [(u32, u32)],
+    current: &'static [(u32, u32)],
     /// Reclaimable ones of each data centre that were ordered lately.
-    coming: u32,
-    wanted: Option<&'static [(u32, u32)]>,
+    expected_reclaimable: u32,
+    desired: Option<&'static [(u32, u32)]>,
 }
 
 // The operator provided 90 firm servers in three data centres. Reclaimable ones cost a
@@ -48,32 +50,32 @@
 // Those that were ordered lately are not stood in for while they start, and the firm ones
 // that run stay until they serve.
 #[rstest]
-#[case::two_starting_again(PlanCase { price: Some(0.18), there: &[(1, 45), (1, 0), (1, 0)], coming: 45, wanted: Some(&[(1, 45), (1, 45), (1, 45)]) })]
-#[case::firm_while_they_start(PlanCase { price: Some(0.18), there: &[(30, 0), (30, 0), (30, 0)], coming: 30, wanted: Some(&[(30, 30), (30, 30), (30, 30)]) })]
-#[case::as_found(PlanCase { price: Some(0.18), there: &[(30, 0), (30, 0), (30, 0)], coming: 0, wanted: Some(&[(30, 30), (30, 30), (30, 30)]) })]
-#[case::first_ones_serve(PlanCase { price: Some(0.18), there: &[(30, 30), (30, 30), (30, 30)], coming: 0, wanted: Some(&[(1, 30), (1, 30), (1, 30)]) })]
-#[case::firm_ones_gone(PlanCase { price: Some(0.18), there: &[(1, 30), (1, 30), (1, 30)], coming: 0, wanted: Some(&[(1, 45), (1, 45), (1, 45)]) })]
-#[case::steady(PlanCase { price: Some(0.18), there: &[(1, 45), (1, 45), (1, 45)], coming: 0, wanted: Some(&[(1, 45), (1, 45), (1, 45)]) })]
-#[case::one_centre_reclaimed(PlanCase { price: Some(0.18), there: &[(1, 45), (1, 0), (1, 45)], coming: 0, wanted: Some(&[(1, 45), (1, 45), (1, 45)]) })]
-#[case::two_centres_reclaimed(PlanCase { price: Some(0.18), there: &[(1, 45), (1, 0), (1, 0)], coming: 0, wanted: Some(&[(15, 45), (15, 45), (15, 45)]) })]
-#[case::none_to_be_had(PlanCase { price: Some(0.18), there: &[(30, 0), (30, 0), (30, 30)], coming: 0, wanted: Some(&[(30, 30), (29, 30), (1, 30)]) })]
-#[case::as_dear(PlanCase { price: Some(0.9), there: &[(30, 0), (30, 0), (30, 0)], coming: 0, wanted: None })]
-#[case::none_of_the_kind(PlanCase { price: None, there: &[(30, 0), (30, 0), (30, 0)], coming: 0, wanted: None })]
-#[case::one_centre(PlanCase { price: Some(0.18), there: &[(30, 0)], coming: 0, wanted: None })]
-fn what_each_data_centre_is_to_have(#[case] case: PlanCase) {
-    let centres = centres(case.there, case.coming);
-    let wishes = plan(&rule(case.price), 90, &centres);
-    let wanted = case.wanted.map(|wanted| {
-        let pairs = wanted.iter().zip(&centres);
+#[case::two_restarting(PlanCase { price: Some(0.18), current: &[(1, 45), (1, 0), (1, 0)], expected_reclaimable: 45, desired: Some(&[(1, 45), (1, 45), (1, 45)]) })]
+#[case::on_demand_while_reclaimable_start(PlanCase { price: Some(0.18), current: &[(30, 0), (30, 0), (30, 0)], expected_reclaimable: 30, desired: Some(&[(30, 30), (30, 30), (30, 30)]) })]
+#[case::initial(PlanCase { price: Some(0.18), current: &[(30, 0), (30, 0), (30, 0)], expected_reclaimable: 0, desired: Some(&[(30, 30), (30, 30), (30, 30)]) })]
+#[case::first_ones_running(PlanCase { price: Some(0.18), current: &[(30, 30), (30, 30), (30, 30)], expected_reclaimable: 0, desired: Some(&[(1, 30), (1, 30), (1, 30)]) })]
+#[case::on_demand_ones_gone(PlanCase { price: Some(0.18), current: &[(1, 30), (1, 30), (1, 30)], expected_reclaimable: 0, desired: Some(&[(1, 45), (1, 45), (1, 45)]) })]
+#[case::steady(PlanCase { price: Some(0.18), current: &[(1, 45), (1, 45), (1, 45)], expected_reclaimable: 0, desired: Some(&[(1, 45), (1, 45), (1, 45)]) })]
+#[case::one_centre_reclaimed(PlanCase { price: Some(0.18), current: &[(1, 45), (1, 0), (1, 45)], expected_reclaimable: 0, desired: Some(&[(1, 45), (1, 45), (1, 45)]) })]
+#[case::two_centres_reclaimed(PlanCase { price: Some(0.18), current: &[(1, 45), (1, 0), (1, 0)], expected_reclaimable: 0, desired: Some(&[(15, 45), (15, 45), (15, 45)]) })]
+#[case::no_capacity(PlanCase { price: Some(0.18), current: &[(30, 0), (30, 0), (30, 30)], expected_reclaimable: 0, desired: Some(&[(30, 30), (29, 30), (1, 30)]) })]
+#[case::no_price_advantage(PlanCase { price: Some(0.9), current: &[(30, 0), (30, 0), (30, 0)], expected_reclaimable: 0, desired: None })]
+#[case::no_reclaimable_price(PlanCase { price: None, current: &[(30, 0), (30, 0), (30, 0)], expected_reclaimable: 0, desired: None })]
+#[case::one_centre(PlanCase { price: Some(0.18), current: &[(30, 0)], expected_reclaimable: 0, desired: None })]
+fn plans_follow_what_is_running(#[case] case: PlanCase) {
+    let centres = centres(case.current, case.expected_reclaimable);
+    let planned = plan(&rule(case.price), 90, &centres);
+    let desired = case.desired.map(|desired| {
+        let pairs = desired.iter().zip(&centres);
         pairs
-            .map(|((firm, reclaimable), at)| CentreWish {
-                centre: at.centre.clone(),
-                firm: *firm,
+            .map(|((on_demand, reclaimable), centre)| DesiredCounts {
+                centre: centre.centre.clone(),
+                on_demand: *on_demand,
                 reclaimable: *reclaimable,
             })
             .collect::<Vec<_>>()
     });
-    assert_eq!(wishes, wanted);
+    assert_eq!(planned, desired);
 }
 
 // Whatever is there, both kinds together stay within the most that a data centre may have,
@@ -81,16 +83,16 @@
 #[test]
 fn plans_stay_within_their_limits() {
     for provided in [3, 12, 90, 120] {
-        for firm in [0, 1, 20, 60] {
+        for on_demand in [0, 1, 20, 60] {
             for reclaimable in [0, 10, 45] {
-                let there = [(firm, reclaimable), (1, 45), (30, 0)];
-                for wish in plan(&rule(Some(0.18)), provided, &centres(&there, 0))
+                let current = [(on_demand, reclaimable), (1, 45), (30, 0)];
+                for desired in plan(&rule(Some(0.18)), provided, &centres(&current, 0))
                     .into_iter()
                     .flatten()
                 {
                     assert!(
-                        wish.firm.max(1) + wish.reclaimable <= 60 || firm == 60,
-                        "{wish:?}"
+                        desired.on_demand.max(1) + desired.reclaimable <= 60 || on_demand == 60,
+                        "{desired:?}"
                     );
                 }
             }
@@ -99,9 +101,9 @@
 }
 
 struct StepCase {
-    there: u32,
-    wanted: u32,
-    ordered: Option<u32>,
+    current: u32,
+    desired: u32,
+    last_ordered: Option<u32>,
     next: u32,
 }
 
@@ -110,19 +112,22 @@
 // departure is heard after the target is gone. So a data centre orders a bounded number,
 // the next ones when these are there; targets that come one by one give no further order.
 #[rstest]
-#[case::small_fleet_at_once(StepCase { there: 0, wanted: 45, ordered: None, next: 45 })]
-#[case::more_wanted_while_they_start(StepCase { there: 10, wanted: 45, ordered: Some(30), next: 45 })]
-#[case::fewer_wanted_while_they_leave(StepCase { there: 28, wanted: 1, ordered: Some(20), next: 1 })]
-#[case::first_of_many(StepCase { there: 0, wanted: 1_500, ordered: None, next: 100 })]
-#[case::half_of_a_step_is_there(StepCase { there: 50, wanted: 1_500, ordered: Some(100), next: 100 })]
-#[case::step_is_there(StepCase { there: 100, wanted: 1_500, ordered: Some(100), next: 200 })]
-#[case::last_step(StepCase { there: 1_450, wanted: 1_500, ordered: Some(1_450), next: 1_500 })]
-#[case::all_there(StepCase { there: 1_500, wanted: 1_500, ordered: Some(1_500), next: 1_500 })]
-#[case::letting_go(StepCase { there: 1_000, wanted: 1, ordered: None, next: 900 })]
-#[case::step_still_leaving(StepCase { there: 950, wanted: 1, ordered: Some(900), next: 900 })]
-#[case::wish_turned(StepCase { there: 950, wanted: 1_000, ordered: Some(900), next: 1_000 })]
-#[case::all_taken_away(StepCase { there: 0, wanted: 1_500, ordered: Some(1_500), next: 100 })]
-#[case::few_lost(StepCase { there: 1_497, wanted: 1_500, ordered: Some(1_500), next: 1_500 })]
-fn a_step_of_an_exchange(#[case] case: StepCase) {
-    assert_eq!(next_step(case.there, case.wanted, case.ordered), case.next);
+#[case::small_fleet_at_once(StepCase { current: 0, desired: 45, last_ordered: None, next: 45 })]
+#[case::more_desired_while_starting(StepCase { current: 10, desired: 45, last_ordered: Some(30), next: 45 })]
+#[case::fewer_desired_while_leaving(StepCase { current: 28, desired: 1, last_ordered: Some(20), next: 1 })]
+#[case::first_of_many(StepCase { current: 0, desired: 1_500, last_ordered: None, next: 100 })]
+#[case::half_of_a_step_running(StepCase { current: 50, desired: 1_500, last_ordered: Some(100), next: 100 })]
+#[case::step_complete(StepCase { current: 100, desired: 1_500, last_ordered: Some(100), next: 200 })]
+#[case::last_step(StepCase { current: 1_450, desired: 1_500, last_ordered: Some(1_450), next: 1_500 })]
+#[case::all_running(StepCase { current: 1_500, desired: 1_500, last_ordered: Some(1_500), next: 1_500 })]
+#[case::first_release(StepCase { current: 1_000, desired: 1, last_ordered: None, next: 900 })]
+#[case::step_still_leaving(StepCase { current: 950, desired: 1, last_ordered: Some(900), next: 900 })]
+#[case::desired_count_reversed(StepCase { current: 950, desired: 1_000, last_ordered: Some(900), next: 1_000 })]
+#[case::all_reclaimed(StepCase { current: 0, desired: 1_500, last_ordered: Some(1_500), next: 100 })]
+#[case::few_lost(StepCase { current: 1_497, desired: 1_500, last_ordered: Some(1_500), next: 1_500 })]
+fn large_changes_are_ordered_in_steps(#[case] case: StepCase) {
+    assert_eq!(
+        next_step(case.current, case.desired, case.last_ordered),
+        case.next
+    );
 }
