--- a/src/crashes/book.rs
+++ b/src/crashes/book.rs
@@ -1,9 +1,9 @@
-//! Which work ended which targets.
+//! Tracks which work crashed which targets.
 //!
-//! Each connection that ends under a run makes the run's work a suspect: a target that ends
-//! takes all of its runs with it, and which of them is to blame shows only when the same
-//! work ends the next one. A suspicion is dropped when the target proves to live on, and
-//! all of them when the work runs to its end.
+//! Each connection lost during a request makes the request's work suspect: a crashing target
+//! takes all of its requests with it, and only when the same work crashes the next target
+//! does it show which of them is the cause. A suspicion is dropped when the target turns out
+//! to be alive, and all suspicions of a work are dropped when it runs to completion.
 
 use std::time::Duration;
 
@@ -14,35 +14,36 @@
 use crate::names::{MonoTime, millis};
 use crate::target_life::TargetLife;
 
-/// Targets that work may end before it is held.
+/// Targets that work may crash before it is quarantined.
 pub const MAX_CRASHES: usize = 3;
-/// Time for which work that ended fewer targets stays a suspect.
+/// Time for which work that crashed fewer targets stays suspect.
 const SUSPICION_RETENTION: Duration = Duration::from_secs(600);
-/// Time before the end of that, and of the next one, in which others are told nothing more.
+/// Time before the end of either retention in which peers are no longer notified.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(30);
-/// Time for which held work that nobody asks for is remembered.
+/// Time for which quarantined work is retained after its last request.
 const QUARANTINE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
-/// Time after the last end at which held work is tried once: then, and if it ends another
-/// target, once more. After that it is held until an operator lets it go.
+/// Delays after the last crash until quarantined work gets its first trial and, if that
+/// crashes another target, its second. After both it stays quarantined until an operator
+/// releases it.
 const TRIAL_DELAYS: [Duration; 2] = [Duration::from_secs(600), Duration::from_secs(3_600)];
-/// Time after which a trial of which nothing was heard counts as over.
+/// Time after which a trial without a result counts as finished.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time until a target that ended one connection is told of: most such targets live on, and
-/// show it within this time.
+/// Time before the first crash of a work is reported to peers: most targets that lose one
+/// connection are alive, and show it within this time.
 const CONFIRMATION_DELAY: Duration = Duration::from_millis(200);
-/// Most works that are remembered; those that ended fewer targets give way first.
+/// Maximum number of tracked works; those with the fewest crashes are evicted first.
 const MAX_WORKS: usize = 8_192;
-/// Most lives kept of a work.
+/// Maximum number of target incarnations recorded per work.
 const MAX_INCARNATIONS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct CrashRecord {
     at: MonoTime,
-    // Seen here, not heard of another daemon.
+    // Observed by this daemon, not reported by a peer.
     local: bool,
-    // Whether others know of it.
+    // Whether peers know of it.
     announced: bool,
-    // Whether the target lives on, or the work ran to its end.
+    // Whether the target turned out to be alive, or the work ran to completion.
     refuted: bool,
 }
 
@@ -98,13 +99,14 @@
         self.age(now) >= self.retention()
     }
 
-    // Told for less time than it is kept: a daemon that forgot it would learn it anew.
+    // Rebroadcast for less time than it is retained: a daemon whose record expired would
+    // otherwise learn it again from a peer.
     fn needs_rebroadcast(&self, now: MonoTime) -> bool {
         let announced = self.crashes.values().filter(|crash| crash.announced);
         announced.count() > 1 && self.age(now) + EXPIRY_MARGIN < self.retention()
     }
 
-    // Makes room for another life; true where there is.
+    // Makes room for one more incarnation; false if no refuted one can be removed.
     fn make_incarnation_room(&mut self) -> bool {
         if self.crashes.len() < MAX_INCARNATIONS {
             return true;
@@ -113,8 +115,8 @@
         refuted.is_some_and(|oldest| self.crashes.shift_remove_index(oldest).is_some())
     }
 
-    // Others know of those ends only that they were told.
-    fn note(&self, work: WorkDigest, now: MonoTime) -> WorkNote {
+    // Peers know only of announced crashes.
+    fn report(&self, work: WorkDigest, now: MonoTime) -> WorkNote {
         let announced = self.crashes.iter().filter(|(_, crash)| crash.announced);
         let (refuted, crashes): (Vec<_>, Vec<_>) = announced.partition(|(_, crash)| crash.refuted);
         let incarnations = |found: Vec<(&TargetLife, &CrashRecord)>| {
@@ -132,7 +134,7 @@
     }
 }
 
-/// When a request was sent, on a connection from when.
+/// When a connection was opened and a request was sent on it.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerTimes {
     /// When the connection was opened.
@@ -141,35 +143,35 @@
     pub sent: MonoTime,
 }
 
-/// What may be done with work.
+/// Whether work may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkStanding {
-    /// It is sent.
+    /// It may be sent.
     Free,
-    /// It is sent once, to see whether targets withstand it now.
+    /// It may be sent once, to test whether targets survive it now.
     Trial,
-    /// It is not sent; when it is tried next, if ever.
+    /// It may not be sent. Holds the time until the next trial, if there is one.
     Held(Option<Duration>),
 }
 
-/// Which work ended which targets.
+/// Tracks which work crashed which targets.
 #[derive(Clone, Debug, Default)]
 pub struct CrashBook {
     works: IndexMap<WorkDigest, WorkRecord>,
-    // Suspicions by the life that may still refute them.
+    // Suspect works by the target incarnation that may still refute the suspicion.
     suspicions: IndexMap<TargetLife, IndexSet<WorkDigest>>,
     broadcasts: CrashBroadcasts,
 }
 
 impl CrashBook {
-    /// Whether there is no suspect.
+    /// Returns whether no work is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.works.is_empty()
     }
 
-    /// Takes a connection that ended under a run of `work`; true when the work is held from
-    /// now on.
+    /// Records a connection lost while its target ran `work`. Returns true if this puts the
+    /// work in quarantine.
     pub fn note_end(&mut self, work: WorkDigest, target: &TargetLife, now: MonoTime) -> bool {
         let crash = CrashRecord {
             at: now,
@@ -190,11 +192,11 @@
         crash_count == MAX_CRASHES
     }
 
-    /// Takes what another daemon, or the store, tells of work; true when it is held from now
-    /// on. `relays` tells whether it is to be told on.
-    pub fn take_note(&mut self, note: &WorkNote, relays: bool, now: MonoTime) -> bool {
-        let was_held = self.is_held(note.work);
-        let seen = MonoTime(now.0.saturating_sub(note.age_ms));
+    /// Merges a report from a peer or from the store. Returns true if this puts the work in
+    /// quarantine. With `relays`, changes are passed on to other daemons.
+    pub fn take_note(&mut self, report: &WorkNote, relays: bool, now: MonoTime) -> bool {
+        let was_quarantined = self.is_held(report.work);
+        let seen = MonoTime(now.0.saturating_sub(report.age_ms));
         let crash = CrashRecord {
             at: now,
             local: false,
@@ -202,25 +204,25 @@
             refuted: false,
         };
         let mut changed = false;
-        for target in &note.crashes {
-            changed |= self.insert_crash(note.work, target, crash, seen);
+        for target in &report.crashes {
+            changed |= self.insert_crash(report.work, target, crash, seen);
         }
-        for target in &note.refuted {
-            changed |= self.insert_refuted(note.work, target, crash, seen);
+        for target in &report.refuted {
+            changed |= self.insert_refuted(report.work, target, crash, seen);
         }
-        if let Some(record) = self.works.get_mut(&note.work) {
+        if let Some(record) = self.works.get_mut(&report.work) {
             record.last_requested = record.last_requested.max(seen);
         }
         if changed && relays {
-            self.broadcasts.schedule(note.work, now);
+            self.broadcasts.schedule(report.work, now);
         }
-        !was_held && self.is_held(note.work)
+        !was_quarantined && self.is_held(report.work)
     }
 
-    /// Takes that a target answered to the end at `now`.
+    /// Records that a target completed an answer at `now`, which may refute its crashes.
     ///
-    /// Where a target keeps its name when it starts again, only a connection from before the
-    /// end shows that it was none.
+    /// If a target keeps its identifier across restarts, only an answer on a connection that
+    /// was opened before the suspected crash refutes it.
     pub fn record_answer(&mut self, target: &TargetLife, times: AnswerTimes, now: MonoTime) {
         let keeps_id = target.born().is_some();
         self.refute_crashes(target, now, |crash| {
@@ -234,11 +236,11 @@
         });
     }
 
-    /// Takes which targets have an entry in the store, which was heard all the time from
-    /// `reachable_since` on.
+    /// Refutes crashes of targets that still have an entry in the store, which has been
+    /// reachable without interruption since `reachable_since`.
     ///
-    /// The entry of a target that ended lapses within `lapse_time` while the store is there;
-    /// one that is not gone after that is of a target that lives.
+    /// While the store is available, the entry of a crashed target lapses within
+    /// `lapse_time`; a target whose entry is still there after that is alive.
     pub fn note_entries(
         &mut self,
         has_entry: impl Fn(&TargetLife) -> bool,
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Takes that work ran to its end: whatever ended under it, it was not to blame.
+    /// Records that work ran to completion, which refutes all crashes recorded for it.
     pub fn note_whole(&mut self, work: WorkDigest, now: MonoTime) {
         let Some(record) = self.works.get(&work) else {
             return;
@@ -267,7 +269,8 @@
         self.announce_refuted(work, now);
     }
 
-    /// What may be done with work now. One daemon of the fleet `tries` held work.
+    /// Returns whether work may be sent now. Only the one daemon of the fleet with `may_try`
+    /// starts trials of quarantined work.
     pub fn standing(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStanding {
         let Some(record) = self.works.get_mut(&work) else {
             return WorkStanding::Free;
@@ -287,13 +290,13 @@
         WorkStanding::Held(next.map(|at| at.since(now)))
     }
 
-    /// Whether work is held.
+    /// Returns whether work is quarantined.
     #[must_use]
     pub fn is_held(&self, work: WorkDigest) -> bool {
         self.works.get(&work).is_some_and(WorkRecord::is_held)
     }
 
-    /// Targets that ended under work, as far as not refuted.
+    /// Returns the target incarnations that crashed under work, without refuted crashes.
     #[must_use]
     pub fn crashed_targets(&self, work: WorkDigest) -> Vec<TargetLife> {
         let record = self.works.get(&work);
@@ -304,25 +307,25 @@
             .collect()
     }
 
-    /// Whether anything of a work is remembered.
+    /// Returns whether a work is tracked.
     #[must_use]
     pub fn contains(&self, work: WorkDigest) -> bool {
         self.works.contains_key(&work)
     }
 
-    /// Works that are held.
+    /// Returns the quarantined works.
     pub fn quarantined(&self) -> impl Iterator<Item = WorkDigest> {
         let quarantined = self.works.iter().filter(|(_, record)| record.is_held());
         quarantined.map(|(work, _)| *work)
     }
 
-    /// Works that are remembered.
+    /// Returns the number of tracked works.
     #[must_use]
     pub fn len(&self) -> usize {
         self.works.len()
     }
 
-    /// What goes into the next word to other daemons.
+    /// Returns the reports for the next message to other daemons.
     pub fn pick(&mut self, now: MonoTime) -> Vec<WorkNote> {
         if self.works.is_empty() {
             return Vec::new();
@@ -331,20 +334,20 @@
         let repeated = repeated.filter(|(_, record)| record.needs_rebroadcast(now));
         let repeated: Vec<WorkDigest> = repeated.map(|(work, _)| *work).collect();
         let due = self.broadcasts.select_due(&repeated, now);
-        let mut notes = Vec::new();
+        let mut reports = Vec::new();
         for work in due {
             if let Some(record) = self.works.get_mut(&work) {
                 record
                     .crashes
                     .values_mut()
                     .for_each(|crash| crash.announced = true);
-                notes.push(record.note(work, now));
+                reports.push(record.report(work, now));
             }
         }
-        notes
+        reports
     }
 
-    /// Forgets what is over.
+    /// Removes works whose retention has expired.
     pub fn sweep(&mut self, now: MonoTime) {
         let expired = self
             .works
@@ -414,7 +417,7 @@
         if known.is_some_and(|crash| crash.refuted) {
             return false;
         }
-        // Kept also where the end was not heard of: word of it may still come.
+        // Recorded even if the crash itself is unknown here: its report may still arrive.
         self.insert_crash(work, target, crash, seen);
         self.refute(work, target);
         true
@@ -437,7 +440,7 @@
         }
     }
 
-    // What nobody was told of needs no word.
+    // Crashes that were never announced need no update.
     fn announce_refuted(&mut self, work: WorkDigest, now: MonoTime) {
         let Some(record) = self.works.get_mut(&work) else {
             return;
@@ -462,7 +465,7 @@
         }
     }
 
-    // Forgets an eighth at once, so that a flood does not pay for each entry.
+    // Evicts an eighth at once, so that a flood of works does not sort for each new entry.
     fn evict_works(&mut self) {
         let all = self.works.iter();
         let mut all: Vec<(usize, MonoTime, WorkDigest)> = all
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -1,10 +1,10 @@
-//! Work that ends the targets that run it.
+//! Work that crashes the targets that run it.
 //!
-//! A target may end under a request, and with it everything that it runs. The caller sends
-//! the request again, as a new attempt, to any daemon. So what is remembered is the work,
-//! by a digest that its attempts share, with the lives of targets that ended under it
-//! ([`book`]). Daemons tell each other ([`news`]); work that ended three targets is held:
-//! it is sent no more.
+//! A target may crash while it runs a request, and takes all of its other requests with it.
+//! The caller then sends the request again, as a new attempt, to any daemon. Crashes are
+//! therefore tracked per work, identified by a digest that all attempts share, together with
+//! the target incarnations that crashed under it ([`book`]). Daemons exchange these reports
+//! ([`news`]). Work that crashed three targets is quarantined and no longer sent.
 
 pub mod book;
 pub mod news;
@@ -14,12 +14,12 @@
 
 use crate::crashes::book::CrashBook;
 
-/// A book that threads of a daemon share. Clones share one book.
+/// A crash tracker shared by the threads of a daemon. Clones refer to the same tracker.
 #[derive(Clone, Debug, Default)]
 pub struct SharedCrashes(Arc<Mutex<CrashBook>>);
 
 impl SharedCrashes {
-    /// Takes the book for one step.
+    /// Locks the tracker.
     pub fn lock(&self) -> MutexGuard<'_, CrashBook> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/crashes/news.rs
+++ b/src/crashes/news.rs
@@ -1,7 +1,8 @@
-//! Which suspects and held works go into a word between daemons.
+//! Selects the works whose crash reports go into the next message to other daemons.
 //!
-//! What changed goes into a few words, since a link may skip one. Work that ended more than
-//! one target goes into a word a second by turns, for whoever was away meanwhile.
+//! A changed report goes into several messages, since a link may skip one. Works that
+//! crashed more than one target are also rebroadcast in rotation, once a second, for daemons
+//! that were unreachable at the time.
 
 use std::time::Duration;
 
@@ -12,27 +13,28 @@
 use crate::names::MonoTime;
 use crate::target_life::TargetLife;
 
-/// How long news of a work are told, from the first word on.
+/// Time for which a changed report is repeated, counted from its first message.
 const BROADCAST_TIME: Duration = Duration::from_millis(600);
-/// Time between two words with the same news.
+/// Interval between messages with the same change.
 const BROADCAST_INTERVAL: Duration = Duration::from_millis(150);
-/// Time between two words with old news.
+/// Interval between messages with rebroadcast reports.
 const REBROADCAST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Most works in a word beside news.
+/// Maximum number of rebroadcast reports per message.
 const MAX_REBROADCASTS: usize = 32;
-/// Most news in a word.
+/// Maximum number of changed reports per message.
 const MAX_UPDATES: usize = 256;
 
-/// What daemons tell each other of a work.
+/// A report about one work, as daemons send it to each other.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
 pub struct WorkNote {
     /// The work.
     pub work: WorkDigest,
-    /// Lives of targets that ended under it.
+    /// Target incarnations that crashed under it.
     pub crashes: Vec<TargetLife>,
-    /// Lives that seemed to and did not, or that ended for another reason.
+    /// Target incarnations that were suspected of it but did not crash, or crashed for
+    /// another reason.
     pub refuted: Vec<TargetLife>,
-    /// Milliseconds since the last end, or since it was asked for where it is held.
+    /// Milliseconds since the last crash or, if quarantined, since its last request.
     pub age_ms: u64,
 }
 
@@ -42,7 +44,7 @@
     until: Option<MonoTime>,
 }
 
-/// What the words before contained.
+/// Schedules when crash reports are sent to other daemons.
 #[derive(Clone, Debug, Default)]
 pub struct CrashBroadcasts {
     pending: IndexMap<WorkDigest, PendingBroadcast>,
@@ -51,7 +53,7 @@
 }
 
 impl CrashBroadcasts {
-    /// Has news of a work told from `due` on.
+    /// Schedules the report of a work, to be sent from `due` on.
     pub fn schedule(&mut self, work: WorkDigest, due: MonoTime) {
         let broadcast = PendingBroadcast { due, until: None };
         let pending = self.pending.entry(work).or_insert(broadcast);
@@ -59,13 +61,13 @@
         pending.until = None;
     }
 
-    /// Has nothing more told of a work.
+    /// Cancels pending messages about a work.
     pub fn cancel(&mut self, work: WorkDigest) {
         self.pending.swap_remove(&work);
     }
 
-    /// Returns the works that a word tells of now; `repeated` are those that ended more than
-    /// one target.
+    /// Returns the works whose reports go into a message now; `repeated` are the works that
+    /// crashed more than one target and are rebroadcast.
     pub fn select_due(&mut self, repeated: &[WorkDigest], now: MonoTime) -> Vec<WorkDigest> {
         let mut selected = self.select_updates(now);
         let is_waiting = self
--- a/src/crashes/work_digest.rs
+++ b/src/crashes/work_digest.rs
@@ -1,4 +1,4 @@
-//! Identity of a caller's work over its attempts.
+//! Identity of a caller's work across its attempts.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -8,10 +8,11 @@
 use serde_bytes::ByteArray;
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest. Nobody can find another caller's work with the same one.
+/// Length of a digest: long enough that no caller can construct a collision with the work
+/// of another.
 const DIGEST_BYTES: usize = 16;
 
-/// What stays the same when a caller sends a request again.
+/// Digest of what stays the same when a caller sends a request again.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct WorkDigest(ByteArray<DIGEST_BYTES>);
 
@@ -21,14 +22,14 @@
     pub fn of(fields: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
         for field in fields {
-            // With its length, so that no two sequences of fields are the same bytes.
+            // The length prefix keeps different sequences of fields from hashing the same bytes.
             hasher.update((field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
         let digest: [u8; 32] = hasher.finalize().into();
-        let mut kept = [0; DIGEST_BYTES];
-        kept.copy_from_slice(&digest[..DIGEST_BYTES]);
-        Self(ByteArray::new(kept))
+        let mut truncated = [0; DIGEST_BYTES];
+        truncated.copy_from_slice(&digest[..DIGEST_BYTES]);
+        Self(ByteArray::new(truncated))
     }
 }
 
--- a/src/gateway/duties/fleet_clock.rs
+++ b/src/gateway/duties/fleet_clock.rs
@@ -1,8 +1,8 @@
-//! True time, agreed on by daemons whose wall clocks may be wrong.
+//! Fleet time, agreed on by daemons whose wall clocks may be wrong.
 //!
 //! A wall clock may jump by half an hour and back, on a third of the daemons at once. The
-//! middle one of many is right as long as fewer than half are wrong on the same side, and
-//! between two looks at it the monotonic clock goes on, which never jumps.
+//! median of the clocks is correct as long as fewer than half are wrong in the same
+//! direction. Between updates, fleet time follows the monotonic clock, which never jumps.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 
 use crate::names::{DaemonId, MonoTime, UnixTime};
 
-/// Age up to which a daemon's wall clock counts.
+/// Maximum age of a sample of another daemon's wall clock.
 const SAMPLE_RETENTION: Duration = Duration::from_secs(5);
-/// Fewest clocks, the own one among them, of which the middle one is taken.
+/// Minimum number of clocks, including the local one, for a median.
 const MIN_CLOCKS: usize = 3;
-/// Time after the start after which fewer have to do.
+/// Time after the start from which fewer clocks are accepted.
 const CLOCK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Milliseconds by which the wall clock is ahead of the own monotonic clock.
+/// Milliseconds by which a wall clock is ahead of the local monotonic clock.
 type ClockOffset = i64;
 
-/// What is known of true time.
+/// Estimate of fleet time.
 #[derive(Debug, Default)]
 pub struct FleetClock {
     samples: IndexMap<DaemonId, (ClockOffset, MonoTime)>,
@@ -28,18 +28,18 @@
 }
 
 impl FleetClock {
-    /// Takes what a daemon's wall clock showed when it was heard.
+    /// Records the wall clock in a message of another daemon.
     pub fn note_sample(&mut self, daemon: &DaemonId, wall: UnixTime, now: MonoTime) {
         self.samples
             .insert(daemon.clone(), (offset_of(wall, now), now));
     }
 
-    /// Takes the time that a hub and its members have agreed on.
+    /// Adopts the time that a hub and its members have agreed on.
     pub fn note_agreed(&mut self, agreed: UnixTime, now: MonoTime) {
         self.offset = Some(offset_of(agreed, now));
     }
 
-    /// Agrees on the middle one of the clocks heard lately and the own one.
+    /// Sets fleet time to the median of the recent samples and the local wall clock.
     pub fn update_offset(&mut self, local_wall: UnixTime, now: MonoTime) {
         self.samples
             .retain(|_, (_, at)| now.since(*at) < SAMPLE_RETENTION);
@@ -54,7 +54,7 @@
         self.offset = Some(offsets[offsets.len() / 2]);
     }
 
-    /// Returns the true time of a moment of the own clock; `None` before it is agreed on.
+    /// Returns the fleet time at a local time, or `None` before one is agreed on.
     #[must_use]
     pub fn at(&self, moment: MonoTime) -> Option<UnixTime> {
         let offset = self.offset?;
--- a/src/gateway/duties/mod.rs
+++ b/src/gateway/duties/mod.rs
@@ -1,9 +1,10 @@
-//! Duties that one daemon performs for the fleet: reports of usage, orders of servers.
+//! Fleet tasks, which one daemon at a time performs for the fleet: reporting usage and
+//! ordering servers.
 //!
-//! The right to act is a lease in the store. The platform does not check who acts, so a
-//! holder stops well before its lease ends on its own clock, and a new one begins only
-//! when nothing of the one before can still be under way and its turn has lasted long
-//! enough: acting in turns would be taken for two holders.
+//! The right to act is a lease in the store. The platform does not check who acts. A holder
+//! therefore stops well before its lease expires on its own clock. A new holder starts only
+//! once no call of its predecessor can still be in flight and it has held the lease for long
+//! enough: holders that alternate quickly would look like two holders at once.
 
 pub mod fleet_clock;
 pub mod server_desk;
@@ -31,36 +32,36 @@
 use crate::ports::ObjectName;
 use crate::timer::TimerService;
 
-/// Group of the lease: all duties together, so that they move together.
+/// Group of the lease: one for all fleet tasks, so that they move together.
 const LEASE_GROUP: &str = "duties";
-/// Kind of the store's objects in which duties keep what a successor has to know.
+/// Kind of the store's objects in which fleet tasks record what a successor has to know.
 const STATE_KIND: &str = "pistachiowick-duties";
-/// How often what is due is looked at.
+/// Interval between checks for due work.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Daemons that contend for the lease: one may be stopped while another one is cut off.
+/// Daemons that contend for the lease: one may be stopped while another is partitioned.
 const MAX_CONTENDERS: usize = 3;
-/// Time after the start in which the fleet's roles settle, and nobody contends.
+/// Time after the start in which the daemon does not contend, until hubs are elected.
 const STARTUP_DELAY: Duration = Duration::from_millis(3_000);
-/// Longest time for the platform to take a call; a slow one takes hundreds of milliseconds.
+/// Timeout of a call to the platform; a slow one takes hundreds of milliseconds.
 pub const CALL_WAIT: Duration = Duration::from_millis(1_000);
-/// Part of the lease before whose end the holder begins no call: longer than a call.
+/// Fraction of the lease at its end in which the holder starts no call: longer than a call.
 const GUARD_FRACTION: f64 = 0.4;
-/// Part of the lease's time for which a call may still be under way after its end. One that
-/// was begun at the last moment is given up by the connection 2.5 s later, which is 0.43 of
-/// a lease of three seconds after its end.
+/// Time for which a call may still be in flight after the lease has ended, as a fraction of
+/// the lease. The connection gives up a call started at the last moment 2.5 s later, which is
+/// 0.43 of a three-second lease after its end.
 const IN_FLIGHT_FRACTION: f64 = 0.5;
 
-/// What this daemon counts of usage, and the time that it goes by.
+/// Usage counts of this daemon, with the clock that assigns them to windows.
 #[derive(Debug)]
 pub struct DutyBook {
-    /// True time.
+    /// Clock that the fleet agrees on.
     pub clock: FleetClock,
-    /// Requests that began, by window and workspace.
+    /// Started requests by window and workspace.
     pub usage: UsageCounts,
 }
 
 impl DutyBook {
-    /// Creates a book for windows of a length.
+    /// Creates a meter for windows of the given length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
@@ -69,24 +70,24 @@
         }
     }
 
-    /// Agrees on true time and puts what began into its windows.
+    /// Updates the fleet clock and assigns started requests to their windows.
     pub fn settle(&mut self, now: MonoTime) {
         self.clock.update_offset(clock::unix_now(), now);
         self.usage.assign_windows(&self.clock, now);
     }
 }
 
-/// The right to act, for one look at what is due.
+/// The right to act during one check for due work.
 #[derive(Clone, Debug)]
 pub struct TaskPermit {
-    /// Who acts.
+    /// Daemon and fence under which calls are made.
     pub caller: DutyCaller,
-    /// When no call may be begun any more, on the own clock.
+    /// Local time from which no further call may be started.
     pub until: MonoTime,
 }
 
 impl TaskPermit {
-    /// Whether a call may still be begun.
+    /// Returns whether a call may still be started.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         clock::mono_now() < self.until
@@ -109,7 +110,7 @@
     events_tx: mpsc::UnboundedSender<TaskEvent>,
 }
 
-/// Runs until the process ends.
+/// Performs fleet tasks until the process exits.
 pub async fn run(gateway: Rc<Gateway>, settings: DutySettings) {
     let (events_tx, mut events) = mpsc::unbounded_channel();
     let lease_time = settings.turn_time();
@@ -147,7 +148,7 @@
         };
         let events_tx = self.events_tx.clone();
         self.usage.check(&self.gateway, &permit, now, move |event| {
-            // The desk ends only with the process.
+            // The receiver lives as long as the process.
             let _ = events_tx.send(TaskEvent::Usage(event));
         });
         let events_tx = self.events_tx.clone();
@@ -162,16 +163,17 @@
         let events_tx = self.events_tx.clone();
         let contending = rank.filter(|rank| *rank < MAX_CONTENDERS);
         self.lease.keep(contending, now, move |answer| {
-            // The desk ends only with the process.
+            // The receiver lives as long as the process.
             let _ = events_tx.send(TaskEvent::Lease(answer));
         });
     }
 
-    // The right to act now. Who takes the lease from a holder that gave it up could act
-    // right after it, and hand it back as soon: the wait keeps three acts in turns apart.
+    // Returns the right to act now. A daemon that takes over a released lease could act at
+    // once and release it just as quickly. The wait keeps the calls of alternating holders
+    // apart.
     fn permit(&mut self, now: MonoTime) -> Option<TaskPermit> {
         let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
-            // A renewal that comes late only makes the holder wait: what it knows holds on.
+            // After a late renewal, the holder only waits: its state is still valid.
             if !self.lease.is_held() {
                 self.change_lease(None);
             }
@@ -192,7 +194,8 @@
         Some(TaskPermit { caller, until })
     }
 
-    // What a holder knows is read anew in each turn: another one may have acted between.
+    // Drops the tasks' state, which is read again for each new lease: another holder may
+    // have acted in between.
     fn change_lease(&mut self, held_lease: Option<(FenceNumber, MonoTime)>) {
         self.held_lease = held_lease;
         self.usage.reset();
@@ -208,10 +211,10 @@
     }
 }
 
-/// Fence of a lease that nobody held before.
+/// Fence of a lease that was never held before.
 const FIRST_FENCE: FenceNumber = FenceNumber(1);
 
-/// Returns the object in which a duty keeps what a successor has to know.
+/// Returns the object in which a fleet task records what a successor has to know.
 fn state_object(name: &str) -> ObjectName {
     ObjectName {
         kind: STATE_KIND.to_owned(),
@@ -220,8 +223,8 @@
 }
 
 impl Gateway {
-    // Place of this daemon among those that may perform duties; `None` where it may not.
-    // Members of a large fleet do not hear what others count.
+    // Returns the rank of this daemon among those that may perform fleet tasks, or `None` if
+    // it may not. In a large fleet, members do not receive the usage counts of others.
     fn task_rank(&self, now: MonoTime) -> Option<usize> {
         if self.stopping.get() || now.since(self.started) < STARTUP_DELAY {
             return None;
--- a/src/gateway/duties/server_desk.rs
+++ b/src/gateway/duties/server_desk.rs
@@ -1,4 +1,4 @@
-//! Orders servers where the plan wants other ones than there are.
+//! Orders servers where the plan differs from the running ones.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,28 +16,28 @@
 use crate::names::{CentreName, MonoTime, ServiceName};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-/// Name of the object that holds what the operator had provided.
+/// Name of the object that records how many targets the operator had provided.
 const PROVIDED_OBJECT: &str = "provided";
-/// Time for which the number of targets has to stay the same to be taken for what the
-/// operator had provided: they register one by one when everything starts.
+/// Time for which the number of targets has to stay the same before it counts as what the
+/// operator had provided: when everything starts, targets register one by one.
 const STABLE_TIME: Duration = Duration::from_millis(2_000);
-/// Pause before servers that were not to be had are asked for again.
+/// Delay before servers are ordered again after the platform had no capacity.
 const NO_CAPACITY_DELAY: Duration = Duration::from_millis(1_500);
-/// Pause before an order that the platform refused as faulty is tried again: only another
-/// configuration changes what it says, and calls are priced.
+/// Delay before an order that the platform refused as invalid is retried: only another
+/// configuration changes the result, and calls have a price.
 const REFUSED_DELAY: Duration = Duration::from_secs(10);
-/// Pause after a call that came to nothing.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Time beyond their start in which ordered servers register here.
+/// Time after their expected start in which ordered servers register.
 const REGISTRATION_SLACK: Duration = Duration::from_millis(1_500);
-/// Time beyond their start after which servers that did not come are ordered again.
+/// Time after their expected start at which missing servers are ordered again.
 const OVERDUE_TIME: Duration = Duration::from_millis(4_000);
 
-/// Targets that the operator had provided before any were ordered, by service.
+/// Numbers of targets that the operator had provided before the first order, by service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 struct ProvidedTargets(IndexMap<ServiceName, u32>);
 
-/// What an order is about.
+/// Identifies the targets that an order is for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct OrderKey {
     service: ServiceName,
@@ -45,11 +45,11 @@
     reclaimable: bool,
 }
 
-/// What came of a call.
+/// Result of a call.
 pub enum ServerEvent {
-    /// What was provided was read.
+    /// The provided numbers were read.
     Read(Result<Option<StoredObject>, PlatformError>),
-    /// What was provided was written.
+    /// The provided numbers were written.
     Written(Result<ObjectVersion, PlatformError>),
     /// Servers were ordered.
     Ordered(OrderKey, u32, Result<OrderAnswer, PlatformError>),
@@ -61,11 +61,11 @@
     at: MonoTime,
 }
 
-/// The duty as its holder performs it.
+/// Fleet task that orders servers.
 #[derive(Debug, Default)]
 pub struct ServerScaler {
     provided: Option<(ObjectVersion, ProvidedTargets)>,
-    // Targets by service as last seen, and since when.
+    // Number of targets by service as last observed, and since when.
     stable: Option<(IndexMap<ServiceName, u32>, MonoTime)>,
     orders: IndexMap<OrderKey, LastOrder>,
     delayed: IndexMap<OrderKey, MonoTime>,
@@ -74,14 +74,14 @@
 }
 
 impl ServerScaler {
-    /// Forgets what only a holder knows.
+    /// Drops the state that is valid only while the lease is held.
     pub fn reset(&mut self) {
         self.provided = None;
         self.orders.clear();
         self.delayed.clear();
     }
 
-    /// Does what is due; `tell` gets what came of it.
+    /// Starts the next call that is due; `send` receives its result.
     pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Watches how many targets there are, also before this daemon performs the duty.
+    /// Observes the numbers of targets, also while another daemon performs the task.
     pub fn observe(&mut self, view: &FleetView, now: MonoTime) {
         let scaled = scaled_services(view).into_iter();
         let counts: IndexMap<ServiceName, u32> = scaled
@@ -138,8 +138,9 @@
         stable.is_some_and(|(_, since)| now.since(*since) >= STABLE_TIME)
     }
 
-    // What is found before the first order is what the operator had provided. It is kept in
-    // the store, or a later holder would take its own orders for it.
+    // The targets found before the first order are what the operator had provided. Their
+    // numbers are recorded in the store; otherwise, a later holder would count the ordered
+    // targets as well.
     fn record_provided(
         &mut self,
         gateway: &Rc<Gateway>,
@@ -154,7 +155,7 @@
         for (name, _) in scaled {
             provided.0.entry(name.clone()).or_insert(count(view, name));
         }
-        log::info!(provided = format!("{:?}", provided.0); "targets provided by the operator");
+        log::info!(provided = format!("{:?}", provided.0); "recording the number of targets provided by the operator");
         let write = ConditionalWrite {
             object: state_object(PROVIDED_OBJECT),
             expected,
@@ -167,7 +168,7 @@
         });
     }
 
-    // The first order that is due; one at a time, as calls to the platform are limited.
+    // Returns the first due order. Only one at a time, since calls to the platform are limited.
     fn due_order(
         &self,
         view: &FleetView,
@@ -191,7 +192,7 @@
         None
     }
 
-    // Reclaimable ones that were ordered so lately that they may still be starting.
+    // Returns the number of reclaimable targets in an order recent enough to be starting.
     fn expected_reclaimable(
         &self,
         service: &ServiceName,
@@ -209,7 +210,7 @@
         last.filter(starting).map_or(0, |last| last.count)
     }
 
-    // Reclaimable ones go first: firm ones leave once these serve.
+    // Reclaimable targets are ordered first: on-demand ones are released once those serve.
     fn due_order_in(
         &self,
         service: &ServiceName,
@@ -241,7 +242,7 @@
             })
     }
 
-    /// Takes what came of a call.
+    /// Handles the result of a call.
     pub fn handle(&mut self, event: ServerEvent, now: MonoTime) {
         self.call_pending = false;
         match event {
@@ -276,7 +277,7 @@
     }
 
     fn back_off(&mut self, error: &PlatformError, now: MonoTime) {
-        log::warn!("servers not ordered yet: {error}");
+        log::warn!("ordering servers failed, retrying: {error}");
         self.backoff_until = now.plus(RETRY_DELAY);
     }
 }
@@ -291,7 +292,7 @@
     u32::try_from(view.of_service(service).len()).unwrap_or(u32::MAX)
 }
 
-// In the order of the data centres' names, so that all look alike to each holder.
+// Sorted by name, so that every holder sees the data centres in the same order.
 fn centres_of(view: &FleetView, service: &ServiceName, rule: &ScalingRule) -> Vec<CentreTargets> {
     let targets = view.of_service(service);
     let mut centres: Vec<CentreTargets> = rule
@@ -322,7 +323,7 @@
         Ok(provided) => Some((version, provided)),
         Err(error) => {
             log::error!(
-                "what the operator had provided cannot be read ({error}); nothing is ordered until it can"
+                "cannot read the numbers of targets provided by the operator ({error}); no servers are ordered until the object is corrected"
             );
             None
         }
@@ -346,14 +347,14 @@
         let answer = match ports.duties.filter(|_| permit.is_valid()) {
             Some(duties) => (duties.order_servers)((permit.caller, desired)).await,
             None => Err(PlatformError::Unavailable {
-                reason: "the right to order ended".to_owned(),
+                reason: "the lease for ordering servers expired".to_owned(),
                 retry_after: RETRY_DELAY,
             }),
         };
         log::info!(
             centre = key.centre.as_str(), reclaimable = key.reclaimable, count = count,
             outcome = format!("{answer:?}");
-            "servers ordered"
+            "ordered servers"
         );
         metrics::counter!("pistachiowick_server_orders_total").increment(1);
         send(ServerEvent::Ordered(key, count, answer));
--- a/src/gateway/duties/server_plan.rs
+++ b/src/gateway/duties/server_plan.rs
@@ -1,9 +1,10 @@
-//! How many targets of a service each data centre is to have, and which kind: a pure plan.
+//! Plans how many targets of each kind a service should have per data centre. Free of I/O.
 //!
-//! Reclaimable targets cost a part of the price of firm ones and may go at once, all of a
-//! data centre, with seconds of notice. So they are spread, with so many to spare that
-//! what is left after the loss of the largest data centre is still what the operator had
-//! provided. Firm ones stand in for those that are missing, as long as they are.
+//! Reclaimable targets cost a fraction of the price of on-demand ones, but all of those in a
+//! data centre may be reclaimed at once, with seconds of notice. They are therefore spread
+//! over the data centres, with enough spare ones that the loss of the largest data centre
+//! leaves as many as the operator had provided. On-demand targets replace missing ones for
+//! as long as they are missing.
 
 use crate::gateway::model::ScalingRule;
 use crate::names::CentreName;
@@ -13,26 +14,26 @@
 pub struct CentreTargets {
     /// The data centre.
     pub centre: CentreName,
-    /// Price of a target there against others.
+    /// Price of a target there relative to the other data centres.
     pub price: f64,
-    /// Firm ones that may get work.
+    /// On-demand targets that may get work.
     pub on_demand: u32,
-    /// Reclaimable ones that may get work.
+    /// Reclaimable targets that may get work.
     pub reclaimable: u32,
-    /// Reclaimable ones that there will be once those ordered lately have started.
+    /// Reclaimable targets that will exist once the recently ordered ones have started.
     pub expected_reclaimable: u32,
 }
 
-/// Most targets of a kind that a data centre exchanges at a time. Each that comes or goes
-/// is told to every daemon, in about 300 bytes: with 100 members a hub sends 30 kB for it,
-/// so 100 of a kind in the 5 s in which new ones start come to 1.2 MB a second for both
-/// kinds, a twentieth of the link of a strong instance. Without a bound 3,000 that went
-/// for 4,500 filled that link, and departures were heard 4.4 s late.
+/// Maximum number of targets of a kind by which a data centre changes at a time. Each target
+/// that starts or stops is announced to every daemon in about 300 bytes; a hub with 100
+/// members sends 30 kB for it. 100 of each kind in the 5 s in which new ones start amount to
+/// 1.2 MB/s, a twentieth of the link of a strong instance. Without a limit, replacing 3,000
+/// targets by 4,500 filled that link, and departures were received 4.4 s late.
 const MAX_STEP: u32 = 100;
 
-/// Returns the number to order next of a kind of which `there` are there, `wanted` are
-/// wanted and `ordered` were ordered last. What is within a step is ordered at once;
-/// else the number stays the same while a step is under way.
+/// Returns the number of targets of a kind to order next, out of the `current` and `desired`
+/// numbers and the one ordered last. A change within one step is ordered at once; for a
+/// larger one, the number stays the same while a step is in progress.
 #[must_use]
 pub fn next_step(current: u32, desired: u32, last_ordered: Option<u32>) -> u32 {
     let fewest = current.saturating_sub(MAX_STEP);
@@ -41,25 +42,25 @@
     if next == desired {
         return desired;
     }
-    // Between what is there and the furthest that may be ordered now.
+    // An order is in progress if it lies between the current number and the limit of the step.
     let in_progress =
         |count: &u32| (current < *count && *count <= next) || (next <= *count && *count < current);
     last_ordered.filter(in_progress).unwrap_or(next)
 }
 
-/// How many targets of each kind a data centre is to have.
+/// Desired numbers of targets of each kind in a data centre.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DesiredCounts {
     /// The data centre.
     pub centre: CentreName,
-    /// Firm ones.
+    /// On-demand targets.
     pub on_demand: u32,
-    /// Reclaimable ones.
+    /// Reclaimable targets.
     pub reclaimable: u32,
 }
 
-/// Returns how many targets each data centre is to have, where the operator had provided
-/// `provided` in all; `None` where nothing is to be gained by other ones.
+/// Returns the desired numbers of each data centre, given that the operator had provided
+/// `provided` targets in total; `None` if reclaimable targets bring no advantage.
 #[must_use]
 pub fn plan(
     rule: &ScalingRule,
@@ -78,7 +79,7 @@
         .map(|centre| DesiredCounts {
             centre: centre.centre.clone(),
             on_demand: minimum,
-            // Both kinds together stay below the most that are allowed.
+            // Both kinds together stay within the maximum that is allowed.
             reclaimable: per_centre.min(rule.most.saturating_sub(centre.on_demand.max(minimum))),
         })
         .collect();
@@ -86,8 +87,8 @@
     Some(desired)
 }
 
-// Firm ones for those that are missing. Those that run stay until reclaimable ones serve;
-// more are ordered, the cheapest first, only for what is not on its way already.
+// Adds on-demand targets for missing ones. Running ones stay until reclaimable ones serve;
+// more are ordered, the cheapest first, only for targets that are not already starting.
 fn substitute_on_demand(
     rule: &ScalingRule,
     provided: u32,
--- a/src/gateway/duties/usage_book.rs
+++ b/src/gateway/duties/usage_book.rs
@@ -1,7 +1,7 @@
-//! Requests that began in each window of true time, by workspace.
+//! Requests started in each window of fleet time, by workspace.
 //!
-//! Each daemon counts its own and tells the counts so far, never differences: a word that
-//! is lost, doubled or late changes nothing in the sum.
+//! Each daemon counts its own requests and sends totals, never differences: messages that
+//! are lost, duplicated or late do not change the sum.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use crate::gateway::duties::fleet_clock::FleetClock;
 use crate::names::{DaemonId, MonoTime, WorkspaceName, millis};
 
-/// Number of a window: the time since 1970 in lengths of a window.
+/// Number of a window: the time since the Unix epoch divided by the length of a window.
 pub type WindowNumber = u64;
 
-/// Requests of one workspace that began in one window, as one daemon counted them so far.
+/// Requests of one workspace started in one window, as counted by one daemon so far.
 pub type UsageCell = (WindowNumber, WorkspaceName, u32);
 
-/// What one daemon counted.
+/// Counts of one daemon.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DaemonUsage {
     /// The daemon.
     pub daemon: DaemonId,
-    /// Its life; each counts from zero.
+    /// Its incarnation; each counts from zero.
     pub life: u64,
     /// Its counts.
     pub cells: Vec<UsageCell>,
@@ -32,19 +32,19 @@
 pub type WorkspaceCounts = IndexMap<WorkspaceName, u32>;
 type WindowCounts = IndexMap<WindowNumber, WorkspaceCounts>;
 
-/// Time after which all recent counts are told again, also those that did not change: a
-/// word may be lost. Well below the time in which a window's report is due.
+/// Interval at which all recent counts are sent, including unchanged ones, since messages may
+/// be lost. Well below the reporting deadline of a window.
 const FULL_UPDATE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Windows that are told again, the newest ones.
+/// Number of windows, the newest ones, that such an update covers.
 const WINDOWS_SENT: u64 = 3;
-/// Windows that are kept, for reports that wait while the store or the platform is away.
+/// Number of retained windows, for reports delayed by an outage of the store or the platform.
 const WINDOWS_RETAINED: u64 = 24;
 
-/// Counts of this daemon and of those that tell it theirs.
+/// Counts of this daemon and those received from others.
 #[derive(Debug)]
 pub struct UsageCounts {
     window: Duration,
-    // Begun while true time was not agreed on yet.
+    // Started requests that are not assigned to windows yet.
     pending: Vec<(MonoTime, WorkspaceName)>,
     local: WindowCounts,
     changed: IndexSet<(WindowNumber, WorkspaceName)>,
@@ -54,7 +54,7 @@
 }
 
 impl UsageCounts {
-    /// Creates a book for windows of a length.
+    /// Creates empty counts for windows of the given length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
@@ -68,19 +68,20 @@
         }
     }
 
-    /// Returns the window of a moment.
+    /// Returns the window of a local time, or `None` while fleet time is unknown.
     #[must_use]
     pub fn window_of(&self, clock: &FleetClock, moment: MonoTime) -> Option<WindowNumber> {
         let at = clock.at(moment)?;
         Some(at.0 / millis(self.window).max(1))
     }
 
-    /// Counts a request of a workspace that began to run.
+    /// Counts a started request of a workspace.
     pub fn note_begun(&mut self, workspace: &WorkspaceName, now: MonoTime) {
         self.pending.push((now, workspace.clone()));
     }
 
-    /// Puts what began into its windows, once true time is known.
+    /// Assigns started requests to their windows, once fleet time is known, and drops windows
+    /// that are no longer retained.
     pub fn assign_windows(&mut self, clock: &FleetClock, now: MonoTime) {
         let Some(newest) = self.window_of(clock, now) else {
             return;
@@ -99,7 +100,7 @@
         self.remote.retain(|_, counts| !counts.is_empty());
     }
 
-    /// Returns own counts to tell: those that changed, and at times all recent ones.
+    /// Returns the local counts to send: changed ones, and periodically all recent ones.
     pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCell> {
         let changed = std::mem::take(&mut self.changed);
         if now.since(self.full_update_at) < FULL_UPDATE_INTERVAL {
@@ -120,7 +121,7 @@
         cells.collect()
     }
 
-    /// Takes what a daemon counted; what members told goes on to other hubs.
+    /// Merges the counts of another daemon. Counts of members are relayed to other hubs.
     pub fn note_heard(&mut self, usage: DaemonUsage, from_member: bool) {
         let life = (usage.daemon.clone(), usage.life);
         for (window, workspace, count) in &usage.cells {
@@ -134,12 +135,12 @@
         }
     }
 
-    /// Returns what members counted since the last call.
+    /// Returns the counts received from members since the last call.
     pub fn take_relayed(&mut self) -> Vec<DaemonUsage> {
         std::mem::take(&mut self.relayed)
     }
 
-    /// Returns all that is known of a window.
+    /// Returns the known total of a window.
     #[must_use]
     pub fn total(&self, window: WindowNumber) -> WorkspaceCounts {
         let mut total = WorkspaceCounts::new();
--- a/src/gateway/duties/usage_desk.rs
+++ b/src/gateway/duties/usage_desk.rs
@@ -1,4 +1,5 @@
-//! Reports each window's usage once: recorded first, then sent until it is taken.
+//! Reports the usage of each window: it is recorded first, then sent until the platform
+//! accepts it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,29 +15,29 @@
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-/// Name of the object that holds the records.
+/// Name of the object that holds the ledger.
 const LEDGER_OBJECT: &str = "usage";
-/// Part of the time in which a report is due for which counts are waited for after their
-/// window's end: what daemons tell takes a second, and the rest is left to a successor.
+/// Fraction of the reporting deadline to wait for counts after the end of their window:
+/// updates between daemons take a second, and the rest is left to a successor.
 const CLOSE_FRACTION: f64 = 0.2;
-/// Pause after a call that came to nothing.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What came of a call.
+/// Result of a call.
 pub enum UsageEvent {
-    /// The records were read.
+    /// The ledger was read.
     Read(Result<Option<StoredObject>, PlatformError>),
-    /// Records were written.
+    /// The ledger was written.
     Written(UsageLedger, Result<ObjectVersion, PlatformError>),
     /// A report was sent.
     Sent(WindowNumber, Result<(), PlatformError>),
 }
 
-/// The duty as its holder performs it.
+/// Fleet task that reports usage.
 #[derive(Debug)]
 pub struct UsageReporter {
     close_delay: Duration,
-    // As the store holds it; `None` until it was read in this turn.
+    // As stored; `None` until it has been read under the current lease.
     ledger: Option<(ObjectVersion, UsageLedger)>,
     first_window: Option<WindowNumber>,
     call_pending: bool,
@@ -44,7 +45,7 @@
 }
 
 impl UsageReporter {
-    /// Creates a desk.
+    /// Creates a reporter.
     #[must_use]
     pub fn new(settings: &DutySettings) -> Self {
         Self {
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Forgets what only a holder knows.
+    /// Drops the state that is valid only while the lease is held.
     pub fn reset(&mut self) {
         self.ledger = None;
     }
 
-    /// Does what is due; `tell` gets what came of it.
+    /// Starts the next call that is due; `send_event` receives its result.
     pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
@@ -106,27 +107,27 @@
         }
     }
 
-    // The newest window that has ended so long ago that its counts are in.
+    // Returns the newest window that ended long enough ago that its counts have arrived.
     fn newest_closed(&self, meter: &super::DutyBook, now: MonoTime) -> Option<WindowNumber> {
         let moment = MonoTime(now.0.checked_sub(millis(self.close_delay))?);
         meter.usage.window_of(&meter.clock, moment)?.checked_sub(1)
     }
 
-    /// Takes what came of a call.
+    /// Handles the result of a call.
     pub fn handle(&mut self, event: UsageEvent, now: MonoTime) {
         self.call_pending = false;
         match event {
             UsageEvent::Read(Ok(stored)) => self.ledger = read_ledger(stored),
             UsageEvent::Written(ledger, Ok(version)) => self.ledger = Some((version, ledger)),
             UsageEvent::Sent(window, Ok(())) => self.mark_reported(window),
-            // The same report would be refused again, and hold up all later ones.
+            // The same report would be refused again and block all later ones.
             UsageEvent::Sent(window, Err(error @ PlatformError::Refused { .. })) => {
-                log::error!(window = window; "usage given up: {error}");
+                log::error!(window = window; "the platform refused the usage report, skipping this window: {error}");
                 self.mark_reported(window);
             }
             UsageEvent::Read(Err(error)) => self.back_off("read", &error, now),
             UsageEvent::Written(_, Err(error)) => {
-                // It may have landed all the same: only a look at the store tells.
+                // The write may have succeeded all the same, so the ledger is read again.
                 self.ledger = None;
                 self.back_off("write", &error, now);
             }
@@ -141,7 +142,7 @@
     }
 
     fn back_off(&mut self, call: &str, error: &PlatformError, now: MonoTime) {
-        log::warn!(call = call; "usage not reported yet: {error}");
+        log::warn!(call = call; "usage report failed, retrying: {error}");
         self.backoff_until = now.plus(RETRY_DELAY);
     }
 }
@@ -155,7 +156,7 @@
         Ok(ledger) => Some((version, ledger)),
         Err(error) => {
             log::error!(
-                "records of usage cannot be read ({error}); nothing is reported until they can"
+                "cannot read the usage ledger ({error}); no usage is reported until the object is corrected"
             );
             None
         }
@@ -194,11 +195,11 @@
                 (duties.report_usage)((permit.caller, report)).await
             }
             None => Err(PlatformError::Unavailable {
-                reason: "the right to report ended".to_owned(),
+                reason: "the lease for reporting usage expired".to_owned(),
                 retry_after: RETRY_DELAY,
             }),
         };
-        log::info!(window = window, sent = sent.is_ok(); "usage reported");
+        log::info!(window = window, sent = sent.is_ok(); "sent usage report");
         let outcome = if sent.is_ok() { "taken" } else { "failed" };
         metrics::counter!("pistachiowick_usage_reports_total", "outcome" => outcome).increment(1);
         send_event(UsageEvent::Sent(window, sent));
--- a/src/gateway/duties/usage_ledger.rs
+++ b/src/gateway/duties/usage_ledger.rs
@@ -1,9 +1,9 @@
-//! Reports of usage: what was recorded of each window, and what to do next.
+//! Ledger of usage reports: recorded counts of each window, and the next step.
 //!
-//! The platform takes one report for each window. A holder of the duty that dies between
-//! a report and its answer would leave the next one to count anew and to report another
-//! number. So a window's counts are recorded in the store first, by conditional update,
-//! and what is sent is what the record holds: again and again the same.
+//! The platform accepts one report for each window. If a holder crashed between a report and
+//! its answer, its successor would count again and could report another number. The counts of
+//! a window are therefore first recorded in the store by a conditional update, and every
+//! report sends the recorded counts.
 
 use std::collections::BTreeMap;
 
@@ -11,32 +11,33 @@
 
 use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
 
-/// Reported windows that stay in the record, so that its size is bounded.
+/// Number of reported windows that stay in the ledger, which limits its size.
 const REPORTED_RETAINED: usize = 6;
-/// Windows that are recorded late at most; what was counted before is lost by then.
+/// Maximum number of past windows that are recorded late; the counts of earlier ones are lost
+/// by then.
 const MAX_WINDOWS_LATE: u64 = 20;
 
-/// What is recorded of one window.
+/// Recorded counts of one window.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WindowRecord {
     /// Requests by workspace.
     pub counts: WorkspaceCounts,
-    /// Whether the platform has taken the report.
+    /// Whether the platform has accepted the report.
     pub reported: bool,
 }
 
-/// What to do next.
+/// Next step of reporting.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum UsageStep {
     /// Record these windows, the newest one last.
     Record(Vec<WindowNumber>),
-    /// Send the report of a window that is recorded.
+    /// Send the report of a recorded window.
     Report(WindowNumber),
     /// Nothing is due.
     Wait,
 }
 
-/// Records of windows as the store holds them.
+/// Records of windows, as stored.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct UsageLedger {
     /// Records by window.
@@ -44,27 +45,27 @@
 }
 
 impl UsageLedger {
-    /// Reads a ledger.
+    /// Decodes a ledger.
     ///
     /// # Errors
     ///
-    /// Returns what cannot be read.
+    /// Returns an error if the value is not a valid ledger.
     pub fn decode(value: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(value)
     }
 
-    /// Writes the ledger as a value of the store.
+    /// Encodes the ledger as a value of the store.
     ///
     /// # Panics
     ///
-    /// Never: plain fields always encode.
+    /// Never panics: plain fields always encode.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("plain fields encode")
     }
 
-    /// Decides what to do once `newest` has ended and its counts are in; `first` is the
-    /// first window of a fleet that has recorded none.
+    /// Returns the next step once `newest` has ended and its counts have arrived; `first` is
+    /// the first window of a fleet that has not recorded any.
     #[must_use]
     pub fn next_step(&self, newest: WindowNumber, first: WindowNumber) -> UsageStep {
         let unreported = self.windows.iter().find(|(_, record)| !record.reported);
@@ -80,7 +81,7 @@
         UsageStep::Record((from..=newest).collect())
     }
 
-    /// Returns the ledger with further windows, to be written to the store.
+    /// Returns the ledger with further windows added, to be written to the store.
     #[must_use]
     pub fn with_windows(&self, counted: Vec<(WindowNumber, WorkspaceCounts)>) -> Self {
         let mut ledger = self.clone();
@@ -93,14 +94,14 @@
             let reported = false;
             (window, WindowRecord { counts, reported })
         });
-        // What is recorded stays as it is.
+        // Recorded counts are never changed.
         for (window, record) in new_records {
             ledger.windows.entry(window).or_insert(record);
         }
         ledger
     }
 
-    /// Notes that the platform has taken a window's report.
+    /// Marks a window as reported: the platform has accepted its report.
     pub fn mark_reported(&mut self, window: WindowNumber) {
         if let Some(record) = self.windows.get_mut(&window) {
             record.reported = true;
--- a/src/gateway/held_work/mod.rs
+++ b/src/gateway/held_work/mod.rs
@@ -1,7 +1,7 @@
-//! Holds work back that ended targets, here and at all daemons.
+//! Quarantine of work that crashed targets, on this and all other daemons.
 //!
-//! Held work is an object of the store, so that it stays held when all daemons are gone at
-//! once; a daemon that starts lists them.
+//! Quarantined work is recorded as an object in the store, so that the quarantine survives
+//! a failure of all daemons at once. A starting daemon lists these objects.
 
 pub mod records;
 
@@ -28,23 +28,24 @@
 use crate::target_life::TargetLife;
 use crate::timer::TimerService;
 
-/// Why held work is not sent.
-const QUARANTINE_REASON: &str =
-    "targets ended under each run of this request; it is not sent for now";
-/// Time to come back for work that is not tried again by itself.
+/// Reason given to callers of quarantined work.
+const QUARANTINE_REASON: &str = "this request crashed the targets that ran it and is quarantined; correct it, or retry after the given delay";
+/// Retry delay returned for work that has no further trial.
 const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(3_600);
-/// How often it is looked whether held work is in the store.
+/// Interval at which quarantined work is compared with its records in the store.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time that each daemon leaves to those before it to write held work to the store.
+/// Delay per rank before a daemon writes a record, which leaves the write to lower ranks.
 const WRITE_STAGGER: Duration = Duration::from_secs(1);
-/// Pause after a call that the store did not answer.
+/// Delay after a request that the store did not answer.
 const ERROR_DELAY: Duration = Duration::from_secs(1);
-/// How often it is looked in the store for work that an operator let go, while any is held.
+/// Interval at which the store is checked for work that an operator released, while any is
+/// quarantined.
 const RELEASE_CHECK_INTERVAL: Duration = Duration::from_secs(20);
-/// Silence of the store, which is asked more often, after which entries may be old.
+/// Time without contact to the store, which is polled more often, after which its entries
+/// count as stale.
 const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What is known of the store's copy of a held work.
+/// What is known of the store's record of one quarantined work.
 #[derive(Clone, Debug)]
 struct StoredWork {
     route: String,
@@ -52,7 +53,7 @@
     crashes: usize,
 }
 
-/// Which held works the store has.
+/// Tracks which quarantined works have a record in the store.
 #[derive(Clone, Debug, Default)]
 pub struct HeldDesk {
     works: IndexMap<WorkDigest, StoredWork>,
@@ -60,9 +61,10 @@
     reachable_since: Option<MonoTime>,
 }
 
-/// Loads held work from the store, and keeps it there.
+/// Loads quarantined work from the store and keeps its records up to date.
 ///
-/// A daemon that is fed by a hub is told of it, and asks for none itself.
+/// A daemon that gets the store's contents from a hub receives crash reports from there and
+/// does not load them itself.
 pub async fn run(gateway: Rc<Gateway>) {
     let timer = TimerService::start();
     let mut ticks = timer.every(CHECK_INTERVAL);
@@ -82,7 +84,7 @@
 }
 
 impl Gateway {
-    /// Refuses held work, except once in a while at the one daemon that tries it.
+    /// Refuses quarantined work, except for a trial on the one daemon that runs trials.
     ///
     /// # Errors
     ///
@@ -98,7 +100,7 @@
             WorkStanding::Free => Ok(()),
             WorkStanding::Trial => {
                 call.on_trial.set(true);
-                log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "held work is tried once");
+                log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "sending quarantined work once as a trial");
                 Ok(())
             }
             WorkStanding::Held(next) => {
@@ -111,24 +113,24 @@
         }
     }
 
-    /// Whether a request that was taken may not be sent on, as its work is held by now.
+    /// Returns whether an accepted request may not be sent because its work is quarantined.
     #[must_use]
     pub fn is_held(&self, call: &RoutedCall) -> bool {
         let crashes = self.crashes.borrow();
         !crashes.is_empty() && !call.on_trial.get() && crashes.is_held(call.work())
     }
 
-    /// Completes when a request's work is held.
+    /// Completes when a request's work is quarantined.
     pub(in crate::gateway) async fn until_held(&self, call: &RoutedCall) {
         while !self.is_held(call) {
             self.newly_held.notified().await;
         }
     }
 
-    /// Notes that a target ended a connection before its answer was whole.
+    /// Records that a target closed the connection before its answer was complete.
     pub fn note_cut(&self, call: &RoutedCall, target: &TargetRecord, reason: &str) {
         let (work, now) = (call.work(), clock::mono_now());
-        // A trial is one run.
+        // A trial permits a single send.
         call.on_trial.set(false);
         let is_new = self.crashes.borrow_mut().note_end(work, &target.id, now);
         metrics::counter!("pistachiowick_answers_cut_total", "route" => call.route.name.clone())
@@ -140,20 +142,21 @@
             ends = self.crashes.borrow().crashed_targets(work).len(),
             waited_ms = millis(call.arrived.elapsed()),
             reason = reason;
-            "connection ended under a request"
+            "target closed the connection before its answer was complete"
         );
         if is_new {
             self.quarantine_work(work, &call.route.name, "own");
         }
     }
 
-    /// Notes that a target answered to the end.
+    /// Records that a target completed an answer.
     pub fn note_answered(&self, target: &TargetRecord, times: AnswerTimes) {
         let mut crashes = self.crashes.borrow_mut();
         crashes.record_answer(&target.id, times, clock::mono_now());
     }
 
-    /// Notes that work ran to its end. An answer without a length may end with its target.
+    /// Records that work ran to completion. An answer without a length doesn't count: its
+    /// end may be a crash of the target.
     pub fn note_completed(&self, call: &RoutedCall, head: &HeaderMap) {
         let framed = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
         if framed && !self.crashes.borrow().is_empty() {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Takes what other daemons tell of work that ended targets.
+    /// Merges the crash reports of another daemon.
     pub(in crate::gateway) fn take_work_notes(&self, reports: &[WorkNote]) {
         if reports.is_empty() {
             return;
@@ -196,7 +199,7 @@
             route = route,
             source = source,
             targets = targets.join(" ");
-            "work is held: targets ended under its runs"
+            "work is quarantined: it crashed several targets"
         );
         let stored_work = StoredWork {
             route: route.to_owned(),
@@ -211,7 +214,7 @@
         self.newly_held.notify_waiters();
     }
 
-    /// Drops suspicions of targets whose entries show that they live.
+    /// Refutes crashes of targets whose entries show that they are alive.
     pub(in crate::gateway) fn refute_by_entries(&self, now: MonoTime) {
         let is_reachable = self.pulse.age(now) < STORE_TIMEOUT;
         let reachable_since = {
@@ -243,7 +246,9 @@
         let objects = match (self.ports.store.list)(kind).await {
             Ok(batch) => batch.objects,
             Err(PlatformError::Refused { reason }) => {
-                log::warn!("held work cannot be listed: {reason}");
+                log::warn!(
+                    "cannot list quarantined work, continuing without its records: {reason}"
+                );
                 Vec::new()
             }
             Err(error) => return Err(error),
@@ -253,7 +258,7 @@
         }
         let mut quarantine = self.held.borrow_mut();
         quarantine.listed_at = Some(clock::mono_now());
-        // What the store lost is written again.
+        // Records that the store lost are written again.
         let names: Vec<&str> = objects.iter().map(|o| o.object.name.as_str()).collect();
         for (work, stored_work) in &mut quarantine.works {
             if !names.contains(&work.to_string().as_str()) {
@@ -270,7 +275,7 @@
         };
         match QuarantineRecord::decode_report(name, value) {
             Ok(mut report) => {
-                // Only callers keep what is known here from being forgotten.
+                // Only requests of callers extend the retention of work that is tracked here.
                 if self.crashes.borrow().contains(report.work) {
                     report.age_ms = u64::MAX;
                 }
@@ -336,11 +341,11 @@
                 value: record.encode(),
             };
             match (self.ports.store.write)(write).await {
-                // Another daemon wrote; it is read again at the next look.
+                // Another daemon wrote the record; it is read again at the next check.
                 Err(PlatformError::Conflict { .. }) => return Ok(()),
                 written => written?,
             };
-            log::info!(work = work.to_string(), ends = crashes.len(); "held work is kept in the store");
+            log::info!(work = work.to_string(), ends = crashes.len(); "recorded quarantined work in the store");
         }
         if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&work) {
             stored_work.crashes = crashes.len();
--- a/src/gateway/held_work/records.rs
+++ b/src/gateway/held_work/records.rs
@@ -1,4 +1,4 @@
-//! Held work as the store keeps it.
+//! Records of quarantined work in the store.
 
 use std::num::ParseIntError;
 
@@ -9,45 +9,49 @@
 use crate::crashes::work_digest::WorkDigest;
 use crate::target_life::TargetLife;
 
-/// An object of the store that names no held work.
+/// Error in an object of the store that should record quarantined work.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum QuarantineRecordError {
-    /// The object's name is no digest.
-    #[error("held work {name:?} has no digest for its name; it is left out, delete it")]
+    /// The object's name is not a digest.
+    #[error(
+        "skipping record of quarantined work {name:?}: its name is not a digest; delete the object"
+    )]
     Name {
         /// Name of the object.
         name: String,
     },
     /// The object's value cannot be read.
-    #[error("held work {name:?} cannot be read ({reason}); it is left out, delete or correct it")]
+    #[error(
+        "skipping record of quarantined work {name:?}: it cannot be read ({reason}); delete or correct the object"
+    )]
     Value {
         /// Name of the object.
         name: String,
-        /// What is wrong.
+        /// Why it cannot be read.
         reason: String,
     },
 }
 
-/// A held work. Its digest is the object's name.
+/// A record of quarantined work. The work's digest is the object's name.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineRecord {
-    /// Route that it came by, for operators.
+    /// Route on which it was received, for operators.
     #[serde(default)]
     pub route: String,
-    /// Lives of targets that ended under it.
+    /// Target incarnations that crashed under it.
     #[serde(rename = "ends")]
     pub crashes: Vec<TargetLife>,
-    /// Set by an operator to let it go.
+    /// Set by an operator to release the work.
     #[serde(default)]
     pub released: bool,
 }
 
 impl QuarantineRecord {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the object.
+    /// Returns an error if the object is invalid.
     pub fn decode(name: &str, value: &[u8]) -> Result<Self, QuarantineRecordError> {
         serde_json::from_slice(value).map_err(|error| QuarantineRecordError::Value {
             name: name.to_owned(),
@@ -55,21 +59,21 @@
         })
     }
 
-    /// Writes the record as a value of the store.
+    /// Encodes the record as a value of the store.
     ///
     /// # Panics
     ///
-    /// Never: plain fields always encode.
+    /// Never panics: plain fields always encode.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("plain fields encode")
     }
 
-    /// Reads a record as word of a work, under the name of its object.
+    /// Decodes a record as a crash report of the work that the object is named after.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the object.
+    /// Returns an error if the name or the value of the object is invalid.
     pub fn decode_report(name: &str, value: &[u8]) -> Result<WorkNote, QuarantineRecordError> {
         let name_error = |_: ParseIntError| QuarantineRecordError::Name {
             name: name.to_owned(),
@@ -91,7 +95,7 @@
         })
     }
 
-    /// Adds lives that ended; true when one is new.
+    /// Adds target incarnations that crashed. Returns true if at least one is new.
     pub fn add_crashes(&mut self, crashes: &[TargetLife]) -> bool {
         let before = self.crashes.len();
         let new_crashes: Vec<TargetLife> = crashes
--- a/tests/duties_servers.rs
+++ b/tests/duties_servers.rs
@@ -1,4 +1,4 @@
-//! How many servers each data centre is to have, and of which kind.
+//! Plans of how many servers of each kind a data centre should have.
 
 use std::time::Duration;
 
@@ -36,19 +36,19 @@
 
 struct PlanCase {
     price: Option<f64>,
-    /// Firm and reclaimable ones that serve, by data centre.
+    /// Serving on-demand and reclaimable targets, by data centre.
     current: &'static [(u32, u32)],
-    /// Reclaimable ones of each data centre that were ordered lately.
+    /// Reclaimable targets of each data centre that were ordered recently.
     expected_reclaimable: u32,
     desired: Option<&'static [(u32, u32)]>,
 }
 
-// The operator provided 90 firm servers in three data centres. Reclaimable ones cost a
-// fifth and go all at once, a data centre at a time: 45 in each leave 90 whichever goes.
-// Firm ones leave when reclaimable ones serve, stand in for those that went, the cheapest
-// first, and stay where reclaimable ones are not to be had or not worth it.
-// Those that were ordered lately are not stood in for while they start, and the firm ones
-// that run stay until they serve.
+// The operator provided 90 on-demand servers in three data centres. Reclaimable ones cost a
+// fifth and are reclaimed all at once, a data centre at a time: 45 in each leave 90 whichever
+// data centre loses them. On-demand servers are released once reclaimable ones serve, replace
+// reclaimed ones, the cheapest first, and stay where reclaimable ones are unavailable or not
+// cheaper. Recently ordered servers are not replaced while they start, and running on-demand
+// servers stay until those serve.
 #[rstest]
 #[case::two_restarting(PlanCase { price: Some(0.18), current: &[(1, 45), (1, 0), (1, 0)], expected_reclaimable: 45, desired: Some(&[(1, 45), (1, 45), (1, 45)]) })]
 #[case::on_demand_while_reclaimable_start(PlanCase { price: Some(0.18), current: &[(30, 0), (30, 0), (30, 0)], expected_reclaimable: 30, desired: Some(&[(30, 30), (30, 30), (30, 30)]) })]
@@ -78,8 +78,7 @@
     assert_eq!(planned, desired);
 }
 
-// Whatever is there, both kinds together stay within the most that a data centre may have,
-// and what one data centre's loss leaves is what the operator had provided.
+// Whatever is running, both kinds together stay within the maximum of a data centre.
 #[test]
 fn plans_stay_within_their_limits() {
     for provided in [3, 12, 90, 120] {
@@ -107,10 +106,11 @@
     next: u32,
 }
 
-// A fleet of thousands of targets exchanges them for reclaimable ones. Ordered all at once,
-// each change goes to each daemon in the same seconds, the links of the hubs fill, and a
-// departure is heard after the target is gone. So a data centre orders a bounded number,
-// the next ones when these are there; targets that come one by one give no further order.
+// A fleet of thousands of targets replaces them by reclaimable ones. If all were ordered at
+// once, every daemon would be notified of every change within the same seconds, the links of
+// the hubs would fill, and departures would be received after the target is gone. A data
+// centre therefore orders a limited number, and the next ones once these are running; targets
+// that start one by one cause no further order.
 #[rstest]
 #[case::small_fleet_at_once(StepCase { current: 0, desired: 45, last_ordered: None, next: 45 })]
 #[case::more_desired_while_starting(StepCase { current: 10, desired: 45, last_ordered: Some(30), next: 45 })]
--- a/tests/duties_usage.rs
+++ b/tests/duties_usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage: true time, counts, and what is recorded before it is sent.
+//! Reports of usage: fleet time, counts, and the ledger that is written before a report.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Length of a window of the tests.
+/// Length of a usage window in these tests.
 const WINDOW: Duration = Duration::from_secs(5);
-/// True time when the tests' monotonic clock stands at zero.
+/// Fleet time at which the monotonic clock of these tests is zero.
 const START_MS: u64 = 1_700_000_000_000;
-/// Window that begins then.
+/// Window that starts at that time.
 const FIRST: u64 = START_MS / 5_000;
-/// A step of a wall clock: forty minutes.
+/// A jump of a wall clock: forty minutes.
 const STEP_MS: i64 = 2_400_000;
 
 struct ClockCase {
-    /// By how much each daemon's wall clock is off, the own one first, in milliseconds.
+    /// Error of each daemon's wall clock in milliseconds, the local one first.
     off_ms: &'static [i64],
-    /// By how much the agreed time may be off; `None` where nothing is agreed on.
+    /// Permitted error of fleet time; `None` if no time is agreed on.
     within_ms: Option<i64>,
 }
 
-// A third of the wall clocks jump by forty minutes, the own one among them or not. Windows
-// are counted by the middle clock, so no request falls into another window than its own.
+// Up to a third of the wall clocks jump by forty minutes, possibly including the local one.
+// Fleet time is the median of the clocks, so that requests still count in the right window.
 #[rstest]
 #[case::all_correct(ClockCase { off_ms: &[3, -4, 8, 0, 1], within_ms: Some(8) })]
 #[case::local_ahead(ClockCase { off_ms: &[STEP_MS, -4, 8, 0, 1], within_ms: Some(8) })]
@@ -51,8 +51,8 @@
     );
 }
 
-// The own wall clock jumps after true time was agreed on, and all others fall silent, as
-// on a daemon that is cut off. The monotonic clock goes on from what was agreed.
+// The local wall clock jumps after fleet time was agreed on, and no other daemon is reachable,
+// as on a partitioned daemon. Fleet time continues by the monotonic clock.
 #[test]
 fn a_clock_jump_does_not_change_fleet_time() {
     let mut clock = FleetClock::default();
@@ -84,8 +84,8 @@
         .collect()
 }
 
-// Requests begin before true time is agreed on. They are kept by the monotonic clock and
-// counted in the windows in which they began.
+// Requests that start before fleet time is agreed on are kept with their monotonic time and
+// later count in the windows in which they started.
 #[test]
 fn early_requests_count_in_their_windows() {
     let mut usage = UsageCounts::new(WINDOW);
@@ -100,8 +100,8 @@
     assert_eq!(usage.total(FIRST + 1), counts(&[("north", 1)]));
 }
 
-// Words between daemons are lost, doubled and cross each other. Counts so far are told,
-// and all of them once a second, so the sum is right in the end, and never too high.
+// Messages between daemons are lost, duplicated and reordered. Daemons send totals, and all of
+// them once a second, so that the sum becomes correct and is never too high.
 #[test]
 fn counts_survive_lost_and_duplicate_messages() {
     let mut usage = UsageCounts::new(WINDOW);
@@ -113,7 +113,7 @@
         false,
     );
     assert_eq!(usage.total(FIRST), counts(&[("north", 7), ("south", 1)]));
-    // Other hubs hear of the members' counts only.
+    // Only the counts of members are relayed to other hubs.
     assert_eq!(usage.take_relayed().len(), 3);
     let mut local = UsageCounts::new(WINDOW);
     local.note_begun(&WorkspaceName::from("north"), MonoTime(10));
@@ -124,7 +124,7 @@
     assert_eq!(local.take_news(MonoTime(1_030)), [cell]);
 }
 
-/// A platform that takes one count for a window, and a store with one ledger.
+/// A platform that accepts one report for each window, and a store with one ledger.
 #[derive(Default)]
 struct External {
     stored: Option<Vec<u8>>,
@@ -132,17 +132,17 @@
     reports: std::collections::BTreeMap<u64, Vec<WorkspaceCounts>>,
 }
 
-/// What befalls one act of a holder.
+/// Failure during one step of a holder.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
     None,
-    /// The call is carried out and its answer is lost.
+    /// The call is executed, and its response is lost.
     ResponseLost,
-    /// The call is not carried out.
+    /// The call is not executed.
     RequestLost,
-    /// The holder dies after the call; another one, which counted otherwise, takes over.
+    /// The holder crashes after the call; another one with different counts takes over.
     HolderCrashes,
-    /// Another holder acts in between, before this one knows.
+    /// Another holder acts in between, unknown to this one.
     ConcurrentHolder,
 }
 
@@ -159,7 +159,7 @@
 
 struct Holder {
     known: Option<(u64, UsageLedger)>,
-    // Each holder heard other counts.
+    // Each holder received different counts.
     count: u32,
 }
 
@@ -198,9 +198,9 @@
 }
 
 proptest! {
-    // Holders die between any two acts, answers and calls are lost, and two holders act
-    // at once without knowing. The platform never gets two counts for one window, and in
-    // the end it has one for each.
+    // Holders crash between any two steps, calls and responses are lost, and two holders act
+    // at once without knowing of each other. The platform never receives different counts for
+    // a window, and in the end it has received counts for each window.
     #[test]
     fn no_window_is_reported_with_two_counts(failures in failures()) {
         let mut external = External::default();
@@ -225,7 +225,7 @@
         let last = FIRST + failures.len() as u64 / 8;
         for _ in 0..100 {
             holders[active].step(&mut external, last, true, true);
-            // A holder whose write found another version has to read again.
+            // A holder whose write conflicted with another version has to read again.
         }
         for (window, reports) in &external.reports {
             let first = &reports[0];
@@ -236,8 +236,8 @@
     }
 }
 
-// A fleet comes back after long. Windows of which nothing is known any more are passed
-// over, or a holder would report emptiness for as long as it was away.
+// After a long outage of the fleet, windows whose counts are lost are skipped. Otherwise, a
+// holder would report empty windows for the whole outage.
 #[test]
 fn windows_too_old_are_skipped() {
     let ledger = UsageLedger::default().with_windows(vec![(FIRST, counts(&[("north", 1)]))]);
@@ -249,8 +249,8 @@
     assert_eq!((windows.len(), windows.last()), (20, Some(&(FIRST + 500))));
 }
 
-// Two holders record the same window, the second with other counts. What was recorded
-// first may have been sent already, so it stays.
+// Two holders record the same window, the second with other counts. The first record may have
+// been sent already, so it must not change.
 #[test]
 fn recorded_counts_do_not_change() {
     let first = UsageLedger::default().with_windows(vec![(FIRST, counts(&[("north", 3)]))]);
@@ -258,8 +258,8 @@
     assert_eq!(again.windows[&FIRST].counts, counts(&[("north", 3)]));
 }
 
-// More windows are open than the record keeps of those that were reported: none of them
-// may go before the platform has taken its report.
+// More windows are unreported than the ledger retains of reported ones. None may be removed
+// before the platform has accepted its report.
 #[test]
 fn unreported_windows_are_retained() {
     let windows = (FIRST..FIRST + 15).map(|window| (window, counts(&[("north", 1)])));
