--- a/src/gateway/duties/server_desk.rs
+++ b/src/gateway/duties/server_desk.rs
@@ -66,7 +66,7 @@
 pub struct ServerScaler {
     provided: Option<(ObjectVersion, ProvidedTargets)>,
     // Number of targets by service as last observed, and since when.
-    stable: Option<(IndexMap<ServiceName, u32>, MonoTime)>,
+    observed: Option<(IndexMap<ServiceName, u32>, MonoTime)>,
     orders: IndexMap<OrderKey, LastOrder>,
     delayed: IndexMap<OrderKey, MonoTime>,
     call_pending: bool,
@@ -128,14 +128,14 @@
             })
             .collect();
         let same = |(known, _): &(IndexMap<ServiceName, u32>, MonoTime)| *known == counts;
-        if !self.stable.as_ref().is_some_and(same) {
-            self.stable = Some((counts, now));
+        if !self.observed.as_ref().is_some_and(same) {
+            self.observed = Some((counts, now));
         }
     }
 
     fn is_stable(&self, now: MonoTime) -> bool {
-        let stable = self.stable.as_ref();
-        stable.is_some_and(|(_, since)| now.since(*since) >= STABLE_TIME)
+        let observed = self.observed.as_ref();
+        observed.is_some_and(|(_, since)| now.since(*since) >= STABLE_TIME)
     }
 
     // The targets found before the first order are what the operator had provided. Their
@@ -178,12 +178,13 @@
         let (_, provided) = self.provided.as_ref()?;
         for (service, rule) in scaled {
             let mut centres = centres_of(view, service, rule);
-            for at in &mut centres {
-                at.expected_reclaimable = self.expected_reclaimable(service, rule, &at.centre, now);
+            for current in &mut centres {
+                current.expected_reclaimable =
+                    self.expected_reclaimable(service, rule, &current.centre, now);
             }
             let plan = server_plan::plan(rule, *provided.0.get(service)?, &centres);
-            for (desired, at) in plan.iter().flatten().zip(&centres) {
-                let due = self.due_order_in(service, rule, (desired, at), now);
+            for (desired, current) in plan.iter().flatten().zip(&centres) {
+                let due = self.due_order_in(service, rule, (desired, current), now);
                 if due.is_some() {
                     return due;
                 }
@@ -215,31 +216,29 @@
         &self,
         service: &ServiceName,
         rule: &ScalingRule,
-        (desired, at): (&DesiredCounts, &CentreTargets),
+        (desired, current): (&DesiredCounts, &CentreTargets),
         now: MonoTime,
     ) -> Option<(OrderKey, u32)> {
         let kinds = [
-            (true, desired.reclaimable, at.reclaimable),
-            (false, desired.on_demand, at.on_demand),
+            (true, desired.reclaimable, current.reclaimable),
+            (false, desired.on_demand, current.on_demand),
         ];
-        kinds
-            .into_iter()
-            .find_map(|(reclaimable, desired, current)| {
-                let key = OrderKey {
-                    service: service.clone(),
-                    centre: desired.centre.clone(),
-                    reclaimable,
-                };
-                let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
-                let last = self.orders.get(&key);
-                let next = server_plan::next_step(current, desired, last.map(|last| last.count));
-                let due = match last {
-                    None => next != current,
-                    Some(last) if last.count != next => true,
-                    Some(last) => next > current && now.since(last.at) > rule.boot + OVERDUE_TIME,
-                };
-                (due && !delayed).then_some((key, next))
-            })
+        kinds.into_iter().find_map(|(reclaimable, goal, count)| {
+            let key = OrderKey {
+                service: service.clone(),
+                centre: desired.centre.clone(),
+                reclaimable,
+            };
+            let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
+            let last = self.orders.get(&key);
+            let next = server_plan::next_step(count, goal, last.map(|last| last.count));
+            let due = match last {
+                None => next != count,
+                Some(last) if last.count != next => true,
+                Some(last) => next > count && now.since(last.at) > rule.boot + OVERDUE_TIME,
+            };
+            (due && !delayed).then_some((key, next))
+        })
     }
 
     /// Handles the result of a call.
@@ -299,9 +298,11 @@
         .centre_prices
         .iter()
         .map(|(centre, price)| {
-            let current = |t: &&std::sync::Arc<TargetRecord>| t.centre == *centre;
-            let (reclaimable, on_demand): (Vec<_>, Vec<_>) =
-                targets.iter().filter(current).partition(|t| t.reclaimable);
+            let in_centre = |t: &&std::sync::Arc<TargetRecord>| t.centre == *centre;
+            let (reclaimable, on_demand): (Vec<_>, Vec<_>) = targets
+                .iter()
+                .filter(in_centre)
+                .partition(|t| t.reclaimable);
             CentreTargets {
                 centre: centre.clone(),
                 price: *price,
@@ -354,7 +355,7 @@
         log::info!(
             centre = key.centre.as_str(), reclaimable = key.reclaimable, count = count,
             outcome = format!("{answer:?}");
-            "ordered servers"
+            "server order call finished"
         );
         metrics::counter!("pistachiowick_server_orders_total").increment(1);
         send(ServerEvent::Ordered(key, count, answer));
--- a/src/gateway/duties/usage_desk.rs
+++ b/src/gateway/duties/usage_desk.rs
@@ -199,7 +199,7 @@
                 retry_after: RETRY_DELAY,
             }),
         };
-        log::info!(window = window, sent = sent.is_ok(); "sent usage report");
+        log::info!(window = window, sent = sent.is_ok(); "usage report call finished");
         let outcome = if sent.is_ok() { "taken" } else { "failed" };
         metrics::counter!("pistachiowick_usage_reports_total", "outcome" => outcome).increment(1);
         send_event(UsageEvent::Sent(window, sent));
--- a/src/gateway/held_work/mod.rs
+++ b/src/gateway/held_work/mod.rs
@@ -316,10 +316,8 @@
     fn needs_quarantine_write(&self, work: WorkDigest, delay: Duration, now: MonoTime) -> bool {
         let count = self.crashes.borrow().crashed_targets(work).len();
         let quarantine = self.held.borrow();
-        let stored_work = quarantine.works.get(&work);
-        stored_work.is_some_and(|stored_work| {
-            stored_work.crashes < count && now.since(stored_work.quarantined_at) >= delay
-        })
+        let known = quarantine.works.get(&work);
+        known.is_some_and(|known| known.crashes < count && now.since(known.quarantined_at) >= delay)
     }
 
     async fn write_quarantine(&self, work: WorkDigest) -> Result<(), PlatformError> {
