--- a/src/crashes/news.rs
+++ b/src/crashes/broadcasts.rs
@@ -11,7 +11,7 @@
 
 use crate::crashes::work_digest::WorkDigest;
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Time for which a changed report is repeated, counted from its first message.
 const BROADCAST_TIME: Duration = Duration::from_millis(600);
@@ -26,14 +26,14 @@
 
 /// A report about one work, as daemons send it to each other.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
-pub struct WorkNote {
+pub struct CrashReport {
     /// The work.
     pub work: WorkDigest,
     /// Target incarnations that crashed under it.
-    pub crashes: Vec<TargetLife>,
+    pub crashes: Vec<TargetIncarnation>,
     /// Target incarnations that were suspected of it but did not crash, or crashed for
     /// another reason.
-    pub refuted: Vec<TargetLife>,
+    pub refuted: Vec<TargetIncarnation>,
     /// Milliseconds since the last crash or, if quarantined, since its last request.
     pub age_ms: u64,
 }
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -6,21 +6,21 @@
 //! the target incarnations that crashed under it ([`book`]). Daemons exchange these reports
 //! ([`news`]). Work that crashed three targets is quarantined and no longer sent.
 
-pub mod book;
-pub mod news;
+pub mod broadcasts;
+pub mod tracker;
 pub mod work_digest;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::crashes::book::CrashBook;
+use crate::crashes::tracker::CrashTracker;
 
 /// A crash tracker shared by the threads of a daemon. Clones refer to the same tracker.
 #[derive(Clone, Debug, Default)]
-pub struct SharedCrashes(Arc<Mutex<CrashBook>>);
+pub struct SharedCrashTracker(Arc<Mutex<CrashTracker>>);
 
-impl SharedCrashes {
+impl SharedCrashTracker {
     /// Locks the tracker.
-    pub fn lock(&self) -> MutexGuard<'_, CrashBook> {
+    pub fn lock(&self) -> MutexGuard<'_, CrashTracker> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/crashes/book.rs
+++ b/src/crashes/tracker.rs
@@ -9,10 +9,10 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::crashes::news::{CrashBroadcasts, WorkNote};
+use crate::crashes::broadcasts::{CrashBroadcasts, CrashReport};
 use crate::crashes::work_digest::WorkDigest;
 use crate::names::{MonoTime, millis};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Targets that work may crash before it is quarantined.
 pub const MAX_CRASHES: usize = 3;
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug)]
 struct WorkRecord {
-    crashes: IndexMap<TargetLife, CrashRecord>,
+    crashes: IndexMap<TargetIncarnation, CrashRecord>,
     last_crash: MonoTime,
     last_requested: MonoTime,
     trial_at: Option<MonoTime>,
@@ -116,16 +116,16 @@
     }
 
     // Peers know only of announced crashes.
-    fn report(&self, work: WorkDigest, now: MonoTime) -> WorkNote {
+    fn report(&self, work: WorkDigest, now: MonoTime) -> CrashReport {
         let announced = self.crashes.iter().filter(|(_, crash)| crash.announced);
         let (refuted, crashes): (Vec<_>, Vec<_>) = announced.partition(|(_, crash)| crash.refuted);
-        let incarnations = |found: Vec<(&TargetLife, &CrashRecord)>| {
+        let incarnations = |found: Vec<(&TargetIncarnation, &CrashRecord)>| {
             let incarnations = found
                 .into_iter()
                 .map(|(incarnation, _)| incarnation.clone());
             incarnations.collect()
         };
-        WorkNote {
+        CrashReport {
             work,
             crashes: incarnations(crashes),
             refuted: incarnations(refuted),
@@ -136,7 +136,7 @@
 
 /// When a connection was opened and a request was sent on it.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerTimes {
+pub struct ExchangeTimes {
     /// When the connection was opened.
     pub opened: MonoTime,
     /// When the request was sent.
@@ -145,7 +145,7 @@
 
 /// Whether work may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WorkStanding {
+pub enum WorkStatus {
     /// It may be sent.
     Free,
     /// It may be sent once, to test whether targets survive it now.
@@ -156,14 +156,14 @@
 
 /// Tracks which work crashed which targets.
 #[derive(Clone, Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     works: IndexMap<WorkDigest, WorkRecord>,
     // Suspect works by the target incarnation that may still refute the suspicion.
-    suspicions: IndexMap<TargetLife, IndexSet<WorkDigest>>,
+    suspicions: IndexMap<TargetIncarnation, IndexSet<WorkDigest>>,
     broadcasts: CrashBroadcasts,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Returns whether no work is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -172,7 +172,12 @@
 
     /// Records a connection lost while its target ran `work`. Returns true if this puts the
     /// work in quarantine.
-    pub fn note_end(&mut self, work: WorkDigest, target: &TargetLife, now: MonoTime) -> bool {
+    pub fn note_end(
+        &mut self,
+        work: WorkDigest,
+        target: &TargetIncarnation,
+        now: MonoTime,
+    ) -> bool {
         let crash = CrashRecord {
             at: now,
             local: true,
@@ -194,7 +199,7 @@
 
     /// Merges a report from a peer or from the store. Returns true if this puts the work in
     /// quarantine. With `relays`, changes are passed on to other daemons.
-    pub fn take_note(&mut self, report: &WorkNote, relays: bool, now: MonoTime) -> bool {
+    pub fn take_note(&mut self, report: &CrashReport, relays: bool, now: MonoTime) -> bool {
         let was_quarantined = self.is_held(report.work);
         let seen = MonoTime(now.0.saturating_sub(report.age_ms));
         let crash = CrashRecord {
@@ -223,7 +228,12 @@
     ///
     /// If a target keeps its identifier across restarts, only an answer on a connection that
     /// was opened before the suspected crash refutes it.
-    pub fn record_answer(&mut self, target: &TargetLife, times: AnswerTimes, now: MonoTime) {
+    pub fn record_answer(
+        &mut self,
+        target: &TargetIncarnation,
+        times: ExchangeTimes,
+        now: MonoTime,
+    ) {
         let keeps_id = target.born().is_some();
         self.refute_crashes(target, now, |crash| {
             if !crash.local {
@@ -243,13 +253,13 @@
     /// `lapse_time`; a target whose entry is still there after that is alive.
     pub fn note_entries(
         &mut self,
-        has_entry: impl Fn(&TargetLife) -> bool,
+        has_entry: impl Fn(&TargetIncarnation) -> bool,
         lapse_time: Duration,
         reachable_since: MonoTime,
         now: MonoTime,
     ) {
         let alive = self.suspicions.keys().filter(|target| has_entry(target));
-        let alive: Vec<TargetLife> = alive.cloned().collect();
+        let alive: Vec<TargetIncarnation> = alive.cloned().collect();
         for target in alive {
             self.refute_crashes(&target, now, |crash| {
                 now.since(crash.at.max(reachable_since)) >= lapse_time
@@ -262,7 +272,7 @@
         let Some(record) = self.works.get(&work) else {
             return;
         };
-        let incarnations: Vec<TargetLife> = record.crashes.keys().cloned().collect();
+        let incarnations: Vec<TargetIncarnation> = record.crashes.keys().cloned().collect();
         for target in &incarnations {
             self.refute(work, target);
         }
@@ -271,13 +281,13 @@
 
     /// Returns whether work may be sent now. Only the one daemon of the fleet with `may_try`
     /// starts trials of quarantined work.
-    pub fn standing(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStanding {
+    pub fn standing(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStatus {
         let Some(record) = self.works.get_mut(&work) else {
-            return WorkStanding::Free;
+            return WorkStatus::Free;
         };
         record.last_requested = now;
         if !record.is_held() {
-            return WorkStanding::Free;
+            return WorkStatus::Free;
         }
         let next = record.next_trial();
         let on_trial = record
@@ -285,9 +295,9 @@
             .is_some_and(|at| now.since(at) < TRIAL_TIMEOUT);
         if may_try && !on_trial && next.is_some_and(|at| at <= now) {
             record.trial_at = Some(now);
-            return WorkStanding::Trial;
+            return WorkStatus::Trial;
         }
-        WorkStanding::Held(next.map(|at| at.since(now)))
+        WorkStatus::Held(next.map(|at| at.since(now)))
     }
 
     /// Returns whether work is quarantined.
@@ -298,7 +308,7 @@
 
     /// Returns the target incarnations that crashed under work, without refuted crashes.
     #[must_use]
-    pub fn crashed_targets(&self, work: WorkDigest) -> Vec<TargetLife> {
+    pub fn crashed_targets(&self, work: WorkDigest) -> Vec<TargetIncarnation> {
         let record = self.works.get(&work);
         let crashes = record.into_iter().flat_map(|record| &record.crashes);
         let unrefuted = crashes.filter(|(_, crash)| !crash.refuted);
@@ -326,7 +336,7 @@
     }
 
     /// Returns the reports for the next message to other daemons.
-    pub fn pick(&mut self, now: MonoTime) -> Vec<WorkNote> {
+    pub fn pick(&mut self, now: MonoTime) -> Vec<CrashReport> {
         if self.works.is_empty() {
             return Vec::new();
         }
@@ -360,7 +370,7 @@
     fn insert_crash(
         &mut self,
         work: WorkDigest,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         crash: CrashRecord,
         seen: MonoTime,
     ) -> bool {
@@ -386,7 +396,7 @@
 
     fn refute_crashes(
         &mut self,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         now: MonoTime,
         refutes: impl Fn(&CrashRecord) -> bool,
     ) {
@@ -408,7 +418,7 @@
     fn insert_refuted(
         &mut self,
         work: WorkDigest,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         crash: CrashRecord,
         seen: MonoTime,
     ) -> bool {
@@ -423,7 +433,7 @@
         true
     }
 
-    fn refute(&mut self, work: WorkDigest, target: &TargetLife) {
+    fn refute(&mut self, work: WorkDigest, target: &TargetIncarnation) {
         let record = self.works.get_mut(&work);
         if let Some(crash) = record.and_then(|record| record.crashes.get_mut(target)) {
             crash.refuted = true;
@@ -431,7 +441,7 @@
         self.remove_suspicion(target, work);
     }
 
-    fn remove_suspicion(&mut self, target: &TargetLife, work: WorkDigest) {
+    fn remove_suspicion(&mut self, target: &TargetIncarnation, work: WorkDigest) {
         if let Some(suspicions) = self.suspicions.get_mut(target) {
             suspicions.swap_remove(&work);
             if suspicions.is_empty() {
--- a/src/gateway/duties/fleet_clock.rs
+++ b/src/gateway/fleet_tasks/fleet_clock.rs
@@ -29,13 +29,13 @@
 
 impl FleetClock {
     /// Records the wall clock in a message of another daemon.
-    pub fn note_sample(&mut self, daemon: &DaemonId, wall: UnixTime, now: MonoTime) {
+    pub fn add_sample(&mut self, daemon: &DaemonId, wall: UnixTime, now: MonoTime) {
         self.samples
             .insert(daemon.clone(), (offset_of(wall, now), now));
     }
 
     /// Adopts the time that a hub and its members have agreed on.
-    pub fn note_agreed(&mut self, agreed: UnixTime, now: MonoTime) {
+    pub fn adopt_time(&mut self, agreed: UnixTime, now: MonoTime) {
         self.offset = Some(offset_of(agreed, now));
     }
 
--- a/src/gateway/duties/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -7,11 +7,11 @@
 //! enough: holders that alternate quickly would look like two holders at once.
 
 pub mod fleet_clock;
-pub mod server_desk;
 pub mod server_plan;
-pub mod usage_book;
-pub mod usage_desk;
+pub mod server_scaler;
+pub mod usage_counts;
 pub mod usage_ledger;
+pub mod usage_reporter;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,13 +21,13 @@
 use crate::authority::lease_state::{LeaseAuthority, LeaseTimes};
 use crate::clock;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::fleet_clock::FleetClock;
-use crate::gateway::duties::server_desk::{ServerEvent, ServerScaler};
-use crate::gateway::duties::usage_book::UsageCounts;
-use crate::gateway::duties::usage_desk::{UsageEvent, UsageReporter};
-use crate::gateway::lease_upkeep::{LeaseAnswer, LeaseUpkeep};
-use crate::gateway::port::DutyCaller;
-use crate::gateway::settings::DutySettings;
+use crate::gateway::fleet_tasks::fleet_clock::FleetClock;
+use crate::gateway::fleet_tasks::server_scaler::{ServerEvent, ServerScaler};
+use crate::gateway::fleet_tasks::usage_counts::UsageCounts;
+use crate::gateway::fleet_tasks::usage_reporter::{UsageEvent, UsageReporter};
+use crate::gateway::lease_upkeep::{LeaseCallResult, LeaseManager};
+use crate::gateway::port::FleetTaskHolder;
+use crate::gateway::settings::FleetTaskSettings;
 use crate::names::{FenceNumber, MonoTime};
 use crate::ports::ObjectName;
 use crate::timer::TimerService;
@@ -53,14 +53,14 @@
 
 /// Usage counts of this daemon, with the clock that assigns them to windows.
 #[derive(Debug)]
-pub struct DutyBook {
+pub struct UsageMeter {
     /// Clock that the fleet agrees on.
     pub clock: FleetClock,
     /// Started requests by window and workspace.
     pub usage: UsageCounts,
 }
 
-impl DutyBook {
+impl UsageMeter {
     /// Creates a meter for windows of the given length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 pub struct TaskPermit {
     /// Daemon and fence under which calls are made.
-    pub caller: DutyCaller,
+    pub caller: FleetTaskHolder,
     /// Local time from which no further call may be started.
     pub until: MonoTime,
 }
@@ -95,14 +95,14 @@
 }
 
 enum TaskEvent {
-    Lease(LeaseAnswer),
+    Lease(LeaseCallResult),
     Usage(UsageEvent),
     Servers(ServerEvent),
 }
 
 struct FleetTasks {
     gateway: Rc<Gateway>,
-    lease: LeaseUpkeep,
+    lease: LeaseManager,
     lease_time: Duration,
     held_lease: Option<(FenceNumber, MonoTime)>,
     usage: UsageReporter,
@@ -111,7 +111,7 @@
 }
 
 /// Performs fleet tasks until the process exits.
-pub async fn run(gateway: Rc<Gateway>, settings: DutySettings) {
+pub async fn run(gateway: Rc<Gateway>, settings: FleetTaskSettings) {
     let (events_tx, mut events) = mpsc::unbounded_channel();
     let lease_time = settings.turn_time();
     let times = LeaseTimes {
@@ -120,7 +120,7 @@
         order_flight: lease_time.mul_f64(IN_FLIGHT_FRACTION),
     };
     let mut tasks = FleetTasks {
-        lease: LeaseUpkeep::new(gateway.clone(), LEASE_GROUP, times),
+        lease: LeaseManager::new(gateway.clone(), LEASE_GROUP, times),
         lease_time,
         held_lease: None,
         usage: UsageReporter::new(&settings),
@@ -187,7 +187,7 @@
         if !is_first && now.since(since) < self.lease_time + CHECK_INTERVAL {
             return None;
         }
-        let caller = DutyCaller {
+        let caller = FleetTaskHolder {
             holder: self.gateway.daemon.clone(),
             fence,
         };
@@ -229,6 +229,6 @@
         if self.stopping.get() || now.since(self.started) < STARTUP_DELAY {
             return None;
         }
-        self.speaker_rank(now)
+        self.full_view_rank(now)
     }
 }
--- a/src/gateway/duties/server_desk.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -8,11 +8,11 @@
 use tokio::task::spawn_local;
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::server_plan::{self, CentreTargets, DesiredCounts};
-use crate::gateway::duties::{TaskPermit, state_object};
 use crate::gateway::fleet::FleetView;
+use crate::gateway::fleet_tasks::server_plan::{self, CentreTargets, DesiredCounts};
+use crate::gateway::fleet_tasks::{TaskPermit, state_object};
 use crate::gateway::model::{ScalingRule, TargetRecord};
-use crate::gateway::port::{OrderAnswer, ServerOrder};
+use crate::gateway::port::{ServerOrder, ServerOrderOutcome};
 use crate::names::{CentreName, MonoTime, ServiceName};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
@@ -52,7 +52,7 @@
     /// The provided numbers were written.
     Written(Result<ObjectVersion, PlatformError>),
     /// Servers were ordered.
-    Ordered(OrderKey, u32, Result<OrderAnswer, PlatformError>),
+    Ordered(OrderKey, u32, Result<ServerOrderOutcome, PlatformError>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -256,10 +256,10 @@
                 self.provided = None;
                 self.back_off(&error, now);
             }
-            ServerEvent::Ordered(key, count, Ok(OrderAnswer::Taken)) => {
+            ServerEvent::Ordered(key, count, Ok(ServerOrderOutcome::Taken)) => {
                 self.orders.insert(key, LastOrder { count, at: now });
             }
-            ServerEvent::Ordered(key, _, Ok(OrderAnswer::NoneThere)) => {
+            ServerEvent::Ordered(key, _, Ok(ServerOrderOutcome::NoneThere)) => {
                 self.orders.swap_remove(&key);
                 self.delayed.insert(key, now.plus(NO_CAPACITY_DELAY));
             }
@@ -288,12 +288,12 @@
 }
 
 fn count(view: &FleetView, service: &ServiceName) -> u32 {
-    u32::try_from(view.of_service(service).len()).unwrap_or(u32::MAX)
+    u32::try_from(view.service_targets(service).len()).unwrap_or(u32::MAX)
 }
 
 // Sorted by name, so that every holder sees the data centres in the same order.
 fn centres_of(view: &FleetView, service: &ServiceName, rule: &ScalingRule) -> Vec<CentreTargets> {
-    let targets = view.of_service(service);
+    let targets = view.service_targets(service);
     let mut centres: Vec<CentreTargets> = rule
         .centre_prices
         .iter()
--- a/src/gateway/duties/usage_book.rs
+++ b/src/gateway/fleet_tasks/usage_counts.rs
@@ -8,14 +8,14 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::duties::fleet_clock::FleetClock;
+use crate::gateway::fleet_tasks::fleet_clock::FleetClock;
 use crate::names::{DaemonId, MonoTime, WorkspaceName, millis};
 
 /// Number of a window: the time since the Unix epoch divided by the length of a window.
 pub type WindowNumber = u64;
 
 /// Requests of one workspace started in one window, as counted by one daemon so far.
-pub type UsageCell = (WindowNumber, WorkspaceName, u32);
+pub type UsageCount = (WindowNumber, WorkspaceName, u32);
 
 /// Counts of one daemon.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -25,7 +25,7 @@
     /// Its incarnation; each counts from zero.
     pub life: u64,
     /// Its counts.
-    pub cells: Vec<UsageCell>,
+    pub cells: Vec<UsageCount>,
 }
 
 /// Requests by workspace.
@@ -101,7 +101,7 @@
     }
 
     /// Returns the local counts to send: changed ones, and periodically all recent ones.
-    pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCell> {
+    pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCount> {
         let changed = std::mem::take(&mut self.changed);
         if now.since(self.full_update_at) < FULL_UPDATE_INTERVAL {
             let local = |(window, workspace): (WindowNumber, WorkspaceName)| {
--- a/src/gateway/duties/usage_ledger.rs
+++ b/src/gateway/fleet_tasks/usage_ledger.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
+use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
 
 /// Number of reported windows that stay in the ledger, which limits its size.
 const REPORTED_RETAINED: usize = 6;
--- a/src/gateway/duties/usage_desk.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -7,11 +7,11 @@
 use tokio::task::spawn_local;
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
-use crate::gateway::duties::usage_ledger::{UsageLedger, UsageStep};
-use crate::gateway::duties::{TaskPermit, state_object};
+use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
+use crate::gateway::fleet_tasks::usage_ledger::{UsageLedger, UsageStep};
+use crate::gateway::fleet_tasks::{TaskPermit, state_object};
 use crate::gateway::port::UsageReport;
-use crate::gateway::settings::DutySettings;
+use crate::gateway::settings::FleetTaskSettings;
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
@@ -47,7 +47,7 @@
 impl UsageReporter {
     /// Creates a reporter.
     #[must_use]
-    pub fn new(settings: &DutySettings) -> Self {
+    pub fn new(settings: &FleetTaskSettings) -> Self {
         Self {
             close_delay: settings.usage_due().mul_f64(CLOSE_FRACTION),
             ledger: None,
@@ -108,7 +108,7 @@
     }
 
     // Returns the newest window that ended long enough ago that its counts have arrived.
-    fn newest_closed(&self, meter: &super::DutyBook, now: MonoTime) -> Option<WindowNumber> {
+    fn newest_closed(&self, meter: &super::UsageMeter, now: MonoTime) -> Option<WindowNumber> {
         let moment = MonoTime(now.0.checked_sub(millis(self.close_delay))?);
         meter.usage.window_of(&meter.clock, moment)?.checked_sub(1)
     }
--- a/src/gateway/held_work/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -14,18 +14,18 @@
 use tokio::time::sleep;
 
 use crate::clock;
-use crate::crashes::book::{AnswerTimes, WorkStanding};
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
+use crate::crashes::tracker::{ExchangeTimes, WorkStatus};
 use crate::crashes::work_digest::WorkDigest;
-use crate::gateway::call::RoutedCall;
+use crate::gateway::call::RoutedRequest;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::held_work::records::QuarantineRecord;
 use crate::gateway::model::TargetRecord;
+use crate::gateway::quarantine::records::QuarantineRecord;
 use crate::gateway::reply::Failure;
 use crate::gateway::store_follow::Feed;
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectName, ObjectVersion, PlatformError, StoredObject};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Reason given to callers of quarantined work.
@@ -55,7 +55,7 @@
 
 /// Tracks which quarantined works have a record in the store.
 #[derive(Clone, Debug, Default)]
-pub struct HeldDesk {
+pub struct QuarantineStore {
     works: IndexMap<WorkDigest, StoredWork>,
     listed_at: Option<MonoTime>,
     reachable_since: Option<MonoTime>,
@@ -89,7 +89,7 @@
     /// # Errors
     ///
     /// Returns the refusal.
-    pub fn check_held(&self, call: &RoutedCall) -> Result<(), Failure> {
+    pub fn check_quarantine(&self, call: &RoutedRequest) -> Result<(), Failure> {
         if !self.is_held(call) {
             return Ok(());
         }
@@ -97,13 +97,13 @@
         let may_try = self.rank() == 0;
         let standing = self.crashes.borrow_mut().standing(work, may_try, now);
         match standing {
-            WorkStanding::Free => Ok(()),
-            WorkStanding::Trial => {
+            WorkStatus::Free => Ok(()),
+            WorkStatus::Trial => {
                 call.on_trial.set(true);
                 log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "sending quarantined work once as a trial");
                 Ok(())
             }
-            WorkStanding::Held(next) => {
+            WorkStatus::Held(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(Failure::refused(
                     QUARANTINE_REASON,
@@ -115,20 +115,25 @@
 
     /// Returns whether an accepted request may not be sent because its work is quarantined.
     #[must_use]
-    pub fn is_held(&self, call: &RoutedCall) -> bool {
+    pub fn is_held(&self, call: &RoutedRequest) -> bool {
         let crashes = self.crashes.borrow();
         !crashes.is_empty() && !call.on_trial.get() && crashes.is_held(call.work())
     }
 
     /// Completes when a request's work is quarantined.
-    pub(in crate::gateway) async fn until_held(&self, call: &RoutedCall) {
+    pub(in crate::gateway) async fn until_quarantined(&self, call: &RoutedRequest) {
         while !self.is_held(call) {
-            self.newly_held.notified().await;
+            self.newly_quarantined.notified().await;
         }
     }
 
     /// Records that a target closed the connection before its answer was complete.
-    pub fn note_cut(&self, call: &RoutedCall, target: &TargetRecord, reason: &str) {
+    pub fn record_connection_loss(
+        &self,
+        call: &RoutedRequest,
+        target: &TargetRecord,
+        reason: &str,
+    ) {
         let (work, now) = (call.work(), clock::mono_now());
         // A trial permits a single send.
         call.on_trial.set(false);
@@ -150,14 +155,14 @@
     }
 
     /// Records that a target completed an answer.
-    pub fn note_answered(&self, target: &TargetRecord, times: AnswerTimes) {
+    pub fn note_answered(&self, target: &TargetRecord, times: ExchangeTimes) {
         let mut crashes = self.crashes.borrow_mut();
         crashes.record_answer(&target.id, times, clock::mono_now());
     }
 
     /// Records that work ran to completion. An answer without a length doesn't count: its
     /// end may be a crash of the target.
-    pub fn note_completed(&self, call: &RoutedCall, head: &HeaderMap) {
+    pub fn record_completion(&self, call: &RoutedRequest, head: &HeaderMap) {
         let framed = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
         if framed && !self.crashes.borrow().is_empty() {
             let mut crashes = self.crashes.borrow_mut();
@@ -166,7 +171,7 @@
     }
 
     /// Merges the crash reports of another daemon.
-    pub(in crate::gateway) fn take_work_notes(&self, reports: &[WorkNote]) {
+    pub(in crate::gateway) fn apply_crash_reports(&self, reports: &[CrashReport]) {
         if reports.is_empty() {
             return;
         }
@@ -178,7 +183,7 @@
 
     fn apply_crash_report(
         &self,
-        report: &WorkNote,
+        report: &CrashReport,
         relays: bool,
         route: &str,
         source: &'static str,
@@ -192,7 +197,7 @@
 
     fn quarantine_work(&self, work: WorkDigest, route: &str, source: &'static str) {
         let crashes = self.crashes.borrow().crashed_targets(work);
-        let targets: Vec<&str> = crashes.iter().map(TargetLife::as_str).collect();
+        let targets: Vec<&str> = crashes.iter().map(TargetIncarnation::as_str).collect();
         metrics::counter!("pistachiowick_works_held_total").increment(1);
         log::warn!(
             work = work.to_string(),
@@ -211,11 +216,11 @@
             .works
             .entry(work)
             .or_insert(stored_work);
-        self.newly_held.notify_waiters();
+        self.newly_quarantined.notify_waiters();
     }
 
     /// Refutes crashes of targets whose entries show that they are alive.
-    pub(in crate::gateway) fn refute_by_entries(&self, now: MonoTime) {
+    pub(in crate::gateway) fn refute_registered_targets(&self, now: MonoTime) {
         let is_reachable = self.pulse.age(now) < STORE_TIMEOUT;
         let reachable_since = {
             let mut quarantine = self.held.borrow_mut();
@@ -228,7 +233,7 @@
         };
         let view = self.view();
         let has_entry =
-            |target: &TargetLife| view.holds(target) && !view.missing.contains_key(target);
+            |target: &TargetIncarnation| view.holds(target) && !view.missing.contains_key(target);
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
         crashes.note_entries(has_entry, lapse_time, reachable_since, now);
@@ -292,7 +297,7 @@
     async fn save_quarantine(&self) -> Result<(), PlatformError> {
         let quarantined: Vec<WorkDigest> = self.crashes.borrow().quarantined().collect();
         metrics::gauge!("pistachiowick_works_held").set(quarantined.len() as f64);
-        let (now, rank) = (clock::mono_now(), self.speaker_rank(clock::mono_now()));
+        let (now, rank) = (clock::mono_now(), self.full_view_rank(clock::mono_now()));
         self.held
             .borrow_mut()
             .works
--- a/src/gateway/held_work/records.rs
+++ b/src/gateway/quarantine/records.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
 use crate::crashes::work_digest::WorkDigest;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Error in an object of the store that should record quarantined work.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
@@ -40,7 +40,7 @@
     pub route: String,
     /// Target incarnations that crashed under it.
     #[serde(rename = "ends")]
-    pub crashes: Vec<TargetLife>,
+    pub crashes: Vec<TargetIncarnation>,
     /// Set by an operator to release the work.
     #[serde(default)]
     pub released: bool,
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// Returns an error if the name or the value of the object is invalid.
-    pub fn decode_report(name: &str, value: &[u8]) -> Result<WorkNote, QuarantineRecordError> {
+    pub fn decode_report(name: &str, value: &[u8]) -> Result<CrashReport, QuarantineRecordError> {
         let name_error = |_: ParseIntError| QuarantineRecordError::Name {
             name: name.to_owned(),
         };
@@ -87,7 +87,7 @@
         } else {
             (crashes, Vec::new())
         };
-        Ok(WorkNote {
+        Ok(CrashReport {
             work,
             crashes,
             refuted,
@@ -96,9 +96,9 @@
     }
 
     /// Adds target incarnations that crashed. Returns true if at least one is new.
-    pub fn add_crashes(&mut self, crashes: &[TargetLife]) -> bool {
+    pub fn add_crashes(&mut self, crashes: &[TargetIncarnation]) -> bool {
         let before = self.crashes.len();
-        let new_crashes: Vec<TargetLife> = crashes
+        let new_crashes: Vec<TargetIncarnation> = crashes
             .iter()
             .filter(|incarnation| !self.crashes.contains(incarnation))
             .cloned()
--- a/tests/crashes_held.rs
+++ b/tests/crashes_held.rs
@@ -5,16 +5,16 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method};
 use pistachiowick::access_key::KeyDigest;
-use pistachiowick::crashes::book::AnswerTimes;
-use pistachiowick::crashes::book::{CrashBook, WorkStanding};
-use pistachiowick::crashes::news::WorkNote;
+use pistachiowick::crashes::broadcasts::CrashReport;
+use pistachiowick::crashes::tracker::ExchangeTimes;
+use pistachiowick::crashes::tracker::{CrashTracker, WorkStatus};
 use pistachiowick::crashes::work_digest::WorkDigest;
 use pistachiowick::gateway::call::work_digest;
 use pistachiowick::gateway::client::OutgoingRequest;
-use pistachiowick::gateway::held_work::records::QuarantineRecord;
 use pistachiowick::gateway::model::CallerAccess;
+use pistachiowick::gateway::quarantine::records::QuarantineRecord;
 use pistachiowick::names::{MonoTime, TargetId, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 const SECOND: u64 = 1_000;
@@ -25,31 +25,31 @@
     text.parse().expect("a digest")
 }
 
-fn incarnation(number: u64) -> TargetLife {
-    TargetLife::from(format!("t{number}"))
+fn incarnation(number: u64) -> TargetIncarnation {
+    TargetIncarnation::from(format!("t{number}"))
 }
 
 fn at(ms: u64) -> MonoTime {
     MonoTime(ms)
 }
 
-fn times(opened: u64, sent: u64) -> AnswerTimes {
-    AnswerTimes {
+fn times(opened: u64, sent: u64) -> ExchangeTimes {
+    ExchangeTimes {
         opened: at(opened),
         sent: at(sent),
     }
 }
 
-fn record_crashes(tracker: &mut CrashBook, crashes: u64, from_ms: u64) {
+fn record_crashes(tracker: &mut CrashTracker, crashes: u64, from_ms: u64) {
     for number in 0..crashes {
         tracker.note_end(work(1), &incarnation(number), at(from_ms + number * SECOND));
     }
 }
 
-fn may_send(tracker: &mut CrashBook, may_try: bool, ms: u64) -> bool {
+fn may_send(tracker: &mut CrashTracker, may_try: bool, ms: u64) -> bool {
     !matches!(
         tracker.standing(work(1), may_try, at(ms)),
-        WorkStanding::Held(_)
+        WorkStatus::Held(_)
     )
 }
 
@@ -67,7 +67,7 @@
 #[case::one_target_thrice(QuarantineCase { crashes: &[1, 1, 1], quarantined: false })]
 #[case::three_crashes_of_two(QuarantineCase { crashes: &[1, 2, 1], quarantined: false })]
 fn work_is_quarantined_after_three_targets(#[case] case: QuarantineCase) {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     let mut became_quarantined = false;
     for (number, target) in case.crashes.iter().enumerate() {
         became_quarantined |= tracker.note_end(work(1), &incarnation(*target), at(number as u64));
@@ -98,8 +98,8 @@
 #[case::old_connection(AnswerCase { started: Some(UnixTime(7)), opened: 500, sent: 1_200, answered: 1_250, refutes: true })]
 #[case::new_incarnation_of_the_id(AnswerCase { started: Some(UnixTime(7)), opened: 1_100, sent: 1_200, answered: 9_000, refutes: false })]
 fn an_answer_refutes_a_crash(#[case] case: AnswerCase) {
-    let mut tracker = CrashBook::default();
-    let target = TargetLife::new(TargetId::from("t"), case.started);
+    let mut tracker = CrashTracker::default();
+    let target = TargetIncarnation::new(TargetId::from("t"), case.started);
     tracker.note_end(work(1), &target, at(1_000));
     tracker.record_answer(&target, times(case.opened, case.sent), at(case.answered));
     assert_eq!(tracker.crashed_targets(work(1)).is_empty(), case.refutes);
@@ -108,7 +108,7 @@
 // Guards against refusing popular work because targets crashed for other reasons.
 #[test]
 fn completed_work_is_cleared() {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 2, 0);
     tracker.note_whole(work(1), at(5 * SECOND));
     assert!(!tracker.note_end(work(1), &incarnation(7), at(6 * SECOND)));
@@ -118,13 +118,13 @@
 // Guards against daemons that count only the crashes that they observed themselves.
 #[test]
 fn crash_reports_of_peers_add_up() {
-    let mut trackers = [0, 1, 2].map(|_| CrashBook::default());
+    let mut trackers = [0, 1, 2].map(|_| CrashTracker::default());
     for (number, tracker) in trackers.iter_mut().enumerate() {
         tracker.note_end(work(1), &incarnation(number as u64), at(0));
     }
     for tick in 1..=10 {
         let now = at(tick * 200);
-        let messages: Vec<Vec<WorkNote>> = trackers
+        let messages: Vec<Vec<CrashReport>> = trackers
             .iter_mut()
             .map(|tracker| tracker.pick(now))
             .collect();
@@ -141,23 +141,23 @@
 // that crashed more than one target.
 #[test]
 fn old_reports_are_rebroadcast() {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 3, 0);
     for tick in 0..50 {
         tracker.pick(at(3 * SECOND + tick * 200));
     }
-    let rebroadcast: Vec<WorkNote> = (0..6)
+    let rebroadcast: Vec<CrashReport> = (0..6)
         .flat_map(|tick| tracker.pick(at(MINUTE + tick * 200)))
         .collect();
     assert!(!rebroadcast.is_empty());
-    let mut other = CrashBook::default();
+    let mut other = CrashTracker::default();
     assert!(other.take_note(&rebroadcast[0], false, at(MINUTE)));
 }
 
 // Guards against filling messages with lost connections of targets that did not crash.
 #[test]
 fn a_crash_refuted_at_once_is_not_broadcast() {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     tracker.note_end(work(1), &incarnation(1), at(1_000));
     assert!(tracker.pick(at(1_050)).is_empty());
     tracker.record_answer(&incarnation(1), times(900, 1_100), at(1_150));
@@ -168,7 +168,7 @@
 // Guards against a suspicion that remains at peers after its target turned out to be alive.
 #[test]
 fn a_refuted_crash_is_withdrawn_at_peers() {
-    let (mut tracker, mut other) = (CrashBook::default(), CrashBook::default());
+    let (mut tracker, mut other) = (CrashTracker::default(), CrashTracker::default());
     tracker.note_end(work(1), &incarnation(1), at(1_000));
     for report in tracker.pick(at(1_300)) {
         other.take_note(&report, false, at(1_300));
@@ -198,7 +198,7 @@
 #[case::store_was_unreachable(EntryCase { has_entry: true, reachable_since: 8 * SECOND, now: 12 * SECOND, quarantined: true })]
 #[case::store_is_back(EntryCase { has_entry: true, reachable_since: 8 * SECOND, now: 18 * SECOND, quarantined: false })]
 fn a_registered_target_refutes_a_crash(#[case] case: EntryCase) {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 3, 0);
     let lapse = Duration::from_secs(10);
     tracker.note_entries(
@@ -227,7 +227,7 @@
 #[case::second(TrialCase { crashes: 4, may_try: true, after_ms: 61 * MINUTE, sent: true })]
 #[case::no_third(TrialCase { crashes: 5, may_try: true, after_ms: 20 * 60 * MINUTE, sent: false })]
 fn quarantined_work_gets_two_trials(#[case] case: TrialCase) {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, case.crashes, 0);
     let now = case.crashes * SECOND + case.after_ms;
     assert_eq!(may_send(&mut tracker, case.may_try, now), case.sent);
@@ -241,7 +241,7 @@
 // connection.
 #[test]
 fn quarantined_work_survives_a_flood() {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 3, 0);
     for number in 0..40_000_u64 {
         let other = format!("{:032x}", number + 100);
@@ -255,7 +255,7 @@
 // Guards against unbounded growth of memory.
 #[test]
 fn expired_work_is_removed() {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 2, 0);
     tracker.sweep(at(5 * MINUTE));
     assert_eq!(tracker.crashed_targets(work(1)).len(), 2);
@@ -267,7 +267,7 @@
 // from a peer after its own record expired.
 #[test]
 fn expired_work_is_not_learned_again() {
-    let mut trackers = [0, 1].map(|_| CrashBook::default());
+    let mut trackers = [0, 1].map(|_| CrashTracker::default());
     record_crashes(&mut trackers[0], 2, 0);
     for tick in 0..(15 * MINUTE / 200) {
         // The second tracker receives reports and expires records a little later.
@@ -280,13 +280,13 @@
             trackers[number].sweep(now[number]);
         }
     }
-    assert!(trackers.iter().all(CrashBook::is_empty));
+    assert!(trackers.iter().all(CrashTracker::is_empty));
 }
 
 // Guards against popular work that can no longer be quarantined after many refuted crashes.
 #[test]
 fn work_cleared_often_can_be_quarantined() {
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     for number in 100..200 {
         let ms = number * SECOND;
         tracker.note_end(work(1), &incarnation(number), at(ms));
--- a/tests/duties_usage.rs
+++ b/tests/duties_usage.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::duties::fleet_clock::FleetClock;
-use pistachiowick::gateway::duties::usage_book::{DaemonUsage, UsageCounts, WorkspaceCounts};
-use pistachiowick::gateway::duties::usage_ledger::{UsageLedger, UsageStep};
+use pistachiowick::gateway::fleet_tasks::fleet_clock::FleetClock;
+use pistachiowick::gateway::fleet_tasks::usage_counts::{
+    DaemonUsage, UsageCounts, WorkspaceCounts,
+};
+use pistachiowick::gateway::fleet_tasks::usage_ledger::{UsageLedger, UsageStep};
 use pistachiowick::names::{DaemonId, MonoTime, UnixTime, WorkspaceName};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -38,7 +40,7 @@
     let wall = |off: i64| UnixTime((START_MS + now.0).saturating_add_signed(off));
     let mut clock = FleetClock::default();
     for (number, off) in case.off_ms.iter().enumerate().skip(1) {
-        clock.note_sample(&DaemonId::from(format!("d{number}")), wall(*off), now);
+        clock.add_sample(&DaemonId::from(format!("d{number}")), wall(*off), now);
     }
     clock.update_offset(wall(case.off_ms[0]), now);
     let off = clock
@@ -56,14 +58,14 @@
 #[test]
 fn a_clock_jump_does_not_change_fleet_time() {
     let mut clock = FleetClock::default();
-    clock.note_agreed(UnixTime(START_MS), MonoTime(0));
+    clock.adopt_time(UnixTime(START_MS), MonoTime(0));
     clock.update_offset(UnixTime(START_MS + 2_400_000 + 9_000), MonoTime(9_000));
     assert_eq!(clock.at(MonoTime(9_000)), Some(UnixTime(START_MS + 9_000)));
 }
 
 fn synchronized_clock() -> FleetClock {
     let mut clock = FleetClock::default();
-    clock.note_agreed(UnixTime(START_MS), MonoTime(0));
+    clock.adopt_time(UnixTime(START_MS), MonoTime(0));
     clock
 }
 
