--- a/src/control/peer_desk.rs
+++ b/src/control/peer_desk.rs
@@ -173,7 +173,7 @@
             let same = target.born() == Some(UnixTime(report.incarnation.0));
             (same && now.since(report.taken_at) < FRESH_REPORT).then_some(())
         };
-        self.crashes.lock().note_entries(
+        self.crashes.lock().refute_registered(
             |target| reports(target).is_some(),
             REPORT_PROOF,
             MonoTime(0),
@@ -196,7 +196,7 @@
             costs: recent.map(|(w, (sum, _))| (w.clone(), *sum)).collect(),
             applied: applied.map(|(n, (v, _))| (n.clone(), *v)).collect(),
             engines: self.engines.drain(..).map(|(_, state)| state).collect(),
-            works: self.crashes.lock().pick(now),
+            works: self.crashes.lock().due_reports(now),
         };
         let linked = self.linked.iter().cloned().collect();
         self.send(linked, PeerMessage::Hint(Box::new(hint)));
@@ -215,7 +215,7 @@
         }
         for note in &hint.works {
             // Hints are passed on whole; what they tell needs no word of its own.
-            self.crashes.lock().take_note(note, false, now);
+            self.crashes.lock().apply_report(note, false, now);
         }
         for state in &hint.engines {
             self.digests.insert(state.target.clone(), now);
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -69,7 +69,7 @@
         self.crashes.values().filter(|crash| !crash.refuted).count()
     }
 
-    fn is_held(&self) -> bool {
+    fn is_quarantined(&self) -> bool {
         self.crash_count() >= MAX_CRASHES
     }
 
@@ -79,7 +79,7 @@
     }
 
     fn age(&self, now: MonoTime) -> Duration {
-        let seen = if self.is_held() {
+        let seen = if self.is_quarantined() {
             self.last_requested.max(self.last_crash)
         } else {
             self.last_crash
@@ -88,7 +88,7 @@
     }
 
     fn retention(&self) -> Duration {
-        if self.is_held() {
+        if self.is_quarantined() {
             QUARANTINE_RETENTION
         } else {
             SUSPICION_RETENTION
@@ -147,11 +147,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkStatus {
     /// It may be sent.
-    Free,
+    Allowed,
     /// It may be sent once, to test whether targets survive it now.
     Trial,
     /// It may not be sent. Holds the time until the next trial, if there is one.
-    Held(Option<Duration>),
+    Quarantined(Option<Duration>),
 }
 
 /// Tracks which work crashed which targets.
@@ -172,7 +172,7 @@
 
     /// Records a connection lost while its target ran `work`. Returns true if this puts the
     /// work in quarantine.
-    pub fn note_end(
+    pub fn record_crash(
         &mut self,
         work: WorkDigest,
         target: &TargetIncarnation,
@@ -199,8 +199,8 @@
 
     /// Merges a report from a peer or from the store. Returns true if this puts the work in
     /// quarantine. With `relays`, changes are passed on to other daemons.
-    pub fn take_note(&mut self, report: &CrashReport, relays: bool, now: MonoTime) -> bool {
-        let was_quarantined = self.is_held(report.work);
+    pub fn apply_report(&mut self, report: &CrashReport, relays: bool, now: MonoTime) -> bool {
+        let was_quarantined = self.is_quarantined(report.work);
         let seen = MonoTime(now.0.saturating_sub(report.age_ms));
         let crash = CrashRecord {
             at: now,
@@ -221,7 +221,7 @@
         if changed && relays {
             self.broadcasts.schedule(report.work, now);
         }
-        !was_quarantined && self.is_held(report.work)
+        !was_quarantined && self.is_quarantined(report.work)
     }
 
     /// Records that a target completed an answer at `now`, which may refute its crashes.
@@ -251,7 +251,7 @@
     ///
     /// While the store is available, the entry of a crashed target lapses within
     /// `lapse_time`; a target whose entry is still there after that is alive.
-    pub fn note_entries(
+    pub fn refute_registered(
         &mut self,
         has_entry: impl Fn(&TargetIncarnation) -> bool,
         lapse_time: Duration,
@@ -268,7 +268,7 @@
     }
 
     /// Records that work ran to completion, which refutes all crashes recorded for it.
-    pub fn note_whole(&mut self, work: WorkDigest, now: MonoTime) {
+    pub fn record_completion(&mut self, work: WorkDigest, now: MonoTime) {
         let Some(record) = self.works.get(&work) else {
             return;
         };
@@ -281,13 +281,13 @@
 
     /// Returns whether work may be sent now. Only the one daemon of the fleet with `may_try`
     /// starts trials of quarantined work.
-    pub fn standing(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStatus {
+    pub fn status(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStatus {
         let Some(record) = self.works.get_mut(&work) else {
-            return WorkStatus::Free;
+            return WorkStatus::Allowed;
         };
         record.last_requested = now;
-        if !record.is_held() {
-            return WorkStatus::Free;
+        if !record.is_quarantined() {
+            return WorkStatus::Allowed;
         }
         let next = record.next_trial();
         let on_trial = record
@@ -297,13 +297,15 @@
             record.trial_at = Some(now);
             return WorkStatus::Trial;
         }
-        WorkStatus::Held(next.map(|at| at.since(now)))
+        WorkStatus::Quarantined(next.map(|at| at.since(now)))
     }
 
     /// Returns whether work is quarantined.
     #[must_use]
-    pub fn is_held(&self, work: WorkDigest) -> bool {
-        self.works.get(&work).is_some_and(WorkRecord::is_held)
+    pub fn is_quarantined(&self, work: WorkDigest) -> bool {
+        self.works
+            .get(&work)
+            .is_some_and(WorkRecord::is_quarantined)
     }
 
     /// Returns the target incarnations that crashed under work, without refuted crashes.
@@ -325,7 +327,10 @@
 
     /// Returns the quarantined works.
     pub fn quarantined(&self) -> impl Iterator<Item = WorkDigest> {
-        let quarantined = self.works.iter().filter(|(_, record)| record.is_held());
+        let quarantined = self
+            .works
+            .iter()
+            .filter(|(_, record)| record.is_quarantined());
         quarantined.map(|(work, _)| *work)
     }
 
@@ -336,7 +341,7 @@
     }
 
     /// Returns the reports for the next message to other daemons.
-    pub fn pick(&mut self, now: MonoTime) -> Vec<CrashReport> {
+    pub fn due_reports(&mut self, now: MonoTime) -> Vec<CrashReport> {
         if self.works.is_empty() {
             return Vec::new();
         }
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -43,7 +43,7 @@
 /// Time after the start in which the daemon does not contend, until hubs are elected.
 const STARTUP_DELAY: Duration = Duration::from_millis(3_000);
 /// Timeout of a call to the platform; a slow one takes hundreds of milliseconds.
-pub const CALL_WAIT: Duration = Duration::from_millis(1_000);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Fraction of the lease at its end in which the holder starts no call: longer than a call.
 const GUARD_FRACTION: f64 = 0.4;
 /// Time for which a call may still be in flight after the lease has ended, as a fraction of
@@ -71,7 +71,7 @@
     }
 
     /// Updates the fleet clock and assigns started requests to their windows.
-    pub fn settle(&mut self, now: MonoTime) {
+    pub fn refresh(&mut self, now: MonoTime) {
         self.clock.update_offset(clock::unix_now(), now);
         self.usage.assign_windows(&self.clock, now);
     }
@@ -79,14 +79,14 @@
 
 /// The right to act during one check for due work.
 #[derive(Clone, Debug)]
-pub struct TaskPermit {
+pub struct FleetTaskTurn {
     /// Daemon and fence under which calls are made.
     pub caller: FleetTaskHolder,
     /// Local time from which no further call may be started.
     pub until: MonoTime,
 }
 
-impl TaskPermit {
+impl FleetTaskTurn {
     /// Returns whether a call may still be started.
     #[must_use]
     pub fn is_valid(&self) -> bool {
@@ -140,7 +140,7 @@
 
 impl FleetTasks {
     fn check(&mut self, now: MonoTime) {
-        self.gateway.duties.borrow_mut().settle(now);
+        self.gateway.duties.borrow_mut().refresh(now);
         self.update_lease(now);
         self.servers.observe(&self.gateway.view(), now);
         let Some(permit) = self.permit(now) else {
@@ -171,7 +171,7 @@
     // Returns the right to act now. A daemon that takes over a released lease could act at
     // once and release it just as quickly. The wait keeps the calls of alternating holders
     // apart.
-    fn permit(&mut self, now: MonoTime) -> Option<TaskPermit> {
+    fn permit(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
         let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
             // After a late renewal, the holder only waits: its state is still valid.
             if !self.lease.is_held() {
@@ -191,7 +191,7 @@
             holder: self.gateway.daemon.clone(),
             fence,
         };
-        Some(TaskPermit { caller, until })
+        Some(FleetTaskTurn { caller, until })
     }
 
     // Drops the tasks' state, which is read again for each new lease: another holder may
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -10,7 +10,7 @@
 use crate::gateway::daemon::Gateway;
 use crate::gateway::fleet::FleetView;
 use crate::gateway::fleet_tasks::server_plan::{self, CentreTargets, DesiredCounts};
-use crate::gateway::fleet_tasks::{TaskPermit, state_object};
+use crate::gateway::fleet_tasks::{FleetTaskTurn, state_object};
 use crate::gateway::model::{ScalingRule, TargetRecord};
 use crate::gateway::port::{ServerOrder, ServerOrderOutcome};
 use crate::names::{CentreName, MonoTime, ServiceName};
@@ -85,7 +85,7 @@
     pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
-        permit: &TaskPermit,
+        permit: &FleetTaskTurn,
         now: MonoTime,
         send: impl Fn(ServerEvent) + 'static,
     ) {
@@ -333,7 +333,7 @@
 
 fn place_order(
     gateway: &Rc<Gateway>,
-    permit: &TaskPermit,
+    permit: &FleetTaskTurn,
     (key, count): (OrderKey, u32),
     send: impl Fn(ServerEvent) + 'static,
 ) {
--- a/src/gateway/fleet_tasks/usage_counts.rs
+++ b/src/gateway/fleet_tasks/usage_counts.rs
@@ -23,9 +23,11 @@
     /// The daemon.
     pub daemon: DaemonId,
     /// Its incarnation; each counts from zero.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Its counts.
-    pub cells: Vec<UsageCount>,
+    #[serde(rename = "cells")]
+    pub counts: Vec<UsageCount>,
 }
 
 /// Requests by workspace.
@@ -76,7 +78,7 @@
     }
 
     /// Counts a started request of a workspace.
-    pub fn note_begun(&mut self, workspace: &WorkspaceName, now: MonoTime) {
+    pub fn record_start(&mut self, workspace: &WorkspaceName, now: MonoTime) {
         self.pending.push((now, workspace.clone()));
     }
 
@@ -101,7 +103,7 @@
     }
 
     /// Returns the local counts to send: changed ones, and periodically all recent ones.
-    pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCount> {
+    pub fn take_updates(&mut self, now: MonoTime) -> Vec<UsageCount> {
         let changed = std::mem::take(&mut self.changed);
         if now.since(self.full_update_at) < FULL_UPDATE_INTERVAL {
             let local = |(window, workspace): (WindowNumber, WorkspaceName)| {
@@ -122,15 +124,15 @@
     }
 
     /// Merges the counts of another daemon. Counts of members are relayed to other hubs.
-    pub fn note_heard(&mut self, usage: DaemonUsage, from_member: bool) {
-        let life = (usage.daemon.clone(), usage.life);
-        for (window, workspace, count) in &usage.cells {
-            let counts = self.remote.entry(life.clone()).or_default();
+    pub fn merge_remote(&mut self, usage: DaemonUsage, from_member: bool) {
+        let incarnation = (usage.daemon.clone(), usage.incarnation);
+        for (window, workspace, count) in &usage.counts {
+            let counts = self.remote.entry(incarnation.clone()).or_default();
             let counts = counts.entry(*window).or_default();
             let known = counts.entry(workspace.clone()).or_default();
             *known = (*known).max(*count);
         }
-        if from_member && !usage.cells.is_empty() {
+        if from_member && !usage.counts.is_empty() {
             self.relayed.push(usage);
         }
     }
--- a/src/gateway/fleet_tasks/usage_reporter.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -9,7 +9,7 @@
 use crate::gateway::daemon::Gateway;
 use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
 use crate::gateway::fleet_tasks::usage_ledger::{UsageLedger, UsageStep};
-use crate::gateway::fleet_tasks::{TaskPermit, state_object};
+use crate::gateway::fleet_tasks::{FleetTaskTurn, state_object};
 use crate::gateway::port::UsageReport;
 use crate::gateway::settings::FleetTaskSettings;
 use crate::names::{MonoTime, millis};
@@ -66,7 +66,7 @@
     pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
-        permit: &TaskPermit,
+        permit: &FleetTaskTurn,
         now: MonoTime,
         send_event: impl Fn(UsageEvent) + 'static,
     ) {
@@ -183,7 +183,7 @@
 
 fn send_report(
     gateway: &Rc<Gateway>,
-    permit: &TaskPermit,
+    permit: &FleetTaskTurn,
     (window, counts): (WindowNumber, WorkspaceCounts),
     send_event: impl Fn(UsageEvent) + 'static,
 ) {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -178,7 +178,7 @@
                 }
             };
             if !end.says_not_run() && !std::mem::replace(&mut begun, true) {
-                self.note_begun(&call.access);
+                self.record_start(&call.access);
             }
             if !(trail.may_have_run && end.says_not_run()) {
                 last = end.into_result(call);
@@ -213,7 +213,7 @@
     /// Takes a repeat from the budget for a request that has time left and is not held.
     #[must_use]
     pub fn may_retry(&self, call: &RoutedRequest) -> bool {
-        if self.is_held(call) {
+        if self.is_quarantined(call) {
             return false;
         }
         let daemons = self.daemon_count();
@@ -259,7 +259,7 @@
                     SendResult::Answered
                 };
                 self.note_result(target, result);
-                self.note_answered(target, times);
+                self.record_answer(target, times);
                 if head.status.is_success() {
                     self.record_completion(call, &head.headers);
                 }
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -159,7 +159,7 @@
             held: peers.take_held(),
             departed: view.departed.clone(),
             entries: self.entry_notes(role),
-            works: self.crashes.borrow_mut().pick(clock::mono_now()),
+            works: self.crashes.borrow_mut().due_reports(clock::mono_now()),
             changing: self.local_stage_changes.borrow().clone(),
             rate,
             placed_through: self.placing.borrow().taken_through(),
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -9,20 +9,20 @@
 
 impl Gateway {
     /// Counts a request that began to run at a target.
-    pub fn note_begun(&self, access: &CallerAccess) {
+    pub fn record_start(&self, access: &CallerAccess) {
         if let CallerAccess::Workspace { name, .. } = access
             && self.ports.duties.is_some()
         {
             let mut book = self.duties.borrow_mut();
-            book.usage.note_begun(name, clock::mono_now());
+            book.usage.record_start(name, clock::mono_now());
         }
     }
 
     pub(super) fn take_usage_news(&self) -> Vec<UsageCount> {
         let now = clock::mono_now();
         let mut book = self.duties.borrow_mut();
-        book.settle(now);
-        book.usage.take_news(now)
+        book.refresh(now);
+        book.usage.take_updates(now)
     }
 
     // What goes to other hubs: what the members told, and the own counts of this word.
@@ -37,7 +37,7 @@
     pub(super) fn take_member_usage(&self, hint: &PeerHint, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
         book.clock.add_sample(&hint.from, hint.wall, now);
-        book.usage.note_heard(usage_of(hint), true);
+        book.usage.merge_remote(usage_of(hint), true);
     }
 
     // What a hub tells its members is agreed on; hubs take each other's for one clock more.
@@ -51,7 +51,7 @@
             }
         }
         for told in &summary.usage {
-            book.usage.note_heard(told.clone(), false);
+            book.usage.merge_remote(told.clone(), false);
         }
     }
 }
@@ -59,7 +59,7 @@
 fn usage_of(hint: &PeerHint) -> DaemonUsage {
     DaemonUsage {
         daemon: hint.from.clone(),
-        life: hint.life,
-        cells: hint.usage.clone(),
+        incarnation: hint.life,
+        counts: hint.usage.clone(),
     }
 }
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -90,20 +90,20 @@
     ///
     /// Returns the refusal.
     pub fn check_quarantine(&self, call: &RoutedRequest) -> Result<(), Failure> {
-        if !self.is_held(call) {
+        if !self.is_quarantined(call) {
             return Ok(());
         }
         let (work, now) = (call.work(), clock::mono_now());
         let may_try = self.rank() == 0;
-        let standing = self.crashes.borrow_mut().standing(work, may_try, now);
-        match standing {
-            WorkStatus::Free => Ok(()),
+        let status = self.crashes.borrow_mut().status(work, may_try, now);
+        match status {
+            WorkStatus::Allowed => Ok(()),
             WorkStatus::Trial => {
                 call.on_trial.set(true);
                 log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "sending quarantined work once as a trial");
                 Ok(())
             }
-            WorkStatus::Held(next) => {
+            WorkStatus::Quarantined(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(Failure::refused(
                     QUARANTINE_REASON,
@@ -115,14 +115,14 @@
 
     /// Returns whether an accepted request may not be sent because its work is quarantined.
     #[must_use]
-    pub fn is_held(&self, call: &RoutedRequest) -> bool {
+    pub fn is_quarantined(&self, call: &RoutedRequest) -> bool {
         let crashes = self.crashes.borrow();
-        !crashes.is_empty() && !call.on_trial.get() && crashes.is_held(call.work())
+        !crashes.is_empty() && !call.on_trial.get() && crashes.is_quarantined(call.work())
     }
 
     /// Completes when a request's work is quarantined.
     pub(in crate::gateway) async fn until_quarantined(&self, call: &RoutedRequest) {
-        while !self.is_held(call) {
+        while !self.is_quarantined(call) {
             self.newly_quarantined.notified().await;
         }
     }
@@ -137,7 +137,10 @@
         let (work, now) = (call.work(), clock::mono_now());
         // A trial permits a single send.
         call.on_trial.set(false);
-        let is_new = self.crashes.borrow_mut().note_end(work, &target.id, now);
+        let is_new = self
+            .crashes
+            .borrow_mut()
+            .record_crash(work, &target.id, now);
         metrics::counter!("pistachiowick_answers_cut_total", "route" => call.route.name.clone())
             .increment(1);
         log::info!(
@@ -155,7 +158,7 @@
     }
 
     /// Records that a target completed an answer.
-    pub fn note_answered(&self, target: &TargetRecord, times: ExchangeTimes) {
+    pub fn record_answer(&self, target: &TargetRecord, times: ExchangeTimes) {
         let mut crashes = self.crashes.borrow_mut();
         crashes.record_answer(&target.id, times, clock::mono_now());
     }
@@ -166,7 +169,7 @@
         let framed = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
         if framed && !self.crashes.borrow().is_empty() {
             let mut crashes = self.crashes.borrow_mut();
-            crashes.note_whole(call.work(), clock::mono_now());
+            crashes.record_completion(call.work(), clock::mono_now());
         }
     }
 
@@ -189,7 +192,7 @@
         source: &'static str,
     ) {
         let now = clock::mono_now();
-        let is_new = self.crashes.borrow_mut().take_note(report, relays, now);
+        let is_new = self.crashes.borrow_mut().apply_report(report, relays, now);
         if is_new {
             self.quarantine_work(report.work, route, source);
         }
@@ -236,7 +239,7 @@
             |target: &TargetIncarnation| view.holds(target) && !view.missing.contains_key(target);
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
-        crashes.note_entries(has_entry, lapse_time, reachable_since, now);
+        crashes.refute_registered(has_entry, lapse_time, reachable_since, now);
     }
 
     fn quarantine_object(&self, work: WorkDigest) -> ObjectName {
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -154,7 +154,7 @@
             }
         };
         self.note_result(reader, SendResult::Answered);
-        self.note_answered(reader, answer.times);
+        self.record_answer(reader, answer.times);
         answer.lease.give_back(&answer.head);
         let handle = KvCacheHandle {
             holder: reader.address,
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -155,7 +155,7 @@
             // It may have announced its departure since it was chosen.
             return SendOutcome::NotSent(format!("{} has left", target.id));
         }
-        if self.is_held(plan.call) {
+        if self.is_quarantined(plan.call) {
             return SendOutcome::NotSent("its work is held".to_owned());
         }
         if !self.may_still_send(&order.access) {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -173,7 +173,7 @@
         };
         if self.first_event.is_none() {
             self.first_event = Some(Instant::now());
-            self.gateway.note_begun(&self.call.access);
+            self.gateway.record_start(&self.call.access);
             if let Some(timed) = self.watch.timed.take() {
                 self.gateway.note_time(&timed, self.watch.sent.elapsed());
             }
@@ -277,7 +277,7 @@
             return;
         };
         if result == SendResult::Answered {
-            self.gateway.note_answered(&self.engine, answer.times);
+            self.gateway.record_answer(&self.engine, answer.times);
             self.gateway
                 .record_completion(&self.call, &answer.head.headers);
             answer.lease.give_back(&answer.head);
--- a/src/requests/crash_watch.rs
+++ b/src/requests/crash_watch.rs
@@ -27,15 +27,15 @@
     ///
     /// Returns the refusal.
     pub fn check_quarantine(&self, request: &CallerRequest) -> Result<bool, JobRefusal> {
-        if !self.is_held(request) {
+        if !self.is_quarantined(request) {
             return Ok(false);
         }
         let (work, now) = (work_of(request), clock::mono_now());
         let tries = self.is_first_daemon();
-        match self.crashes.lock().standing(work, tries, now) {
-            WorkStatus::Free => Ok(false),
+        match self.crashes.lock().status(work, tries, now) {
+            WorkStatus::Allowed => Ok(false),
             WorkStatus::Trial => Ok(true),
-            WorkStatus::Held(next) => {
+            WorkStatus::Quarantined(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(JobRefusal {
                     reason: HELD.to_owned(),
@@ -48,7 +48,7 @@
     /// Refuses a request that has waited for a target, if its work is held by now.
     #[must_use]
     pub fn held_meanwhile(&self, request: &CallerRequest) -> Option<JobRefusal> {
-        self.is_held(request).then(|| JobRefusal {
+        self.is_quarantined(request).then(|| JobRefusal {
             reason: HELD.to_owned(),
             retry_after: HELD_WAIT,
         })
@@ -56,9 +56,9 @@
 
     /// Whether a request's work is held.
     #[must_use]
-    pub fn is_held(&self, request: &CallerRequest) -> bool {
+    pub fn is_quarantined(&self, request: &CallerRequest) -> bool {
         let crashes = self.crashes.lock();
-        !crashes.is_empty() && crashes.is_held(work_of(request))
+        !crashes.is_empty() && crashes.is_quarantined(work_of(request))
     }
 
     /// Notes that a target broke its answer off and is not there to go on.
@@ -66,7 +66,7 @@
         let work = work_of(request);
         let holds = {
             let mut crashes = self.crashes.lock();
-            crashes.note_end(work, &life_of(choice), clock::mono_now())
+            crashes.record_crash(work, &life_of(choice), clock::mono_now())
         };
         log::info!(
             "request {}: {} broke off an answer to work {work}",
@@ -83,7 +83,7 @@
     pub fn record_completion(&self, request: &CallerRequest) {
         let mut crashes = self.crashes.lock();
         if !crashes.is_empty() {
-            crashes.note_whole(work_of(request), clock::mono_now());
+            crashes.record_completion(work_of(request), clock::mono_now());
         }
     }
 
--- a/src/requests/run_call.rs
+++ b/src/requests/run_call.rs
@@ -94,7 +94,7 @@
         if !fault.may_have_run && !ran_before {
             sink.note_not_run();
         }
-        if attempt == MOST_ATTEMPTS || context.is_held(request) || !context.spend_retry() {
+        if attempt == MOST_ATTEMPTS || context.is_quarantined(request) || !context.spend_retry() {
             slot.finish(JobMeasure::default());
             return if sink.may_have_run() {
                 unknown(fault.reason)
--- a/src/requests/run_stream.rs
+++ b/src/requests/run_stream.rs
@@ -102,7 +102,7 @@
             Err(fault) => fault,
         };
         cancel_at(context, engine, &request.id);
-        if context.is_held(request) || !may_retry(context, &fault, attempt) {
+        if context.is_quarantined(request) || !may_retry(context, &fault, attempt) {
             slot.finish(JobMeasure::default());
             return given_up(&state, &fault);
         }
--- a/tests/crashes_held.rs
+++ b/tests/crashes_held.rs
@@ -42,14 +42,14 @@
 
 fn record_crashes(tracker: &mut CrashTracker, crashes: u64, from_ms: u64) {
     for number in 0..crashes {
-        tracker.note_end(work(1), &incarnation(number), at(from_ms + number * SECOND));
+        tracker.record_crash(work(1), &incarnation(number), at(from_ms + number * SECOND));
     }
 }
 
 fn may_send(tracker: &mut CrashTracker, may_try: bool, ms: u64) -> bool {
     !matches!(
-        tracker.standing(work(1), may_try, at(ms)),
-        WorkStatus::Held(_)
+        tracker.status(work(1), may_try, at(ms)),
+        WorkStatus::Quarantined(_)
     )
 }
 
@@ -70,13 +70,14 @@
     let mut tracker = CrashTracker::default();
     let mut became_quarantined = false;
     for (number, target) in case.crashes.iter().enumerate() {
-        became_quarantined |= tracker.note_end(work(1), &incarnation(*target), at(number as u64));
+        became_quarantined |=
+            tracker.record_crash(work(1), &incarnation(*target), at(number as u64));
     }
     assert_eq!(
-        (tracker.is_held(work(1)), became_quarantined),
+        (tracker.is_quarantined(work(1)), became_quarantined),
         (case.quarantined, case.quarantined)
     );
-    assert!(!tracker.is_held(work(2)));
+    assert!(!tracker.is_quarantined(work(2)));
 }
 
 struct AnswerCase {
@@ -100,7 +101,7 @@
 fn an_answer_refutes_a_crash(#[case] case: AnswerCase) {
     let mut tracker = CrashTracker::default();
     let target = TargetIncarnation::new(TargetId::from("t"), case.started);
-    tracker.note_end(work(1), &target, at(1_000));
+    tracker.record_crash(work(1), &target, at(1_000));
     tracker.record_answer(&target, times(case.opened, case.sent), at(case.answered));
     assert_eq!(tracker.crashed_targets(work(1)).is_empty(), case.refutes);
 }
@@ -110,9 +111,9 @@
 fn completed_work_is_cleared() {
     let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 2, 0);
-    tracker.note_whole(work(1), at(5 * SECOND));
-    assert!(!tracker.note_end(work(1), &incarnation(7), at(6 * SECOND)));
-    assert!(!tracker.is_held(work(1)));
+    tracker.record_completion(work(1), at(5 * SECOND));
+    assert!(!tracker.record_crash(work(1), &incarnation(7), at(6 * SECOND)));
+    assert!(!tracker.is_quarantined(work(1)));
 }
 
 // Guards against daemons that count only the crashes that they observed themselves.
@@ -120,21 +121,25 @@
 fn crash_reports_of_peers_add_up() {
     let mut trackers = [0, 1, 2].map(|_| CrashTracker::default());
     for (number, tracker) in trackers.iter_mut().enumerate() {
-        tracker.note_end(work(1), &incarnation(number as u64), at(0));
+        tracker.record_crash(work(1), &incarnation(number as u64), at(0));
     }
     for tick in 1..=10 {
         let now = at(tick * 200);
         let messages: Vec<Vec<CrashReport>> = trackers
             .iter_mut()
-            .map(|tracker| tracker.pick(now))
+            .map(|tracker| tracker.due_reports(now))
             .collect();
         for tracker in &mut trackers {
             for report in messages.iter().flatten() {
-                tracker.take_note(report, false, now);
+                tracker.apply_report(report, false, now);
             }
         }
     }
-    assert!(trackers.iter().all(|tracker| tracker.is_held(work(1))));
+    assert!(
+        trackers
+            .iter()
+            .all(|tracker| tracker.is_quarantined(work(1)))
+    );
 }
 
 // Guards against lost messages: a daemon that missed all updates still has to learn of work
@@ -144,24 +149,24 @@
     let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 3, 0);
     for tick in 0..50 {
-        tracker.pick(at(3 * SECOND + tick * 200));
+        tracker.due_reports(at(3 * SECOND + tick * 200));
     }
     let rebroadcast: Vec<CrashReport> = (0..6)
-        .flat_map(|tick| tracker.pick(at(MINUTE + tick * 200)))
+        .flat_map(|tick| tracker.due_reports(at(MINUTE + tick * 200)))
         .collect();
     assert!(!rebroadcast.is_empty());
     let mut other = CrashTracker::default();
-    assert!(other.take_note(&rebroadcast[0], false, at(MINUTE)));
+    assert!(other.apply_report(&rebroadcast[0], false, at(MINUTE)));
 }
 
 // Guards against filling messages with lost connections of targets that did not crash.
 #[test]
 fn a_crash_refuted_at_once_is_not_broadcast() {
     let mut tracker = CrashTracker::default();
-    tracker.note_end(work(1), &incarnation(1), at(1_000));
-    assert!(tracker.pick(at(1_050)).is_empty());
+    tracker.record_crash(work(1), &incarnation(1), at(1_000));
+    assert!(tracker.due_reports(at(1_050)).is_empty());
     tracker.record_answer(&incarnation(1), times(900, 1_100), at(1_150));
-    assert!(tracker.pick(at(2_000)).is_empty());
+    assert!(tracker.due_reports(at(2_000)).is_empty());
     assert!(tracker.is_empty());
 }
 
@@ -169,14 +174,14 @@
 #[test]
 fn a_refuted_crash_is_withdrawn_at_peers() {
     let (mut tracker, mut other) = (CrashTracker::default(), CrashTracker::default());
-    tracker.note_end(work(1), &incarnation(1), at(1_000));
-    for report in tracker.pick(at(1_300)) {
-        other.take_note(&report, false, at(1_300));
+    tracker.record_crash(work(1), &incarnation(1), at(1_000));
+    for report in tracker.due_reports(at(1_300)) {
+        other.apply_report(&report, false, at(1_300));
     }
     assert_eq!(other.crashed_targets(work(1)), [incarnation(1)]);
     tracker.record_answer(&incarnation(1), times(900, 1_400), at(1_450));
-    for report in tracker.pick(at(1_500)) {
-        other.take_note(&report, false, at(1_500));
+    for report in tracker.due_reports(at(1_500)) {
+        other.apply_report(&report, false, at(1_500));
     }
     assert!(other.crashed_targets(work(1)).is_empty());
 }
@@ -201,13 +206,13 @@
     let mut tracker = CrashTracker::default();
     record_crashes(&mut tracker, 3, 0);
     let lapse = Duration::from_secs(10);
-    tracker.note_entries(
+    tracker.refute_registered(
         |_| case.has_entry,
         lapse,
         at(case.reachable_since),
         at(case.now),
     );
-    assert_eq!(tracker.is_held(work(1)), case.quarantined);
+    assert_eq!(tracker.is_quarantined(work(1)), case.quarantined);
 }
 
 struct TrialCase {
@@ -246,9 +251,9 @@
     for number in 0..40_000_u64 {
         let other = format!("{:032x}", number + 100);
         let other = other.parse().expect("a digest");
-        tracker.note_end(other, &incarnation(number + 100), at(10 * SECOND + number));
+        tracker.record_crash(other, &incarnation(number + 100), at(10 * SECOND + number));
     }
-    assert!(tracker.is_held(work(1)));
+    assert!(tracker.is_quarantined(work(1)));
     assert!(tracker.len() <= 8_192);
 }
 
@@ -273,9 +278,9 @@
         // The second tracker receives reports and expires records a little later.
         let now = [at(tick * 200), at(tick * 200 + 100)];
         for number in [0, 1] {
-            let message = trackers[number].pick(now[number]);
+            let message = trackers[number].due_reports(now[number]);
             for report in &message {
-                trackers[1 - number].take_note(report, true, now[number]);
+                trackers[1 - number].apply_report(report, true, now[number]);
             }
             trackers[number].sweep(now[number]);
         }
@@ -289,12 +294,12 @@
     let mut tracker = CrashTracker::default();
     for number in 100..200 {
         let ms = number * SECOND;
-        tracker.note_end(work(1), &incarnation(number), at(ms));
-        tracker.pick(at(ms + 500));
-        tracker.note_whole(work(1), at(ms + 600));
+        tracker.record_crash(work(1), &incarnation(number), at(ms));
+        tracker.due_reports(at(ms + 500));
+        tracker.record_completion(work(1), at(ms + 600));
     }
     record_crashes(&mut tracker, 3, 300 * SECOND);
-    assert!(tracker.is_held(work(1)));
+    assert!(tracker.is_quarantined(work(1)));
 }
 
 struct DigestCase {
--- a/tests/duties_usage.rs
+++ b/tests/duties_usage.rs
@@ -69,13 +69,13 @@
     clock
 }
 
-fn received_usage(daemon: &str, cells: &[(u64, &str, u32)]) -> DaemonUsage {
-    let cells = cells.iter();
-    let cells = cells.map(|(window, name, n)| (*window, WorkspaceName::from(*name), *n));
+fn received_usage(daemon: &str, counts: &[(u64, &str, u32)]) -> DaemonUsage {
+    let counts = counts.iter();
+    let counts = counts.map(|(window, name, n)| (*window, WorkspaceName::from(*name), *n));
     DaemonUsage {
         daemon: DaemonId::from(daemon),
-        life: 1,
-        cells: cells.collect(),
+        incarnation: 1,
+        counts: counts.collect(),
     }
 }
 
@@ -93,7 +93,7 @@
     let mut usage = UsageCounts::new(WINDOW);
     let north = WorkspaceName::from("north");
     for moment in [100, 4_900, 5_100] {
-        usage.note_begun(&north, MonoTime(moment));
+        usage.record_start(&north, MonoTime(moment));
     }
     usage.assign_windows(&FleetClock::default(), MonoTime(6_000));
     assert_eq!(usage.total(FIRST), counts(&[]));
@@ -107,10 +107,10 @@
 #[test]
 fn counts_survive_lost_and_duplicate_messages() {
     let mut usage = UsageCounts::new(WINDOW);
-    usage.note_heard(received_usage("d1", &[(FIRST, "north", 3)]), true);
-    usage.note_heard(received_usage("d1", &[(FIRST, "north", 5)]), true);
-    usage.note_heard(received_usage("d1", &[(FIRST, "north", 3)]), true);
-    usage.note_heard(
+    usage.merge_remote(received_usage("d1", &[(FIRST, "north", 3)]), true);
+    usage.merge_remote(received_usage("d1", &[(FIRST, "north", 5)]), true);
+    usage.merge_remote(received_usage("d1", &[(FIRST, "north", 3)]), true);
+    usage.merge_remote(
         received_usage("d2", &[(FIRST, "north", 2), (FIRST, "south", 1)]),
         false,
     );
@@ -118,12 +118,15 @@
     // Only the counts of members are relayed to other hubs.
     assert_eq!(usage.take_relayed().len(), 3);
     let mut local = UsageCounts::new(WINDOW);
-    local.note_begun(&WorkspaceName::from("north"), MonoTime(10));
+    local.record_start(&WorkspaceName::from("north"), MonoTime(10));
     local.assign_windows(&synchronized_clock(), MonoTime(20));
     let cell = (FIRST, WorkspaceName::from("north"), 1);
-    assert_eq!(local.take_news(MonoTime(30)), std::slice::from_ref(&cell));
-    assert_eq!(local.take_news(MonoTime(230)), []);
-    assert_eq!(local.take_news(MonoTime(1_030)), [cell]);
+    assert_eq!(
+        local.take_updates(MonoTime(30)),
+        std::slice::from_ref(&cell)
+    );
+    assert_eq!(local.take_updates(MonoTime(230)), []);
+    assert_eq!(local.take_updates(MonoTime(1_030)), [cell]);
 }
 
 /// A platform that accepts one report for each window, and a store with one ledger.
