--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -3,8 +3,8 @@
 //! A target may crash while it runs a request, and takes all of its other requests with it.
 //! The caller then sends the request again, as a new attempt, to any daemon. Crashes are
 //! therefore tracked per work, identified by a digest that all attempts share, together with
-//! the target incarnations that crashed under it ([`book`]). Daemons exchange these reports
-//! ([`news`]). Work that crashed three targets is quarantined and no longer sent.
+//! the target incarnations that crashed under it ([`tracker`]). Daemons exchange these reports
+//! ([`broadcasts`]). Work that crashed three targets is quarantined and no longer sent.
 
 pub mod broadcasts;
 pub mod tracker;
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -14,7 +14,7 @@
 use crate::names::{MonoTime, millis};
 use crate::target_incarnation::TargetIncarnation;
 
-/// Targets that work may crash before it is quarantined.
+/// Number of crashed targets at which work is quarantined.
 pub const MAX_CRASHES: usize = 3;
 /// Time for which work that crashed fewer targets stays suspect.
 const SUSPICION_RETENTION: Duration = Duration::from_secs(600);
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// The right to act during one check for due work.
+/// The right of the lease holder to act during one check for due work.
 #[derive(Clone, Debug)]
 pub struct FleetTaskTurn {
     /// Daemon and fence under which calls are made.
@@ -143,19 +143,18 @@
         self.gateway.duties.borrow_mut().refresh(now);
         self.update_lease(now);
         self.servers.observe(&self.gateway.view(), now);
-        let Some(permit) = self.permit(now) else {
+        let Some(turn) = self.turn(now) else {
             return;
         };
         let events_tx = self.events_tx.clone();
-        self.usage.check(&self.gateway, &permit, now, move |event| {
+        self.usage.check(&self.gateway, &turn, now, move |event| {
             // The receiver lives as long as the process.
             let _ = events_tx.send(TaskEvent::Usage(event));
         });
         let events_tx = self.events_tx.clone();
-        self.servers
-            .check(&self.gateway, &permit, now, move |event| {
-                let _ = events_tx.send(TaskEvent::Servers(event));
-            });
+        self.servers.check(&self.gateway, &turn, now, move |event| {
+            let _ = events_tx.send(TaskEvent::Servers(event));
+        });
     }
 
     fn update_lease(&mut self, now: MonoTime) {
@@ -171,7 +170,7 @@
     // Returns the right to act now. A daemon that takes over a released lease could act at
     // once and release it just as quickly. The wait keeps the calls of alternating holders
     // apart.
-    fn permit(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
+    fn turn(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
         let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
             // After a late renewal, the holder only waits: its state is still valid.
             if !self.lease.is_held() {
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -85,7 +85,7 @@
     pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
-        permit: &FleetTaskTurn,
+        turn: &FleetTaskTurn,
         now: MonoTime,
         send: impl Fn(ServerEvent) + 'static,
     ) {
@@ -114,7 +114,7 @@
         }
         if let Some((key, count)) = self.due_order(&view, &scaled, now) {
             self.call_pending = true;
-            place_order(gateway, permit, (key, count), send);
+            place_order(gateway, turn, (key, count), send);
         }
     }
 
@@ -333,11 +333,11 @@
 
 fn place_order(
     gateway: &Rc<Gateway>,
-    permit: &FleetTaskTurn,
+    turn: &FleetTaskTurn,
     (key, count): (OrderKey, u32),
     send: impl Fn(ServerEvent) + 'static,
 ) {
-    let (ports, permit) = (gateway.ports.clone(), permit.clone());
+    let (ports, turn) = (gateway.ports.clone(), turn.clone());
     let desired = ServerOrder {
         service: key.service.clone(),
         centre: key.centre.clone(),
@@ -345,8 +345,8 @@
         reclaimable: key.reclaimable,
     };
     spawn_local(async move {
-        let answer = match ports.duties.filter(|_| permit.is_valid()) {
-            Some(duties) => (duties.order_servers)((permit.caller, desired)).await,
+        let answer = match ports.duties.filter(|_| turn.is_valid()) {
+            Some(duties) => (duties.order_servers)((turn.caller, desired)).await,
             None => Err(PlatformError::Unavailable {
                 reason: "the lease for ordering servers expired".to_owned(),
                 retry_after: RETRY_DELAY,
--- a/src/gateway/fleet_tasks/usage_reporter.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -66,7 +66,7 @@
     pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
-        permit: &FleetTaskTurn,
+        turn: &FleetTaskTurn,
         now: MonoTime,
         send_event: impl Fn(UsageEvent) + 'static,
     ) {
@@ -102,7 +102,7 @@
             UsageStep::Report(window) => {
                 let counts = ledger.windows[&window].counts.clone();
                 self.call_pending = true;
-                send_report(gateway, permit, (window, counts), send_event);
+                send_report(gateway, turn, (window, counts), send_event);
             }
         }
     }
@@ -183,16 +183,16 @@
 
 fn send_report(
     gateway: &Rc<Gateway>,
-    permit: &FleetTaskTurn,
+    turn: &FleetTaskTurn,
     (window, counts): (WindowNumber, WorkspaceCounts),
     send_event: impl Fn(UsageEvent) + 'static,
 ) {
-    let (ports, permit) = (gateway.ports.clone(), permit.clone());
+    let (ports, turn) = (gateway.ports.clone(), turn.clone());
     spawn_local(async move {
-        let sent = match ports.duties.filter(|_| permit.is_valid()) {
+        let sent = match ports.duties.filter(|_| turn.is_valid()) {
             Some(duties) => {
                 let report = UsageReport { window, counts };
-                (duties.report_usage)((permit.caller, report)).await
+                (duties.report_usage)((turn.caller, report)).await
             }
             None => Err(PlatformError::Unavailable {
                 reason: "the lease for reporting usage expired".to_owned(),
