--- a/src/gateway/fleet_tasks/usage_reporter.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -1,4 +1,5 @@
-//! Reports each window's usage once: recorded first, then sent until it is taken.
+//! Reports the usage of each window: it is recorded first, then sent until the platform
+//! accepts it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,144 +9,146 @@
 use crate::gateway::daemon::Gateway;
 use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
 use crate::gateway::fleet_tasks::usage_ledger::{UsageLedger, UsageStep};
-use crate::gateway::fleet_tasks::{FleetTaskTurn, duty_object};
+use crate::gateway::fleet_tasks::{FleetTaskTurn, state_object};
 use crate::gateway::port::UsageReport;
 use crate::gateway::settings::FleetTaskSettings;
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-/// Name of the object that holds the records.
-const LEDGER: &str = "usage";
-/// Part of the time in which a report is due for which counts are waited for after their
-/// window's end: what daemons tell takes a second, and the rest is left to a successor.
-const CLOSE_PART: f64 = 0.2;
-/// Pause after a call that came to nothing.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-
-/// What came of a call.
-pub enum UsageNews {
-    /// The records were read.
+/// Name of the object that holds the ledger.
+const LEDGER_OBJECT: &str = "usage";
+/// Fraction of the reporting deadline to wait for counts after the end of their window:
+/// updates between daemons take a second, and the rest is left to a successor.
+const CLOSE_FRACTION: f64 = 0.2;
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// Result of a call.
+pub enum UsageEvent {
+    /// The ledger was read.
     Read(Result<Option<StoredObject>, PlatformError>),
-    /// Records were written.
+    /// The ledger was written.
     Written(UsageLedger, Result<ObjectVersion, PlatformError>),
     /// A report was sent.
     Sent(WindowNumber, Result<(), PlatformError>),
 }
 
-/// The duty as its holder performs it.
+/// Fleet task that reports usage.
 #[derive(Debug)]
-pub struct UsageDesk {
-    close_after: Duration,
-    // As the store holds it; `None` until it was read in this turn.
+pub struct UsageReporter {
+    close_delay: Duration,
+    // As stored; `None` until it has been read under the current lease.
     ledger: Option<(ObjectVersion, UsageLedger)>,
-    first: Option<WindowNumber>,
-    busy: bool,
-    wait_until: MonoTime,
+    first_window: Option<WindowNumber>,
+    call_pending: bool,
+    backoff_until: MonoTime,
 }
 
-impl UsageDesk {
-    /// Creates a desk.
+impl UsageReporter {
+    /// Creates a reporter.
     #[must_use]
     pub fn new(settings: &FleetTaskSettings) -> Self {
         Self {
-            close_after: settings.usage_due().mul_f64(CLOSE_PART),
+            close_delay: settings.usage_due().mul_f64(CLOSE_FRACTION),
             ledger: None,
-            first: None,
-            busy: false,
-            wait_until: MonoTime(0),
+            first_window: None,
+            call_pending: false,
+            backoff_until: MonoTime(0),
         }
     }
 
-    /// Forgets what only a holder knows.
-    pub fn end_turn(&mut self) {
+    /// Drops the state that is valid only while the lease is held.
+    pub fn reset(&mut self) {
         self.ledger = None;
     }
 
-    /// Does what is due; `tell` gets what came of it.
-    pub fn look(
+    /// Starts the next call that is due; `send_event` receives its result.
+    pub fn check(
         &mut self,
         gateway: &Rc<Gateway>,
         turn: &FleetTaskTurn,
         now: MonoTime,
-        tell: impl Fn(UsageNews) + 'static,
+        send_event: impl Fn(UsageEvent) + 'static,
     ) {
-        if self.busy || now < self.wait_until {
+        if self.call_pending || now < self.backoff_until {
             return;
         }
         let Some((version, ledger)) = &self.ledger else {
-            self.busy = true;
+            self.call_pending = true;
             let store = gateway.ports.store.clone();
             spawn_local(async move {
-                tell(UsageNews::Read((store.read)(duty_object(LEDGER)).await));
+                send_event(UsageEvent::Read(
+                    (store.read)(state_object(LEDGER_OBJECT)).await,
+                ));
             });
             return;
         };
-        let book = gateway.duties.borrow();
-        let Some(current) = book.usage.window_of(&book.clock, now) else {
+        let meter = gateway.duties.borrow();
+        let Some(current) = meter.usage.window_of(&meter.clock, now) else {
             return;
         };
-        let first = *self.first.get_or_insert(current);
-        let Some(newest) = self.newest_closed(&book, now) else {
+        let first_window = *self.first_window.get_or_insert(current);
+        let Some(newest) = self.newest_closed(&meter, now) else {
             return;
         };
-        match ledger.next_step(newest, first) {
+        match ledger.next_step(newest, first_window) {
             UsageStep::Wait => {}
             UsageStep::Record(windows) => {
-                let counted = windows.into_iter().map(|w| (w, book.usage.total(w)));
-                let wanted = ledger.with(counted.collect());
-                self.busy = true;
-                record(gateway, *version, wanted, tell);
+                let counts = windows.into_iter().map(|w| (w, meter.usage.total(w)));
+                let updated = ledger.with_windows(counts.collect());
+                self.call_pending = true;
+                write_ledger(gateway, *version, updated, send_event);
             }
             UsageStep::Report(window) => {
                 let counts = ledger.windows[&window].counts.clone();
-                self.busy = true;
-                send(gateway, turn, (window, counts), tell);
+                self.call_pending = true;
+                send_report(gateway, turn, (window, counts), send_event);
             }
         }
     }
 
-    // The newest window that has ended so long ago that its counts are in.
-    fn newest_closed(&self, book: &super::UsageMeter, now: MonoTime) -> Option<WindowNumber> {
-        let moment = MonoTime(now.0.checked_sub(millis(self.close_after))?);
-        book.usage.window_of(&book.clock, moment)?.checked_sub(1)
+    // Returns the newest window that ended long enough ago that its counts have arrived.
+    fn newest_closed(&self, meter: &super::UsageMeter, now: MonoTime) -> Option<WindowNumber> {
+        let moment = MonoTime(now.0.checked_sub(millis(self.close_delay))?);
+        meter.usage.window_of(&meter.clock, moment)?.checked_sub(1)
     }
 
-    /// Takes what came of a call.
-    pub fn take(&mut self, news: UsageNews, now: MonoTime) {
-        self.busy = false;
-        match news {
-            UsageNews::Read(Ok(found)) => self.ledger = read_ledger(found),
-            UsageNews::Written(ledger, Ok(version)) => self.ledger = Some((version, ledger)),
-            UsageNews::Sent(window, Ok(())) => self.close(window),
-            // The same report would be refused again, and hold up all later ones.
-            UsageNews::Sent(window, Err(error @ PlatformError::Refused { .. })) => {
-                log::error!(window = window; "usage given up: {error}");
-                self.close(window);
+    /// Handles the result of a call.
+    pub fn handle(&mut self, event: UsageEvent, now: MonoTime) {
+        self.call_pending = false;
+        match event {
+            UsageEvent::Read(Ok(stored)) => self.ledger = read_ledger(stored),
+            UsageEvent::Written(ledger, Ok(version)) => self.ledger = Some((version, ledger)),
+            UsageEvent::Sent(window, Ok(())) => self.mark_reported(window),
+            // The same report would be refused again and block all later ones.
+            UsageEvent::Sent(window, Err(error @ PlatformError::Refused { .. })) => {
+                log::error!(window = window; "the platform refused the usage report, skipping this window: {error}");
+                self.mark_reported(window);
             }
-            UsageNews::Read(Err(error)) => self.pause("read", &error, now),
-            UsageNews::Written(_, Err(error)) => {
-                // It may have landed all the same: only a look at the store tells.
+            UsageEvent::Read(Err(error)) => self.back_off("read", &error, now),
+            UsageEvent::Written(_, Err(error)) => {
+                // The write may have succeeded all the same, so the ledger is read again.
                 self.ledger = None;
-                self.pause("write", &error, now);
+                self.back_off("write", &error, now);
             }
-            UsageNews::Sent(_, Err(error)) => self.pause("report", &error, now),
+            UsageEvent::Sent(_, Err(error)) => self.back_off("report", &error, now),
         }
     }
 
-    fn close(&mut self, window: WindowNumber) {
+    fn mark_reported(&mut self, window: WindowNumber) {
         if let Some((_, ledger)) = &mut self.ledger {
-            ledger.note_reported(window);
+            ledger.mark_reported(window);
         }
     }
 
-    fn pause(&mut self, call: &str, error: &PlatformError, now: MonoTime) {
-        log::warn!(call = call; "usage not reported yet: {error}");
-        self.wait_until = now.plus(RETRY_PAUSE);
+    fn back_off(&mut self, call: &str, error: &PlatformError, now: MonoTime) {
+        log::warn!(call = call; "usage report failed, retrying: {error}");
+        self.backoff_until = now.plus(RETRY_DELAY);
     }
 }
 
-fn read_ledger(found: Option<StoredObject>) -> Option<(ObjectVersion, UsageLedger)> {
-    let Some(StoredObject { version, value, .. }) = found else {
+fn read_ledger(stored: Option<StoredObject>) -> Option<(ObjectVersion, UsageLedger)> {
+    let Some(StoredObject { version, value, .. }) = stored else {
         return Some((ObjectVersion(0), UsageLedger::default()));
     };
     let value = value.unwrap_or_default();
@@ -153,52 +156,52 @@
         Ok(ledger) => Some((version, ledger)),
         Err(error) => {
             log::error!(
-                "records of usage cannot be read ({error}); nothing is reported until they can"
+                "cannot read the usage ledger ({error}); no usage is reported until the object is corrected"
             );
             None
         }
     }
 }
 
-fn record(
+fn write_ledger(
     gateway: &Rc<Gateway>,
     expected: ObjectVersion,
-    wanted: UsageLedger,
-    tell: impl Fn(UsageNews) + 'static,
+    updated: UsageLedger,
+    send_event: impl Fn(UsageEvent) + 'static,
 ) {
     let store = gateway.ports.store.clone();
     let write = ConditionalWrite {
-        object: duty_object(LEDGER),
+        object: state_object(LEDGER_OBJECT),
         expected,
-        value: wanted.encode(),
+        value: updated.encode(),
     };
     spawn_local(async move {
         let written = (store.write)(write).await;
-        tell(UsageNews::Written(wanted, written));
+        send_event(UsageEvent::Written(updated, written));
     });
 }
 
-fn send(
+fn send_report(
     gateway: &Rc<Gateway>,
     turn: &FleetTaskTurn,
     (window, counts): (WindowNumber, WorkspaceCounts),
-    tell: impl Fn(UsageNews) + 'static,
+    send_event: impl Fn(UsageEvent) + 'static,
 ) {
     let (ports, turn) = (gateway.ports.clone(), turn.clone());
     spawn_local(async move {
-        let sent = match ports.duties.filter(|_| turn.lasts()) {
+        let sent = match ports.duties.filter(|_| turn.is_valid()) {
             Some(duties) => {
                 let report = UsageReport { window, counts };
                 (duties.report_usage)((turn.caller, report)).await
             }
             None => Err(PlatformError::Unavailable {
-                reason: "the right to report ended".to_owned(),
-                retry_after: RETRY_PAUSE,
+                reason: "the lease for reporting usage expired".to_owned(),
+                retry_after: RETRY_DELAY,
             }),
         };
-        log::info!(window = window, sent = sent.is_ok(); "usage reported");
+        log::info!(window = window, sent = sent.is_ok(); "usage report call finished");
         let outcome = if sent.is_ok() { "taken" } else { "failed" };
         metrics::counter!("pistachiowick_usage_reports_total", "outcome" => outcome).increment(1);
-        tell(UsageNews::Sent(window, sent));
+        send_event(UsageEvent::Sent(window, sent));
     });
 }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -155,7 +155,7 @@
             // It may have announced its departure after it was selected.
             return SendOutcome::NotSent(format!("{} is leaving or gone", target.id));
         }
-        if self.is_held(plan.call) {
+        if self.is_quarantined(plan.call) {
             return SendOutcome::NotSent("its work is quarantined".to_owned());
         }
         if !self.may_still_send(&order.access) {
