--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -168,7 +168,7 @@
             }
         };
         self.note_result(prefill_engine, SendResult::Answered);
-        self.note_answered(prefill_engine, answer.times);
+        self.record_answer(prefill_engine, answer.times);
         answer.connection.return_to_pool(&answer.head);
         let handle = KvCacheHandle {
             holder: prefill_engine.address,
