--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -72,7 +72,7 @@
     left: &[],
 })]
 // The store refused requests until 100 and answers since. A target whose entry is removed
-// at 2,400 has left, so nothing may be sent to it.
+// at 2,400 has left; nothing may be sent to it later than 2,000 after it announced that.
 #[case::removed_well_after_the_return(TargetsCase {
     steps: &[(0, Set("a")), (100, StoreFailed), (2_400, Removed("a")), (3_000, Expire)],
     left: &[],
