--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -1,4 +1,4 @@
-//! Work outstanding at targets: this daemon's own and, from their messages, the others'.
+//! Outstanding work at targets: that of this daemon and, from their messages, of its peers.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 use crate::names::{DaemonId, MonoTime};
 use crate::target_incarnation::TargetIncarnation;
 
-/// Age from which another daemon's counts are left out.
-const STALE_AFTER: Duration = Duration::from_millis(1_500);
+/// Age from which the work reported by a peer is ignored.
+const PEER_LOAD_TTL: Duration = Duration::from_millis(1_500);
 
-/// Ranks that engines tell apart; 0 is read first.
+/// Number of ranks that engines distinguish; rank 0 is prefilled first.
 pub const RANKS: usize = 10;
 
-/// Work at one target.
+/// Outstanding work at one target.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(into = "WorkWire", try_from = "WorkWire")]
 pub struct TargetWork {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u32,
-    /// Prompt tokens still to be read, by rank: engines read the more urgent first.
-    pub unread: [u32; RANKS],
+    /// Pending prefill tokens by rank; engines prefill the more urgent ranks first.
+    pub pending_prefill: [u32; RANKS],
 }
 
-/// Work at one target between daemons: of the ranks those with tokens, as most have none.
+/// Wire form of [`TargetWork`]: lists only ranks with tokens, since most have none.
 #[derive(Deserialize, Serialize)]
 struct WorkWire(u32, Vec<(u8, u32)>);
 
 impl From<TargetWork> for WorkWire {
     fn from(work: TargetWork) -> Self {
-        let ranks = (0..).zip(work.unread);
+        let ranks = (0..).zip(work.pending_prefill);
         Self(
             work.running,
             ranks.filter(|(_, tokens)| *tokens > 0).collect(),
@@ -38,9 +38,9 @@
     }
 }
 
-/// A rank that engines do not tell apart.
+/// A rank above the highest that engines distinguish.
 #[derive(Debug, thiserror::Error)]
-#[error("rank {0} of unread tokens is above the highest, {highest}; the sender runs another version", highest = RANKS - 1)]
+#[error("rank {0} of pending prefill tokens is above the highest rank, {highest}; the sending daemon runs another version; update all daemons to the same version", highest = RANKS - 1)]
 struct UnknownRank(u8);
 
 impl TryFrom<WorkWire> for TargetWork {
@@ -52,33 +52,33 @@
             ..Self::default()
         };
         for (rank, tokens) in ranks {
-            let unread = work.unread.get_mut(usize::from(rank));
-            *unread.ok_or(UnknownRank(rank))? = tokens;
+            let pending_prefill = work.pending_prefill.get_mut(usize::from(rank));
+            *pending_prefill.ok_or(UnknownRank(rank))? = tokens;
         }
         Ok(work)
     }
 }
 
 impl TargetWork {
-    /// Tokens that are read before those of a new request of `rank`.
+    /// Returns the tokens that are prefilled before those of a new request of `rank`.
     #[must_use]
     pub fn prefill_tokens_before(&self, rank: u8) -> u32 {
-        self.unread[..=rank_index(rank)].iter().sum()
+        self.pending_prefill[..=rank_index(rank)].iter().sum()
     }
 }
 
 impl TargetWork {
-    /// Takes work out of a sum that contains it.
+    /// Subtracts work from a sum that contains it.
     pub fn subtract(&mut self, other: &Self) {
         self.running = self.running.saturating_sub(other.running);
-        for (sum, tokens) in self.unread.iter_mut().zip(other.unread) {
+        for (sum, tokens) in self.pending_prefill.iter_mut().zip(other.pending_prefill) {
             *sum = sum.saturating_sub(tokens);
         }
     }
 
     fn add(&mut self, other: &Self) {
         self.running += other.running;
-        for (sum, tokens) in self.unread.iter_mut().zip(other.unread) {
+        for (sum, tokens) in self.pending_prefill.iter_mut().zip(other.pending_prefill) {
             *sum += tokens;
         }
     }
@@ -88,78 +88,78 @@
     usize::from(rank).min(RANKS - 1)
 }
 
-/// Work by target.
+/// Outstanding work by target.
 pub type WorkByTarget = IndexMap<TargetIncarnation, TargetWork>;
 
-/// Work that another daemon was told to place and has not told of itself yet.
+/// Work that was assigned to a peer and is not yet contained in its reports.
 #[derive(Clone, Debug)]
-struct PromisedWork {
+struct ReservedWork {
     number: u64,
     target: TargetIncarnation,
     work: TargetWork,
     at: MonoTime,
 }
 
-/// Age from which promised work is left out: its daemon has told of it, or is gone.
-const PROMISE_TIME: Duration = Duration::from_millis(800);
+/// Age from which reserved work is ignored: its daemon has reported it or is gone.
+const RESERVATION_TTL: Duration = Duration::from_millis(800);
 
-/// Work of this daemon and of the others.
+/// Outstanding work of this daemon and of its peers.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTracker {
-    own: WorkByTarget,
-    others: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
-    promised: IndexMap<DaemonId, Vec<PromisedWork>>,
-    // Number through which a daemon's own word contains what was promised for it.
-    settled: IndexMap<DaemonId, u64>,
-    // Sum of the others, kept so that a choice does not add them up anew.
-    sum: WorkByTarget,
+    local: WorkByTarget,
+    peers: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
+    reserved: IndexMap<DaemonId, Vec<ReservedWork>>,
+    // Highest reservation number that a daemon's last report contains.
+    reported_through: IndexMap<DaemonId, u64>,
+    // Sum over the peers, cached so that a choice does not have to compute it.
+    peer_sum: WorkByTarget,
 }
 
 impl LoadTracker {
-    /// Notes the start of a request of a rank with `unread_tokens` to read.
-    pub fn begin(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
-        let work = self.own.entry(target.clone()).or_default();
+    /// Records the start of a request of a rank with `pending_prefill_tokens` to prefill.
+    pub fn begin(&mut self, target: &TargetIncarnation, rank: u8, pending_prefill_tokens: u32) {
+        let work = self.local.entry(target.clone()).or_default();
         work.running += 1;
-        work.unread[rank_index(rank)] += unread_tokens;
+        work.pending_prefill[rank_index(rank)] += pending_prefill_tokens;
     }
 
-    /// Notes that tokens counted by [`Self::begin`] were read.
-    pub fn note_read(&mut self, target: &TargetIncarnation, rank: u8, tokens: u32) {
-        if let Some(work) = self.own.get_mut(target) {
-            let unread = &mut work.unread[rank_index(rank)];
-            *unread = unread.saturating_sub(tokens);
+    /// Records that tokens counted by [`Self::begin`] were prefilled.
+    pub fn note_prefilled(&mut self, target: &TargetIncarnation, rank: u8, tokens: u32) {
+        if let Some(work) = self.local.get_mut(target) {
+            let pending_prefill = &mut work.pending_prefill[rank_index(rank)];
+            *pending_prefill = pending_prefill.saturating_sub(tokens);
         }
     }
 
-    /// Notes the end of a request, of whose prompt `unread_tokens` were not read.
-    pub fn end(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
-        self.note_read(target, rank, unread_tokens);
-        if let Some(work) = self.own.get_mut(target) {
+    /// Records the end of a request with `pending_prefill_tokens` left to prefill.
+    pub fn end(&mut self, target: &TargetIncarnation, rank: u8, pending_prefill_tokens: u32) {
+        self.note_prefilled(target, rank, pending_prefill_tokens);
+        if let Some(work) = self.local.get_mut(target) {
             work.running = work.running.saturating_sub(1);
             if work.running == 0 {
-                self.own.swap_remove(target);
+                self.local.swap_remove(target);
             }
         }
     }
 
-    /// Takes another daemon's work in place of what it told before.
+    /// Replaces the work reported by a peer.
     pub fn set_peer_work(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
-        self.others.insert(daemon, (now, work));
-        self.sum_up(now);
+        self.peers.insert(daemon, (now, work));
+        self.update_peer_sum(now);
     }
 
-    /// Notes work, as rank and unread tokens, that another daemon places and will tell
-    /// of itself, by a number that its word names then. A promise that comes after that
-    /// word is left out.
-    pub fn promise(
+    /// Reserves work (rank and pending prefill tokens) that a peer sends and will report
+    /// itself. Its report names the number of the last reservation that it contains;
+    /// reservations that arrive after that report are ignored.
+    pub fn reserve(
         &mut self,
         (daemon, number): (&DaemonId, u64),
         target: &TargetIncarnation,
-        (rank, unread_tokens): (u8, u32),
+        (rank, pending_prefill_tokens): (u8, u32),
         now: MonoTime,
     ) {
         if self
-            .settled
+            .reported_through
             .get(daemon)
             .is_some_and(|through| number <= *through)
         {
@@ -169,10 +169,10 @@
             running: 1,
             ..TargetWork::default()
         };
-        work.unread[rank_index(rank)] = unread_tokens;
-        self.sum.entry(target.clone()).or_default().add(&work);
-        let promised = self.promised.entry(daemon.clone()).or_default();
-        promised.push(PromisedWork {
+        work.pending_prefill[rank_index(rank)] = pending_prefill_tokens;
+        self.peer_sum.entry(target.clone()).or_default().add(&work);
+        let reserved = self.reserved.entry(daemon.clone()).or_default();
+        reserved.push(ReservedWork {
             number,
             target: target.clone(),
             work,
@@ -180,69 +180,70 @@
         });
     }
 
-    /// Leaves out promises of a daemon that its own word contains by now.
+    /// Drops reservations of a peer up to the number that its report contains.
     pub fn release_reservations(&mut self, daemon: &DaemonId, through: u64) {
-        self.settled.insert(daemon.clone(), through);
-        if let Some(promised) = self.promised.get_mut(daemon) {
-            promised.retain(|promise| promise.number > through);
+        self.reported_through.insert(daemon.clone(), through);
+        if let Some(reserved) = self.reserved.get_mut(daemon) {
+            reserved.retain(|reservation| reservation.number > through);
         }
     }
 
-    /// Leaves out what is too old.
+    /// Drops reports and reservations that are too old.
     pub fn expire(&mut self, now: MonoTime) {
-        self.sum_up(now);
+        self.update_peer_sum(now);
     }
 
-    /// This daemon's own work.
+    /// Returns the work of this daemon.
     #[must_use]
-    pub fn own(&self) -> &WorkByTarget {
-        &self.own
+    pub fn local(&self) -> &WorkByTarget {
+        &self.local
     }
 
-    /// This daemon's own work and that of the others for which `counts`, summed.
+    /// Returns the sum of the work of this daemon and of the peers for which `includes` is
+    /// true.
     #[must_use]
-    pub fn summed(&self, counts: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
-        let mut sum = self.own.clone();
-        let others = self.others.iter().filter(|(daemon, _)| counts(daemon));
-        for (target, work) in others.flat_map(|(_, (_, work))| work) {
+    pub fn sum_with(&self, includes: impl Fn(&DaemonId) -> bool) -> WorkByTarget {
+        let mut sum = self.local.clone();
+        let peers = self.peers.iter().filter(|(daemon, _)| includes(daemon));
+        for (target, work) in peers.flat_map(|(_, (_, work))| work) {
             sum.entry(target.clone()).or_default().add(work);
         }
-        let promised = self.promised.iter().filter(|(daemon, _)| counts(daemon));
-        for promise in promised.flat_map(|(_, promised)| promised) {
-            let total = sum.entry(promise.target.clone()).or_default();
-            total.add(&promise.work);
+        let reserved = self.reserved.iter().filter(|(daemon, _)| includes(daemon));
+        for reservation in reserved.flat_map(|(_, reserved)| reserved) {
+            let total = sum.entry(reservation.target.clone()).or_default();
+            total.add(&reservation.work);
         }
         sum
     }
 
-    /// All work known at a target.
+    /// Returns all known work at a target.
     #[must_use]
     pub fn total(&self, target: &TargetIncarnation) -> TargetWork {
-        let mut total = self.own.get(target).copied().unwrap_or_default();
-        total.add(&self.sum.get(target).copied().unwrap_or_default());
+        let mut total = self.local.get(target).copied().unwrap_or_default();
+        total.add(&self.peer_sum.get(target).copied().unwrap_or_default());
         total
     }
 
-    /// Daemons whose work is known, beside this one.
+    /// Returns the number of peers whose work is known.
     #[must_use]
-    pub fn others(&self) -> usize {
-        self.others.len()
+    pub fn peer_count(&self) -> usize {
+        self.peers.len()
     }
 
-    fn sum_up(&mut self, now: MonoTime) {
-        self.others
-            .retain(|_, (at, _)| now.since(*at) < STALE_AFTER);
-        self.sum.clear();
-        for (target, work) in self.others.values().flat_map(|(_, work)| work) {
-            self.sum.entry(target.clone()).or_default().add(work);
+    fn update_peer_sum(&mut self, now: MonoTime) {
+        self.peers
+            .retain(|_, (at, _)| now.since(*at) < PEER_LOAD_TTL);
+        self.peer_sum.clear();
+        for (target, work) in self.peers.values().flat_map(|(_, work)| work) {
+            self.peer_sum.entry(target.clone()).or_default().add(work);
         }
-        for promised in self.promised.values_mut() {
-            promised.retain(|promise| now.since(promise.at) < PROMISE_TIME);
+        for reserved in self.reserved.values_mut() {
+            reserved.retain(|reservation| now.since(reservation.at) < RESERVATION_TTL);
         }
-        self.promised.retain(|_, promised| !promised.is_empty());
-        for promise in self.promised.values().flatten() {
-            let total = self.sum.entry(promise.target.clone()).or_default();
-            total.add(&promise.work);
+        self.reserved.retain(|_, reserved| !reserved.is_empty());
+        for reservation in self.reserved.values().flatten() {
+            let total = self.peer_sum.entry(reservation.target.clone()).or_default();
+            total.add(&reservation.work);
         }
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -104,7 +104,7 @@
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
-        let timeout = caller.patience.unwrap_or(route.time_limit);
+        let timeout = caller.timeout.unwrap_or(route.time_limit);
         let deadline = arrived + timeout.min(route.time_limit);
         let body = read_request_body(body, &routes, deadline).await?;
         let mut headers = head.headers;
@@ -158,7 +158,7 @@
             NOT_READY_WAIT,
         ));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
-            let can_retry = history.may_send_after_next(call) && call.route.repeat.may_retry();
+            let can_retry = history.may_send_after_next(call) && call.route.retry.may_retry();
             let attempt = self.send_plain(&target, call, can_retry).await;
             let retry = match &attempt {
                 PlainOutcome::Whole(_) => false,
@@ -182,7 +182,7 @@
                 }
             };
             if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
-                self.note_begun(&call.access);
+                self.record_start(&call.access);
             }
             if !(history.may_have_run && attempt.did_not_run()) {
                 last = attempt.into_result(call);
@@ -218,7 +218,7 @@
     /// Returns whether it may be sent again.
     #[must_use]
     pub fn may_retry(&self, call: &RoutedRequest) -> bool {
-        if self.is_held(call) {
+        if self.is_quarantined(call) {
             return false;
         }
         let daemons = self.daemon_count();
@@ -270,7 +270,7 @@
                     SendResult::Answered
                 };
                 self.note_result(target, result);
-                self.note_answered(target, times);
+                self.record_answer(target, times);
                 if head.status.is_success() {
                     self.record_completion(call, &head.headers);
                 }
@@ -298,7 +298,7 @@
             .iter()
             .filter(|t| !history.has(&t.id) && current.holds(&t.id));
         let core = self.core.borrow();
-        core.plain_target(untried, || rng.random(), clock::mono_now())
+        core.choose_plain_target(untried, || rng.random(), clock::mono_now())
     }
 }
 
@@ -380,7 +380,7 @@
     routes: &RouteTable,
     deadline: Instant,
 ) -> Result<Bytes, Failure> {
-    let limit = routes.limits.body_bytes;
+    let limit = routes.limits.max_body_bytes;
     if http_body::Body::is_end_stream(&body) {
         return Ok(Bytes::new());
     }
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -89,15 +89,15 @@
         was_prefilled: bool,
         history: &SendHistory,
     ) -> EnginePlacement {
-        if place.reader.is_none() || !was_prefilled {
+        if place.prefill_engine.is_none() || !was_prefilled {
             return place;
         }
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
         let decode_engine = self.with_choices(call, history, |choices| {
             let core = self.core.borrow();
-            core.writer(&choices, &prompt, urgency, clock::mono_now())
+            core.choose_decode_engine(&choices, &prompt, urgency, clock::mono_now())
         });
-        place.writer = decode_engine.unwrap_or(place.writer);
+        place.decode_engine = decode_engine.unwrap_or(place.decode_engine);
         place
     }
 
@@ -105,8 +105,11 @@
         let now = clock::mono_now();
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
-        core.work.note(place.unread_tokens, written, now);
-        let prefill_engine = place.reader.as_ref().unwrap_or(&place.writer);
+        core.work.note(place.pending_prefill_tokens, written, now);
+        let prefill_engine = place
+            .prefill_engine
+            .as_ref()
+            .unwrap_or(&place.decode_engine);
         if let Some(prompt) = &call.caller.prompt {
             core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
             let mut peers = self.peers.borrow_mut();
@@ -118,16 +121,16 @@
             request = call.caller.id.as_str(),
             route = call.route.name.as_str(),
             reader = prefill_engine.id.as_str(),
-            writer = place.writer.id.as_str(),
-            hand_over = place.reader.is_some(),
+            writer = place.decode_engine.id.as_str(),
+            hand_over = place.prefill_engine.is_some(),
             prompt_tokens = prompt.map_or(0, |p| p.prompt_tokens),
-            unread_tokens = place.unread_tokens,
-            reread_tokens = place.reread_tokens,
+            unread_tokens = place.pending_prefill_tokens,
+            reread_tokens = place.recomputed_tokens,
             rank = place.rank,
             waiting_tokens = load.total(&prefill_engine.id).prefill_tokens_before(place.rank),
             fetch_from = place.fetch_from.as_ref().map_or("", |holder| holder.id.as_str()),
-            running = load.total(&place.writer.id).running,
-            others_known = load.others(),
+            running = load.total(&place.decode_engine.id).running,
+            others_known = load.peer_count(),
             expected_ms = place.expected_ms as u64;
             "placed"
         );
@@ -140,10 +143,10 @@
         mut handle: Option<CacheHandleGuard>,
         history: &mut SendHistory,
     ) -> Started {
-        let decode_engine = &place.writer;
+        let decode_engine = &place.decode_engine;
         let pending_tokens = match handle {
             Some(_) => 0,
-            None => place.unread_tokens,
+            None => place.pending_prefill_tokens,
         };
         let mut in_flight =
             InFlightGuard::begin(self, &decode_engine.id, place.rank, pending_tokens);
@@ -164,7 +167,7 @@
             }
             if self.may_retry(call) {
                 timed = None;
-                let fetch_from = Some(place.reader.as_deref().unwrap_or(decode_engine));
+                let fetch_from = Some(place.prefill_engine.as_deref().unwrap_or(decode_engine));
                 outcome = self
                     .send_run(
                         call,
@@ -221,7 +224,7 @@
         };
         history.sent.push(decode_engine.id.clone());
         let refused = failure.retry_after.is_some();
-        let can_retry = refused || call.route.repeat.may_retry();
+        let can_retry = refused || call.route.retry.may_retry();
         if can_retry && history.may_send(call) && self.may_retry(call) {
             return Started::Retry(failure);
         }
@@ -240,9 +243,9 @@
     // The size leaves out other work that the decode engine starts between placement and
     // send, since the next placement will not know such work either.
     fn timed_work(&self, place: &EnginePlacement, was_prefilled: bool) -> Option<TimedWork> {
-        let decode_engine = &place.writer;
+        let decode_engine = &place.decode_engine;
         if !was_prefilled {
-            let chosen = place.reader.is_none();
+            let chosen = place.prefill_engine.is_none();
             return chosen.then(|| place.timed_prefill(decode_engine));
         }
         let core = self.core.borrow();
@@ -252,7 +255,7 @@
             .prefill_tokens_before(place.rank);
         Some(TimedWork {
             engine: decode_engine.clone(),
-            work: EngineWork::TakeOver,
+            work: EngineWork::KvTransfer,
             tokens: f64::from(waiting),
         })
     }
@@ -313,7 +316,7 @@
         let relay = EventRelay::new(
             self.clone(),
             call.clone(),
-            place.writer.clone(),
+            place.decode_engine.clone(),
             answer,
             history,
             in_flight,
@@ -411,7 +414,7 @@
         .max(call.route.objective * CALLER_TIMEOUT_OBJECTIVES)
         .max(gap * CALLER_TIMEOUT_GAPS);
     let left = caller_timeout.saturating_sub(call.arrived.elapsed());
-    let waiting_ms = place.expected_ms - place.own_ms;
+    let waiting_ms = place.expected_ms - place.own_prefill_ms;
     let overloaded = waiting_ms > left.as_secs_f64() * 1_000.0 * MAX_QUEUE_SHARE;
     overloaded.then(|| {
         let reason = format!(
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,7 +1,7 @@
-//! Holds work back that ended targets, here and at all daemons.
+//! Quarantine of work that crashed targets, on this and all other daemons.
 //!
-//! Held work is an object of the store, so that it stays held when all daemons are gone at
-//! once; a daemon that starts lists them.
+//! Quarantined work is recorded as an object in the store, so that the quarantine survives
+//! a failure of all daemons at once. A starting daemon lists these objects.
 
 pub mod records;
 
@@ -28,100 +28,106 @@
 use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
-/// Why held work is not sent.
-const HELD: &str = "targets ended under each run of this request; it is not sent for now";
-/// Time to come back for work that is not tried again by itself.
-const HELD_WAIT: Duration = Duration::from_secs(3_600);
-/// How often it is looked whether held work is in the store.
-const KEEP_EVERY: Duration = Duration::from_millis(250);
-/// Time that each daemon leaves to those before it to write held work to the store.
-const TURN_WAIT: Duration = Duration::from_secs(1);
-/// Pause after a call that the store did not answer.
-const FAILED_WAIT: Duration = Duration::from_secs(1);
-/// How often it is looked in the store for work that an operator let go, while any is held.
-const RELEASE_EVERY: Duration = Duration::from_secs(20);
-/// Silence of the store, which is asked more often, after which entries may be old.
-const STORE_SILENCE: Duration = Duration::from_secs(4);
+/// Reason given to callers of quarantined work.
+const QUARANTINE_REASON: &str = "this request crashed the targets that ran it and is quarantined; correct it, or retry after the given delay";
+/// Retry delay returned for work that has no further trial.
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(3_600);
+/// Interval at which quarantined work is compared with its records in the store.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay per rank before a daemon writes a record, which leaves the write to lower ranks.
+const WRITE_STAGGER: Duration = Duration::from_secs(1);
+/// Delay after a request that the store did not answer.
+const ERROR_DELAY: Duration = Duration::from_secs(1);
+/// Interval at which the store is checked for work that an operator released, while any is
+/// quarantined.
+const RELEASE_CHECK_INTERVAL: Duration = Duration::from_secs(20);
+/// Time without contact to the store, which is polled more often, after which its entries
+/// count as stale.
+const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What is known of the store's copy of a held work.
+/// What is known of the store's record of one quarantined work.
 #[derive(Clone, Debug)]
-struct KeptWork {
+struct StoredWork {
     route: String,
-    held_at: MonoTime,
-    ends: usize,
+    quarantined_at: MonoTime,
+    crashes: usize,
 }
 
-/// Which held works the store has.
+/// Tracks which quarantined works have a record in the store.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineStore {
-    kept: IndexMap<WorkDigest, KeptWork>,
-    looked_at: Option<MonoTime>,
-    heard_since: Option<MonoTime>,
+    works: IndexMap<WorkDigest, StoredWork>,
+    listed_at: Option<MonoTime>,
+    reachable_since: Option<MonoTime>,
 }
 
-/// Loads held work from the store, and keeps it there.
+/// Loads quarantined work from the store and keeps its records up to date.
 ///
-/// A daemon that is fed by a hub is told of it, and asks for none itself.
+/// A daemon that gets the store's contents from a hub receives crash reports from there and
+/// does not load them itself.
 pub async fn run(gateway: Rc<Gateway>) {
     let timer = TimerService::start();
-    let mut ticks = timer.every(KEEP_EVERY);
+    let mut ticks = timer.every(CHECK_INTERVAL);
     let mut loaded = false;
     while ticks.next().await.is_some() {
-        let reads = !loaded && gateway.duty.get().watches(Feed::Targets);
-        let kept = if reads {
-            gateway.load_held().await
+        let needs_load = !loaded && gateway.duty.get().watches(Feed::Targets);
+        let result = if needs_load {
+            gateway.load_quarantine().await
         } else {
-            gateway.keep_held().await
+            gateway.save_quarantine().await
         };
-        loaded |= reads && kept.is_ok();
-        if kept.is_err() {
-            sleep(FAILED_WAIT).await;
+        loaded |= needs_load && result.is_ok();
+        if result.is_err() {
+            sleep(ERROR_DELAY).await;
         }
     }
 }
 
 impl Gateway {
-    /// Refuses held work, except once in a while at the one daemon that tries it.
+    /// Refuses quarantined work, except for a trial on the one daemon that runs trials.
     ///
     /// # Errors
     ///
     /// Returns the refusal.
     pub fn check_quarantine(&self, call: &RoutedRequest) -> Result<(), Failure> {
-        if !self.is_held(call) {
+        if !self.is_quarantined(call) {
             return Ok(());
         }
         let (work, now) = (call.work(), clock::mono_now());
-        let tries = self.rank() == 0;
-        let standing = self.crashes.borrow_mut().standing(work, tries, now);
-        match standing {
-            WorkStatus::Free => Ok(()),
+        let may_try = self.rank() == 0;
+        let status = self.crashes.borrow_mut().status(work, may_try, now);
+        match status {
+            WorkStatus::Allowed => Ok(()),
             WorkStatus::Trial => {
                 call.is_probe.set(true);
-                log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "held work is tried once");
+                log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "sending quarantined work once as a trial");
                 Ok(())
             }
-            WorkStatus::Held(next) => {
+            WorkStatus::Quarantined(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
-                Err(Failure::refused(HELD, next.unwrap_or(HELD_WAIT)))
+                Err(Failure::refused(
+                    QUARANTINE_REASON,
+                    next.unwrap_or(QUARANTINE_RETRY_AFTER),
+                ))
             }
         }
     }
 
-    /// Whether a request that was taken may not be sent on, as its work is held by now.
+    /// Returns whether an accepted request may not be sent because its work is quarantined.
     #[must_use]
-    pub fn is_held(&self, call: &RoutedRequest) -> bool {
+    pub fn is_quarantined(&self, call: &RoutedRequest) -> bool {
         let crashes = self.crashes.borrow();
-        !crashes.is_empty() && !call.is_probe.get() && crashes.is_held(call.work())
+        !crashes.is_empty() && !call.is_probe.get() && crashes.is_quarantined(call.work())
     }
 
-    /// Completes when a request's work is held.
+    /// Completes when a request's work is quarantined.
     pub(in crate::gateway) async fn until_quarantined(&self, call: &RoutedRequest) {
-        while !self.is_held(call) {
+        while !self.is_quarantined(call) {
             self.newly_quarantined.notified().await;
         }
     }
 
-    /// Notes that a target ended a connection before its answer was whole.
+    /// Records that a target closed the connection before its answer was complete.
     pub fn record_connection_loss(
         &self,
         call: &RoutedRequest,
@@ -129,89 +135,103 @@
         reason: &str,
     ) {
         let (work, now) = (call.work(), clock::mono_now());
-        // A trial is one run.
+        // A trial permits a single send.
         call.is_probe.set(false);
-        let holds = self.crashes.borrow_mut().note_end(work, &target.id, now);
+        let is_new = self
+            .crashes
+            .borrow_mut()
+            .record_crash(work, &target.id, now);
         metrics::counter!("pistachiowick_answers_cut_total", "route" => call.route.name.clone())
             .increment(1);
         log::info!(
             request = call.caller.id.as_str(),
             work = work.to_string(),
             target_id = target.id.as_str(),
-            ends = self.crashes.borrow().ends(work).len(),
+            ends = self.crashes.borrow().crashed_targets(work).len(),
             waited_ms = millis(call.arrived.elapsed()),
             reason = reason;
-            "connection ended under a request"
+            "target closed the connection before its answer was complete"
         );
-        if holds {
-            self.hold(work, &call.route.name, "own");
+        if is_new {
+            self.quarantine_work(work, &call.route.name, "own");
         }
     }
 
-    /// Notes that a target answered to the end.
-    pub fn note_answered(&self, target: &TargetRecord, times: ExchangeTimes) {
+    /// Records that a target completed an answer.
+    pub fn record_answer(&self, target: &TargetRecord, times: ExchangeTimes) {
         let mut crashes = self.crashes.borrow_mut();
-        crashes.note_answer(&target.id, times, clock::mono_now());
+        crashes.record_answer(&target.id, times, clock::mono_now());
     }
 
-    /// Notes that work ran to its end. An answer without a length may end with its target.
+    /// Records that work ran to completion. An answer without a length doesn't count: its
+    /// end may be a crash of the target.
     pub fn record_completion(&self, call: &RoutedRequest, head: &HeaderMap) {
         let framed = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
         if framed && !self.crashes.borrow().is_empty() {
             let mut crashes = self.crashes.borrow_mut();
-            crashes.note_whole(call.work(), clock::mono_now());
+            crashes.record_completion(call.work(), clock::mono_now());
         }
     }
 
-    /// Takes what other daemons tell of work that ended targets.
-    pub(in crate::gateway) fn apply_crash_reports(&self, notes: &[CrashReport]) {
-        if notes.is_empty() {
+    /// Merges the crash reports of another daemon.
+    pub(in crate::gateway) fn apply_crash_reports(&self, reports: &[CrashReport]) {
+        if reports.is_empty() {
             return;
         }
         let relays = self.hubs.borrow().is_hub();
-        for note in notes {
-            self.take_work_note(note, relays, "", "peer");
+        for report in reports {
+            self.apply_crash_report(report, relays, "", "peer");
         }
     }
 
-    fn take_work_note(&self, note: &CrashReport, relays: bool, route: &str, source: &'static str) {
+    fn apply_crash_report(
+        &self,
+        report: &CrashReport,
+        relays: bool,
+        route: &str,
+        source: &'static str,
+    ) {
         let now = clock::mono_now();
-        let holds = self.crashes.borrow_mut().take_note(note, relays, now);
-        if holds {
-            self.hold(note.work, route, source);
+        let is_new = self.crashes.borrow_mut().apply_report(report, relays, now);
+        if is_new {
+            self.quarantine_work(report.work, route, source);
         }
     }
 
-    fn hold(&self, work: WorkDigest, route: &str, source: &'static str) {
-        let ends = self.crashes.borrow().ends(work);
-        let targets: Vec<&str> = ends.iter().map(TargetIncarnation::as_str).collect();
+    fn quarantine_work(&self, work: WorkDigest, route: &str, source: &'static str) {
+        let crashes = self.crashes.borrow().crashed_targets(work);
+        let targets: Vec<&str> = crashes.iter().map(TargetIncarnation::as_str).collect();
         metrics::counter!("pistachiowick_works_held_total").increment(1);
         log::warn!(
             work = work.to_string(),
             route = route,
             source = source,
             targets = targets.join(" ");
-            "work is held: targets ended under its runs"
+            "work is quarantined: it crashed several targets"
         );
-        let kept = KeptWork {
+        let stored_work = StoredWork {
             route: route.to_owned(),
-            held_at: clock::mono_now(),
-            ends: 0,
+            quarantined_at: clock::mono_now(),
+            crashes: 0,
         };
-        self.held.borrow_mut().kept.entry(work).or_insert(kept);
+        self.held
+            .borrow_mut()
+            .works
+            .entry(work)
+            .or_insert(stored_work);
         self.newly_quarantined.notify_waiters();
     }
 
-    /// Drops suspicions of targets whose entries show that they live.
+    /// Refutes crashes of targets whose entries show that they are alive.
     pub(in crate::gateway) fn refute_registered_targets(&self, now: MonoTime) {
-        let heard = self.pulse.age(now) < STORE_SILENCE;
-        let heard_since = {
-            let mut desk = self.held.borrow_mut();
-            let since = desk.heard_since.filter(|_| heard);
-            desk.heard_since = since.or(heard.then_some(now));
-            desk.heard_since
+        let is_reachable = self.pulse.age(now) < STORE_TIMEOUT;
+        let reachable_since = {
+            let mut quarantine = self.held.borrow_mut();
+            let since = quarantine.reachable_since.filter(|_| is_reachable);
+            quarantine.reachable_since = since.or(is_reachable.then_some(now));
+            quarantine.reachable_since
         };
-        let Some(heard_since) = heard_since else {
+        let Some(reachable_since) = reachable_since else {
             return;
         };
         let view = self.view();
@@ -219,105 +239,107 @@
             |target: &TargetIncarnation| view.holds(target) && !view.missing.contains_key(target);
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
-        crashes.note_entries(has_entry, lapse_time, heard_since, now);
+        crashes.refute_registered(has_entry, lapse_time, reachable_since, now);
     }
 
-    fn held_name(&self, work: WorkDigest) -> ObjectName {
+    fn quarantine_object(&self, work: WorkDigest) -> ObjectName {
         ObjectName {
             kind: self.ports.schema.held_kind.clone(),
             name: work.to_string(),
         }
     }
 
-    async fn load_held(&self) -> Result<(), PlatformError> {
+    async fn load_quarantine(&self) -> Result<(), PlatformError> {
         let kind = self.ports.schema.held_kind.clone();
         let objects = match (self.ports.store.list)(kind).await {
             Ok(batch) => batch.objects,
             Err(PlatformError::Refused { reason }) => {
-                log::warn!("held work cannot be listed: {reason}");
+                log::warn!(
+                    "cannot list quarantined work, continuing without its records: {reason}"
+                );
                 Vec::new()
             }
             Err(error) => return Err(error),
         };
         for object in &objects {
-            self.take_held_object(object);
+            self.apply_stored_quarantine(object);
         }
-        let mut held = self.held.borrow_mut();
-        held.looked_at = Some(clock::mono_now());
-        // What the store lost is written again.
+        let mut quarantine = self.held.borrow_mut();
+        quarantine.listed_at = Some(clock::mono_now());
+        // Records that the store lost are written again.
         let names: Vec<&str> = objects.iter().map(|o| o.object.name.as_str()).collect();
-        for (work, kept) in &mut held.kept {
+        for (work, stored_work) in &mut quarantine.works {
             if !names.contains(&work.to_string().as_str()) {
-                kept.ends = 0;
+                stored_work.crashes = 0;
             }
         }
         Ok(())
     }
 
-    fn take_held_object(&self, object: &StoredObject) {
+    fn apply_stored_quarantine(&self, object: &StoredObject) {
         let name = &object.object.name;
         let Some(value) = &object.value else {
             return;
         };
-        match QuarantineRecord::note(name, value) {
-            Ok(mut note) => {
-                // Only callers keep what is known here from being forgotten.
-                if self.crashes.borrow().knows(note.work) {
-                    note.age_ms = u64::MAX;
+        match QuarantineRecord::decode_report(name, value) {
+            Ok(mut report) => {
+                // Only requests of callers extend the retention of work that is tracked here.
+                if self.crashes.borrow().contains(report.work) {
+                    report.age_ms = u64::MAX;
                 }
-                let count = note.ends.len();
-                self.take_work_note(&note, true, "", "store");
-                if let Some(kept) = self.held.borrow_mut().kept.get_mut(&note.work) {
-                    kept.ends = kept.ends.max(count);
+                let count = report.crashes.len();
+                self.apply_crash_report(&report, true, "", "store");
+                if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&report.work) {
+                    stored_work.crashes = stored_work.crashes.max(count);
                 }
             }
-            Err(fault) => log::warn!("{fault}"),
+            Err(error) => log::warn!("{error}"),
         }
     }
 
-    async fn keep_held(&self) -> Result<(), PlatformError> {
-        let held: Vec<WorkDigest> = self.crashes.borrow().held().collect();
-        metrics::gauge!("pistachiowick_works_held").set(held.len() as f64);
+    async fn save_quarantine(&self) -> Result<(), PlatformError> {
+        let quarantined: Vec<WorkDigest> = self.crashes.borrow().quarantined().collect();
+        metrics::gauge!("pistachiowick_works_held").set(quarantined.len() as f64);
         let (now, rank) = (clock::mono_now(), self.full_view_rank(clock::mono_now()));
         self.held
             .borrow_mut()
-            .kept
-            .retain(|work, _| held.contains(work));
-        let Some(rank) = rank.filter(|_| !held.is_empty()) else {
+            .works
+            .retain(|work, _| quarantined.contains(work));
+        let Some(rank) = rank.filter(|_| !quarantined.is_empty()) else {
             return Ok(());
         };
-        let wait = TURN_WAIT * u32::try_from(rank).unwrap_or(u32::MAX);
-        for work in held {
-            if self.is_unkept(work, wait, now) {
-                self.write_held(work).await?;
+        let delay = WRITE_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX);
+        for work in quarantined {
+            if self.needs_quarantine_write(work, delay, now) {
+                self.write_quarantine(work).await?;
             }
         }
-        let looked_at = self.held.borrow().looked_at;
-        if rank == 0 && looked_at.is_none_or(|at| now.since(at) >= RELEASE_EVERY) {
-            self.load_held().await?;
+        let listed_at = self.held.borrow().listed_at;
+        if rank == 0 && listed_at.is_none_or(|at| now.since(at) >= RELEASE_CHECK_INTERVAL) {
+            self.load_quarantine().await?;
         }
         Ok(())
     }
 
-    fn is_unkept(&self, work: WorkDigest, wait: Duration, now: MonoTime) -> bool {
-        let count = self.crashes.borrow().ends(work).len();
-        let desk = self.held.borrow();
-        let kept = desk.kept.get(&work);
-        kept.is_some_and(|kept| kept.ends < count && now.since(kept.held_at) >= wait)
+    fn needs_quarantine_write(&self, work: WorkDigest, delay: Duration, now: MonoTime) -> bool {
+        let count = self.crashes.borrow().crashed_targets(work).len();
+        let quarantine = self.held.borrow();
+        let known = quarantine.works.get(&work);
+        known.is_some_and(|known| known.crashes < count && now.since(known.quarantined_at) >= delay)
     }
 
-    async fn write_held(&self, work: WorkDigest) -> Result<(), PlatformError> {
-        let object = self.held_name(work);
+    async fn write_quarantine(&self, work: WorkDigest) -> Result<(), PlatformError> {
+        let object = self.quarantine_object(work);
         let stored = (self.ports.store.read)(object.clone()).await?;
         let stored = stored.filter(|stored| stored.value.is_some());
         let expected = stored.as_ref().map_or(ObjectVersion(0), |s| s.version);
         let value = stored.and_then(|stored| stored.value).unwrap_or_default();
         let mut record = QuarantineRecord::decode(&object.name, &value).unwrap_or_default();
-        let ends = self.crashes.borrow().ends(work);
+        let crashes = self.crashes.borrow().crashed_targets(work);
         if record.route.is_empty() {
-            record.route = self.kept_route(work);
+            record.route = self.quarantined_route(work);
         }
-        if record.add(&ends) {
+        if record.add_crashes(&crashes) {
             record.released = false;
             let write = ConditionalWrite {
                 object,
@@ -325,21 +347,23 @@
                 value: record.encode(),
             };
             match (self.ports.store.write)(write).await {
-                // Another daemon wrote; it is read again at the next look.
+                // Another daemon wrote the record; it is read again at the next check.
                 Err(PlatformError::Conflict { .. }) => return Ok(()),
                 written => written?,
             };
-            log::info!(work = work.to_string(), ends = ends.len(); "held work is kept in the store");
+            log::info!(work = work.to_string(), ends = crashes.len(); "recorded quarantined work in the store");
         }
-        if let Some(kept) = self.held.borrow_mut().kept.get_mut(&work) {
-            kept.ends = ends.len();
+        if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&work) {
+            stored_work.crashes = crashes.len();
         }
         Ok(())
     }
 
-    fn kept_route(&self, work: WorkDigest) -> String {
-        let desk = self.held.borrow();
-        let kept = desk.kept.get(&work);
-        kept.map(|kept| kept.route.clone()).unwrap_or_default()
+    fn quarantined_route(&self, work: WorkDigest) -> String {
+        let quarantine = self.held.borrow();
+        let stored_work = quarantine.works.get(&work);
+        stored_work
+            .map(|stored_work| stored_work.route.clone())
+            .unwrap_or_default()
     }
 }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -1,14 +1,14 @@
-//! Targets as the store shows them, with entries that vanish without reason kept a while.
+//! Registry of the targets in the store, which tolerates entries lost in a store outage.
 //!
-//! Entries expire while the store is away although their targets live. Taking each
-//! disappearance as a departure would empty the fleet after an outage; keeping
-//! each would send work to targets that are gone. So: an entry that disappears
-//! while the store was answering all the time is gone at once, one that
-//! disappears around an outage has [`ENTRY_RETURN_TIME`] from the store's return, unless
-//! another daemon heard the store all along and tells that it ended.
+//! Entries expire while the store is unavailable although their targets are running.
+//! Treating each disappearance as a departure would empty the fleet after an outage;
+//! ignoring them would send work to targets that are gone. So an entry that disappears
+//! while the store was reachable is removed at once; one that disappears around an outage
+//! may reappear within [`ENTRY_RETURN_TIME`] of the store's return, unless a peer that could
+//! reach the store throughout reports its removal.
 //!
-//! A departure ends one life of a target. The store's revisions tell which of two
-//! entries of a name is newer; targets' own clocks may step.
+//! A departure ends one incarnation of a target. Of two entries of a name the one with
+//! the higher store revision is newer; targets' own clocks may step.
 //!
 //! [`ENTRY_RETURN_TIME`]: crate::gateway::store_contact::ENTRY_RETURN_TIME
 
@@ -26,15 +26,15 @@
 use crate::names::{MonoTime, TargetId, millis};
 use crate::target_incarnation::TargetIncarnation;
 
-/// How long the end of a life, and the revision of a name's last entry, are
-/// remembered: longer than any stale view of them can arrive.
-const DEPARTED_TIME: Duration = Duration::from_secs(120);
-/// Where word of targets comes from.
+/// How long departures, and the last revision of removed entries, are remembered: longer
+/// than outdated information about them can take to arrive.
+const DEPARTURE_TTL: Duration = Duration::from_secs(120);
+/// Source of information about an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntrySource {
-    /// Another daemon, which read the store and passes on what it read.
+    /// A hub, which reads the store and relays what it reads.
     Hub,
-    /// Another daemon's word that an entry began or ended.
+    /// A peer's update that an entry was added or removed.
     Peer,
     /// The store itself.
     Store,
@@ -50,14 +50,14 @@
     }
 }
 
-/// What an entry says.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryContent {
-    /// The store holds it no more.
+    /// The entry is no longer in the store.
     Gone,
-    /// It names a target.
+    /// The entry describes a target.
     Named(TargetRecord),
-    /// It names none: another writer wrote it, or over it.
+    /// The entry could not be decoded, because another program wrote or overwrote it.
     Unreadable(WireError),
 }
 
@@ -66,9 +66,9 @@
 pub struct EntryChange {
     /// Name of the entry.
     pub name: TargetId,
-    /// The store's revision of its last change; 0 where it is not told.
+    /// Store revision of its last change; 0 where unknown.
     pub revision: u64,
-    /// What it says.
+    /// Its content.
     pub content: EntryContent,
 }
 
@@ -78,32 +78,32 @@
     missing: Option<MissingEntry>,
 }
 
-/// An entry that the store holds no more and whose target still gets work.
+/// An entry that is missing in the store and whose target still gets work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MissingEntry {
     /// When it was found missing.
     pub since: MonoTime,
-    /// When it is given up.
+    /// When it is removed unless it reappears.
     pub until: MonoTime,
 }
 
-/// What daemons tell each other of an entry: that it began or that it ended.
+/// Update that daemons send each other about an entry: it was added or removed.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
 pub struct EntryUpdate {
     /// Name of the entry.
     pub name: TargetId,
-    /// Revision of the change. An entry that ended is over up to it.
+    /// Revision of the change. A removal covers all revisions up to it.
     pub revision: u64,
-    /// Its value; `None` where it ended.
+    /// Its value; `None` where it was removed.
     pub value: Option<ByteBuf>,
 }
 
-/// A note that is remembered.
+/// An update that was received or made recently.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RecentUpdate {
-    /// What is told.
-    pub note: EntryUpdate,
-    /// When it was learned.
+    /// The update.
+    pub update: EntryUpdate,
+    /// When this daemon learned of it.
     pub at: MonoTime,
 }
 
@@ -113,160 +113,170 @@
     at: MonoTime,
 }
 
-/// All targets known.
+/// All known targets.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRegistry {
     entries: IndexMap<TargetId, TargetEntry>,
-    // Lives that announced their end. An older entry may be seen later, from a peer or
-    // a stale read; leaving stays leaving for the life.
+    // Incarnations that departed. An older entry may still arrive from a peer or a stale
+    // read; a departure is final for the incarnation.
     departed: IndexMap<TargetIncarnation, MonoTime>,
-    // Newest revision seen of each name, so that an older entry undoes nothing.
+    // Newest revision seen of each name, so that older entries are ignored.
     seen: IndexMap<TargetId, SeenRevision>,
-    // Entries that began or certainly ended, for daemons that do not hear the store.
-    notes: IndexMap<TargetId, RecentUpdate>,
-    // Entries that name no target, by the revision that was logged.
+    // Entries added or certainly removed, for daemons that cannot reach the store.
+    recent_updates: IndexMap<TargetId, RecentUpdate>,
+    // Unreadable entries, with the revision that was logged.
     unreadable: IndexMap<TargetId, u64>,
-    contact: StoreOutageTracker,
-    // Revision up to which this daemon itself read all changes.
+    outage: StoreOutageTracker,
+    // Revision up to which this daemon itself has read all changes.
     read_through: u64,
 }
 
 impl TargetRegistry {
-    /// Notes that the store did not answer a call that was begun at `asked`.
-    pub fn note_store_failure(&mut self, asked: MonoTime, now: MonoTime) {
-        self.contact.note_failure(asked, now);
+    /// Records that the store did not answer a request sent at `sent_at`.
+    pub fn note_store_failure(&mut self, sent_at: MonoTime, now: MonoTime) {
+        self.outage.note_failure(sent_at, now);
     }
 
-    /// Notes that the store answered a call, whatever it was about.
+    /// Records that the store answered a request of any kind.
     pub fn note_store_answer(&mut self, now: MonoTime) {
-        self.contact.note_answer(now);
+        self.outage.note_answer(now);
     }
 
-    /// Notes that all changes up to a revision were taken.
+    /// Records that all changes up to a revision were applied.
     pub fn note_read_through(&mut self, revision: u64) {
         self.read_through = revision;
     }
 
-    /// Takes a whole listing.
+    /// Replaces all entries by a complete listing.
     pub fn replace(&mut self, listing: Vec<EntryChange>, source: EntrySource, now: MonoTime) {
-        let listed: Vec<TargetId> = listing.iter().map(|news| news.name.clone()).collect();
-        for news in listing {
-            self.take(news, source, now);
+        let listed_names: Vec<TargetId> =
+            listing.iter().map(|change| change.name.clone()).collect();
+        for change in listing {
+            self.apply(change, source, now);
         }
         let missing: Vec<TargetId> = self
             .entries
             .keys()
-            .filter(|name| !listed.contains(name))
+            .filter(|name| !listed_names.contains(name))
             .cloned()
             .collect();
         for name in missing {
-            self.remove(&name, source, now);
+            self.remove_or_mark_missing(&name, source, now);
         }
-        self.unreadable.retain(|name, _| listed.contains(name));
+        self.unreadable
+            .retain(|name, _| listed_names.contains(name));
     }
 
-    /// Takes one entry, unless a newer one of its name is known; true when a target's life
-    /// began with it.
-    pub fn take(&mut self, news: EntryChange, source: EntrySource, now: MonoTime) -> bool {
+    /// Applies the change of one entry, unless a newer one of its name is known; returns
+    /// true if it adds an incarnation of a target.
+    pub fn apply(&mut self, change: EntryChange, source: EntrySource, now: MonoTime) -> bool {
         let EntryChange {
             name,
             revision,
             content,
-        } = news;
-        // Of what others tell, this daemon has read what is not newer than its own reading.
-        let was_read = source == EntrySource::Peer && revision <= self.read_through;
-        if was_read || self.is_outdated(&name, revision) {
+        } = change;
+        // Updates of peers up to the revision that this daemon has read are known here.
+        let already_read = source == EntrySource::Peer && revision <= self.read_through;
+        if already_read || self.is_outdated(&name, revision) {
             return false;
         }
         self.note_revision(&name, revision, now);
         match content {
             EntryContent::Gone => {
                 self.unreadable.swap_remove(&name);
-                self.remove(&name, source, now);
+                self.remove_or_mark_missing(&name, source, now);
                 false
             }
             EntryContent::Named(record) => {
                 self.unreadable.swap_remove(&name);
-                self.set(record, revision, source, now)
+                self.insert_target(record, revision, source, now)
             }
             EntryContent::Unreadable(fault) => {
-                self.leave_out(&name, revision, &fault, source);
+                self.ignore_unreadable(&name, revision, &fault, source);
                 false
             }
         }
     }
 
-    /// Takes the end of a life, announced by the target itself or noticed by an answer.
-    pub fn depart(&mut self, life: &TargetIncarnation, now: MonoTime) {
-        let current = self.entries.get(life.name());
-        if current.is_some_and(|entry| entry.record.id == *life) {
-            self.entries.swap_remove(life.name());
+    /// Records the departure of an incarnation, announced by the target itself or detected
+    /// from an answer at its address.
+    pub fn mark_departed(&mut self, incarnation: &TargetIncarnation, now: MonoTime) {
+        let current = self.entries.get(incarnation.name());
+        if current.is_some_and(|entry| entry.record.id == *incarnation) {
+            self.entries.swap_remove(incarnation.name());
         }
-        self.departed.insert(life.clone(), now);
+        self.departed.insert(incarnation.clone(), now);
     }
 
-    /// Takes another daemon's word that an entry ended; true when it is news here.
+    /// Applies a peer's update that an entry was removed; returns true if it was not known
+    /// here.
     ///
-    /// Who tells it heard the store all along. So the end counts at once, also where this
-    /// daemon could not tell it from an entry that lapsed in an outage.
-    pub fn take_end(&mut self, name: &TargetId, revision: u64, now: MonoTime) -> bool {
+    /// Its sender could reach the store throughout. So the removal takes effect at once,
+    /// even if this daemon cannot tell it from an entry that expired in an outage.
+    pub fn apply_removal(&mut self, name: &TargetId, revision: u64, now: MonoTime) -> bool {
         if self.is_outdated(name, revision) {
             return false;
         }
         self.note_revision(name, revision, now);
-        self.keep_note(name, revision, None, now);
+        self.record_update(name, revision, None, now);
         self.drop_entry(name, EntrySource::Peer);
         true
     }
 
-    /// Keeps that an entry began, for other daemons.
-    pub fn note_begun(&mut self, name: &TargetId, value: &[u8], now: MonoTime) {
+    /// Records that an entry was added, to be announced to peers.
+    pub fn note_added(&mut self, name: &TargetId, value: &[u8], now: MonoTime) {
         let value = Some(ByteBuf::from(value));
-        self.keep_note(name, self.seen_revision(name), value, now);
+        self.record_update(name, self.seen_revision(name), value, now);
     }
 
-    /// Entries that began or ended lately. The begin of one that is not here any more, for
-    /// whatever reason, is left out.
-    pub fn notes(&self) -> impl Iterator<Item = &RecentUpdate> {
-        let is_here = |name: &TargetId| {
+    /// Returns the entries added or removed recently, without added ones that are no longer
+    /// present, for whatever reason.
+    pub fn recent_updates(&self) -> impl Iterator<Item = &RecentUpdate> {
+        let is_present = |name: &TargetId| {
             let entry = self.entries.get(name);
             entry.is_some_and(|entry| entry.missing.is_none())
         };
-        let kept = self.notes.values();
-        kept.filter(move |kept| kept.note.value.is_none() || is_here(&kept.note.name))
+        let recent = self.recent_updates.values();
+        recent
+            .filter(move |recent| recent.update.value.is_none() || is_present(&recent.update.name))
     }
 
-    /// Gives up entries that did not come back in time; true when some were.
+    /// Removes missing entries that did not reappear in time; returns true if there were
+    /// any.
     pub fn expire(&mut self, now: MonoTime) -> bool {
         let before = self.entries.len();
         self.entries.retain(|name, entry| {
-            let given_up = entry.missing.filter(|missing| now >= missing.until);
-            if let Some(missing) = given_up {
+            let expired = entry.missing.filter(|missing| now >= missing.until);
+            if let Some(missing) = expired {
                 log::info!(
                     target_id = name.as_str(),
                     missing_ms = millis(now.since(missing.since));
-                    "target's entry did not come back"
+                    "removed target: its entry did not reappear in the store"
                 );
             }
-            given_up.is_none()
+            expired.is_none()
         });
-        self.departed.retain(|_, at| now.since(*at) < DEPARTED_TIME);
-        // Kept for longer than others tell it: what is learned anew would be told for ever.
-        self.notes
-            .retain(|_, kept| now.since(kept.at) < DEPARTED_TIME);
+        self.departed.retain(|_, at| now.since(*at) < DEPARTURE_TTL);
+        // Kept for longer than peers announce an update: if it were forgotten earlier, it
+        // would be new again and announced forever.
+        self.recent_updates
+            .retain(|_, recent| now.since(recent.at) < DEPARTURE_TTL);
         let entries = &self.entries;
         self.seen
-            .retain(|name, seen| entries.contains_key(name) || now.since(seen.at) < DEPARTED_TIME);
+            .retain(|name, seen| entries.contains_key(name) || now.since(seen.at) < DEPARTURE_TTL);
         before != self.entries.len()
     }
 
-    /// When the next missing entry is given up.
+    /// Returns when the next missing entry is due for removal.
     #[must_use]
     pub fn next_expiry(&self) -> Option<MonoTime> {
-        self.missing().map(|(_, missing)| missing.until).min()
+        self.missing_entries()
+            .map(|(_, missing)| missing.until)
+            .min()
     }
 
-    /// Targets that may get work, by service, in an order that all daemons share.
+    /// Returns the targets that may get work, by service and in the same order on all
+    /// daemons.
     #[must_use]
     pub fn by_service(&self) -> TargetsByService {
         let mut services = TargetsByService::new();
@@ -283,24 +293,24 @@
         services
     }
 
-    /// Whether a life of a target announced its end.
+    /// Returns whether an incarnation of a target has departed.
     #[must_use]
-    pub fn has_departed(&self, life: &TargetIncarnation) -> bool {
-        self.departed.contains_key(life)
+    pub fn has_departed(&self, incarnation: &TargetIncarnation) -> bool {
+        self.departed.contains_key(incarnation)
     }
 
-    /// Lives that ended and are still remembered.
+    /// Returns the incarnations that departed and are still remembered.
     pub fn departed(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.departed.keys()
     }
 
-    /// Entries that the store holds no more and whose targets still get work.
-    pub fn missing(&self) -> impl Iterator<Item = (&TargetIncarnation, MissingEntry)> {
+    /// Returns the entries that are missing in the store and whose targets still get work.
+    pub fn missing_entries(&self) -> impl Iterator<Item = (&TargetIncarnation, MissingEntry)> {
         let entries = self.entries.values();
         entries.filter_map(|entry| Some((&entry.record.id, entry.missing?)))
     }
 
-    fn set(
+    fn insert_target(
         &mut self,
         record: TargetRecord,
         revision: u64,
@@ -311,12 +321,12 @@
             return false;
         }
         if record.leaving {
-            log::info!(target_id = record.id.as_str(), revision = revision, source = source.as_str(); "target leaves");
-            self.depart(&record.id, now);
+            log::info!(target_id = record.id.as_str(), revision = revision, source = source.as_str(); "target is leaving");
+            self.mark_departed(&record.id, now);
             return false;
         }
         let before = self.entries.get(record.id.name());
-        let begins = before.is_none_or(|entry| entry.record.id != record.id);
+        let is_new = before.is_none_or(|entry| entry.record.id != record.id);
         log_change(
             before.map(|entry| &*entry.record),
             &record,
@@ -329,16 +339,16 @@
             missing: None,
         };
         self.entries.insert(name, entry);
-        begins
+        is_new
     }
 
-    fn remove(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
-        if let Some(until) = self.contact.entry_return_deadline(now) {
-            self.miss(name, until, source, now);
+    fn remove_or_mark_missing(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
+        if let Some(until) = self.outage.entry_return_deadline(now) {
+            self.mark_missing(name, until, source, now);
             return;
         }
         if self.drop_entry(name, source) && source == EntrySource::Store {
-            self.keep_note(name, self.seen_revision(name), None, now);
+            self.record_update(name, self.seen_revision(name), None, now);
         }
     }
 
@@ -349,30 +359,42 @@
                 target_id = name.as_str(),
                 revision = self.seen_revision(name),
                 source = source.as_str();
-                "target's entry is gone"
+                "removed target: its entry is no longer in the store"
             );
         }
         dropped
     }
 
-    fn keep_note(&mut self, name: &TargetId, revision: u64, value: Option<ByteBuf>, now: MonoTime) {
+    fn record_update(
+        &mut self,
+        name: &TargetId,
+        revision: u64,
+        value: Option<ByteBuf>,
+        now: MonoTime,
+    ) {
         if revision == 0 {
             return;
         }
-        let note = EntryUpdate {
+        let update = EntryUpdate {
             name: name.clone(),
             revision,
             value,
         };
-        self.notes
-            .insert(name.clone(), RecentUpdate { note, at: now });
+        self.recent_updates
+            .insert(name.clone(), RecentUpdate { update, at: now });
     }
 
     fn seen_revision(&self, name: &TargetId) -> u64 {
         self.seen.get(name).map_or(0, |seen| seen.revision)
     }
 
-    fn miss(&mut self, name: &TargetId, until: MonoTime, source: EntrySource, now: MonoTime) {
+    fn mark_missing(
+        &mut self,
+        name: &TargetId,
+        until: MonoTime,
+        source: EntrySource,
+        now: MonoTime,
+    ) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
         };
@@ -381,41 +403,41 @@
         }
         entry.missing = Some(MissingEntry { since: now, until });
         metrics::counter!("pistachiowick_entries_missing_total").increment(1);
-        let failed_for = self.contact.failed_for(now).unwrap_or_default();
+        let failed_for = self.outage.failed_for(now).unwrap_or_default();
         log::info!(
             target_id = name.as_str(),
             source = source.as_str(),
             store_failed_ms = millis(failed_for),
             left_ms = millis(until.since(now));
-            "target's entry is missing; it gets work for a while"
+            "target's entry is missing in the store; work is still sent to the target for left_ms"
         );
     }
 
-    // What the entry said before is no more known to hold, so it names no target until
-    // its own writer writes it again, which takes a heartbeat.
-    fn leave_out(
+    // The previous content may be outdated, so the entry's target is removed until the
+    // target writes it again, which takes one heartbeat.
+    fn ignore_unreadable(
         &mut self,
         name: &TargetId,
         revision: u64,
         fault: &WireError,
         source: EntrySource,
     ) {
-        let logged = self.unreadable.insert(name.clone(), revision);
-        if logged != Some(revision) {
+        let logged_revision = self.unreadable.insert(name.clone(), revision);
+        if logged_revision != Some(revision) {
             metrics::counter!("pistachiowick_unreadable_entries_total").increment(1);
-            log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "target's entry left out, the others hold: {fault}");
+            log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "ignored unreadable target entry, other entries stay in use; the target gets no work until it writes the entry again: {fault}");
         }
         self.entries.swap_remove(name);
     }
 
-    // An entry that ended is not seen again with the revision that it had.
+    // A removed entry reappears only with a higher revision.
     fn is_outdated(&self, name: &TargetId, revision: u64) -> bool {
-        let ended = self
-            .notes
+        let removed = self
+            .recent_updates
             .get(name)
-            .filter(|kept| kept.note.value.is_none());
-        let over = ended.is_some_and(|kept| revision <= kept.note.revision);
-        revision > 0 && (over || revision < self.seen_revision(name))
+            .filter(|recent| recent.update.value.is_none());
+        let covered = removed.is_some_and(|recent| revision <= recent.update.revision);
+        revision > 0 && (covered || revision < self.seen_revision(name))
     }
 
     fn note_revision(&mut self, name: &TargetId, revision: u64, at: MonoTime) {
@@ -433,13 +455,13 @@
 ) {
     let message = match before {
         None => "target appeared",
-        Some(before) if before.id != record.id => "target started again",
+        Some(before) if before.id != record.id => "target restarted",
         Some(before) if before != record => "target changed",
         Some(_) => return,
     };
     log::info!(
         target_id = record.id.as_str(),
-        born = record.id.born().map_or(0, |born| born.0),
+        born = record.id.started_at().map_or(0, |at| at.0),
         address = record.address.to_string(),
         service = record.service.as_str(),
         stage = record.stage.map_or("", |stage| stage.as_str()),
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -155,7 +155,7 @@
             // It may have announced its departure after it was selected.
             return SendOutcome::NotSent(format!("{} is leaving or gone", target.id));
         }
-        if self.is_held(plan.call) {
+        if self.is_quarantined(plan.call) {
             return SendOutcome::NotSent("its work is quarantined".to_owned());
         }
         if !self.may_still_send(&order.access) {
@@ -195,7 +195,7 @@
     ) -> Result<http::Response<Incoming>, SendError> {
         let address = connection.record.address;
         while let Some(mut idle) = self.take_idle(&connection.record.id) {
-            if !plan.call.route.repeat.may_retry()
+            if !plan.call.route.retry.may_retry()
                 && idle.idle_since.elapsed() > MAX_IDLE_WITHOUT_RETRY
             {
                 continue;
@@ -356,7 +356,7 @@
             Some(HealthChange::Avoided) => {
                 log::warn!(target_id = target.id.as_str(), address = target.address.to_string(); "target does not answer; avoiding it for a while");
             }
-            Some(HealthChange::Proved) => {
+            Some(HealthChange::Recovered) => {
                 log::info!(target_id = target.id.as_str(), address = target.address.to_string(); "target answers again");
             }
             None => {}
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -180,7 +180,7 @@
         };
         if self.first_event.is_none() {
             self.first_event = Some(Instant::now());
-            self.gateway.note_begun(&self.call.access);
+            self.gateway.record_start(&self.call.access);
             if let Some(timed) = self.first_event_timer.timed.take() {
                 self.gateway
                     .note_time(&timed, self.first_event_timer.sent.elapsed());
@@ -202,7 +202,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RetryRule::ResumableStream && self.history.may_send(&self.call)
+        self.call.route.retry == RetryRule::ResumableStream && self.history.may_send(&self.call)
     }
 
     // Resumes after the last event forwarded to the caller. The answer keeps the head from
@@ -222,10 +222,14 @@
         if !self.gateway.may_retry(&self.call) {
             return false;
         }
-        let engine = place.writer;
+        let engine = place.decode_engine;
         self.history.sent.push(engine.id.clone());
-        let mut in_flight =
-            InFlightGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
+        let mut in_flight = InFlightGuard::begin(
+            &self.gateway,
+            &engine.id,
+            place.rank,
+            place.pending_prefill_tokens,
+        );
         let order = self.gateway.order(
             &self.call,
             &engine,
@@ -285,7 +289,7 @@
             return;
         };
         if result == SendResult::Answered {
-            self.gateway.note_answered(&self.engine, answer.times);
+            self.gateway.record_answer(&self.engine, answer.times);
             self.gateway
                 .record_completion(&self.call, &answer.head.headers);
             answer.connection.return_to_pool(&answer.head);
