--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -109,12 +109,12 @@
         for decision in planner.plan(&fleet, &[], &mix, under_way.len(), now) {
             match decision {
                 PlanDecision::Keep { .. } => run.keeps += 1,
-                PlanDecision::Change { target, wish } => {
+                PlanDecision::Change { target, change } => {
                     run.changes += 1;
                     run.log.push((second, target.clone()));
                     let engine = fleet.iter_mut().find(|e| e.id == target).unwrap();
                     engine.usable = false;
-                    under_way.push((second + 3, target, wish.role));
+                    under_way.push((second + 3, target, change.role));
                 }
             }
         }
@@ -379,11 +379,11 @@
         assert!(decisions.is_empty(), "{decisions:?}");
         return;
     };
-    let [PlanDecision::Change { target, wish }] = decisions.as_slice() else {
+    let [PlanDecision::Change { target, change }] = decisions.as_slice() else {
         panic!("{decisions:?}");
     };
     assert_eq!(
-        (target.as_str(), wish.models.as_slice()),
+        (target.as_str(), change.models.as_slice()),
         (
             name,
             &case
