--- a/tests/control_authority.rs
+++ b/tests/control_authority.rs
@@ -48,16 +48,16 @@
     }
 }
 
-struct Bench {
+struct Fixture {
     platform: FakePlatform,
     engines: FakeEngines,
     journal: DecisionJournal,
 }
 
-impl Bench {
+impl Fixture {
     fn new(daemons: &[&str], engines: usize) -> Self {
         let platform = FakePlatform::default();
-        let fakes = FakeEngines {
+        let fake_engines = FakeEngines {
             checks_fence: true,
             ..FakeEngines::default()
         };
@@ -67,13 +67,13 @@
             .collect();
         for number in 0..engines {
             let id = format!("e{number}");
-            fakes.put(&format!("{id}:1"), state(&id));
+            fake_engines.put(&format!("{id}:1"), state(&id));
             rows.push(row(&id, InstanceKind::Engine));
         }
         platform.data().instances = rows;
         Self {
             platform,
-            engines: fakes,
+            engines: fake_engines,
             journal: DecisionJournal::new(1_000),
         }
     }
@@ -115,41 +115,41 @@
 /// later fence, and no lease has two holders.
 #[tokio::test]
 async fn a_killed_holder_is_succeeded() {
-    let bench = Bench::new(&["a", "b"], 2);
-    let handles = [bench.start("a"), bench.start("b")];
+    let fixture = Fixture::new(&["a", "b"], 2);
+    let handles = [fixture.start("a"), fixture.start("b")];
     for group in ["north-0", "plan"] {
         wait_until("a holder", || handles.iter().any(|h| holds(h, group))).await;
         assert!(!handles.iter().all(|h| holds(h, group)));
     }
     let [first, second] = handles;
-    let (killed, heir) = if holds(&first, "north-0") {
+    let (killed, successor) = if holds(&first, "north-0") {
         (first, second)
     } else {
         (second, first)
     };
     end(killed).await;
     for group in ["north-0", "plan"] {
-        wait_until("succession", || holds(&heir, group)).await;
+        wait_until("succession", || holds(&successor, group)).await;
     }
-    let snapshot = heir.snapshot.load();
+    let snapshot = successor.snapshot.load();
     let fences = snapshot.leases.iter().map(|lease| lease.fence.0);
     assert!(fences.max().unwrap() >= 2);
     drop(snapshot);
-    end(heir).await;
+    end(successor).await;
 }
 
 #[tokio::test]
 async fn a_planned_stop_hands_the_leases_over() {
-    let bench = Bench::new(&["a", "b"], 2);
-    let first = bench.start("a");
+    let fixture = Fixture::new(&["a", "b"], 2);
+    let first = fixture.start("a");
     wait_until("a holder", || {
         holds(&first, "north-0") && holds(&first, "plan")
     })
     .await;
-    let second = bench.start("b");
-    let (done, told) = oneshot::channel();
+    let second = fixture.start("b");
+    let (done, stopped) = oneshot::channel();
     first.events.send(ControlEvent::Stop { done }).unwrap();
-    told.await.unwrap();
+    stopped.await.unwrap();
     assert!(!holds(&first, "north-0") && !holds(&first, "plan"));
     for group in ["north-0", "plan"] {
         wait_until("succession", || holds(&second, group)).await;
@@ -162,9 +162,9 @@
 /// engines out of use on all daemons, orders them to change, and puts them back, never
 /// all at once and with each order sent once.
 #[tokio::test]
-async fn a_swing_of_the_mix_changes_roles() {
-    let bench = Bench::new(&["a", "b"], 4);
-    let handles = [bench.start("a"), bench.start("b")];
+async fn a_shift_of_the_workload_mix_changes_roles() {
+    let fixture = Fixture::new(&["a", "b"], 4);
+    let handles = [fixture.start("a"), fixture.start("b")];
     for handle in &handles {
         wait_until("ready", || handle.snapshot.load().ready).await;
     }
@@ -183,7 +183,7 @@
             *drained |= out > 0;
             assert!(out <= 2, "{out} engines out of use at once");
         }
-        bench.engines.orders.lock().unwrap().len() >= 2
+        fixture.engines.orders.lock().unwrap().len() >= 2
     })
     .await;
     assert_eq!(
@@ -191,7 +191,7 @@
         [true, true],
         "a daemon did not learn of the change"
     );
-    let orders = bench.engines.orders.lock().unwrap().clone();
+    let orders = fixture.engines.orders.lock().unwrap().clone();
     for (address, body) in &orders {
         assert_eq!(body.role, EngineRole::Prefill, "{address}");
         assert_eq!(body.models, ["m"]);
@@ -211,7 +211,7 @@
     }
     assert_eq!(violations(Invariant::OneOrder), 0);
     assert!(
-        !bench.journal.recent("gains", 10).is_empty(),
+        !fixture.journal.recent("gains", 10).is_empty(),
         "no reason in the journal"
     );
     for handle in handles {
@@ -222,16 +222,16 @@
 /// The platform is down for longer than the leases last: no daemon orders, all go on
 /// serving, and afterwards there is one holder again.
 #[tokio::test]
-async fn an_outage_ends_leases_and_heals() {
-    let bench = Bench::new(&["a", "b"], 2);
-    let handles = [bench.start("a"), bench.start("b")];
+async fn leases_end_in_an_outage_and_resume_after_it() {
+    let fixture = Fixture::new(&["a", "b"], 2);
+    let handles = [fixture.start("a"), fixture.start("b")];
     wait_until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
-    bench.platform.set_down(true);
+    fixture.platform.set_down(true);
     wait_until("no holder", || !handles.iter().any(|h| holds(h, "north-0"))).await;
     for handle in &handles {
         assert!(handle.snapshot.load().ready);
     }
-    bench.platform.set_down(false);
+    fixture.platform.set_down(false);
     wait_until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
     assert!(!handles.iter().all(|h| holds(h, "north-0")));
     let own = &handles[0].snapshot.load().fleet.daemons[&DaemonId::from("a")].clone();
--- a/tests/control_fakes/mod.rs
+++ b/tests/control_fakes/mod.rs
@@ -67,7 +67,7 @@
 }
 
 impl PlatformData {
-    pub fn take(&mut self, write: &ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
+    pub fn apply(&mut self, write: &ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
         let current = self
             .objects
             .get(&write.object)
@@ -87,15 +87,15 @@
     fn write(&mut self, write: ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
         self.writes += 1;
         if let Some(other) = self.before_write.pop_front() {
-            let _ = self.take(&other);
+            let _ = self.apply(&other);
         }
         match self.faults.pop_front() {
             _ if self.down => Err(unavailable()),
-            None => self.take(&write),
+            None => self.apply(&write),
             Some(WriteFault::Busy) => Err(unavailable()),
             Some(WriteFault::NeverArrives) => Err(lost()),
             Some(WriteFault::AnswerLost) => {
-                let _ = self.take(&write);
+                let _ = self.apply(&write);
                 Err(lost())
             }
             Some(WriteFault::Delayed) => {
@@ -107,7 +107,7 @@
 
     pub fn land_delayed(&mut self) -> Vec<Result<ObjectVersion, PlatformError>> {
         let delayed = std::mem::take(&mut self.delayed);
-        delayed.iter().map(|write| self.take(write)).collect()
+        delayed.iter().map(|write| self.apply(write)).collect()
     }
 
     fn read(&mut self, object: &ObjectName) -> Result<Option<StoredObject>, PlatformError> {
@@ -166,7 +166,7 @@
             .get(&object)
             .map_or_else(ObjectVersion::default, |o| o.0);
         let version = data
-            .take(&ConditionalWrite {
+            .apply(&ConditionalWrite {
                 object,
                 expected,
                 value,
@@ -281,7 +281,7 @@
     }
 
     /// Handles an order as an engine does.
-    pub fn take(
+    pub fn apply(
         &self,
         address: &str,
         body: &pistachiowick::targets::wire::OrderBody,
@@ -318,7 +318,7 @@
                 Box::pin(async move { state.ok_or_else(not_reached) })
             }),
             order: Arc::new(move |call| {
-                let result = engines.take(&call.address, &call.body);
+                let result = engines.apply(&call.address, &call.body);
                 Box::pin(async move { result })
             }),
         }
--- a/tests/control_leases.rs
+++ b/tests/control_leases.rs
@@ -42,7 +42,12 @@
     }
 }
 
-fn foreign(version: u64, fence: u64, released: bool, order_in_flight: bool) -> StoredObject {
+fn record_of_other(
+    version: u64,
+    fence: u64,
+    released: bool,
+    order_in_flight: bool,
+) -> StoredObject {
     let record = LeaseRecord {
         holder: DaemonId::from("other"),
         incarnation: ProcessIncarnation(7),
@@ -102,13 +107,13 @@
 }
 
 #[rstest]
-#[case::lapsed(TakeOverCase { found: foreign(3, 4, false, false), rank: 0, earliest: 7_000, latest: 7_100 })]
-#[case::lapsed_second(TakeOverCase { found: foreign(3, 4, false, false), rank: 1, earliest: 8_500, latest: 8_600 })]
-#[case::released(TakeOverCase { found: foreign(3, 4, true, false), rank: 0, earliest: 0, latest: 100 })]
+#[case::lapsed(TakeOverCase { found: record_of_other(3, 4, false, false), rank: 0, earliest: 7_000, latest: 7_100 })]
+#[case::lapsed_second(TakeOverCase { found: record_of_other(3, 4, false, false), rank: 1, earliest: 8_500, latest: 8_600 })]
+#[case::released(TakeOverCase { found: record_of_other(3, 4, true, false), rank: 0, earliest: 0, latest: 100 })]
 #[case::released_with_order_out(TakeOverCase {
-    found: foreign(3, 4, true, true), rank: 0, earliest: 1_000, latest: 1_100,
+    found: record_of_other(3, 4, true, true), rank: 0, earliest: 1_000, latest: 1_100,
 })]
-#[case::released_second(TakeOverCase { found: foreign(3, 4, true, false), rank: 1, earliest: 6_000, latest: 6_100 })]
+#[case::released_second(TakeOverCase { found: record_of_other(3, 4, true, false), rank: 1, earliest: 6_000, latest: 6_100 })]
 /// A lease expires or is released. If it is acquired too early, the last holder may
 /// still rely on it and have orders in flight; if too late, nobody orders the engines.
 fn takes_over_when_nothing_can_be_under_way(#[case] case: TakeOverCase) {
@@ -129,9 +134,9 @@
     let mut table = table("a", 0);
     for version in 1..20 {
         let from = version * 3_000;
-        let newest = foreign(version, 4, false, false);
+        let newest = record_of_other(version, 4, false, false);
         assert!(write_after(&mut table, Some(&newest), from, from + 1_500).is_none());
-        let stale = foreign(version - 1, 4, false, false);
+        let stale = record_of_other(version - 1, 4, false, false);
         assert!(write_after(&mut table, Some(&stale), from + 1_600, from + 2_900).is_none());
     }
 }
@@ -164,10 +169,10 @@
 }
 
 enum Answer {
-    LostAndLanded,
-    LostAndGone,
-    Taken,
-    Silent,
+    LostAndApplied,
+    LostAndNotApplied,
+    TakenOver,
+    NoResponse,
 }
 
 struct RenewCase {
@@ -179,10 +184,10 @@
 /// the write met another daemon's record, ordering stops at once, before the old lease
 /// expires.
 #[rstest]
-#[case::landed(RenewCase { answer: Answer::LostAndLanded, keeps: true })]
-#[case::gone(RenewCase { answer: Answer::LostAndGone, keeps: true })]
-#[case::silent(RenewCase { answer: Answer::Silent, keeps: true })]
-#[case::taken(RenewCase { answer: Answer::Taken, keeps: false })]
+#[case::landed(RenewCase { answer: Answer::LostAndApplied, keeps: true })]
+#[case::gone(RenewCase { answer: Answer::LostAndNotApplied, keeps: true })]
+#[case::silent(RenewCase { answer: Answer::NoResponse, keeps: true })]
+#[case::taken(RenewCase { answer: Answer::TakenOver, keeps: false })]
 fn a_lost_renewal_is_read_back(#[case] case: RenewCase) {
     let mut table = table("a", 0);
     let at = acquire(&mut table, 0);
@@ -193,8 +198,8 @@
         ..stored.clone()
     };
     let found = match case.answer {
-        Answer::Taken => {
-            let taken = foreign(stored.version.0, 9, false, false);
+        Answer::TakenOver => {
+            let taken = record_of_other(stored.version.0, 9, false, false);
             table.note_write(
                 &group(),
                 &write_id,
@@ -204,15 +209,15 @@
             assert!(table.authority(&group(), MonoTime(sent)).is_none());
             taken
         }
-        Answer::LostAndLanded | Answer::LostAndGone => {
+        Answer::LostAndApplied | Answer::LostAndNotApplied => {
             table.note_write(&group(), &write_id, &Err(lost()), MonoTime(sent));
-            if matches!(case.answer, Answer::LostAndLanded) {
+            if matches!(case.answer, Answer::LostAndApplied) {
                 stored
             } else {
                 unchanged
             }
         }
-        Answer::Silent => stored,
+        Answer::NoResponse => stored,
     };
     let mut now = sent;
     let mut renewed = false;
@@ -241,7 +246,7 @@
 /// so the second meets a conflict. The conflict is with this daemon's own write, and
 /// the lease must not be dropped for it.
 #[test]
-fn its_own_late_renewal_is_no_rival() {
+fn a_late_renewal_of_its_own_does_not_end_the_lease() {
     let mut table = table("a", 0);
     let at = acquire(&mut table, 0);
     let (sent, write_id, first) = write_after(&mut table, None, at, at + 6_000).unwrap();
@@ -289,9 +294,10 @@
         assert_eq!(table.authority(&group(), MonoTime(now)).is_some(), allowed);
     }
     assert!(calls <= 30, "{calls}");
-    let news = table.take_changes();
+    let changes = table.take_changes();
     assert!(
-        news.iter()
+        changes
+            .iter()
             .any(|n| !n.held && n.reason.contains("without a renewal"))
     );
 }
@@ -330,7 +336,7 @@
 /// The lease moves to a daemon that has ranked first for long, but not to one that
 /// joins and leaves again.
 #[test]
-fn a_lease_moves_to_who_ranks_first_for_long() {
+fn a_lease_moves_to_a_daemon_that_ranks_first_for_long() {
     let mut table = table("a", 0);
     let mut now = acquire(&mut table, 0);
     let mut released = None;
@@ -368,10 +374,11 @@
 /// outranked, it would release the lease at once, and nobody would hold it while the
 /// first daemon is unreachable.
 #[test]
-fn who_takes_over_late_keeps_the_lease() {
+fn a_daemon_that_takes_over_late_keeps_the_lease() {
     let mut table = table("a", 1);
-    let quiet = foreign(3, 4, false, false);
-    let (at, write_id, stored) = write_after(&mut table, Some(&quiet), 60_000, 80_000).unwrap();
+    let unchanged_record = record_of_other(3, 4, false, false);
+    let (at, write_id, stored) =
+        write_after(&mut table, Some(&unchanged_record), 60_000, 80_000).unwrap();
     table.note_write(&group(), &write_id, &Ok(stored.version), MonoTime(at));
     table.set_groups(&IndexMap::from([(group(), 1)]), MonoTime(at + 100));
     let next = write_after(&mut table, None, at + 100, at + 4_000);
@@ -442,8 +449,15 @@
 #[case(64, 64, 1)]
 #[case(65, 64, 2)]
 #[case(632, 64, 13)]
-fn group_counts_leave_room(#[case] engines: usize, #[case] most: usize, #[case] count: u32) {
-    assert_eq!(lease_groups::initial_group_count(engines, most), count);
+fn group_counts_leave_room(
+    #[case] engines: usize,
+    #[case] max_group_engines: usize,
+    #[case] count: u32,
+) {
+    assert_eq!(
+        lease_groups::initial_group_count(engines, max_group_engines),
+        count
+    );
     let centre = CentreName::from("north");
     let mut sizes: IndexMap<GroupName, usize> = IndexMap::new();
     for number in 0..engines {
@@ -452,7 +466,10 @@
             .entry(lease_groups::group_of(&centre, &target, count))
             .or_default() += 1;
     }
-    assert!(sizes.values().all(|size| *size <= most), "{sizes:?}");
+    assert!(
+        sizes.values().all(|size| *size <= max_group_engines),
+        "{sizes:?}"
+    );
 }
 
 /// The lease of a failed holder is read, and every other read is stale. If the older
@@ -461,7 +478,10 @@
 #[test]
 fn stale_reads_do_not_restart_the_wait() {
     let mut table = table("a", 0);
-    let (newest, stale) = (foreign(3, 4, false, false), foreign(2, 4, false, false));
+    let (newest, stale) = (
+        record_of_other(3, 4, false, false),
+        record_of_other(2, 4, false, false),
+    );
     let mut reads = 0;
     for at in (0..=8_000).step_by(100) {
         for action in table.tick(MonoTime(at)) {
--- a/tests/control_membership.rs
+++ b/tests/control_membership.rs
@@ -93,7 +93,7 @@
     Leaving,
     Absent,
     Moved,
-    Life(u64),
+    Incarnation(u64),
     Wait(u64),
 }
 
@@ -108,27 +108,27 @@
 #[case::older_list(LeavingCase {
     steps: &[Step::Live, Step::Leaving, Step::Live, Step::Live], state: Some(UseState::Leaving),
 })]
-#[case::same_life_reports(LeavingCase {
-    steps: &[Step::Life(5), Step::Leaving, Step::Live, Step::Life(5), Step::Live], state: Some(UseState::Leaving),
+#[case::same_incarnation_reports(LeavingCase {
+    steps: &[Step::Incarnation(5), Step::Leaving, Step::Live, Step::Incarnation(5), Step::Live], state: Some(UseState::Leaving),
 })]
-#[case::new_life(LeavingCase {
-    steps: &[Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Live], state: Some(UseState::Live),
+#[case::new_incarnation(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Live], state: Some(UseState::Live),
 })]
-#[case::new_life_before_the_list_follows(LeavingCase {
-    steps: &[Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Leaving], state: Some(UseState::Leaving),
+#[case::new_incarnation_before_the_list_follows(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Leaving], state: Some(UseState::Leaving),
 })]
-#[case::lagging_list_after_new_life(LeavingCase {
-    steps: &[Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Leaving, Step::Live],
+#[case::lagging_list_after_new_incarnation(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Leaving, Step::Live],
     state: Some(UseState::Live),
 })]
-#[case::new_life_leaves_too(LeavingCase {
+#[case::new_incarnation_leaves_too(LeavingCase {
     steps: &[
-        Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Live, Step::Leaving, Step::Live,
+        Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Live, Step::Leaving, Step::Live,
     ],
     state: Some(UseState::Leaving),
 })]
-#[case::late_report_of_the_old_life(LeavingCase {
-    steps: &[Step::Live, Step::Life(6), Step::Leaving, Step::Life(5), Step::Live], state: Some(UseState::Leaving),
+#[case::late_report_of_the_old_incarnation(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(6), Step::Leaving, Step::Incarnation(5), Step::Live], state: Some(UseState::Leaving),
 })]
 #[case::other_address(LeavingCase {
     steps: &[Step::Live, Step::Leaving, Step::Moved], state: Some(UseState::Live),
@@ -153,27 +153,25 @@
 fn leaving_beats_live(#[case] case: LeavingCase) {
     let mut state = membership();
     let mut now = MonoTime(0);
-    let keeper = engine("keeper", InstanceState::Live);
+    let other = engine("keeper", InstanceState::Live);
     for step in case.steps {
         now = now.plus(Duration::from_secs(1));
         match step {
-            Step::Live => {
-                state.apply_list(&[keeper.clone(), engine("e", InstanceState::Live)], now)
-            }
+            Step::Live => state.apply_list(&[other.clone(), engine("e", InstanceState::Live)], now),
             Step::Leaving => {
-                state.apply_list(&[keeper.clone(), engine("e", InstanceState::Leaving)], now)
+                state.apply_list(&[other.clone(), engine("e", InstanceState::Leaving)], now)
             }
-            Step::Absent => state.apply_list(std::slice::from_ref(&keeper), now),
+            Step::Absent => state.apply_list(std::slice::from_ref(&other), now),
             Step::Moved => {
                 let moved = InstanceRow {
                     address: "elsewhere:1".to_owned(),
                     ..engine("e", InstanceState::Live)
                 };
-                state.apply_list(&[keeper.clone(), moved], now)
+                state.apply_list(&[other.clone(), moved], now)
             }
-            Step::Life(incarnation) => {
+            Step::Incarnation(incarnation) => {
                 if target_state(&mut state, "e").is_none() {
-                    state.apply_list(&[keeper.clone(), engine("e", InstanceState::Live)], now);
+                    state.apply_list(&[other.clone(), engine("e", InstanceState::Live)], now);
                 }
                 let seen = report("e", *incarnation);
                 state.note_state(&TargetId::from("e"), &seen, Duration::ZERO, now);
@@ -191,7 +189,7 @@
 /// The platform restarts and returns an empty list. Applying it would take every engine
 /// out of use at once, and every request would be refused.
 #[test]
-fn an_empty_list_is_left_out() {
+fn an_empty_list_is_ignored() {
     let mut state = membership();
     state.apply_list(&[engine("e", InstanceState::Live)], MonoTime(1));
     for second in 2..9 {
@@ -297,7 +295,7 @@
 
 /// An engine that answers no poll is polled less and less often, but never dropped.
 #[test]
-fn a_silent_engine_is_polled_back() {
+fn an_unresponsive_engine_is_still_polled() {
     let mut state = membership();
     state.apply_list(&[engine("e", InstanceState::Live)], MonoTime(0));
     let mut polls = 0;
@@ -350,29 +348,29 @@
 }
 
 struct PeerCase {
-    words: &'static [(u64, bool)],
+    updates: &'static [(u64, bool)],
     state: UseState,
     incarnation: u64,
 }
 
 #[rstest]
-#[case::live(PeerCase { words: &[(5, false)], state: UseState::Live, incarnation: 5 })]
-#[case::leaving(PeerCase { words: &[(5, true)], state: UseState::Leaving, incarnation: 5 })]
-#[case::late_word(PeerCase { words: &[(5, true), (5, false)], state: UseState::Leaving, incarnation: 5 })]
-#[case::restarted(PeerCase { words: &[(5, true), (6, false)], state: UseState::Live, incarnation: 6 })]
-#[case::late_word_of_the_old_life(PeerCase {
-    words: &[(6, false), (5, true)], state: UseState::Live, incarnation: 6,
+#[case::live(PeerCase { updates: &[(5, false)], state: UseState::Live, incarnation: 5 })]
+#[case::leaving(PeerCase { updates: &[(5, true)], state: UseState::Leaving, incarnation: 5 })]
+#[case::late_update(PeerCase { updates: &[(5, true), (5, false)], state: UseState::Leaving, incarnation: 5 })]
+#[case::restarted(PeerCase { updates: &[(5, true), (6, false)], state: UseState::Live, incarnation: 6 })]
+#[case::late_update_of_the_old_incarnation(PeerCase {
+    updates: &[(6, false), (5, true)], state: UseState::Live, incarnation: 6,
 })]
-fn peers_speak_for_one_life(#[case] case: PeerCase) {
+fn peer_updates_apply_to_one_incarnation(#[case] case: PeerCase) {
     let mut state = membership();
     state.apply_list(&[daemon("d", InstanceState::Live)], MonoTime(0));
-    for (incarnation, leaving) in case.words {
-        let word = PeerUpdate {
+    for (incarnation, leaving) in case.updates {
+        let update = PeerUpdate {
             daemon: DaemonId::from("d"),
             incarnation: ProcessIncarnation(*incarnation),
             leaving: *leaving,
         };
-        state.apply_peer_update(&word, MonoTime(1));
+        state.apply_peer_update(&update, MonoTime(1));
     }
     assert_eq!(daemon_state(&mut state, "d"), Some(case.state));
     let view = &state.fleet().daemons[&DaemonId::from("d")];
@@ -380,20 +378,20 @@
 }
 
 #[test]
-fn a_silent_peer_is_suspected() {
+fn an_unreachable_peer_is_suspected() {
     let mut state = membership();
     state.apply_list(&[daemon("d", InstanceState::Live)], MonoTime(0));
-    let word = PeerUpdate {
+    let update = PeerUpdate {
         daemon: DaemonId::from("d"),
         incarnation: ProcessIncarnation(1),
         leaving: false,
     };
-    state.apply_peer_update(&word, MonoTime(0));
+    state.apply_peer_update(&update, MonoTime(0));
     state.tick(MonoTime(2_999));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
     state.tick(MonoTime(3_000));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Suspect));
-    state.apply_peer_update(&word, MonoTime(3_100));
+    state.apply_peer_update(&update, MonoTime(3_100));
     state.tick(MonoTime(3_200));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
 }
@@ -402,13 +400,13 @@
 /// incarnation as leaving. It must not take itself out of use for that, but must for a
 /// later row.
 #[rstest]
-#[case::word_about_the_previous_life(&[InstanceState::Leaving, InstanceState::Live], UseState::Live)]
-#[case::word_about_this_life(&[InstanceState::Live, InstanceState::Leaving], UseState::Leaving)]
+#[case::row_about_the_previous_incarnation(&[InstanceState::Leaving, InstanceState::Live], UseState::Live)]
+#[case::row_about_this_incarnation(&[InstanceState::Live, InstanceState::Leaving], UseState::Leaving)]
 #[case::older_list(
     &[InstanceState::Live, InstanceState::Leaving, InstanceState::Live],
     UseState::Leaving
 )]
-fn hears_the_list_about_itself(#[case] rows: &[InstanceState], #[case] state: UseState) {
+fn applies_rows_about_itself(#[case] rows: &[InstanceState], #[case] state: UseState) {
     let mut own = membership();
     for (step, row) in rows.iter().enumerate() {
         own.apply_list(&[daemon("me", *row)], MonoTime(step as u64));
@@ -438,7 +436,7 @@
 }
 
 #[test]
-fn addressing_names_only_who_stays() {
+fn addressing_includes_only_daemons_that_stay() {
     let daemons = [
         ("me", "north", UseState::Live),
         ("near", "south", UseState::Live),
@@ -451,15 +449,15 @@
     for stopping in [false, true] {
         let snapshot = snapshot(&daemons, stopping);
         let answer = addressing::locate(&snapshot, &own, Some(&south), 3_000, &mut rng);
-        let named: Vec<&str> = answer
+        let addresses: Vec<&str> = answer
             .addresses
             .iter()
             .map(|a| a.address.as_str())
             .collect();
         assert_eq!(answer.keep_ms, 3_000);
-        assert_eq!(named.contains(&"me:1"), !stopping);
-        assert!(named.contains(&"near:1") && named.contains(&"slow:1"));
-        assert!(!named.contains(&"leaving:1") && !named.contains(&"gone:1"));
+        assert_eq!(addresses.contains(&"me:1"), !stopping);
+        assert!(addresses.contains(&"near:1") && addresses.contains(&"slow:1"));
+        assert!(!addresses.contains(&"leaving:1") && !addresses.contains(&"gone:1"));
         assert_eq!(answer.addresses[0].data_centre, south);
     }
 }
--- a/tests/control_orders.rs
+++ b/tests/control_orders.rs
@@ -21,10 +21,10 @@
 };
 
 /// An engine, its group's object, and the order managers of successive lease holders.
-struct Bench {
+struct Fixture {
     now: u64,
     stored: Option<StoredObject>,
-    book: OrderManager,
+    manager: OrderManager,
     fence: u64,
     state: EngineState,
     sent: Vec<(u64, OrderBody)>,
@@ -46,16 +46,16 @@
     OrderTimes::new(LEASE, Duration::from_secs(3))
 }
 
-fn book(fence: u64) -> OrderManager {
+fn manager(fence: u64) -> OrderManager {
     OrderManager::new(GroupName::from("north-0"), FenceNumber(fence), times())
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         Self {
             now: 1_000,
             stored: None,
-            book: book(1),
+            manager: manager(1),
             fence: 1,
             state: EngineState {
                 target: engine(),
@@ -80,7 +80,7 @@
     fn authority(&self) -> Option<LeaseAuthority> {
         Some(LeaseAuthority {
             fence: FenceNumber(self.fence),
-            until: MonoTime(u64::MAX),
+            deadline: MonoTime(u64::MAX),
         })
     }
 
@@ -106,16 +106,16 @@
     fn step(&mut self) -> Vec<TargetId> {
         self.now += 100;
         let now = MonoTime(self.now);
-        self.book.note_state(&engine(), &self.state.clone(), now);
+        self.manager.note_state(&engine(), &self.state.clone(), now);
         let mut sends = Vec::new();
-        for action in self.book.tick(now) {
+        for action in self.manager.tick(now) {
             match &action {
-                OrderAction::Read => self.book.note_read(&Ok(self.stored.clone()), now),
+                OrderAction::Read => self.manager.note_read(&Ok(self.stored.clone()), now),
                 OrderAction::Write { write_id, .. } => {
                     let result = self.store(&action).ok_or(PlatformError::Conflict {
                         current: ObjectVersion(0),
                     });
-                    self.book.note_write(write_id, &result, now);
+                    self.manager.note_write(write_id, &result, now);
                 }
                 OrderAction::Send(target) => sends.push(target.clone()),
             }
@@ -133,34 +133,34 @@
     }
 
     /// Steps until the order may be sent, and sends it.
-    fn order(&mut self) -> OrderBody {
+    fn next_order(&mut self) -> OrderBody {
         for _ in 0..200 {
             if self.step().is_empty() {
                 continue;
             }
             let (authority, now) = (self.authority(), MonoTime(self.now));
-            let body = self.book.begin_send(&engine(), authority, now).unwrap();
+            let body = self.manager.begin_send(&engine(), authority, now).unwrap();
             self.sent.push((self.now, body.clone()));
             return body;
         }
-        panic!("no order: {:?}", self.book);
+        panic!("no order: {:?}", self.manager);
     }
 
     /// Requests a role until the order for it is sent.
-    fn wanted_order(&mut self, role: EngineRole) -> OrderBody {
+    fn request_order(&mut self, role: EngineRole) -> OrderBody {
         for _ in 0..200 {
-            self.book.request_change(engine(), change(role));
+            self.manager.request_change(engine(), change(role));
             if self.step().is_empty() {
                 continue;
             }
             let (authority, now) = (self.authority(), MonoTime(self.now));
-            return self.book.begin_send(&engine(), authority, now).unwrap();
+            return self.manager.begin_send(&engine(), authority, now).unwrap();
         }
-        panic!("no order: {:?}", self.book);
+        panic!("no order: {:?}", self.manager);
     }
 
     /// The engine accepts an order and starts the change.
-    fn take(&mut self, body: &OrderBody) -> EngineState {
+    fn accept_order(&mut self, body: &OrderBody) -> EngineState {
         self.state.last_order = Some(body.order_id.clone());
         self.state.changing = true;
         self.state.clone()
@@ -176,37 +176,40 @@
         OrderRecord::decode(self.stored.as_ref().unwrap()).unwrap()
     }
 
-    fn succeed(&mut self) {
+    fn take_over(&mut self) {
         self.fence += 1;
-        self.book = book(self.fence);
+        self.manager = manager(self.fence);
     }
 }
 
 #[test]
 fn a_change_is_drained_recorded_sent_and_finished() {
-    let mut bench = Bench::new();
-    bench.state.running = 2;
-    bench
-        .book
+    let mut fixture = Fixture::new();
+    fixture.state.running = 2;
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    assert!(bench.steps(50).is_empty(), "ordered while work is running");
+    assert!(
+        fixture.steps(50).is_empty(),
+        "ordered while work is running"
+    );
     assert_eq!(
-        bench.recorded().entries[&engine()].phase,
+        fixture.recorded().entries[&engine()].phase,
         OrderPhase::Draining
     );
-    bench.state.running = 0;
-    let body = bench.order();
+    fixture.state.running = 0;
+    let body = fixture.next_order();
     let recorded = OrderPhase::Ordered(body.order_id.clone());
-    assert_eq!(bench.recorded().entries[&engine()].phase, recorded);
-    let answer = bench.take(&body);
-    bench
-        .book
-        .note_answer(&engine(), &Ok(answer), MonoTime(bench.now));
-    assert!(bench.steps(30).is_empty(), "sent twice");
-    bench.finish(&body);
-    bench.steps(3);
-    assert!(bench.recorded().entries.is_empty());
-    assert!(bench.steps(30).is_empty());
+    assert_eq!(fixture.recorded().entries[&engine()].phase, recorded);
+    let answer = fixture.accept_order(&body);
+    fixture
+        .manager
+        .note_answer(&engine(), &Ok(answer), MonoTime(fixture.now));
+    assert!(fixture.steps(30).is_empty(), "sent twice");
+    fixture.finish(&body);
+    fixture.steps(3);
+    assert!(fixture.recorded().entries.is_empty());
+    assert!(fixture.steps(30).is_empty());
 }
 
 /// An engine is marked as draining, and another daemon that does not know this yet
@@ -214,32 +217,33 @@
 /// nothing: an order sent on it would interrupt that request.
 #[test]
 fn an_early_report_of_no_work_is_not_believed() {
-    let mut bench = Bench::new();
-    bench
-        .book
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
     for _ in 0..10 {
-        if bench.stored.is_none() || bench.recorded().entries.is_empty() {
-            bench.step();
+        if fixture.stored.is_none() || fixture.recorded().entries.is_empty() {
+            fixture.step();
         }
     }
-    let since = bench.now;
-    bench.order();
-    assert!(bench.now >= since + 1_000, "{}", bench.now - since);
+    let since = fixture.now;
+    fixture.next_order();
+    assert!(fixture.now >= since + 1_000, "{}", fixture.now - since);
 }
 
 #[test]
 fn a_drain_that_never_ends_is_given_up_without_an_order() {
-    let mut bench = Bench::new();
-    bench.state.running = 1;
-    bench
-        .book
+    let mut fixture = Fixture::new();
+    fixture.state.running = 1;
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    bench.steps(3_100);
-    assert!(bench.recorded().entries.is_empty());
-    let news = bench.book.take_events();
+    fixture.steps(3_100);
+    assert!(fixture.recorded().entries.is_empty());
+    let events = fixture.manager.take_events();
     assert!(
-        news.iter()
+        events
+            .iter()
             .any(|n| n.reason.contains("did not finish in time"))
     );
 }
@@ -256,25 +260,25 @@
 #[case::lost(SendCase { authority: None, sends: false })]
 #[case::ended(SendCase { authority: Some((1, 0)), sends: false })]
 #[case::another_fence(SendCase { authority: Some((2, u64::MAX)), sends: false })]
-fn authority_is_checked_at_the_last_moment(#[case] case: SendCase) {
-    let mut bench = Bench::new();
-    bench
-        .book
+fn the_lease_is_checked_just_before_sending(#[case] case: SendCase) {
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    assert!(!bench.steps_until_send().is_empty());
-    let authority = case.authority.map(|(fence, until)| LeaseAuthority {
+    assert!(!fixture.steps_until_send().is_empty());
+    let authority = case.authority.map(|(fence, deadline)| LeaseAuthority {
         fence: FenceNumber(fence),
-        until: MonoTime(until),
+        deadline: MonoTime(deadline),
     });
-    let body = bench
-        .book
-        .begin_send(&engine(), authority, MonoTime(bench.now));
+    let body = fixture
+        .manager
+        .begin_send(&engine(), authority, MonoTime(fixture.now));
     assert_eq!(body.is_some(), case.sends);
 }
 
 struct AnswerCase {
     answer: Result<(), TargetError>,
-    reached: bool,
+    arrived: bool,
     sends: usize,
 }
 
@@ -288,79 +292,87 @@
 /// sent again. If the state does not show it once no copy can be in flight, the same
 /// order is sent once more.
 #[rstest]
-#[case::answered(AnswerCase { answer: Ok(()), reached: true, sends: 1 })]
-#[case::lost_but_taken(AnswerCase { answer: Err(lost()), reached: true, sends: 1 })]
-#[case::lost_and_gone(AnswerCase { answer: Err(lost()), reached: false, sends: 2 })]
+#[case::answered(AnswerCase { answer: Ok(()), arrived: true, sends: 1 })]
+#[case::lost_but_taken(AnswerCase { answer: Err(lost()), arrived: true, sends: 1 })]
+#[case::lost_and_gone(AnswerCase { answer: Err(lost()), arrived: false, sends: 2 })]
 #[case::not_reached(AnswerCase {
-    answer: Err(TargetError::NotDelivered { reason: "refused".to_owned() }), reached: false, sends: 1,
+    answer: Err(TargetError::NotDelivered { reason: "refused".to_owned() }), arrived: false, sends: 1,
 })]
 fn a_lost_answer_is_settled_by_the_engines_state(#[case] case: AnswerCase) {
-    let mut bench = Bench::new();
-    bench
-        .book
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    let first = bench.order();
-    let sent_at = bench.now;
-    if case.reached {
-        bench.take(&first);
+    let first = fixture.next_order();
+    let sent_at = fixture.now;
+    if case.arrived {
+        fixture.accept_order(&first);
     }
-    let answer = case.answer.map(|()| bench.state.clone());
-    bench
-        .book
-        .note_answer(&engine(), &answer, MonoTime(bench.now));
+    let answer = case.answer.map(|()| fixture.state.clone());
+    fixture
+        .manager
+        .note_answer(&engine(), &answer, MonoTime(fixture.now));
     let mut sends = 1;
     for _ in 0..40 {
-        if bench.step().is_empty() {
+        if fixture.step().is_empty() {
             continue;
         }
         assert!(
-            bench.now >= sent_at + 1_000,
+            fixture.now >= sent_at + 1_000,
             "a copy may still be in flight"
         );
-        let (authority, now) = (bench.authority(), MonoTime(bench.now));
-        let again = bench.book.begin_send(&engine(), authority, now).unwrap();
-        assert_eq!(again, first);
+        let (authority, now) = (fixture.authority(), MonoTime(fixture.now));
+        let resent = fixture
+            .manager
+            .begin_send(&engine(), authority, now)
+            .unwrap();
+        assert_eq!(resent, first);
         sends += 1;
-        let answer = bench.take(&again);
-        bench.book.note_answer(&engine(), &Ok(answer), now);
+        let answer = fixture.accept_order(&resent);
+        fixture.manager.note_answer(&engine(), &Ok(answer), now);
     }
     assert_eq!(sends, case.sends);
 }
 
 #[test]
-fn a_fenced_order_ends_the_book() {
-    let mut bench = Bench::new();
-    bench
-        .book
+fn a_fenced_order_stops_the_manager() {
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    bench.order();
+    fixture.next_order();
     let answer = Err(TargetError::Fenced {
         current: FenceNumber(9),
     });
-    bench
-        .book
-        .note_answer(&engine(), &answer, MonoTime(bench.now));
-    assert_eq!(bench.book.fenced_by(), Some(FenceNumber(9)));
-    let (authority, now) = (bench.authority(), MonoTime(bench.now));
-    assert!(bench.book.begin_send(&engine(), authority, now).is_none());
+    fixture
+        .manager
+        .note_answer(&engine(), &answer, MonoTime(fixture.now));
+    assert_eq!(fixture.manager.fenced_by(), Some(FenceNumber(9)));
+    let (authority, now) = (fixture.authority(), MonoTime(fixture.now));
+    assert!(
+        fixture
+            .manager
+            .begin_send(&engine(), authority, now)
+            .is_none()
+    );
 }
 
 /// A holder is paused, and a successor claims the group. When the first holder resumes,
 /// its update is refused, and the stored record shows it the later fence, even if
 /// engines would obey its orders.
 #[test]
-fn a_successors_claim_fences_the_record() {
-    let mut bench = Bench::new();
-    bench.steps(5);
-    let mut paused = bench.book.clone();
-    bench.succeed();
-    bench.steps(5);
+fn a_successors_claim_fences_off_a_paused_holder() {
+    let mut fixture = Fixture::new();
+    fixture.steps(5);
+    let mut paused = fixture.manager.clone();
+    fixture.take_over();
+    fixture.steps(5);
     paused.request_change(engine(), change(EngineRole::Prefill));
-    let now = MonoTime(bench.now);
-    paused.note_state(&engine(), &bench.state, now);
+    let now = MonoTime(fixture.now);
+    paused.note_state(&engine(), &fixture.state, now);
     for action in paused.tick(now) {
         if let OrderAction::Write { write_id, .. } = &action {
-            assert!(bench.store(&action).is_none(), "an old holder wrote");
+            assert!(fixture.store(&action).is_none(), "an old holder wrote");
             let conflict = PlatformError::Conflict {
                 current: ObjectVersion(9),
             };
@@ -369,49 +381,52 @@
     }
     for action in paused.tick(now) {
         assert_eq!(action, OrderAction::Read);
-        paused.note_read(&Ok(bench.stored.clone()), now);
+        paused.note_read(&Ok(fixture.stored.clone()), now);
     }
     assert_eq!(paused.fenced_by(), Some(FenceNumber(2)));
 }
 
-struct HeirCase {
-    reached: bool,
+struct SuccessorCase {
+    arrived: bool,
     finishes: bool,
 }
 
 /// A holder fails right after sending an order. The successor sends the engine no other
 /// order until the engine's state shows what became of the first.
 #[rstest]
-#[case::never_arrived(HeirCase { reached: false, finishes: false })]
-#[case::under_way(HeirCase { reached: true, finishes: false })]
-#[case::finished(HeirCase { reached: true, finishes: true })]
-fn a_successor_settles_the_outstanding_order(#[case] case: HeirCase) {
-    let mut bench = Bench::new();
-    bench
-        .book
+#[case::never_arrived(SuccessorCase { arrived: false, finishes: false })]
+#[case::under_way(SuccessorCase { arrived: true, finishes: false })]
+#[case::finished(SuccessorCase { arrived: true, finishes: true })]
+fn a_successor_settles_the_outstanding_order(#[case] case: SuccessorCase) {
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    let first = bench.order();
-    bench.succeed();
-    bench
-        .book
+    let first = fixture.next_order();
+    fixture.take_over();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Decode));
-    if case.reached {
-        bench.take(&first);
+    if case.arrived {
+        fixture.accept_order(&first);
     }
     if case.finishes {
-        bench.finish(&first);
+        fixture.finish(&first);
     }
-    let claimed = bench.now;
-    if case.reached && !case.finishes {
-        assert!(bench.steps(50).is_empty(), "a second order during a change");
-        bench.finish(&first);
+    let claimed_at = fixture.now;
+    if case.arrived && !case.finishes {
+        assert!(
+            fixture.steps(50).is_empty(),
+            "a second order during a change"
+        );
+        fixture.finish(&first);
     }
-    let second = bench.wanted_order(EngineRole::Decode);
+    let second = fixture.request_order(EngineRole::Decode);
     assert_eq!(second.order_id.fence, FenceNumber(2));
     assert_ne!(second.order_id.id, first.order_id.id);
-    if !case.reached {
+    if !case.arrived {
         assert!(
-            bench.now >= claimed + 1_000,
+            fixture.now >= claimed_at + 1_000,
             "an order may still be in flight"
         );
     }
@@ -419,56 +434,56 @@
 
 #[test]
 fn a_successor_drops_drains_and_reads_states_first() {
-    let mut bench = Bench::new();
-    bench.state.running = 1;
-    bench
-        .book
+    let mut fixture = Fixture::new();
+    fixture.state.running = 1;
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    bench.steps(10);
-    assert_eq!(bench.recorded().entries.len(), 1);
-    bench.succeed();
-    bench.steps(5);
-    assert!(bench.recorded().entries.is_empty());
-    bench.succeed();
-    bench
-        .book
+    fixture.steps(10);
+    assert_eq!(fixture.recorded().entries.len(), 1);
+    fixture.take_over();
+    fixture.steps(5);
+    assert!(fixture.recorded().entries.is_empty());
+    fixture.take_over();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    let mut book = bench.book.clone();
-    for now in (bench.now..bench.now + 5_000).step_by(100) {
-        for action in book.tick(MonoTime(now)) {
+    let mut manager = fixture.manager.clone();
+    for now in (fixture.now..fixture.now + 5_000).step_by(100) {
+        for action in manager.tick(MonoTime(now)) {
             match &action {
-                OrderAction::Read => book.note_read(&Ok(bench.stored.clone()), MonoTime(now)),
+                OrderAction::Read => manager.note_read(&Ok(fixture.stored.clone()), MonoTime(now)),
                 OrderAction::Write { write_id, .. } => {
-                    let version = bench.store(&action).unwrap();
-                    book.note_write(write_id, &Ok(version), MonoTime(now));
+                    let version = fixture.store(&action).unwrap();
+                    manager.note_write(write_id, &Ok(version), MonoTime(now));
                 }
                 OrderAction::Send(_) => panic!("ordered before the engine's state was read"),
             }
         }
     }
     assert!(
-        book.entries().is_empty(),
+        manager.entries().is_empty(),
         "drained before the engine's state was read"
     );
 }
 
 #[test]
-fn an_engine_that_restarts_during_its_change_is_let_go() {
-    let mut bench = Bench::new();
-    bench
-        .book
+fn a_change_ends_if_its_engine_restarts() {
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    let body = bench.order();
-    let answer = bench.take(&body);
-    bench
-        .book
-        .note_answer(&engine(), &Ok(answer), MonoTime(bench.now));
-    bench.steps(3);
-    bench.state.last_order = None;
-    bench.state.changing = false;
-    bench.state.incarnation = ProcessIncarnation(2);
-    bench.steps(15);
-    assert!(bench.recorded().entries.is_empty());
+    let body = fixture.next_order();
+    let answer = fixture.accept_order(&body);
+    fixture
+        .manager
+        .note_answer(&engine(), &Ok(answer), MonoTime(fixture.now));
+    fixture.steps(3);
+    fixture.state.last_order = None;
+    fixture.state.changing = false;
+    fixture.state.incarnation = ProcessIncarnation(2);
+    fixture.steps(15);
+    assert!(fixture.recorded().entries.is_empty());
 }
 
 /// The gap that remains with engines that ignore fences: the holder passes its last
@@ -479,23 +494,23 @@
 #[rstest]
 #[case::checks(true)]
 #[case::ignores(false)]
-fn the_edge_that_only_a_fence_closes(#[case] checks_fence: bool) {
-    let mut bench = Bench::new();
-    bench
-        .book
+fn only_a_fence_check_refuses_an_order_delayed_past_a_takeover(#[case] checks_fence: bool) {
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    let old = bench.order();
-    let last_check = bench.now;
+    let old = fixture.next_order();
+    let last_check = fixture.now;
     let ends = last_check + u64::try_from(LEASE.guard.as_millis()).unwrap();
     let flight = u64::try_from(LEASE.max_order_flight.as_millis()).unwrap();
     let taken_over = ends + flight;
-    bench.now = taken_over;
-    bench.succeed();
-    bench
-        .book
+    fixture.now = taken_over;
+    fixture.take_over();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Decode));
-    let new = bench.wanted_order(EngineRole::Decode);
-    let pause = bench.now - last_check;
+    let new = fixture.request_order(EngineRole::Decode);
+    let pause = fixture.now - last_check;
     assert!(pause > 2_500, "a pause of {pause} ms does harm");
     let highest = new.order_id.fence;
     let obeyed = !(checks_fence && old.order_id.fence < highest);
@@ -505,47 +520,47 @@
 /// The response to a write is lost, and the write takes effect late, after the object
 /// was read back without it.
 #[test]
-fn its_own_late_record_is_taken_up() {
-    let mut bench = Bench::new();
-    bench.steps(5);
-    bench
-        .book
+fn a_late_write_of_the_manager_itself_is_recognised() {
+    let mut fixture = Fixture::new();
+    fixture.steps(5);
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    bench.now += 100;
-    let now = MonoTime(bench.now);
-    bench.book.note_state(&engine(), &bench.state, now);
-    let actions = bench.book.tick(now);
+    fixture.now += 100;
+    let now = MonoTime(fixture.now);
+    fixture.manager.note_state(&engine(), &fixture.state, now);
+    let actions = fixture.manager.tick(now);
     let OrderAction::Write { write_id, .. } = &actions[0] else {
         panic!("{actions:?}");
     };
     let lost = PlatformError::Lost {
         reason: "no answer".to_owned(),
     };
-    bench.book.note_write(write_id, &Err(lost), now);
-    for action in bench.book.tick(now) {
+    fixture.manager.note_write(write_id, &Err(lost), now);
+    for action in fixture.manager.tick(now) {
         assert_eq!(action, OrderAction::Read);
-        bench.book.note_read(&Ok(bench.stored.clone()), now);
+        fixture.manager.note_read(&Ok(fixture.stored.clone()), now);
     }
-    bench.store(&actions[0]).unwrap();
-    bench.order();
+    fixture.store(&actions[0]).unwrap();
+    fixture.next_order();
 }
 
 #[test]
-fn wishes_taken_back_end_their_drain() {
-    let mut bench = Bench::new();
-    bench.state.running = 1;
-    bench
-        .book
+fn dropping_a_requested_change_cancels_its_drain() {
+    let mut fixture = Fixture::new();
+    fixture.state.running = 1;
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    bench.steps(10);
-    bench.book.retain_changes(&indexmap::IndexMap::new());
-    bench.state.running = 0;
-    assert!(bench.steps(30).is_empty());
-    assert!(bench.recorded().entries.is_empty());
+    fixture.steps(10);
+    fixture.manager.retain_changes(&indexmap::IndexMap::new());
+    fixture.state.running = 0;
+    assert!(fixture.steps(30).is_empty());
+    assert!(fixture.recorded().entries.is_empty());
 }
 
 #[test]
-fn records_survive_the_wire() {
+fn records_are_decoded_as_encoded() {
     let mut record = OrderRecord {
         fence: FenceNumber(3),
         write_id: "m".to_owned(),
@@ -581,20 +596,24 @@
 /// flight time is over: if the entry were removed earlier, the engine would go back
 /// into use and be changed while it has work.
 #[test]
-fn an_order_on_its_way_is_not_written_off() {
-    let mut bench = Bench::new();
-    bench
-        .book
+fn an_order_in_flight_is_kept_until_it_cannot_arrive() {
+    let mut fixture = Fixture::new();
+    fixture
+        .manager
         .request_change(engine(), change(EngineRole::Prefill));
-    bench.order();
-    bench.succeed();
-    bench.step();
-    bench.step();
-    let claimed = bench.now;
-    assert_eq!(bench.recorded().fence, FenceNumber(2));
-    while !bench.recorded().entries.is_empty() {
-        assert!(bench.now < claimed + 5_000, "never settled");
-        bench.step();
+    fixture.next_order();
+    fixture.take_over();
+    fixture.step();
+    fixture.step();
+    let claimed_at = fixture.now;
+    assert_eq!(fixture.recorded().fence, FenceNumber(2));
+    while !fixture.recorded().entries.is_empty() {
+        assert!(fixture.now < claimed_at + 5_000, "never settled");
+        fixture.step();
     }
-    assert!(bench.now >= claimed + 900, "{}", bench.now - claimed);
+    assert!(
+        fixture.now >= claimed_at + 900,
+        "{}",
+        fixture.now - claimed_at
+    );
 }
--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -156,7 +156,7 @@
             tokio::task::yield_now().await;
         }
         let write = race(&port, &neighbour(&watched));
-        port.data().take(&write).unwrap();
+        port.data().apply(&write).unwrap();
     });
     let done = run(&platform, &own, "own").await.unwrap();
     rival.await.unwrap();
