--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -394,7 +394,7 @@
             lease.held = None;
             lease.releasing = false;
             lease.next_acquire_at = now.plus(self.times.duration);
-            self.record_change(group, false, "released".to_owned());
+            self.record_change(group, false, "the lease was released".to_owned());
             return;
         }
         if now >= expires_at {
--- a/src/authority/lease_groups.rs
+++ b/src/authority/lease_groups.rs
@@ -80,19 +80,19 @@
 pub fn local_ranks(
     fleet: &FleetView,
     counts: &GroupCounts,
-    own: &DaemonId,
+    daemon_id: &DaemonId,
 ) -> IndexMap<GroupName, usize> {
     let mut ranks = IndexMap::new();
     for (centre, count) in counts {
         for slot in 0..*count {
             let group = GroupName::from(format!("{centre}-{slot}"));
-            if let Some(rank) = rank_of(fleet, &group, Some(centre), own) {
+            if let Some(rank) = rank_of(fleet, &group, Some(centre), daemon_id) {
                 ranks.insert(group, rank);
             }
         }
     }
     let plan = GroupName::from(PLAN_GROUP);
-    if let Some(rank) = rank_of(fleet, &plan, None, own) {
+    if let Some(rank) = rank_of(fleet, &plan, None, daemon_id) {
         ranks.insert(plan, rank);
     }
     ranks
@@ -102,7 +102,7 @@
     fleet: &FleetView,
     group: &GroupName,
     centre: Option<&CentreName>,
-    own: &DaemonId,
+    daemon_id: &DaemonId,
 ) -> Option<usize> {
     let local = |d: &&DaemonView| centre.is_none_or(|c| d.data_centre == *c);
     let live = || fleet.daemons.values().filter(|d| d.state == UseState::Live);
@@ -112,7 +112,7 @@
         .map(|d| (rendezvous(group, &d.id), &d.id))
         .collect();
     candidates.sort_unstable_by(|a, b| b.cmp(a));
-    let rank = candidates.iter().position(|(_, id)| *id == own)?;
+    let rank = candidates.iter().position(|(_, id)| *id == daemon_id)?;
     (rank < MAX_CANDIDATES).then_some(rank)
 }
 
--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -243,9 +243,9 @@
     }
 
     fn record_lease_changes(&mut self) {
-        for news in self.leases.take_changes() {
-            let held = news.held;
-            let (group, reason) = (news.group.as_str(), news.reason.as_str());
+        for change in self.leases.take_changes() {
+            let held = change.held;
+            let (group, reason) = (change.group.as_str(), change.reason.as_str());
             log::info!(group, held, reason; "lease changed");
             self.journal
                 .record(DecisionKind::Lease, group, reason.to_owned());
@@ -364,8 +364,8 @@
 
     fn record_order_events(&mut self) {
         for manager in self.managers.values_mut() {
-            for news in manager.take_events() {
-                let (target, reason) = (news.target.as_str(), news.reason.as_str());
+            for event in manager.take_events() {
+                let (target, reason) = (event.target.as_str(), event.reason.as_str());
                 log::info!(target_id = target, reason; "engine change");
                 self.journal
                     .record(DecisionKind::Order, target, reason.to_owned());
--- a/src/authority/order_types.rs
+++ b/src/authority/order_types.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OrderTimes {
     /// Longest time that an order may be in flight.
-    pub flight: Duration,
+    pub max_flight: Duration,
     /// Time for all daemons to learn that an engine is out of use.
-    pub spread: Duration,
+    pub propagation: Duration,
     /// Longest wait for running work, after which the change is abandoned.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Longest wait for an engine to finish a change.
-    pub change: Duration,
+    pub change_timeout: Duration,
 }
 
 impl OrderTimes {
@@ -25,10 +25,10 @@
     #[must_use]
     pub fn new(lease: LeaseTimes, change: Duration) -> Self {
         Self {
-            flight: lease.max_order_flight,
-            spread: Duration::from_secs(1),
-            drain: Duration::from_secs(300),
-            change: change * 10 + Duration::from_secs(30),
+            max_flight: lease.max_order_flight,
+            propagation: Duration::from_secs(1),
+            drain_timeout: Duration::from_secs(300),
+            change_timeout: change * 10 + Duration::from_secs(30),
         }
     }
 }
--- a/src/authority/orders.rs
+++ b/src/authority/orders.rs
@@ -121,12 +121,12 @@
         self.requested.insert(target, change);
     }
 
-    /// Drops requested changes that are not in `wanted`, and cancels their drains.
-    pub fn retain_changes(&mut self, wanted: &IndexMap<TargetId, PlannedChange>) {
+    /// Drops requested changes that are not in `planned`, and cancels their drains.
+    pub fn retain_changes(&mut self, planned: &IndexMap<TargetId, PlannedChange>) {
         self.requested
-            .retain(|target, _| wanted.contains_key(target));
+            .retain(|target, _| planned.contains_key(target));
         let draining = self.record.entries.iter().filter(|(target, entry)| {
-            entry.phase == OrderPhase::Draining && !wanted.contains_key(*target)
+            entry.phase == OrderPhase::Draining && !planned.contains_key(*target)
         });
         let cancelled: Vec<TargetId> = draining.map(|(target, _)| target.clone()).collect();
         for target in cancelled {
@@ -168,7 +168,7 @@
             // Sent again with the same identity once no earlier copy can be in flight.
             Some(SendState::Unknown { at }) => {
                 let observed_at = self.observations.get(target).map(|o| o.taken_at);
-                let no_copies_at = at.plus(self.times.flight);
+                let no_copies_at = at.plus(self.times.max_flight);
                 now >= no_copies_at && observed_at.is_some_and(|taken_at| taken_at >= no_copies_at)
             }
         };
@@ -294,7 +294,7 @@
                 .entry(target.clone())
                 .or_insert(SendState::Accepted { at });
             self.mark_accepted(target, taken_at);
-        } else if inherited && taken_at >= claimed_at.plus(self.times.flight) {
+        } else if inherited && taken_at >= claimed_at.plus(self.times.max_flight) {
             let reason = "the previous holder's order never arrived".to_owned();
             self.finish(target, ChangeOutcome::Withdrawn, reason);
         } else if self.has_lost_order(target, taken_at) {
@@ -305,7 +305,7 @@
 
     fn has_lost_order(&self, target: &TargetId, taken_at: MonoTime) -> bool {
         match self.sends.get(target) {
-            Some(SendState::Accepted { at }) => taken_at >= at.plus(self.times.flight),
+            Some(SendState::Accepted { at }) => taken_at >= at.plus(self.times.max_flight),
             _ => false,
         }
     }
@@ -347,8 +347,12 @@
             .filter_map(|(target, entry)| {
                 let phase_started = *self.phase_started.get(target)?;
                 let (limit, reason) = match entry.phase {
-                    OrderPhase::Draining => (self.times.drain, "work did not finish in time"),
-                    OrderPhase::Ordered(_) => (self.times.change, "change did not finish in time"),
+                    OrderPhase::Draining => {
+                        (self.times.drain_timeout, "work did not finish in time")
+                    }
+                    OrderPhase::Ordered(_) => {
+                        (self.times.change_timeout, "change did not finish in time")
+                    }
                 };
                 (now.since(phase_started) >= limit).then(|| (target.clone(), reason))
             })
@@ -385,7 +389,7 @@
         let Some(phase_started) = self.phase_started.get(target) else {
             return false;
         };
-        let all_informed_at = phase_started.plus(self.times.spread);
+        let all_informed_at = phase_started.plus(self.times.propagation);
         let idle_at = self.observations.get(target).and_then(|o| o.idle_at);
         now >= all_informed_at && idle_at.is_some_and(|at| at >= all_informed_at)
     }
@@ -521,7 +525,7 @@
             self.requested.swap_remove(target);
         }
         if self.finished.swap_remove(target) == Some(ChangeOutcome::Failed) {
-            let retry_at = now.plus(self.times.change);
+            let retry_at = now.plus(self.times.change_timeout);
             self.retry_at.insert(target.clone(), retry_at);
         }
     }
--- a/tests/control_authority.rs
+++ b/tests/control_authority.rs
@@ -234,8 +234,8 @@
     fixture.platform.set_down(false);
     wait_until("a holder", || handles.iter().any(|h| holds(h, "north-0"))).await;
     assert!(!handles.iter().all(|h| holds(h, "north-0")));
-    let own = &handles[0].snapshot.load().fleet.daemons[&DaemonId::from("a")].clone();
-    assert_eq!(own.state, UseState::Live);
+    let local = &handles[0].snapshot.load().fleet.daemons[&DaemonId::from("a")].clone();
+    assert_eq!(local.state, UseState::Live);
     for handle in handles {
         end(handle).await;
     }
--- a/tests/control_fakes/mod.rs
+++ b/tests/control_fakes/mod.rs
@@ -230,7 +230,7 @@
     }
 
     async fn watch(&self, query: WatchQuery) -> Result<ObjectBatch, PlatformError> {
-        let give_up = tokio::time::Instant::now() + query.wait;
+        let deadline = tokio::time::Instant::now() + query.wait;
         loop {
             let changed = self.changed.notified();
             {
@@ -243,7 +243,7 @@
                     return Ok(batch);
                 }
             }
-            if tokio::time::timeout_at(give_up, changed).await.is_err() {
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
                 let revision = self.data().revision;
                 return Ok(ObjectBatch {
                     revision,
--- a/tests/control_leases.rs
+++ b/tests/control_leases.rs
@@ -184,9 +184,9 @@
 /// the write met another daemon's record, ordering stops at once, before the old lease
 /// expires.
 #[rstest]
-#[case::landed(RenewCase { answer: Answer::LostAndApplied, keeps: true })]
-#[case::gone(RenewCase { answer: Answer::LostAndNotApplied, keeps: true })]
-#[case::silent(RenewCase { answer: Answer::NoResponse, keeps: true })]
+#[case::applied(RenewCase { answer: Answer::LostAndApplied, keeps: true })]
+#[case::not_applied(RenewCase { answer: Answer::LostAndNotApplied, keeps: true })]
+#[case::no_response(RenewCase { answer: Answer::NoResponse, keeps: true })]
 #[case::taken(RenewCase { answer: Answer::TakenOver, keeps: false })]
 fn a_lost_renewal_is_read_back(#[case] case: RenewCase) {
     let mut table = table("a", 0);
@@ -418,14 +418,17 @@
         (CentreName::from("north"), 8),
         (CentreName::from("west"), 1),
     ]);
-    let mut leaders: IndexMap<GroupName, Vec<(usize, &str)>> = IndexMap::new();
+    let mut candidates_by_group: IndexMap<GroupName, Vec<(usize, &str)>> = IndexMap::new();
     for (id, _) in daemons {
         for (group, rank) in lease_groups::local_ranks(&fleet, &counts, &DaemonId::from(id)) {
-            leaders.entry(group).or_default().push((rank, id));
+            candidates_by_group
+                .entry(group)
+                .or_default()
+                .push((rank, id));
         }
     }
-    assert_eq!(leaders.len(), 10);
-    for (group, candidates) in &leaders {
+    assert_eq!(candidates_by_group.len(), 10);
+    for (group, candidates) in &candidates_by_group {
         let mut ranks: Vec<usize> = candidates.iter().map(|(rank, _)| *rank).collect();
         ranks.sort_unstable();
         assert_eq!(ranks, [0, 1, 2], "{group}");
@@ -433,7 +436,7 @@
             assert!(candidates.iter().all(|(_, id)| *id != "e"));
         }
     }
-    let first: Vec<&str> = leaders
+    let first: Vec<&str> = candidates_by_group
         .values()
         .flat_map(|c| c.iter().filter(|(rank, _)| *rank == 0).map(|(_, id)| *id))
         .collect();
--- a/tests/control_membership.rs
+++ b/tests/control_membership.rs
@@ -64,14 +64,14 @@
 }
 
 fn membership() -> MembershipState {
-    let own = local_view(
+    let local = local_view(
         DaemonId::from("me"),
         "me:1".to_owned(),
         "me:2".to_owned(),
         CentreName::from("north"),
         ProcessIncarnation(1),
     );
-    MembershipState::new(own, LIMITS)
+    MembershipState::new(local, LIMITS)
 }
 
 fn target_state(state: &mut MembershipState, id: &str) -> Option<UseState> {
@@ -407,11 +407,11 @@
     UseState::Leaving
 )]
 fn applies_rows_about_itself(#[case] rows: &[InstanceState], #[case] state: UseState) {
-    let mut own = membership();
+    let mut local = membership();
     for (step, row) in rows.iter().enumerate() {
-        own.apply_list(&[daemon("me", *row)], MonoTime(step as u64));
+        local.apply_list(&[daemon("me", *row)], MonoTime(step as u64));
     }
-    assert_eq!(daemon_state(&mut own, "me"), Some(state));
+    assert_eq!(daemon_state(&mut local, "me"), Some(state));
 }
 
 fn snapshot(daemons: &[(&str, &str, UseState)], stopping: bool) -> ControlSnapshot {
@@ -444,11 +444,11 @@
         ("leaving", "south", UseState::Leaving),
         ("gone", "south", UseState::Gone),
     ];
-    let (own, south) = (DaemonId::from("me"), CentreName::from("south"));
+    let (local, south) = (DaemonId::from("me"), CentreName::from("south"));
     let mut rng = SmallRng::seed_from_u64(1);
     for stopping in [false, true] {
         let snapshot = snapshot(&daemons, stopping);
-        let answer = addressing::locate(&snapshot, &own, Some(&south), 3_000, &mut rng);
+        let answer = addressing::locate(&snapshot, &local, Some(&south), 3_000, &mut rng);
         let addresses: Vec<&str> = answer
             .addresses
             .iter()
@@ -473,8 +473,8 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let mut first: IndexMap<String, u32> = IndexMap::new();
     for _ in 0..4_000 {
-        let own = DaemonId::from("d0");
-        let answer = addressing::locate(&snapshot, &own, None, 1, &mut rng);
+        let local = DaemonId::from("d0");
+        let answer = addressing::locate(&snapshot, &local, None, 1, &mut rng);
         assert_eq!(answer.addresses.len(), addressing::MAX_ADDRESSES);
         *first
             .entry(answer.addresses[0].address.clone())
