--- a/src/decide/candidates.rs
+++ b/src/decide/candidates.rs
@@ -1,7 +1,7 @@
-//! Targets by pool, in the order that divides reading from writing.
+//! Targets by pool, in an order that splits each pool into a prefill and a decode side.
 //!
-//! Everything that admission and placement ask of a pool is worked out once per view
-//! of the fleet, so that neither walks the pool for each request.
+//! Everything that admission and placement query about a pool is computed once per view
+//! of the fleet, so that neither iterates over the pool for each request.
 
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,19 +14,19 @@
 
 /// Candidates by pool, rebuilt when the fleet's shape changes.
 ///
-/// A pool is in the same order on every daemon: engines that read best first, those
-/// that write best last. The first engines are the reading side, so that all daemons
-/// draw nearly the same line without talking to one another.
+/// A pool has the same order on every daemon: prefill engines first, decode engines
+/// last. The first engines form the prefill side, so all daemons split a pool at nearly
+/// the same position without coordination.
 #[derive(Clone, Debug, Default)]
 pub struct CandidateIndex {
     pools: IndexMap<PoolKey, TargetPool>,
 }
 
-/// Targets of one pool and what is asked of them together.
+/// Targets of one pool and what is known of the pool as a whole.
 #[derive(Clone, Debug, Default)]
 struct TargetPool {
     targets: IndexSet<TargetId>,
-    /// Number of live targets before each place, and in all.
+    /// Number of live targets before each position; the last entry is the total.
     live_before: Vec<usize>,
     roles: IndexSet<EngineRole>,
     usable: bool,
@@ -61,13 +61,13 @@
         self.end - self.first
     }
 
-    /// Tells whether there is no target.
+    /// Returns whether there is no target.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the target at a place, which is below [`Self::len`].
+    /// Returns the target at a position below [`Self::len`]; `None` for any other.
     #[must_use]
     pub fn get(&self, place: usize) -> Option<&'a TargetId> {
         let place = self.first + place;
@@ -76,7 +76,7 @@
             .flatten()
     }
 
-    /// Tells whether a target is on this side.
+    /// Returns whether a target is on this side.
     #[must_use]
     pub fn contains(&self, target: &TargetId) -> bool {
         let place = self.pool.targets.get_index_of(target);
@@ -89,7 +89,7 @@
         (0..side.len()).filter_map(move |place| side.get(place))
     }
 
-    /// Returns the number of targets in use.
+    /// Returns the number of live targets.
     #[must_use]
     pub fn live(&self) -> usize {
         let live = &self.pool.live_before;
@@ -115,7 +115,7 @@
         Self { pools }
     }
 
-    /// Tells whether a pool has a target that is in use or only suspected.
+    /// Returns whether a pool has a live or suspect target.
     #[must_use]
     pub fn is_usable(&self, pool: &PoolKey) -> bool {
         self.pools.get(pool).is_some_and(|p| p.usable)
@@ -127,10 +127,11 @@
         pool.into_iter().flat_map(|p| p.roles.iter().copied())
     }
 
-    /// Returns the targets of one side, where `reading_share` of the work is reading;
-    /// `None` for a pool that has none.
+    /// Returns the targets of one side, where `reading_share` of the work belongs to the
+    /// prefill side; `None` for an unknown pool.
     ///
-    /// A side is never empty while its work exists, nor is a pool of one divided.
+    /// A side is never empty while there is work for it, and a pool of one target is not
+    /// split.
     #[must_use]
     pub fn side(
         &self,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Tells whether two views give the same index: the same targets in the same states,
+/// Returns whether two views give the same index: the same targets in the same states,
 /// roles and pools.
 #[must_use]
 pub fn has_same_shape(old: &FleetView, new: &FleetView) -> bool {
--- a/src/decide/cost.rs
+++ b/src/decide/cost.rs
@@ -1,4 +1,4 @@
-//! What work costs: learned speeds of engines by role and learned answer lengths.
+//! Cost estimates: engine speeds by role and answer lengths, corrected by observation.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -8,28 +8,28 @@
 
 /// Weight of a new observation in the learned averages.
 const LEARNING_RATE: f64 = 0.05;
-/// Weight of a new load report in the share of time spent reading prompts.
+/// Weight of a new load report in the share of time spent on prefill.
 const READING_RATE: f64 = 0.2;
 /// Bounds of a learned correction, so that one outlier cannot stop all placement.
 const CORRECTION_RANGE: (f64, f64) = (0.2, 5.0);
-/// Share of the allowed output expected before a class has been observed.
+/// Share of the maximum output expected before a class has been observed.
 const FIRST_OUTPUT_SHARE: f64 = 0.7;
-/// Classes remembered; the oldest unused one falls out.
+/// Maximum number of classes kept; the one added first is evicted.
 const CLASSES_REMEMBERED: usize = 20_000;
 
-/// First guesses of an engine's speed; corrected by observation.
+/// Initial estimates of an engine's speed, which observations correct.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SpeedSettings {
-    /// Prompt tokens a mixed engine reads per second.
+    /// Prompt tokens a mixed engine prefills per second.
     pub prefill_tokens_per_s: f64,
-    /// Milliseconds per output token of a lone stream.
+    /// Milliseconds per output token of a single stream.
     pub token_base_ms: f64,
-    /// Milliseconds that each stream adds to a step, where the steps are longer than
-    /// those of a lone stream.
+    /// Milliseconds that each stream adds to a step once the batch takes longer than a
+    /// single stream's step.
     pub token_per_stream_ms: f64,
-    /// Milliseconds of a step in which a mixed engine also reads prompts: streams
-    /// beside gain one token in that time.
+    /// Milliseconds of a step in which a mixed engine also prefills prompts; each stream
+    /// gains one token in that time.
     pub prefill_step_ms: f64,
     /// Prefill speed of prefill engines relative to mixed ones.
     pub prefill_role_prefill: f64,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Correction factors of one engine; 1 means as expected, 2 twice as slow.
+/// Correction factors of one engine: 1 is as fast as expected, 2 is twice as slow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct SpeedCorrection {
     prefill: f64,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Expected times, from the settings and from what was observed.
+/// Expected times, from the settings and from observations.
 #[derive(Clone, Debug)]
 pub struct CostModel {
     speeds: SpeedSettings,
@@ -112,7 +112,7 @@
 }
 
 impl CostModel {
-    /// Creates a model that has observed nothing.
+    /// Creates a model without observations.
     #[must_use]
     pub fn new(speeds: SpeedSettings) -> Self {
         Self {
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Returns the seconds an engine takes to read `tokens` of prompt.
+    /// Returns the seconds an engine takes to prefill `tokens` prompt tokens.
     #[must_use]
     pub fn prefill_seconds(&self, target: &TargetId, role: EngineRole, tokens: f64) -> f64 {
         let rate = self.speeds.prefill_tokens_per_s * self.speeds.role_speed(role).prefill;
         tokens / rate * self.correction(target).prefill
     }
 
-    /// Returns the seconds between output tokens beside `others` further streams.
+    /// Returns the seconds between output tokens of a stream beside `others` more.
     #[must_use]
     pub fn gap_seconds(&self, target: &TargetId, role: EngineRole, others: f64) -> f64 {
         let batch_ms = (others + 1.0) * self.speeds.token_per_stream_ms;
@@ -138,7 +138,7 @@
         gap_ms / 1_000.0 / self.speeds.role_speed(role).decode * self.correction(target).decode
     }
 
-    /// Returns the seconds between output tokens while the engine reads prompts too.
+    /// Returns the seconds between output tokens while the engine also prefills prompts.
     #[must_use]
     pub fn prefill_gap_seconds(&self, target: &TargetId, role: EngineRole, others: f64) -> f64 {
         let step_s = self.speeds.prefill_step_ms / 1_000.0;
@@ -146,13 +146,13 @@
         read_s.max(self.gap_seconds(target, role, others))
     }
 
-    /// Returns the seconds of a step in which a mixed engine also reads prompts.
+    /// Returns the seconds of a step in which a mixed engine also prefills prompts.
     #[must_use]
     pub fn prefill_step_seconds(&self) -> f64 {
         self.speeds.prefill_step_ms / 1_000.0
     }
 
-    /// Returns the engine-seconds that work takes from others on a mixed engine.
+    /// Returns the engine-seconds of a mixed engine that work uses up.
     #[must_use]
     pub fn engine_seconds(&self, prefill_tokens: f64, output_tokens: f64) -> f64 {
         let prefill = prefill_tokens / self.speeds.prefill_tokens_per_s;
@@ -160,7 +160,7 @@
         prefill + decode
     }
 
-    /// Returns the output tokens expected of a request.
+    /// Returns the expected number of output tokens of a request.
     #[must_use]
     pub fn expected_output(
         &self,
@@ -176,20 +176,20 @@
         (share * f64::from(max_output_tokens)).max(1.0)
     }
 
-    /// Notes whether an engine was reading prompts when it took a report.
+    /// Records whether an engine was prefilling prompts at the time of a load report.
     pub fn observe_reading(&mut self, target: &TargetId, reads: bool) {
         let seen = f64::from(u8::from(reads));
         let share = self.reading.entry(target.clone()).or_insert(seen);
         *share += READING_RATE * (seen - *share);
     }
 
-    /// Returns the share of time in which an engine reads prompts.
+    /// Returns the share of time in which an engine prefills prompts.
     #[must_use]
     pub fn reading_share(&self, target: &TargetId) -> f64 {
         self.reading.get(target).copied().unwrap_or(0.0)
     }
 
-    /// Learns from the length of a whole answer.
+    /// Learns from the length of a complete answer.
     pub fn observe_output(
         &mut self,
         workspace: &WorkspaceName,
@@ -211,19 +211,20 @@
         *share += LEARNING_RATE * (seen - *share);
     }
 
-    /// Learns from a first token that came after `actual` seconds instead of `expected`.
+    /// Learns from a first token expected after `expected` seconds and received after
+    /// `actual`.
     pub fn observe_prefill(&mut self, target: &TargetId, expected: f64, actual: f64) {
         let correction = self.corrections.entry(target.clone()).or_default();
         correction.prefill = learned(correction.prefill, expected, actual);
     }
 
-    /// Learns from a token gap of `actual` seconds where `expected` was foreseen.
+    /// Learns from a mean gap between tokens of `actual` seconds instead of `expected`.
     pub fn observe_gap(&mut self, target: &TargetId, expected: f64, actual: f64) {
         let correction = self.corrections.entry(target.clone()).or_default();
         correction.decode = learned(correction.decode, expected, actual);
     }
 
-    /// Forgets targets that are no longer in the fleet.
+    /// Drops what was learned of targets that are no longer in the fleet.
     pub fn retain_targets(&mut self, known: impl Fn(&TargetId) -> bool) {
         self.corrections.retain(|target, _| known(target));
         self.reading.retain(|target, _| known(target));
--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -1,12 +1,13 @@
-//! Waiting requests of one pool of targets: fair between workspaces, urgent first within.
+//! Queue of the requests for one pool of targets: weighted fair queueing between
+//! workspaces, most urgent request first within a workspace.
 //!
-//! Each workspace has a virtual time that advances by cost over weight as its work
-//! is placed. Workspaces within one quantum of the furthest behind compete by
-//! priority and slack; the others wait. So urgency decides in the short term and
-//! the shares decide over a few quanta.
+//! Each workspace has a virtual time that advances by cost divided by weight as its
+//! requests are placed. Workspaces within one quantum of the lowest virtual time compete
+//! by priority and slack; the others wait. So urgency decides in the short term, and the
+//! shares decide over a few quanta.
 //!
-//! No operation walks all workspaces or all requests: busy lanes are ordered by virtual
-//! time, the lanes that compete also by their first request.
+//! No operation iterates over all workspaces or all requests: lanes with requests are
+//! ordered by virtual time, and those that compete also by their first request.
 
 use std::cmp::Ordering;
 use std::collections::btree_map::{BTreeMap, Iter};
@@ -17,23 +18,23 @@
 
 use crate::names::{MonoTime, WorkspaceName};
 
-/// Least weight of a workspace, so that none is starved.
+/// Minimum weight of a workspace, so that none is starved.
 const LEAST_WEIGHT: f64 = 0.01;
 
-/// Identifies a waiting or running request within one daemon.
+/// Identifies a queued or running request within one daemon.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct JobNumber(pub u64);
 
-/// What the queue knows of a waiting request.
+/// A request as the queue sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedJob {
     /// The request.
     pub number: JobNumber,
-    /// Workspace that waits.
+    /// Workspace it belongs to.
     pub workspace: WorkspaceName,
-    /// Share of the workspace, corrected by what it got across the fleet.
+    /// Weight of the workspace, corrected by its use across the fleet.
     pub weight: f64,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Latest start that still meets the deadline.
     pub latest_start: MonoTime,
@@ -43,10 +44,10 @@
 
 type JobRank = (u32, MonoTime, JobNumber);
 
-/// Rank behind every request.
+/// Rank after that of every request.
 const LAST_RANK: JobRank = (u32::MAX, MonoTime(u64::MAX), JobNumber(u64::MAX));
 
-/// Virtual time of a lane with a total order.
+/// Virtual time of a lane, with a total order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct VirtualTime(f64);
 
@@ -77,13 +78,13 @@
     }
 }
 
-/// Waiting requests of one pool.
+/// Queued requests of one pool.
 #[derive(Clone, Debug)]
 pub struct FairQueue {
     lanes: IndexMap<WorkspaceName, WorkspaceLane>,
-    /// Busy lanes by virtual time, then by their first request.
+    /// Lanes with requests, by virtual time and then by their first request.
     by_time: BTreeMap<(VirtualTime, JobRank), WorkspaceName>,
-    /// Lanes within one quantum of the furthest behind, by their first request.
+    /// Lanes within one quantum of the lowest virtual time, by their first request.
     competing: BTreeMap<JobRank, WorkspaceName>,
     /// Virtual time up to which lanes compete.
     limit: VirtualTime,
@@ -98,7 +99,7 @@
 
 impl FairQueue {
     /// Creates an empty queue. `quantum` is in engine-seconds per unit of weight;
-    /// with `fair` false all workspaces are served as one.
+    /// if `fair` is false, all workspaces are served as one.
     #[must_use]
     pub fn new(quantum: f64, fair: bool) -> Self {
         Self {
@@ -115,19 +116,19 @@
         }
     }
 
-    /// Returns the number of waiting requests.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_start.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_start.is_empty()
     }
 
-    /// Returns the number of waiting requests of one workspace.
+    /// Returns the number of queued requests of one workspace.
     #[must_use]
     pub fn len_of(&self, workspace: &WorkspaceName) -> usize {
         self.lanes.get(workspace).map_or(0, |l| l.jobs.len())
@@ -141,8 +142,8 @@
         let lane = self.lanes.entry(workspace.clone()).or_default();
         lane.weight = job.weight.max(LEAST_WEIGHT);
         if lane.jobs.is_empty() {
-            // A workspace that was idle must not spend the time it saved up all at
-            // once: the others would starve until it had caught up.
+            // A workspace that was idle gets no credit for that time: the others would
+            // starve until it had caught up.
             lane.time.0 = lane.time.0.max(floor);
         }
         self.queued_cost += job.cost;
@@ -153,7 +154,7 @@
         self.move_limit();
     }
 
-    /// Removes a request that no longer waits for a target.
+    /// Removes a request; returns whether it was queued.
     pub fn remove(&mut self, job: &QueuedJob) -> bool {
         self.unlist(&job.workspace);
         let removed = self.take_job(job);
@@ -162,7 +163,7 @@
         removed
     }
 
-    /// Charges a workspace for work placed here or, by report, elsewhere.
+    /// Charges a workspace for work placed by this daemon or reported by others.
     pub fn charge(&mut self, workspace: &WorkspaceName, weight: f64, cost: f64) {
         self.unlist(workspace);
         let floor = self.floor;
@@ -174,8 +175,8 @@
         self.advance_floor();
     }
 
-    /// Offers the waiting requests in their order of service until `place` takes
-    /// one; looks at no more than `most`. The one taken leaves the queue, charged.
+    /// Offers the first `most` requests in service order until `place` accepts one, then
+    /// removes that request and charges its workspace.
     pub fn take_first(
         &mut self,
         most: usize,
@@ -190,8 +191,9 @@
 
     /// Returns the engine-seconds that would be served before a new request.
     ///
-    /// Under fair shares that is the cost of the workspace's own more urgent work,
-    /// stretched by the competition, or everything that waits if that is less.
+    /// Under fair shares that is the cost of the workspace's own requests of the same or
+    /// a more urgent priority, scaled up by the weights of the other busy workspaces, but
+    /// at most the cost of the whole queue.
     #[must_use]
     pub fn cost_before(&self, workspace: &WorkspaceName, weight: f64, rank_priority: u32) -> f64 {
         if !self.fair {
@@ -204,7 +206,7 @@
         (own * (weight + rivals) / weight).min(self.queued_cost)
     }
 
-    /// Drops lanes that have been idle and hold no debt.
+    /// Drops empty lanes whose virtual time is not ahead of the floor.
     pub fn drop_idle_lanes(&mut self) {
         let floor = self.floor;
         self.lanes
@@ -227,9 +229,9 @@
         order.find(|job| place(job))
     }
 
-    /// Returns the first `most` requests in their order of service.
+    /// Returns the first `most` requests in service order.
     fn service_order(&self, most: usize) -> impl Iterator<Item = &QueuedJob> {
-        // No lane whose first request ranks behind `most` others can be among them.
+        // Leaves out lanes behind the first requests of `most` other lanes.
         let names = self.competing.values().take(most);
         let lanes = names.map(|name| self.lanes[name].jobs.iter().peekable());
         let competing = merge_by_rank(lanes.collect());
@@ -251,13 +253,13 @@
         self.by_start.remove(&(found.latest_start, found.number));
         self.queued_cost -= found.cost;
         if self.by_start.is_empty() {
-            // Sums of many costs are rounded; an empty queue costs nothing.
+            // Removes the rounding error of the sum.
             self.queued_cost = 0.0;
         }
         true
     }
 
-    /// Takes a lane out of the orders; its fields may be changed then.
+    /// Removes a lane from the sorted indexes, so that its fields may be changed.
     fn unlist(&mut self, workspace: &WorkspaceName) {
         let Some(lane) = self.lanes.get(workspace) else {
             return;
@@ -270,12 +272,12 @@
             self.competing.remove(&rank);
         }
         if self.by_time.is_empty() {
-            // Weights carry fractions too, and their sum is rounded.
+            // Removes the rounding error of the sum.
             self.busy_weight = 0.0;
         }
     }
 
-    /// Puts a busy lane back into the orders.
+    /// Adds a lane with requests to the sorted indexes again.
     fn list(&mut self, workspace: &WorkspaceName) {
         let Some(lane) = self.lanes.get(workspace) else {
             return;
@@ -290,7 +292,8 @@
         }
     }
 
-    /// Lets those lanes compete that are within a quantum of the furthest behind.
+    /// Updates the set of competing lanes: those within a quantum of the lowest virtual
+    /// time.
     fn move_limit(&mut self) {
         let Some(floor) = self.busy_floor().filter(|_| self.fair) else {
             return;
@@ -326,7 +329,7 @@
     (job.priority, job.latest_start, job.number)
 }
 
-/// Returns the requests of some lanes, the most urgent first.
+/// Merges the requests of several lanes, most urgent first.
 fn merge_by_rank<'a>(
     mut lanes: Vec<Peekable<Iter<'a, JobRank, QueuedJob>>>,
 ) -> impl Iterator<Item = &'a QueuedJob> {
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -16,30 +16,31 @@
 use crate::settings::{PlacementPolicy, PolicySettings};
 use crate::targets::wire::EngineRole;
 
-/// Candidates looked at for one placement, however large the fleet is.
+/// Maximum number of candidates evaluated per placement, whatever the fleet's size.
 const MOST_CANDIDATES: usize = 16;
-/// Age from which a load report says nothing any more, in milliseconds.
+/// Age in milliseconds beyond which a load report is ignored.
 const REPORT_USELESS_MS: u64 = 10_000;
-/// Factor on the expected time to the whole answer before it counts as in time.
+/// Safety factor on the expected time to the complete answer in the deadline check.
 const FINISH_MARGIN: f64 = 1.25;
-/// Largest further factor, for workspaces beyond their due share.
+/// Maximum additional factor for workspaces that have used more than their fair share.
 const MOST_SHARE_MARGIN: f64 = 2.0;
-/// How alike the other daemons' choices since a report are to one's own: 1 is the same.
+/// How similar other daemons' placements since a report are assumed to be to this
+/// daemon's; 1 means identical.
 const ALIKE: f64 = 0.7;
-/// Prefill work an engine may have waiting before requests wait here instead,
-/// where shares and deadlines still order them.
+/// Seconds of prefill work an engine may have queued. Beyond that, requests wait in this
+/// daemon's queue, where fair shares and deadlines still order them.
 const MOST_PREFILL_WAIT_S: f64 = 0.4;
 
 /// Targets that can do the same work.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum PoolKey {
-    /// Engines that hold a model.
+    /// Engines that have a model loaded.
     Model(ModelName),
-    /// Instances of a plain service.
+    /// Instances of a service without engines.
     Service(ServiceName),
 }
 
-/// What a request needs of a target.
+/// What a request requires of a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementNeed {
     /// Pool to choose from.
@@ -54,26 +55,27 @@
     pub prompt_tokens: f64,
     /// Output tokens still expected.
     pub output_tokens: f64,
-    /// When the answer must be whole to be worth placing; `None` places it at any time.
+    /// When the answer must be complete for the request to be placed; `None`: no limit.
     pub due: Option<MonoTime>,
-    /// How the workspace's due share compares to what it got: below 1 beyond its due.
+    /// Ratio of the workspace's fair share to its recent use; below 1 when it has used
+    /// more than its share.
     pub share_factor: f64,
     /// Shared part of the prompt; empty for none.
     pub shared_prefix: String,
     /// Tokens of the shared part.
     pub shared_prefix_tokens: u32,
-    /// Targets that failed the request before.
+    /// Targets on which this request has failed.
     pub excluded: Vec<TargetId>,
 }
 
-/// A target chosen.
+/// The target chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetChoice {
     /// The target.
     pub target: TargetId,
     /// Its address.
     pub address: String,
-    /// Life of its process as reported last; `None` where it reports none.
+    /// Incarnation of its process as last reported; `None` if it reports none.
     pub incarnation: Option<ProcessIncarnation>,
     /// Model, version and adapter as the engine names them; empty for services.
     pub model: String,
@@ -81,68 +83,68 @@
     pub first_token_s: f64,
     /// Expected seconds between tokens.
     pub gap_s: f64,
-    /// Expected seconds to the whole answer.
+    /// Expected seconds to the complete answer.
     pub finish_s: f64,
-    /// Expected seconds by which the other streams there are delayed, all together:
-    /// none of them gains a token while this prompt is read.
+    /// Expected delay in seconds of the target's other streams, summed over them: none
+    /// of them gains a token while this prompt is prefilled.
     pub delay_s: f64,
-    /// Why it was chosen.
+    /// Reason for the choice.
     pub reason: String,
 }
 
-/// A request of this daemon at a target.
+/// A request that this daemon has placed on a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningJob {
     /// The request.
     pub number: JobNumber,
     /// When it was placed.
     pub placed_at: MonoTime,
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill.
     pub prefill_tokens: f64,
 }
 
-/// Own work at one target.
+/// This daemon's work at one target.
 #[derive(Clone, Debug, Default)]
 pub struct OwnWork {
     /// Requests in flight.
     pub running: Vec<RunningJob>,
-    /// Placement and end of requests that ended since the last report.
+    /// Placement and end times of requests that ended since the last report.
     pub ended: Vec<(MonoTime, MonoTime)>,
 }
 
-/// Whether a request is mostly reading of its prompt or writing of its answer.
+/// Side of a pool that serves a request.
 ///
-/// No stream of an engine gains a token while a long prompt is read. Kept apart, long
-/// prompts delay one another only, and answers flow at their full pace.
+/// No stream of an engine gains a token while a long prompt is prefilled. On engines of
+/// their own, long prompts delay only one another, and other answers keep full speed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum WorkSide {
     /// Long prompts.
     Reading,
-    /// Everything else.
+    /// All other requests.
     Writing,
 }
 
-/// Everything a choice looks at.
+/// Inputs of a placement.
 pub struct PlacementInputs<'a> {
     /// The fleet.
     pub fleet: &'a FleetView,
     /// Targets to choose from.
     pub candidates: CandidateSide<'a>,
-    /// Expected times.
+    /// Expected times of prefill and decode.
     pub costs: &'a CostModel,
-    /// Beliefs about caches.
+    /// Engines expected to have shared prefixes cached.
     pub prefixes: &'a PrefixIndex,
-    /// Own work by target.
+    /// This daemon's work by target.
     pub own: &'a IndexMap<TargetId, OwnWork>,
     /// Policy in force.
     pub policy: &'a PolicySettings,
-    /// Live daemons, this one included.
+    /// Number of live daemons, including this one.
     pub live_daemons: usize,
-    /// Time of the choice.
+    /// Time of the placement.
     pub now: MonoTime,
 }
 
-/// Chooses a target with room for the request, or `None` when all are full.
+/// Chooses a target for the request, or returns `None` when no target can take it.
 #[must_use]
 pub fn choose_target(
     need: &PlacementNeed,
@@ -164,8 +166,8 @@
     Some(estimates.swap_remove(chosen).choice(need))
 }
 
-/// What a request may expect of one target. Names and reason are copied for the
-/// target chosen only: for all of them they would cost more than the choice.
+/// Expected times of a request on one target. Names and reason are copied for the chosen
+/// target only: copying them for every candidate would cost more than the choice itself.
 struct TargetEstimate<'a> {
     target: &'a TargetView,
     role: Option<EngineRole>,
@@ -195,11 +197,12 @@
 
     fn reason(&self, need: &PlacementNeed) -> String {
         let Some(role) = self.role else {
-            return format!("{} own calls in flight", self.load);
+            return format!("{} requests of this daemon in flight", self.load);
         };
         format!(
-            "{role:?} engine, about {:.0} in flight, {:.0} of {:.0} prompt tokens to read, \
-             first token in {:.0} ms, whole answer in {:.0} ms, others delayed by {:.0} ms",
+            "{role:?} engine, about {:.0} requests in flight, {:.0} of {:.0} prompt tokens to \
+             prefill, first token expected in {:.0} ms, complete answer in {:.0} ms, other \
+             streams delayed by {:.0} ms in total",
             self.load,
             self.uncached,
             need.prompt_tokens,
@@ -228,8 +231,8 @@
     Some(*turn % count)
 }
 
-/// Draws candidates at random, so that daemons with the same lagging view do not
-/// all run to the same target, and adds the holders of the shared prefix.
+/// Draws candidates at random, so that daemons with the same outdated view do not all
+/// choose the same target, and adds the engines that have the shared prefix cached.
 fn candidates<'a>(
     need: &PlacementNeed,
     inputs: &PlacementInputs<'a>,
@@ -329,12 +332,13 @@
     })
 }
 
-/// Tells whether the answer is expected in time, with a margin for what is unknown.
+/// Returns whether the answer is expected before its deadline, with a safety margin.
 ///
-/// A stream placed where it cannot end in time slows the others down until they miss
-/// their deadlines too; held back, it finds a less busy engine or is refused. A
-/// workspace beyond its due must leave more room: without it a flood of short answers
-/// fills every engine until the longer answers of others are in time nowhere.
+/// A stream that cannot meet its deadline on an engine slows the others there until they
+/// miss theirs too; if it stays queued, it finds a less busy engine or is refused. A
+/// workspace above its fair share needs a larger margin: without it, a flood of short
+/// answers fills every engine until no engine can finish other workspaces' longer answers
+/// in time.
 fn in_time(need: &PlacementNeed, finish_s: f64, now: MonoTime) -> bool {
     let share_margin = (1.0 / need.share_factor).clamp(1.0, MOST_SHARE_MARGIN);
     let margin_s = finish_s * FINISH_MARGIN * share_margin;
@@ -342,8 +346,8 @@
     need.due.is_none_or(|due| ends_at <= due)
 }
 
-/// Seconds between tokens, over the times in which the engine reads prompts and those
-/// in which it does not.
+/// Returns the mean seconds between tokens, weighted by the share of time in which the
+/// engine also prefills prompts.
 fn mean_gap(
     target: &TargetView,
     report: &LoadReport,
@@ -366,10 +370,11 @@
     (need.prompt_tokens - shared).max(0.0)
 }
 
-/// Load of an engine now, from a report that lags and from own work since.
+/// Current load of an engine, from its last report and from this daemon's work since.
 ///
-/// The other daemons act on the same lagging reports. Without counting their share,
-/// every engine that looked free fills up several times over until the next report.
+/// The other daemons act on the same outdated reports. If their placements were not
+/// estimated too, each engine that looked free would be filled several times over before
+/// its next report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct EngineLoad {
     in_flight: f64,
@@ -405,7 +410,8 @@
         }
     }
 
-    /// Without a useful report the other daemons are taken to be as busy as this one.
+    /// Without a usable report, assumes that each other daemon has as much work there as
+    /// this one.
     fn from_own_work(own_running: f64, live_daemons: usize) -> Self {
         Self {
             in_flight: own_running * live_daemons.max(1) as f64,
@@ -418,7 +424,7 @@
     1.0 / inputs.costs.prefill_seconds(&target.id, role, 1.0)
 }
 
-/// Returns the loaded model that fits the request, the last one listed first.
+/// Returns the last listed of the loaded models that satisfy the request.
 fn fitting_model<'a>(
     loaded: &'a [String],
     model: &ModelName,
@@ -436,7 +442,8 @@
     loaded.iter().rfind(fits).map(String::as_str)
 }
 
-/// A loaded model as engines name it: `MODEL`, `MODEL@VERSION`, `MODEL@VERSION+ADAPTER`.
+/// Label of a loaded model as engines report it: `MODEL`, `MODEL@VERSION` or
+/// `MODEL@VERSION+ADAPTER`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ModelLabel<'a> {
     /// Model.
@@ -448,7 +455,7 @@
 }
 
 impl<'a> ModelLabel<'a> {
-    /// Splits a label.
+    /// Splits a label into its parts.
     #[must_use]
     pub fn parse(label: &'a str) -> Self {
         let (base, adapter) = label.split_once('+').unwrap_or((label, ""));
@@ -461,5 +468,5 @@
     }
 }
 
-/// Shares a fleet view with the scheduler.
+/// A fleet view shared with the scheduler.
 pub type SharedFleet = Arc<FleetView>;
--- a/src/decide/prefix_index.rs
+++ b/src/decide/prefix_index.rs
@@ -1,39 +1,39 @@
-//! Which engines are believed to hold a shared prefix in their cache.
+//! Index of the engines expected to have a shared prefix in their KV cache.
 //!
-//! Cache events come late and with gaps, so an entry is a belief: a gap in an
-//! engine's events halves the trust in all that is believed of it.
+//! Cache events arrive late and some are lost, so an entry is only an estimate: a gap in
+//! an engine's events halves the confidence in all its entries.
 
 use indexmap::IndexMap;
 
 use crate::names::TargetId;
 use crate::targets::wire::CacheEvent;
 
-/// Prefixes remembered; the one unused longest falls out.
+/// Maximum number of prefixes; the least recently recorded one is evicted.
 const PREFIXES_REMEMBERED: usize = 4_096;
-/// Engines remembered for one prefix.
+/// Maximum number of engines per prefix; the least recently recorded one is evicted.
 const HOLDERS_REMEMBERED: usize = 8;
-/// Trust in a belief after a gap in the events of its engine.
+/// Factor on the confidence of an engine's entries after a gap in its events.
 const TRUST_AFTER_GAP: f64 = 0.5;
 
-/// An engine believed to hold a prefix.
+/// An engine expected to have a prefix cached.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixHolder {
     /// The engine.
     pub target: TargetId,
-    /// Tokens it is believed to hold.
+    /// Tokens of the prefix that it cached, as last known.
     pub tokens: u32,
     trust: f64,
 }
 
 impl PrefixHolder {
-    /// Returns the tokens to count on.
+    /// Returns the expected number of cached tokens, weighted by confidence.
     #[must_use]
     pub fn expected_tokens(&self) -> f64 {
         f64::from(self.tokens) * self.trust
     }
 }
 
-/// Beliefs about the engines' caches.
+/// Engines expected to have each prefix cached.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
     prefixes: IndexMap<String, Vec<PrefixHolder>>,
@@ -41,13 +41,13 @@
 }
 
 impl PrefixIndex {
-    /// Returns the engines believed to hold a prefix.
+    /// Returns the engines expected to have a prefix cached.
     #[must_use]
     pub fn holders(&self, prefix: &str) -> &[PrefixHolder] {
         self.prefixes.get(prefix).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the tokens of a prefix that an engine is expected to hold.
+    /// Returns how many tokens of a prefix an engine is expected to have cached.
     #[must_use]
     pub fn expected_tokens(&self, prefix: &str, target: &TargetId) -> f64 {
         self.holders(prefix)
@@ -56,7 +56,7 @@
             .map_or(0.0, PrefixHolder::expected_tokens)
     }
 
-    /// Notes that an engine read a prefix for this daemon.
+    /// Records that an engine has a prefix cached.
     pub fn note_read(&mut self, prefix: &str, target: &TargetId, tokens: u32) {
         if prefix.is_empty() || tokens == 0 {
             return;
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Takes in an engine's cache events; late and doubled ones are ignored.
+    /// Applies a cache event of an engine; late and duplicate events are ignored.
     pub fn note_event(&mut self, target: &TargetId, event: &CacheEvent) {
         let last = self.sequences.get(target).copied().unwrap_or(0);
         if event.sequence <= last {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Forgets an engine, for example after a restart.
+    /// Removes all entries of an engine, for example after a restart.
     pub fn forget_target(&mut self, target: &TargetId) {
         self.sequences.shift_remove(target);
         for holders in self.prefixes.values_mut() {
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -1,13 +1,13 @@
-//! A budget that lets retries be a share of first attempts and no more.
+//! A budget that limits retries to a share of first attempts.
 //!
-//! Without it an overload feeds itself: refused work comes back as retries, which
+//! Without it an overload amplifies itself: refused requests return as retries, which
 //! are refused in turn. A share of first attempts stays bounded at any load.
 
-/// Retries that may be saved up, so that a quiet daemon can still retry.
+/// Maximum number of saved retries; they let a daemon with few requests still retry.
 const MOST_SAVED: f64 = 20.0;
 const FIRST_SAVED: f64 = 5.0;
 
-/// Retries allowed at the moment.
+/// Retries currently allowed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     share: f64,
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt, which adds its share of a retry.
     pub fn earn(&mut self) {
         self.saved = (self.saved + self.share).min(MOST_SAVED);
     }
 
-    /// Takes one retry from the budget, if one is left.
+    /// Takes one retry from the budget; returns false if none is left.
     #[must_use]
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -1,8 +1,8 @@
-//! Admission, queueing and placement of one daemon's requests: pure and synchronous.
+//! Admission, queueing and placement of one daemon's requests, without I/O or clock.
 //!
-//! Every call takes the time and returns what has to happen; the dispatcher carries
-//! it out. Refusals made here are certain to be true: a request known only to this
-//! queue has been sent to no target.
+//! Every call is given the time and returns the actions that the dispatcher has to carry
+//! out. A request refused here has certainly not run: requests in this queue have been
+//! sent to no target.
 
 use std::time::Duration;
 
@@ -25,53 +25,53 @@
 use crate::settings::{LimitSettings, PlacementPolicy, PolicySettings};
 use crate::targets::wire::{CacheEvent, EngineRole};
 
-/// Waiting requests looked at for one free target.
+/// Maximum number of queued requests tried for each placement.
 const LOOK_AHEAD: usize = 16;
-/// Engine-seconds per unit of weight within which urgency decides before shares.
+/// Engine-seconds per unit of weight within which urgency takes precedence over shares.
 const FAIR_QUANTUM_S: f64 = 1.0;
-/// Steps of reading from which a prompt counts as long.
+/// Number of prefill steps above which a prompt counts as long.
 const READING_STEPS: f64 = 2.0;
-/// Factor on the expected wait before a deadline counts as kept: a queue that is let
-/// grow to the very deadline serves everything a moment too late.
+/// Safety factor on the expected wait in the deadline check: a queue that may grow up to
+/// the deadline itself serves every request slightly too late.
 const WAIT_MARGIN: f64 = 2.0;
-/// Least pace assumed, as a share of what the targets could give.
+/// Minimum service rate assumed, as a share of the targets' capacity.
 const LEAST_PACE: f64 = 0.1;
-/// Shortest time after which a refused caller is asked to come back.
+/// Minimum time after which a refused caller is told to retry.
 const SHORTEST_RETRY: Duration = Duration::from_millis(100);
-/// Longest time after which a refused caller is asked to come back.
+/// Maximum time after which a refused caller is told to retry.
 const LONGEST_RETRY: Duration = Duration::from_secs(30);
-/// Ended requests remembered per target to correct its next report.
+/// Maximum number of ended requests kept per target to correct its last report.
 const MOST_ENDED: usize = 256;
 
 /// A request as the scheduler sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSpec {
-    /// Workspace that asks.
+    /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// Class of the work.
+    /// Request class.
     pub class: ClassName,
-    /// Share of the workspace, corrected by what it got across the fleet.
+    /// Weight of the workspace, corrected by its use across the fleet.
     pub weight: f64,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// When the whole answer is due.
+    /// When the complete answer is due.
     pub deadline: MonoTime,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
-    /// What it needs of a target.
+    /// Requirements on the target.
     pub need: PlacementNeed,
 }
 
-/// Why a request is not taken, or no longer waited for.
+/// Why a request is not admitted, or removed from the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRefusal {
-    /// What happened, for people.
+    /// What happened, as shown to the caller.
     pub reason: String,
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
 
-/// A request that got a target.
+/// A request with the target chosen for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobGrant {
     /// The request.
@@ -80,27 +80,27 @@
     pub choice: TargetChoice,
 }
 
-/// What has to happen after a call.
+/// An action that the dispatcher has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScheduleAction {
     /// Send the request to its target.
     Start(JobGrant),
-    /// Refuse a waiting request, which has not run.
+    /// Refuse a queued request, which has not run.
     GiveUp(JobNumber, JobRefusal),
 }
 
-/// How a placed request ended, for what can be learned from it.
+/// Measurements of a placed request, from which cost estimates are learned.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct JobMeasure {
     /// Seconds from dispatch to the first token.
     pub first_token_s: Option<f64>,
     /// Mean seconds between tokens.
     pub gap_s: Option<f64>,
-    /// Tokens of a whole answer; `None` when it did not end whole.
+    /// Output tokens of a complete answer; `None` if the answer is incomplete.
     pub whole_tokens: Option<u32>,
 }
 
-/// Requests that wait for the same targets.
+/// Key of a queue: requests that wait for the same targets.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct QueueKey {
     pool: PoolKey,
@@ -120,20 +120,20 @@
     placed_at: MonoTime,
 }
 
-/// Inputs that do not change while a daemon runs.
+/// Inputs that do not change while the daemon runs.
 #[derive(Clone, Debug)]
 pub struct SchedulerInputs {
-    /// Policy.
+    /// Scheduling policy.
     pub policy: PolicySettings,
-    /// Bounds of the queue.
+    /// Queue limits.
     pub limits: LimitSettings,
-    /// First guesses of engine speeds.
+    /// Initial estimates of engine speeds.
     pub speeds: SpeedSettings,
-    /// Seed of the generator that draws candidates.
+    /// Seed of the random generator that draws candidates.
     pub seed: u64,
 }
 
-/// Requests waiting and running in one daemon.
+/// Queues and places the requests of one daemon.
 pub struct Scheduler {
     policy: PolicySettings,
     limits: LimitSettings,
@@ -154,7 +154,7 @@
 }
 
 impl Scheduler {
-    /// Creates a scheduler that knows no fleet yet.
+    /// Creates a scheduler with an empty fleet.
     #[must_use]
     pub fn new(inputs: SchedulerInputs) -> Self {
         Self {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Takes over a new view of the fleet and places what can now be placed.
+    /// Applies a new view of the fleet and places the requests that can now be placed.
     pub fn update_fleet(
         &mut self,
         fleet: SharedFleet,
@@ -185,7 +185,7 @@
         now: MonoTime,
     ) -> Vec<ScheduleAction> {
         self.live_daemons = live_daemons.max(1);
-        // Most views bring new load reports and nothing else.
+        // Most views contain only new load reports.
         if !candidates::has_same_shape(&self.fleet, &fleet) {
             self.index = CandidateIndex::build(&fleet);
             self.costs.retain_targets(|t| fleet.targets.contains_key(t));
@@ -197,19 +197,19 @@
         self.pump(now)
     }
 
-    /// Takes in an engine's cache events.
+    /// Applies an engine's cache events.
     pub fn note_cache_events(&mut self, target: &TargetId, events: &[CacheEvent]) {
         for event in events {
             self.prefixes.note_event(target, event);
         }
     }
 
-    /// Admits a request to the queue, or refuses it at once.
+    /// Adds a request to the queue, or refuses it immediately.
     ///
     /// # Errors
     ///
-    /// Returns the refusal when the queue is full, no target offers the work, or the
-    /// deadline cannot be met.
+    /// Returns the refusal if the queue is full, no target serves the request's model or
+    /// service, or the deadline cannot be met.
     pub fn admit(&mut self, mut spec: JobSpec, now: MonoTime) -> Result<JobNumber, JobRefusal> {
         spec.need.due = self.policy.refuse_early.then_some(spec.deadline);
         spec.need.output_tokens = self.expected_output(&spec);
@@ -226,7 +226,7 @@
         Ok(number)
     }
 
-    /// Puts a request back whose target failed; it waits with its old rank.
+    /// Queues a placed request again after its target failed, with its old number.
     pub fn retry(&mut self, number: JobNumber, need: PlacementNeed) {
         let Some(placed) = self.take_placed(number) else {
             return;
@@ -243,7 +243,7 @@
         self.waiting.insert(number, WaitingJob { spec, queued });
     }
 
-    /// Drops a waiting request; true when it was still waiting.
+    /// Removes a queued request; returns whether it was still queued.
     pub fn withdraw(&mut self, number: JobNumber) -> bool {
         let Some(waiting) = self.waiting.swap_remove(&number) else {
             return false;
@@ -251,7 +251,7 @@
         self.queue_of(&waiting.spec.need).remove(&waiting.queued)
     }
 
-    /// Notes the end of a placed request and learns from it.
+    /// Removes a placed request that ended and learns from its measurements.
     pub fn finish(&mut self, number: JobNumber, measure: JobMeasure, now: MonoTime) {
         let Some(placed) = self.take_placed(number) else {
             return;
@@ -265,7 +265,8 @@
         self.learn(&placed, measure);
     }
 
-    /// Places what can be placed and gives up what can no longer be in time.
+    /// Refuses queued requests that can no longer meet their deadline, and places those
+    /// that can be placed.
     pub fn pump(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
         let mut actions = self.give_up_overdue(now);
         for key in self.queues.keys().cloned().collect::<Vec<_>>() {
@@ -279,26 +280,26 @@
         actions
     }
 
-    /// Returns the number of own requests at a target.
+    /// Returns the number of this daemon's requests in flight at a target.
     #[must_use]
     pub fn own_in_flight(&self, target: &TargetId) -> usize {
         self.own.get(target).map_or(0, |o| o.running.len())
     }
 
-    /// Returns the numbers of waiting and of placed requests.
+    /// Returns the numbers of queued and of placed requests.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.placed.len())
     }
 
-    /// Returns a placed request with the engine-seconds it is expected to take.
+    /// Returns a placed request with its expected cost in engine-seconds.
     #[must_use]
     pub fn placed_cost(&self, number: JobNumber) -> Option<(&JobSpec, f64)> {
         let placed = self.placed.get(&number)?;
         Some((&placed.spec, self.expected_cost(&placed.spec)))
     }
 
-    /// Returns the engine-seconds a request is expected to take.
+    /// Returns the expected cost of a request in engine-seconds.
     #[must_use]
     pub fn expected_cost(&self, spec: &JobSpec) -> f64 {
         let output = self.expected_output(spec);
@@ -306,7 +307,7 @@
             .engine_seconds(unshared_tokens(&spec.need), output)
     }
 
-    /// Takes in the load reports that are newer than the known ones.
+    /// Applies the load reports that are newer than the known ones.
     fn note_reports(&mut self, fleet: &SharedFleet) {
         if fleet.version == self.fleet.version {
             return;
@@ -323,7 +324,7 @@
                 let reads = report.prefill_backlog_tokens > 0;
                 self.costs.observe_reading(id, reads);
                 if let Some(own) = self.own.get_mut(id) {
-                    // The report counts them no more, so nothing is left to correct.
+                    // The new report no longer counts these, so it needs no correction.
                     own.ended.retain(|(_, ended)| *ended > report.taken_at);
                 }
             }
@@ -337,10 +338,10 @@
             .map(|q| q.len_of(&spec.workspace))
             .sum();
         if own >= self.limits.queue_per_workspace {
-            return Err(self.refusal("the workspace's queue is full".to_owned(), 1.0));
+            return Err(self.refusal("the queue of the workspace is full".to_owned(), 1.0));
         }
         if self.waiting.len() >= self.limits.queue_length {
-            return Err(self.refusal("the queue is full".to_owned(), 1.0));
+            return Err(self.refusal("the queue of the daemon is full".to_owned(), 1.0));
         }
         Ok(())
     }
@@ -350,8 +351,8 @@
             return Ok(());
         }
         let what = match &spec.need.pool {
-            PoolKey::Model(model) => format!("no engine in use holds model {model}"),
-            PoolKey::Service(service) => format!("no instance of service {service} is in use"),
+            PoolKey::Model(model) => format!("no available engine has model {model} loaded"),
+            PoolKey::Service(service) => format!("no instance of service {service} is available"),
         };
         Err(self.refusal(what, 2.0))
     }
@@ -369,7 +370,8 @@
         }
         let late_s = (millis(ready_at.since(queued.latest_start))) as f64 / 1_000.0;
         let reason = format!(
-            "the deadline cannot be met: about {wait_s:.2} s of waiting would end {late_s:.2} s late"
+            "the deadline cannot be met: after an expected wait of {wait_s:.2} s, the request \
+             would start {late_s:.2} s too late"
         );
         Err(self.refusal(reason, late_s))
     }
@@ -383,15 +385,16 @@
         before / self.pace(&key, now)
     }
 
-    /// Engine-seconds per second at which a queue is served: as seen while it was busy,
-    /// else as many as its targets could give.
+    /// Returns the engine-seconds per second at which a queue is served: as observed
+    /// while requests waited, otherwise the capacity of its targets.
     fn pace(&self, key: &QueueKey, now: MonoTime) -> f64 {
         let capacity = self.capacity(key);
         let seen = self.paces.get(key).and_then(|p| p.rate(now));
         seen.map_or(capacity, |rate| rate.clamp(capacity * LEAST_PACE, capacity))
     }
 
-    /// Engine-seconds per second that this daemon's share of the targets could give.
+    /// Returns the capacity of this daemon's share of the targets, in engine-seconds per
+    /// second.
     fn capacity(&self, key: &QueueKey) -> f64 {
         let live = self.candidates(key).map_or(0, |side| side.live());
         let each = match &key.pool {
@@ -415,7 +418,8 @@
         }
     }
 
-    /// Seconds the work takes on an otherwise idle engine of the best role in use.
+    /// Returns the seconds that a request takes on an idle engine of the fastest role in
+    /// use.
     fn shortest_service(&self, spec: &JobSpec) -> f64 {
         if matches!(spec.need.pool, PoolKey::Service(_)) {
             return 0.0;
@@ -453,7 +457,7 @@
         let mut actions = Vec::with_capacity(overdue.len());
         for job in overdue {
             self.withdraw(job.number);
-            let reason = "no target became free in time for the deadline".to_owned();
+            let reason = "no target became available in time to meet the deadline".to_owned();
             let refusal = self.refusal(reason, 1.0);
             actions.push(ScheduleAction::GiveUp(job.number, refusal));
         }
@@ -496,7 +500,7 @@
     fn place(&mut self, job: &QueuedJob, choice: TargetChoice, now: MonoTime) -> JobGrant {
         let state = self.fleet.targets.get(&choice.target).map(|t| t.state);
         invariants::check(state == Some(UseState::Live), Invariant::NoLateWork, || {
-            format!("work placed on {} in state {state:?}", choice.target)
+            format!("request placed on {} in state {state:?}", choice.target)
         });
         let number = job.number;
         if let Some(waiting) = self.waiting.swap_remove(&number) {
@@ -601,10 +605,11 @@
     }
 }
 
-/// Tokens of a prompt to be read where its shared part is cached, as it mostly is.
+/// Returns the prompt tokens to prefill if the shared part is cached, as it usually is.
 ///
-/// Counted in full, a popular rulebook makes every request look several times as
-/// dear, and requests are refused that would be in time.
+/// If the shared part counted in full, a long part in common use would make each request
+/// look several times as costly, and requests that can meet their deadline would be
+/// refused.
 fn unshared_tokens(need: &PlacementNeed) -> f64 {
     (need.prompt_tokens - f64::from(need.shared_prefix_tokens)).max(0.0)
 }
--- a/src/decide/shares.rs
+++ b/src/decide/shares.rs
@@ -1,8 +1,9 @@
-//! Fleet-wide fair shares from the costs seen here and by peers.
+//! Fleet-wide fair shares, from the costs observed locally and those reported by peers.
 //!
-//! Each daemon shares its own part by weight. A workspace that is busy on every daemon
-//! then gets more than one busy on a single daemon, though their weights be equal. The
-//! local weight is corrected by how far a workspace is from its due across the fleet.
+//! Each daemon divides only its own capacity by weight. Of two workspaces with equal
+//! weights, one that is active on every daemon would then get more than one that is
+//! active on a single daemon. The local weights are therefore corrected by how far each
+//! workspace is from its fair share of the fleet.
 
 use std::time::Duration;
 
@@ -15,10 +16,10 @@
 const FORGET_RATE: f64 = 1e-4;
 const STEP: Duration = Duration::from_secs(1);
 
-/// Corrections of the weights on this daemon.
+/// Corrections of the workspaces' weights on this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShareView {
-    /// Factor on a workspace's weight; those not listed have 1.
+    /// Factor on a workspace's weight; workspaces not listed have 1.
     pub factors: IndexMap<WorkspaceName, f64>,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// Rates of cost per workspace across the fleet.
+/// Tracks the rate of cost per workspace across the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct ShareState {
     pending: IndexMap<WorkspaceName, f64>,
@@ -39,12 +40,12 @@
 }
 
 impl ShareState {
-    /// Adds cost in engine-seconds, used here or told by a peer.
+    /// Adds cost in engine-seconds, used locally or reported by a peer.
     pub fn note(&mut self, workspace: &WorkspaceName, cost: f64) {
         *self.pending.entry(workspace.clone()).or_default() += cost;
     }
 
-    /// Lets time pass; returns whether the rates moved.
+    /// Updates the rates once per interval; returns whether they were updated.
     pub fn tick(&mut self, now: MonoTime) -> bool {
         let since = *self.rolled_at.get_or_insert(now);
         let span = now.since(since);
@@ -64,7 +65,7 @@
         true
     }
 
-    /// Returns the corrections for the weights of the configuration.
+    /// Returns the corrections of the configured weights.
     #[must_use]
     pub fn view(&self, weight: impl Fn(&WorkspaceName) -> u32) -> ShareView {
         let used: f64 = self.rates.values().sum();
--- a/src/roles/capacity.rs
+++ b/src/roles/capacity.rs
@@ -1,4 +1,4 @@
-//! How much of a mix a set of engine roles can serve.
+//! Capacity of a set of engine roles for a mix of prefill and decode work.
 
 use crate::decide::cost::SpeedSettings;
 use crate::roles::mix::{MIX_BINS, WorkAmount, WorkBins};
@@ -8,7 +8,7 @@
 const MOST_SCALE: f64 = 64.0;
 const HEADROOM: f64 = 1.25;
 
-/// Engines by role.
+/// Number of engines by role.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RoleCounts {
     /// Prefill engines.
@@ -35,7 +35,8 @@
         *self.slot(role) += 1;
     }
 
-    /// Returns the counts with one engine moved, or left out when `to` is `None`.
+    /// Returns the counts with one engine moved to another role, or removed if `to` is
+    /// `None`.
     #[must_use]
     pub fn moved(mut self, from: EngineRole, to: Option<EngineRole>) -> Self {
         let slot = self.slot(from);
@@ -46,7 +47,7 @@
         self
     }
 
-    /// Tells whether prompts and output can both still be worked on.
+    /// Returns whether the engines can serve both prefill and decode.
     #[must_use]
     pub fn is_able(&self) -> bool {
         self.mixed > 0 || (self.prefill > 0 && self.decode > 0)
@@ -61,10 +62,11 @@
     }
 }
 
-/// Returns how many times the mix the engines could serve at best.
+/// Returns the largest multiple of the mix that the engines could serve.
 ///
-/// Each kind of work goes where it is comparatively quickest: kinds in order of their
-/// prefill share fill prefill engines first, then mixed, then decode ones.
+/// Each kind of work goes to the role with the greatest relative speed for it: in
+/// descending order of their prefill share, the kinds fill prefill engines first, then
+/// mixed, then decode engines.
 #[must_use]
 pub fn capacity(counts: RoleCounts, mix: &WorkBins, speeds: &SpeedSettings) -> f64 {
     let (mut low, mut high) = (0.0, MOST_SCALE);
@@ -111,14 +113,14 @@
     work.prefill / speed.prefill + work.decode / speed.decode
 }
 
-/// Returns the share of the work expected to be served in time at a capacity; some
-/// room is needed for bursts.
+/// Returns the share of the work expected to be served in time at a capacity, with
+/// headroom for bursts.
 #[must_use]
 pub fn served_share(capacity: f64) -> f64 {
     (capacity / HEADROOM).min(1.0)
 }
 
-/// Returns the whole of a mix in engine-seconds a second.
+/// Returns the total of a mix in engine-seconds per second.
 #[must_use]
 pub fn demand(mix: &WorkBins) -> f64 {
     mix.iter().map(WorkAmount::total).sum()
--- a/src/roles/mix.rs
+++ b/src/roles/mix.rs
@@ -1,8 +1,8 @@
-//! Forecast of the mix of prompt and output work per model.
+//! Forecast of the mix of prefill and decode work per model.
 //!
-//! Requests are sorted by how much of their work is reading the prompt, because a role
-//! suits one end of that scale: the totals alone would hide that long prompts with short
-//! answers run beside short prompts with long answers.
+//! Requests are binned by the share of prefill in their work, because a role suits one
+//! end of that range: totals alone would hide that long prompts with short answers run
+//! beside short prompts with long answers.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::decide::cost::SpeedSettings;
 use crate::names::{ModelName, MonoTime};
 
-/// Number of kinds of work by their prefill share.
+/// Number of kinds of work, by prefill share.
 pub const MIX_BINS: usize = 8;
 
 const TYPICAL_BATCH: f64 = 16.0;
@@ -22,19 +22,19 @@
 const MOST_MODELS: usize = 256;
 const STEP: Duration = Duration::from_secs(1);
 
-/// Work in seconds of a mixed engine.
+/// Amount of work in seconds of a mixed engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkAmount {
-    /// Reading prompts.
+    /// Prefill of prompts.
     pub prefill: f64,
-    /// Generating output.
+    /// Decoding of output.
     pub decode: f64,
 }
 
 /// Work of one model by kind.
 pub type WorkBins = [WorkAmount; MIX_BINS];
 
-/// Work seen since the start of a process, per model.
+/// Work received since the start of a process, per model.
 pub type WorkTotals = IndexMap<ModelName, WorkBins>;
 
 impl WorkAmount {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Returns the sum of both.
+    /// Returns the sum of prefill and decode.
     #[must_use]
     pub fn total(&self) -> f64 {
         self.prefill + self.decode
     }
 
-    /// Returns the kind of the work; the last is all prefill.
+    /// Returns the kind of the work: 0 is mostly decode, the last is mostly prefill.
     #[must_use]
     pub fn bin(&self) -> usize {
         let total = self.total();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns the amount multiplied.
+    /// Returns the amount multiplied by a factor.
     #[must_use]
     pub fn times(self, factor: f64) -> Self {
         Self {
@@ -101,7 +101,7 @@
     variance: f64,
 }
 
-/// Rates of work per model, decayed over a short and a long time.
+/// Rates of work per model, averaged over a short and a long window.
 #[derive(Clone, Debug, Default)]
 pub struct MixForecast {
     models: IndexMap<ModelName, ModelMix>,
@@ -109,22 +109,22 @@
     age_s: f64,
 }
 
-/// Rates of one model, in engine-seconds a second.
+/// Rates of one model, in engine-seconds per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MixRates {
     /// Over the last seconds.
     pub recent: WorkBins,
-    /// Between the last seconds and the last minute, or the last minute alone where the
-    /// difference of both may be noise.
+    /// Mean of the rates over the last seconds and over the last minute, or the latter
+    /// alone if the difference may be noise.
     pub steady: WorkBins,
-    /// Expected within half a minute if the trend goes on.
+    /// Expected within half a minute if the trend continues.
     pub expected: WorkBins,
     /// Standard error of the prefill share of the steady rates.
     pub error: f64,
 }
 
 impl MixForecast {
-    /// Adds work that was seen since the last call.
+    /// Adds work received since the last call.
     pub fn note(&mut self, model: &ModelName, bins: &WorkBins) {
         if self.models.len() >= MOST_MODELS && !self.models.contains_key(model) {
             return;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Updates the rates once per interval.
     pub fn tick(&mut self, now: MonoTime) {
         let since = *self.rolled_at.get_or_insert(now);
         let span = now.since(since);
@@ -145,7 +145,7 @@
         self.rolled_at = Some(now);
         let seconds = span.as_secs_f64();
         self.age_s += seconds;
-        // Until it is as old as its memory, a rate is the plain mean of what was seen.
+        // Before its window has passed, a rate is the plain mean since the start.
         let fast = share_of_new(seconds, FAST_S.min(self.age_s));
         let slow = share_of_new(seconds, SLOW_S.min(self.age_s));
         for mix in self.models.values_mut() {
@@ -164,7 +164,7 @@
             ..MixRates::default()
         };
         let recent = if mix.is_noise() { 0.0 } else { 0.5 };
-        // A young rate is a mean of fewer seconds than its memory.
+        // In the beginning the mean covers fewer seconds than the window.
         let (slow_s, fast_s) = (SLOW_S.min(self.age_s / 2.0), FAST_S.min(self.age_s / 2.0));
         rates.error = mix.error(slow_s).max(recent * mix.error(fast_s));
         for (bin, (fast, slow)) in mix.fast.iter().zip(&mix.slow).enumerate() {
@@ -179,7 +179,7 @@
         self.models.keys()
     }
 
-    /// Tells whether enough time has been seen for a decision.
+    /// Returns whether the rates cover enough time for a decision.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.age_s >= FAST_S
@@ -199,7 +199,8 @@
 }
 
 impl ModelMix {
-    // The mean of the last seconds strays from the true one by its standard error.
+    // Whether the difference between the short and the long mean is within the standard
+    // error of the short one.
     fn is_noise(&self) -> bool {
         let shares = prefill_share(&self.fast).zip(prefill_share(&self.slow));
         let Some((fast, slow)) = shares else {
@@ -208,7 +209,7 @@
         (fast - slow).abs() < SIGNIFICANT_DEVIATIONS * self.error(FAST_S)
     }
 
-    // Standard error of the prefill share over a memory.
+    // Standard error of the prefill share, averaged over a window in seconds.
     fn error(&self, memory: f64) -> f64 {
         (self.variance / (2.0 * memory.max(0.5))).sqrt()
     }
@@ -228,7 +229,7 @@
     }
 }
 
-/// Returns a mix with the same work and another prefill share.
+/// Returns a mix with the same total work and its prefill share shifted by `by`.
 #[must_use]
 pub fn tilted(bins: &WorkBins, by: f64) -> WorkBins {
     let Some(share) = prefill_share(bins) else {
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! Engine roles by forecast of the mix of work.
+//! Assignment of engine roles by a forecast of the prefill and decode load.
 
 pub mod capacity;
 pub mod mix;
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -1,9 +1,10 @@
-//! Plans which role each engine has, and which engines hold a model.
+//! Plans the role of each engine, and which engines have a model loaded.
 //!
-//! A change pays when what it gains within the horizon is worth more than the seconds
-//! it takes an engine out of service. Near the threshold the plan keeps what is: gains
-//! must show in the recent, the steady and the expected mix and within its error, exceed
-//! a least share, and an engine that changed rests for a horizon.
+//! A role change is worthwhile if it gains more within the horizon than the engine's time
+//! out of service costs. Several rules keep the plan stable near that threshold: the gain
+//! must exist for the recent, the steady and the expected mix and within the error of the
+//! steady mix, it must exceed a minimum share of the work served, and an engine that
+//! changed is not changed again within the horizon.
 
 use std::time::Duration;
 
@@ -23,50 +24,50 @@
 const ERROR_MARGIN: f64 = 3.0;
 const KEPT_PAUSE: Duration = Duration::from_secs(30);
 
-/// An engine as the plan sees it.
+/// An engine as the planner sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlanEngine {
-    /// Its name.
+    /// Identifier of the engine.
     pub id: TargetId,
-    /// Role in force.
+    /// Current role.
     pub role: EngineRole,
     /// Models loaded.
     pub models: Vec<String>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub usable: bool,
-    /// Work running and waiting.
+    /// Requests running and queued on it.
     pub in_flight: u32,
 }
 
-/// A decision of the plan with its reason.
+/// A decision of the planner with its reason.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlanDecision {
-    /// Change an engine.
+    /// Change an engine's role or models.
     Change {
         /// Engine to change.
         target: TargetId,
-        /// State to have.
+        /// Planned role and models.
         wish: EngineWish,
     },
-    /// Keep what is although a change would gain a little.
+    /// Keep the roles although a change would gain a little.
     Keep {
-        /// Models concerned.
+        /// Models of the pool concerned.
         models: String,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
 }
 
-/// A model's need of engines.
+/// Number of engines that a model needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelNeed {
     /// Model.
     pub model: ModelName,
-    /// Fewest engines that hold it.
+    /// Minimum number of engines that have it loaded.
     pub least_engines: usize,
 }
 
-/// Plans roles for the whole fleet.
+/// Plans engine roles for the whole fleet.
 #[derive(Clone, Debug)]
 pub struct RolePlanner {
     policy: PolicySettings,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Decides what to change now; `changing` engines are in change already.
+    /// Decides what to change now, while `changing` engines are already being changed.
     pub fn plan(
         &mut self,
         engines: &[PlanEngine],
@@ -152,7 +153,7 @@
         let target = self.pick(pool, best.from, now)?;
         self.changed_at.insert(target.clone(), now);
         let reason = format!(
-            "{:?} -> {:?}: gains {:.1} of {:.1} engine-seconds needed within {:.0} s",
+            "{:?} -> {:?}: gains {:.1} engine-seconds within {:.0} s, {:.1} required",
             best.from,
             best.to,
             best.gain,
@@ -182,7 +183,7 @@
         }
         self.kept_at.insert(models.clone(), now);
         let reason = format!(
-            "kept: {:?} -> {:?} would gain {:.1} of {wanted:.1} engine-seconds needed",
+            "roles kept: {:?} -> {:?} would gain only {:.1} of the {wanted:.1} engine-seconds required",
             best.from, best.to, best.gain
         );
         Some(PlanDecision::Keep { models, reason })
@@ -242,7 +243,7 @@
         }
     }
 
-    // Engine-seconds of work served in time that a move adds within the horizon.
+    // Engine-seconds of work served in time that a role change adds within the horizon.
     fn gain(&self, before: RoleCounts, after: RoleCounts, mix: &WorkBins) -> f64 {
         let speeds = &self.policy.speeds;
         let (old, new) = (capacity(before, mix, speeds), capacity(after, mix, speeds));
@@ -261,14 +262,14 @@
         (served_share(new) - served_share(old)) * demand(mix) * seconds
     }
 
-    // Measured against the work served, not the work offered: in deep overload even a
-    // large gain is a small part of what is asked for.
+    // The minimum gain is relative to the work served, not to the work offered: in heavy
+    // overload even a large gain is a small part of the offered work.
     fn served(&self, pool: &EnginePool<'_>) -> f64 {
         let mix = &pool.rates.recent;
         demand(mix) * served_share(capacity(pool.counts, mix, &self.policy.speeds))
     }
 
-    // Work not served while the engine is out, and the price of its idle seconds.
+    // Work not served while the engine changes, plus the price of its idle seconds.
     fn cost(&self, before: RoleCounts, during: RoleCounts, mix: &WorkBins) -> f64 {
         let speeds: &SpeedSettings = &self.policy.speeds;
         let seconds = self.policy.role_change_ms as f64 / 1_000.0;
@@ -296,8 +297,8 @@
         changed_at.is_none_or(|at| now.since(*at) >= rest)
     }
 
-    // Puts a model that too few engines hold onto the quietest engine that can spare
-    // one of its own, or has the fewest.
+    // Loads a model that too few engines have on the least loaded engine that can unload
+    // one of its own models; failing that, on the engine with the fewest models.
     fn place_model(
         &mut self,
         engines: &[PlanEngine],
@@ -334,7 +335,7 @@
         models.push(short.model.to_string());
         self.changed_at.insert(engine.id.clone(), now);
         let reason = format!(
-            "{} is held by {} of at least {} engines",
+            "{} is loaded on {} engines, at least {} required",
             short.model,
             holders(&short.model),
             short.least_engines
@@ -349,8 +350,8 @@
     }
 }
 
-// Engines with the same models form a pool; a model's work is split over its pools by
-// their engines.
+// Engines with the same models form a pool; a model's work is divided among its pools in
+// proportion to their numbers of engines.
 fn pools<'a>(engines: &'a [PlanEngine], mix: &MixForecast) -> Vec<EnginePool<'a>> {
     let mut pools: IndexMap<&[String], EnginePool<'a>> = IndexMap::new();
     for engine in engines.iter().filter(|engine| engine.usable) {
@@ -396,7 +397,7 @@
     engine.models.iter().any(|held| names_model(held, model))
 }
 
-// `MODEL`, `MODEL@VERSION` and `MODEL@VERSION+ADAPTER` all name the model.
+// Labels have the form `MODEL`, `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
 fn names_model(held: &str, model: &ModelName) -> bool {
     let name = held.split(['@', '+']).next().unwrap_or(held);
     name == model.as_str()
--- a/src/roles/plan_book.rs
+++ b/src/roles/plan_book.rs
@@ -1,6 +1,7 @@
-//! Keeps the fleet's plan of engine changes in the platform.
+//! Stores the planned engine changes of the fleet in the platform.
 //!
-//! Only the holder of the plan's lease writes it; holders of the groups carry it out.
+//! Only the holder of the plan's lease writes them; the holders of the groups' leases
+//! carry them out.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 
 const CALL_PAUSE: Duration = Duration::from_millis(500);
 
-/// The plan under one lease.
+/// The stored plan during one term of the plan's lease.
 #[derive(Clone, Debug)]
 pub struct PlanBook {
     fence: FenceNumber,
@@ -31,8 +32,8 @@
 }
 
 impl PlanBook {
-    /// Opens the plan for a lease just acquired. It starts empty: the last planner's
-    /// reasons are unknown, and what was ordered runs to its end by itself.
+    /// Creates an empty plan for a newly acquired lease: the reasons of the previous
+    /// planner are unknown, and changes already ordered complete on their own.
     #[must_use]
     pub fn new(fence: FenceNumber) -> Self {
         Self {
@@ -48,35 +49,36 @@
         }
     }
 
-    /// Returns the fence the plan was opened with.
+    /// Returns the fence of the lease that the plan was created for.
     #[must_use]
     pub fn fence(&self) -> FenceNumber {
         self.fence
     }
 
-    /// Returns a later fence met in the object; the lease is lost then.
+    /// Returns the later fence found in the stored object; if there is one, the lease is
+    /// lost.
     #[must_use]
     pub fn fenced_by(&self) -> Option<FenceNumber> {
         self.fenced_by
     }
 
-    /// Returns the changes wanted.
+    /// Returns the planned changes.
     #[must_use]
     pub fn wanted(&self) -> &IndexMap<TargetId, EngineWish> {
         &self.wanted
     }
 
-    /// Adds a wish.
+    /// Adds a planned change.
     pub fn want(&mut self, target: TargetId, wish: EngineWish) {
         self.wanted.insert(target, wish);
     }
 
-    /// Keeps the wishes for which `keep` holds.
+    /// Keeps only the planned changes for which `keep` returns true.
     pub fn retain(&mut self, keep: impl Fn(&TargetId, &EngineWish) -> bool) {
         self.wanted.retain(|target, wish| keep(target, wish));
     }
 
-    /// Lets time pass.
+    /// Returns the next read or write to send, if one is due.
     pub fn tick(&mut self, now: MonoTime) -> Option<OrderAction> {
         if self.busy || now < self.call_at {
             return None;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Notes what a read of the plan found.
+    /// Handles the result of a read of the plan.
     pub fn note_read(
         &mut self,
         result: &Result<Option<StoredObject>, PlatformError>,
@@ -142,10 +144,10 @@
         self.stored = own.then(|| wishes_of(&record));
     }
 
-    /// Notes the answer to a write.
+    /// Handles the result of a write.
     pub fn note_write(&mut self, result: &Result<ObjectVersion, PlatformError>, now: MonoTime) {
         self.busy = false;
-        // A write that landed is read back: it may be older than what is wanted by now.
+        // The plan may have changed during the write, so the stored one is read back.
         self.must_read = true;
         if let Err(PlatformError::Unavailable { .. }) = result {
             self.call_at = now.plus(CALL_PAUSE);
@@ -156,7 +158,7 @@
     }
 }
 
-/// Returns the wishes in a plan or the changes in a group's record.
+/// Returns the engine changes in a stored record, of the plan or of a group.
 #[must_use]
 pub fn wishes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
     let entries = record.entries.iter();
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -1,4 +1,4 @@
-//! Turns the fleet's view into what the plan of roles looks at.
+//! Converts the view of the fleet into the inputs of the role planner.
 
 use indexmap::IndexMap;
 
--- a/src/roles/work_mix.rs
+++ b/src/roles/work_mix.rs
@@ -1,20 +1,20 @@
-//! How much of the recent work was reading of long prompts.
+//! Recent work by side of a pool, and the rate at which a queue is served.
 
 use std::time::Duration;
 
 use crate::decide::placement::WorkSide;
 use crate::names::MonoTime;
 
-/// Time in which the weight of past work halves. Short against the minutes in which
-/// the mix swings, long against the gaps between requests.
+/// Time in which the weight of past work halves: short compared to the minutes over which
+/// the mix changes, long compared to the gaps between requests.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Room that writing gets beyond its bare need, for what comes in bursts.
+/// Factor on the capacity that the decode side needs, as headroom for bursts.
 const WRITING_ROOM: f64 = 1.3;
-/// Least part that reads while there is anything to read.
+/// Minimum part of a pool on the prefill side while there is any work for it.
 const LEAST_PART: f64 = 1e-6;
 
-/// Decayed cost of what was placed, from which the pace of a queue is read.
+/// Exponentially decayed cost of placed work, which gives the service rate of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlacedPace {
     placed: f64,
@@ -23,13 +23,13 @@
 }
 
 impl PlacedPace {
-    /// Adds placed work of some engine-seconds.
+    /// Adds the cost of placed work in engine-seconds.
     pub fn add(&mut self, cost: f64, now: MonoTime) {
         self.placed = self.placed * decay_since(self.at, now) + cost;
         self.at = now;
     }
 
-    /// Notes whether anything waits.
+    /// Records whether requests are queued.
     pub fn note_waiting(&mut self, waits: bool, now: MonoTime) {
         if !waits {
             self.busy_since = None;
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Returns the engine-seconds placed per second while work waited; `None` before it
-    /// has waited long enough to tell.
+    /// Returns the engine-seconds placed per second; `None` unless requests have been
+    /// queued for at least one half-life.
     #[must_use]
     pub fn rate(&self, now: MonoTime) -> Option<f64> {
         let busy = now.since(self.busy_since?);
@@ -56,7 +56,7 @@
     0.5_f64.powf(halves)
 }
 
-/// Decayed cost of recent work by side.
+/// Exponentially decayed cost of recent work by side.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkMix {
     reading: f64,
@@ -65,7 +65,7 @@
 }
 
 impl WorkMix {
-    /// Adds work of some engine-seconds.
+    /// Adds the cost of work in engine-seconds.
     pub fn add(&mut self, side: WorkSide, cost: f64, now: MonoTime) {
         self.decay(now);
         match side {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the share of reading, 0 while there was no work.
+    /// Returns the share of work on the prefill side, 0 if there was no work.
     #[must_use]
     pub fn reading_share(&self) -> f64 {
         let total = self.reading + self.writing;
@@ -85,11 +85,11 @@
         }
     }
 
-    /// Returns the part of a pool's targets that should read, where all daemons together
-    /// see `daemons` times this work.
+    /// Returns the part of a pool's targets that should form the prefill side, if all
+    /// daemons together have `daemons` times this work.
     ///
-    /// Writing gets its share of the targets, and at least what its work needs: long
-    /// prompts mostly may wait, and a flood of them must not leave the short, urgent
+    /// The decode side gets its share of the targets, and at least what its work needs:
+    /// long prompts can usually wait, and a flood of them must not leave short, urgent
     /// requests without engines.
     #[must_use]
     pub fn reading_part(&self, targets: usize, daemons: usize) -> f64 {
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -1,4 +1,4 @@
-//! The plan of roles: what pays, what does not, and what is never done.
+//! Role planner: which changes are worthwhile, which are not, and which never happen.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Work a second as a share of all engines' seconds.
+/// Work per second, as a share of all engines' capacity.
 #[derive(Clone, Copy)]
 struct Load {
     prefill: f64,
@@ -80,7 +80,7 @@
     roles: Vec<EngineRole>,
 }
 
-/// Runs the planner a second a step; a change takes three steps.
+/// Runs the planner in steps of one second; a change takes three steps.
 fn run(policy: PolicySettings, start: &[EngineRole], loads: impl Iterator<Item = Load>) -> Run {
     let mut planner = RolePlanner::new(policy);
     let mut mix = MixForecast::default();
@@ -122,11 +122,11 @@
             |roles: [EngineRole; 2]| fleet.iter().any(|e| e.usable && roles.contains(&e.role));
         assert!(
             able([EngineRole::Mixed, EngineRole::Prefill]),
-            "no engine reads prompts"
+            "no engine prefills prompts"
         );
         assert!(
             able([EngineRole::Mixed, EngineRole::Decode]),
-            "no engine generates"
+            "no engine decodes"
         );
         run.at_once = run.at_once.max(under_way.len());
     }
@@ -178,9 +178,10 @@
     assert!(run.at_once <= 2, "{}", run.at_once);
 }
 
-/// Prompts and output each vary by half from second to second about a steady mean, under
-/// full load. Following each jump idles engines for nothing. The plan may suit one engine
-/// to the steady mix, once; the baseline runs after the jumps.
+/// Prefill and decode work each vary by more than half from second to second around a
+/// steady mean, under full load. Following each variation would idle engines without any
+/// gain. The forecast may change one engine once, to suit the steady mix; the baseline
+/// policy follows the variations.
 #[rstest]
 fn noise_changes_nothing(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let loads = |seed| {
@@ -197,8 +198,8 @@
     assert!(followed.changes >= 3, "{}", followed.changes);
 }
 
-/// Seconds of pure prompts and seconds of pure output come at random: two kinds of work
-/// side by side. Roles that suit both pay and are taken up once, then kept.
+/// Seconds of prefill work only and of decode work only alternate at random. Roles that
+/// suit both kinds of work are worthwhile: they are assigned once and then kept.
 #[rstest]
 fn two_kinds_of_work_settle(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let loads = |seconds| {
@@ -227,8 +228,8 @@
     );
 }
 
-/// Prompt and output phases alternate every two minutes: each phase costs at most a
-/// few changes, and no engine goes back and forth within one.
+/// Prefill and decode phases alternate every two minutes: each phase causes only a few
+/// changes, and no engine changes back and forth within one.
 #[test]
 fn a_swing_back_and_forth_is_followed_sparingly() {
     let phase = |load| steady(load, 120);
@@ -244,8 +245,9 @@
     assert!(run.changes <= 16, "{}", run.changes);
 }
 
-/// Prompts and output alternate faster than a change pays. An engine that was changed
-/// rests for a horizon, whatever the mix does, or it would be out of service half the time.
+/// Prefill and decode phases alternate too fast for a change to be worthwhile. An
+/// engine that was changed is not changed again within the horizon, whatever the mix;
+/// otherwise it would be out of service half of the time.
 #[test]
 fn a_changed_engine_rests() {
     let phases = (0..20).flat_map(|n| {
--- a/tests/cost_learning.rs
+++ b/tests/cost_learning.rs
@@ -1,4 +1,4 @@
-//! The cost model: first guesses, what it learns, and the bounds of that.
+//! Cost model: initial estimates, learning, and the bounds of learned corrections.
 
 use pistachiowick::decide::cost::{CostModel, SpeedSettings};
 use pistachiowick::names::TargetId;
@@ -21,7 +21,8 @@
     gap_s: f64,
 }
 
-// 8,000 prompt tokens, and the gap of a lone stream, on engines nothing is known of.
+// Expected time of 8,000 prompt tokens, and the token gap of a single stream, on engines
+// without observations.
 #[rstest]
 #[case::mixed(RoleCase { role: EngineRole::Mixed, prefill_s: 1.0, gap_s: 0.010 })]
 #[case::prefill(RoleCase { role: EngineRole::Prefill, prefill_s: 1.0 / 1.8, gap_s: 0.010 / 0.35 })]
@@ -34,7 +35,7 @@
     assert!((gap - case.gap_s).abs() < 1e-9, "{gap}");
 }
 
-// A step costs nothing more until the batch fills it; from there each stream adds.
+// The step time is constant for small batches; beyond that each stream adds to it.
 #[rstest]
 #[case::alone(0.0, 0.010)]
 #[case::small_batch(9.0, 0.010)]
@@ -49,8 +50,9 @@
     settled: f64,
 }
 
-// An engine keeps taking `ratio` times as long as expected. The correction follows, and
-// stops at its bounds, so that no outlier keeps an engine out of use for good.
+// An engine takes `ratio` times as long as expected, every time. The correction converges
+// to that ratio within its bounds; without bounds, outliers would exclude an engine from
+// placement permanently.
 #[rstest]
 #[case::as_expected(LearnCase { ratio: 1.0, settled: 1.0 })]
 #[case::twice_as_slow(LearnCase { ratio: 2.0, settled: 2.0 })]
@@ -74,7 +76,7 @@
     let other = model.prefill_seconds(&"other".into(), role, 1_000.0);
     assert!(
         (other - 0.125).abs() < 1e-9,
-        "another engine moved to {other}"
+        "the estimate of another engine changed to {other}"
     );
 }
 
@@ -104,7 +106,7 @@
     assert!((model.expected_output(&workspace, &short, 1) - 1.0).abs() < 1e-9);
 }
 
-// An engine that left and came back under its name is another process.
+// An engine that left and returned under the same name is a different process.
 #[test]
 fn targets_out_of_the_fleet_are_forgotten() {
     let mut model = model();
@@ -124,7 +126,7 @@
         ..Config::default()
     })]
 
-    // Whatever is observed, every estimate stays finite, positive and within the bounds
+    // For any observations, every estimate stays finite, positive and within the bounds
     // of the correction.
     #[test]
     fn estimates_stay_in_bounds(seen in prop::collection::vec((any::<f64>(), any::<f64>()), 0..200)) {
--- a/tests/fair_queue_order.rs
+++ b/tests/fair_queue_order.rs
@@ -1,4 +1,4 @@
-//! The fair queue: shares by weight, urgency within a quantum, no banked time.
+//! Fair queue: shares by weight, urgency within a quantum, no credit for idle time.
 
 use indexmap::IndexMap;
 use pistachiowick::decide::fair_queue::{FairQueue, JobNumber, QueuedJob};
@@ -25,7 +25,7 @@
     queue.take_first(LOOK_AHEAD, |_| true)
 }
 
-/// Cost served of each workspace, out of `rounds` picks.
+/// Takes `rounds` requests from the queue; returns the cost served per workspace.
 fn serve(queue: &mut FairQueue, rounds: usize) -> IndexMap<WorkspaceName, f64> {
     let mut served = IndexMap::new();
     for _ in 0..rounds {
@@ -40,8 +40,8 @@
     costs: &'static [f64],
 }
 
-// Workspaces that always have work waiting are served in proportion to their weights,
-// in cost, however many requests that takes of each.
+// Workspaces that always have requests queued are served in proportion to their weights,
+// measured in cost, not in number of requests.
 #[rstest]
 #[case::equal(ShareCase { weights: &[1.0, 1.0], costs: &[0.1, 0.1] })]
 #[case::weighted(ShareCase { weights: &[3.0, 1.0], costs: &[0.1, 0.1] })]
@@ -65,7 +65,7 @@
         let slack = (QUANTUM * *weight + case.costs[place]) * 2.0 / total;
         assert!(
             (share - due).abs() <= slack,
-            "w{place} got {share:.3} of its due {due:.3}"
+            "w{place} got a share of {share:.3} instead of {due:.3}"
         );
     }
 }
@@ -75,8 +75,8 @@
     urgent_first: bool,
 }
 
-// The urgent request of a workspace goes first while its workspace is within a quantum
-// of the one furthest behind, and waits for its turn beyond that.
+// An urgent request is served first while the virtual time of its workspace is within a
+// quantum of the lowest one, and waits beyond that.
 #[rstest]
 #[case::level(UrgencyCase { charged: 0.0, urgent_first: true })]
 #[case::within_quantum(UrgencyCase { charged: 0.9, urgent_first: true })]
@@ -94,8 +94,8 @@
     assert_eq!(first.number == JobNumber(2), case.urgent_first);
 }
 
-// Within one workspace the more urgent class goes first, then the one with less slack,
-// then the one that came first.
+// Within one workspace requests are served by priority, then by latest start, then in
+// order of arrival.
 #[rstest]
 #[case::by_priority((1, 10), (0, 99), false)]
 #[case::by_slack((1, 20), (1, 10), false)]
@@ -117,8 +117,8 @@
     assert_eq!(taken.number == JobNumber(1), first_wins);
 }
 
-// One workspace works for long while another is idle. When the other comes back it must
-// not be served alone until it has caught up with the time in which it asked for nothing.
+// One workspace has requests for a long time while another is idle. When the other
+// becomes active again, it must not be served exclusively to make up for its idle time.
 #[test]
 fn an_idle_workspace_banks_no_time() {
     let mut queue = FairQueue::new(QUANTUM, true);
@@ -134,7 +134,7 @@
     assert!(steady.is_some_and(|cost| *cost >= 9.0), "{served:?}");
 }
 
-// Work that other daemons did for a workspace counts against its share here.
+// Work that other daemons placed for a workspace counts against its share here.
 #[test]
 fn work_elsewhere_is_charged() {
     let mut queue = FairQueue::new(QUANTUM, true);
@@ -160,8 +160,8 @@
     assert_eq!(take(&mut queue), None);
 }
 
-// No target takes the first requests in line; one further back fits somewhere else. The
-// queue offers it, but looks no further than it was told.
+// No target accepts the first requests of the queue, but a later one can be placed. The
+// queue offers that one only if it is within the look-ahead.
 #[rstest]
 #[case::within_reach(15, true)]
 #[case::out_of_reach(16, false)]
@@ -208,8 +208,9 @@
     expected: f64,
 }
 
-// What a new request has to wait for: its workspace's own more urgent work, stretched
-// by the rivals that are busy, never more than everything that waits.
+// The cost served before a new request: that of its workspace's requests of the same or
+// a more urgent priority, scaled up by the weights of the other busy workspaces, at
+// most the cost of the whole queue.
 #[rstest]
 #[case::nothing_own(WaitCase { own: &[], rivals: 3, priority: 1, expected: 0.0 })]
 #[case::own_alone(WaitCase { own: &[1, 1], rivals: 0, priority: 1, expected: 2.0 })]
@@ -234,7 +235,7 @@
     assert!((before - case.expected).abs() < 1e-9, "{before}");
 }
 
-/// A fair queue that looks at everything each time, as the definition reads.
+/// Reference implementation that scans all requests for each operation.
 #[derive(Default)]
 struct PlainQueue {
     times: IndexMap<WorkspaceName, (f64, f64)>,
@@ -337,8 +338,8 @@
         ..Config::default()
     })]
 
-    // Any mix of arrivals, withdrawals, charges and picks is served in the order that
-    // the definition gives.
+    // For any sequence of operations, the queue serves requests in the same order as the
+    // reference implementation.
     #[test]
     fn serves_as_the_plain_definition(steps in steps()) {
         let mut queue = FairQueue::new(QUANTUM, true);
@@ -349,7 +350,7 @@
                     let pushed = QueuedJob {
                         priority,
                         latest_start: MonoTime(start),
-                        // Costs that no sum rounds, so that both see the same ties.
+                        // Sums of these costs are exact, so that both have the same ties.
                         ..job(number as u64, &format!("w{workspace}"), f64::from(1 << weight), f64::from(cost) / 16.0)
                     };
                     queue.push(pushed.clone());
--- a/tests/placement_choice.rs
+++ b/tests/placement_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a target: who may receive work, and who is the best of them.
+//! Placement: which targets may receive a request, and which of them is chosen.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 const NOW: MonoTime = MonoTime(1_000_000);
 
-/// Everything a choice depends on, to be changed by a case.
+/// Inputs of a placement, modified by each case.
 struct PlacementScene {
     fleet: FleetView,
     need: PlacementNeed,
@@ -77,15 +77,18 @@
 }
 
 fn report_of(target: &mut TargetView) -> &mut pistachiowick::membership::fleet::LoadReport {
-    target.report.as_mut().expect("a sample has a report")
+    target
+        .report
+        .as_mut()
+        .expect("a sample target has a report")
 }
 
 struct BarredCase {
     bar: fn(&mut PlacementScene),
 }
 
-// The idle engine 0 may not be used, for one reason or another; engine 1 is busy. The
-// request goes to engine 1 under every policy, and nowhere when there is no other.
+// Engine 0 is idle but may not be used, for a different reason in each case; engine 1 is
+// busy. Under every policy the request goes to engine 1, and is not placed without it.
 #[rstest]
 #[case::leaving(BarredCase { bar: |s| s.engine(0).state = UseState::Leaving })]
 #[case::gone(BarredCase { bar: |s| s.engine(0).state = UseState::Gone })]
@@ -125,8 +128,9 @@
     assert_eq!(scene.choose(1), None);
 }
 
-// A stream goes on after its engine died. The answer so far came from one version, and
-// another version's words must not be joined to it, however newer or idler its engine.
+// A stream continues on another engine after its own crashed. The rest of the answer
+// must come from the same model version, even if a newer version or an idle engine is
+// available.
 #[rstest]
 #[case::held(Some("base@1"), Some(1))]
 #[case::held_nowhere(Some("base@0"), None)]
@@ -180,7 +184,7 @@
         .extend((0..jobs).map(|n| own_work(n, placed_at, 300.0)));
 }
 
-// Two engines that differ in one thing.
+// Two engines that differ in one respect.
 #[rstest]
 #[case::fewer_in_flight(BestCase { set: |s| report_of(s.engine(0)).in_flight = 25, best: 1 })]
 #[case::less_to_read(
@@ -240,8 +244,8 @@
     finds_room: bool,
 }
 
-// A report that says "full" bars the engine only while the report means something. One
-// that is too old gives way to own work, with the other daemons taken to be as busy.
+// A report of a full engine excludes it only until the report is too old. Then the load
+// is estimated from this daemon's work, assuming the other daemons have as much.
 #[rstest]
 #[case::fresh_and_full(AgeCase { age_ms: 0, reported: 32, own: 0, daemons: 1, finds_room: false })]
 #[case::lagging_and_full(AgeCase { age_ms: 10_000, reported: 32, own: 0, daemons: 1, finds_room: false })]
@@ -259,7 +263,7 @@
     assert_eq!(scene.choose(1).is_some(), case.finds_room);
 }
 
-// A stream that cannot end in time only slows the others down; it waits instead.
+// A stream that cannot meet its deadline would only slow the others, so it stays queued.
 #[rstest]
 #[case::ample(10_000, true)]
 #[case::hopeless(300, false)]
@@ -269,8 +273,8 @@
     assert_eq!(scene.choose(1).is_some(), placed);
 }
 
-// A workspace beyond its due leaves more room before its deadline, and gains none by being
-// behind its due.
+// A workspace above its fair share needs a larger margin before its deadline; one below
+// its share gets no smaller margin.
 #[rstest]
 #[case::at_its_due(1.0, 700, true)]
 #[case::behind_its_due(4.0, 700, true)]
@@ -329,8 +333,8 @@
     assert_eq!(seen.len(), 4);
 }
 
-// Daemons draw at random among many engines; with the same lagging view they must not
-// all run to the same one.
+// Daemons draw candidates at random among many engines: with the same outdated view they
+// must not all choose the same engine.
 #[test]
 fn daemons_with_the_same_view_spread_out() {
     let scene = PlacementScene::new(400);
@@ -339,7 +343,7 @@
     assert!(seen.len() > 25, "only {} engines", seen.len());
 }
 
-// Among many engines the random draw would miss the one that holds the prefix.
+// Among many engines a random draw alone would miss the one that has the prefix cached.
 #[test]
 fn holder_of_the_prefix_is_looked_at_in_a_large_fleet() {
     let mut scene = PlacementScene::new(400);
@@ -354,8 +358,8 @@
     }
 }
 
-// Two daemons learned of the engines in another order. They must divide a pool alike, or
-// one would read long prompts on the engines that the other keeps for answers.
+// Two daemons know the engines in different orders. They must split a pool in the same
+// way; otherwise one would prefill long prompts on the other's decode side.
 #[rstest]
 #[case::all_mixed(&[])]
 #[case::some_readers(&[3, 9])]
@@ -430,8 +434,8 @@
     same: bool,
 }
 
-// New load reports come many times a second; only a view that changes who may receive
-// which work is worth a new index.
+// Load reports arrive many times per second. The index is rebuilt only for a view that
+// changes which targets may receive which requests.
 #[rstest]
 #[case::new_load(ShapeCase { change: |f| report_of(&mut f.targets[1]).in_flight = 9, same: true })]
 #[case::new_report(ShapeCase { change: |f| report_of(&mut f.targets[1]).taken_at.0 += 1, same: true })]
--- a/tests/prefix_index_beliefs.rs
+++ b/tests/prefix_index_beliefs.rs
@@ -1,4 +1,4 @@
-//! Beliefs about prefix caches: events come late, doubled and with gaps.
+//! Prefix index: cache events arrive late, twice or not at all.
 
 use pistachiowick::decide::prefix_index::PrefixIndex;
 use pistachiowick::names::TargetId;
@@ -18,7 +18,7 @@
     expected: f64,
 }
 
-// What the daemon counts on of the prefix "rules" at one engine after its events.
+// Tokens of the prefix "rules" expected to be cached on one engine after its events.
 #[rstest]
 #[case::never_heard(EventCase { events: &[], expected: 0.0 })]
 #[case::cached(EventCase { events: &[(1, "rules", 100)], expected: 100.0 })]
@@ -62,7 +62,7 @@
     assert!((index.expected_tokens("rules", &steady) - 100.0).abs() < 1e-9);
 }
 
-// An engine restarts with an empty cache and counts its events from the start again.
+// A restarted engine has an empty cache and numbers its events from the start again.
 #[test]
 fn restarted_engine_is_believed_empty() {
     let mut index = PrefixIndex::default();
--- a/tests/retry_budget_bounds.rs
+++ b/tests/retry_budget_bounds.rs
@@ -1,4 +1,4 @@
-//! The retry budget: retries are a share of first attempts and no more.
+//! Retry budget: retries are limited to a share of first attempts.
 
 use pistachiowick::decide::retry_budget::RetryBudget;
 use rstest::rstest;
@@ -9,8 +9,8 @@
     most: usize,
 }
 
-// Overload: every attempt fails and asks for a retry. What is granted stays the share of
-// first attempts, plus what a quiet daemon had saved up.
+// Under overload every attempt fails and requests a retry. The retries granted are the
+// configured share of first attempts, plus the initial savings.
 #[rstest]
 #[case::quiet(BudgetCase { share: 0.1, attempts: 0, most: 5 })]
 #[case::light(BudgetCase { share: 0.1, attempts: 100, most: 15 })]
@@ -27,7 +27,7 @@
     while budget.spend() {
         retries += 1;
     }
-    // Sums of a tenth are rounded; one retry less is no fault.
+    // Sums of 0.1 have rounding errors, so one retry less is accepted.
     assert!(retries <= case.most, "{retries} retries");
     assert!(retries + 1 >= case.most, "{retries} retries");
 }
--- a/tests/scheduler_admission.rs
+++ b/tests/scheduler_admission.rs
@@ -1,4 +1,4 @@
-//! Admission, refusal and placement of one daemon's requests.
+//! Scheduler: admission, refusal and placement of one daemon's requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,7 +36,7 @@
     fleet
 }
 
-/// A scheduler before engines that take one request each.
+/// A scheduler for engines that run one request each.
 fn narrow(engines: usize) -> Scheduler {
     let policy = PolicySettings {
         engine_in_flight: 1,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Serves for a while on engines that are always full; returns the cost each workspace got.
+/// Runs requests on engines that are always full; returns the cost served per workspace.
 fn serve(
     scheduler: &mut Scheduler,
     weights: &[u32],
@@ -77,7 +77,7 @@
     let mut now = NOW;
     for _ in 0..rounds {
         for (workspace, weight) in weights.iter().enumerate() {
-            // The first asks for long answers, the others for short ones.
+            // The first workspace requests long answers, the others short ones.
             let job = JobSpec {
                 weight: f64::from(*weight),
                 max_output_tokens: if workspace == 0 { 500 } else { 50 },
@@ -99,8 +99,8 @@
     served
 }
 
-// Three workspaces ask for more than one engine gives. Each is served its due in
-// engine-seconds, also the one whose requests are ten times as dear.
+// Three workspaces request more than one engine can serve. Each gets its fair share in
+// engine-seconds, including the one whose answers are ten times as long.
 #[rstest]
 #[case::equal(&[1, 1, 1])]
 #[case::weighted(&[4, 2, 1])]
@@ -120,7 +120,7 @@
         let share = served.get(&name).copied().unwrap_or(0.0) / total;
         assert!(
             (share - due).abs() < 0.1 * due,
-            "{name} got {share:.3} of its due {due:.3}: {served:?}"
+            "{name} got a share of {share:.3} instead of {due:.3}: {served:?}"
         );
     }
 }
@@ -132,7 +132,7 @@
     refused_at: usize,
 }
 
-// The queue is bounded, for one workspace and in all; a rival that fills its own part
+// The queue is bounded per workspace and in total: a workspace that reaches its own limit
 // leaves room for the others.
 #[rstest]
 #[case::workspace_full(RoomCase { per_workspace: 2, length: 9, asks: &[0, 0, 0], refused_at: 2 })]
@@ -152,7 +152,11 @@
     scheduler.update_fleet(Arc::new(idle_fleet(1, 1, NOW)), 1, NOW);
     for (place, workspace) in case.asks.iter().enumerate() {
         let admitted = scheduler.admit(spec(*workspace), NOW);
-        assert_eq!(admitted.is_err(), place == case.refused_at, "ask {place}");
+        assert_eq!(
+            admitted.is_err(),
+            place == case.refused_at,
+            "request {place}"
+        );
         if let Err(refusal) = admitted {
             assert!(refusal.reason.contains("full"), "{}", refusal.reason);
             assert!(refusal.retry_after >= Duration::from_millis(100));
@@ -166,8 +170,8 @@
     admitted: bool,
 }
 
-// Without any engine that could serve it, a request is refused at once: waiting would
-// only use up its deadline. A suspected engine may come back within it.
+// A request without any engine that could serve it is refused immediately, since waiting
+// would only use up its deadline. A suspect engine may become live again in time.
 #[rstest]
 #[case::live(PoolCase { state: UseState::Live, admitted: true })]
 #[case::suspect(PoolCase { state: UseState::Suspect, admitted: true })]
@@ -187,19 +191,23 @@
     let placed = grants(scheduler.pump(NOW));
     assert_eq!(!placed.is_empty(), case.state == UseState::Live);
     let refusal = admitted.err().map(|r| r.reason);
-    assert!(refusal.is_none_or(|reason| reason.contains("no engine in use holds model base")));
+    assert!(
+        refusal.is_none_or(|reason| reason.contains("no available engine has model base loaded"))
+    );
 }
 
 #[test]
 fn unknown_service_is_refused_at_once() {
     let mut job = spec(0);
     job.need.pool = PoolKey::Service("ledger".into());
-    let refusal = narrow(1).admit(job, NOW).expect_err("nobody offers it");
+    let refusal = narrow(1)
+        .admit(job, NOW)
+        .expect_err("no instance offers the service");
     assert!(refusal.reason.contains("no instance of service ledger"));
 }
 
-/// Fills one engine and its queue until a request is refused; returns how many were
-/// taken, and the refusal.
+/// Fills one engine and its queue until a request is refused; returns the number admitted
+/// and the refusal.
 fn flood(scheduler: &mut Scheduler, deadline_ms: u64) -> (usize, JobRefusal) {
     for taken in 0..10_000 {
         let job = JobSpec {
@@ -211,12 +219,12 @@
         }
         scheduler.pump(NOW);
     }
-    panic!("nothing was refused");
+    panic!("no request was refused");
 }
 
-// A flood of requests with a deadline. Those that cannot be in time are refused as they
-// come, before they have used any engine; the shorter the deadline, the earlier. Every
-// refusal says when to come back, within bounds.
+// Under a flood of requests, those that cannot meet their deadline are refused on
+// arrival, before they use any engine; the shorter the deadline, the sooner. Every
+// refusal has a retry time within bounds.
 #[test]
 fn hopeless_requests_are_refused_early() {
     let limits = LimitSettings {
@@ -236,7 +244,11 @@
         assert!(refusal.reason.contains("deadline cannot be met"));
         assert!(refusal.retry_after >= Duration::from_millis(100));
         assert!(refusal.retry_after <= Duration::from_secs(30));
-        assert_eq!(scheduler.counts().1, 1, "one runs, the others wait");
+        assert_eq!(
+            scheduler.counts().1,
+            1,
+            "one request runs, the others are queued"
+        );
         taken_at.push(taken);
     }
     assert!(
@@ -245,7 +257,7 @@
     );
 }
 
-// A refused request leaves nothing behind that a later one would have to wait for.
+// A refused request leaves no state that would delay later ones.
 #[test]
 fn refusal_leaves_no_trace() {
     let mut scheduler = narrow(1);
@@ -262,8 +274,8 @@
     assert_eq!(before.0 + before.1, taken);
 }
 
-// Requests wait behind a busy engine until their time is up. Each is given up once, and
-// none of them has been at an engine.
+// Requests wait for a busy engine until they can no longer meet their deadline. Each is
+// refused once, and none of them has been sent to an engine.
 #[test]
 fn overdue_requests_are_given_up_once() {
     let mut scheduler = narrow(1);
@@ -273,7 +285,7 @@
             deadline: MonoTime(NOW.0 + 5_000),
             ..spec(0)
         };
-        waiting.push(scheduler.admit(job, NOW).expect("room"));
+        waiting.push(scheduler.admit(job, NOW).expect("the queue has room"));
     }
     let running = grants(scheduler.pump(NOW));
     assert_eq!(running.len(), 1);
@@ -286,7 +298,7 @@
                 assert!(refusal.retry_after >= Duration::from_millis(100));
                 number
             }
-            ScheduleAction::Start(grant) => panic!("{grant:?} came too late"),
+            ScheduleAction::Start(grant) => panic!("{grant:?} was started too late"),
         })
         .collect();
     waiting.retain(|number| *number != running[0].number);
@@ -296,13 +308,13 @@
     assert_eq!(scheduler.counts(), (0, 1));
 }
 
-// An engine begins to leave while requests wait for it. Whatever becomes free there, it
-// receives nothing more; the requests go to the engine that stays.
+// An engine starts to leave while requests are queued. It receives no more requests, even
+// when it has free capacity; they go to the engine that stays.
 #[test]
 fn leaving_engine_receives_nothing_more() {
     let mut scheduler = narrow(2);
     for _ in 0..6 {
-        scheduler.admit(spec(0), NOW).expect("room");
+        scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
     let running = grants(scheduler.pump(NOW));
     assert_eq!(running.len(), 2);
@@ -323,15 +335,15 @@
     assert_eq!(scheduler.own_in_flight(&leaving), 0);
 }
 
-// An attempt failed. Tried again, the request keeps its place before those that came
-// later, and does not go back to the engine that failed it.
+// A retried request keeps its rank before those that arrived later, and is not sent to
+// the engine on which it failed.
 #[test]
 fn retried_request_keeps_its_rank_and_avoids_the_failed_engine() {
     let mut scheduler = narrow(2);
-    let first = scheduler.admit(spec(0), NOW).expect("room");
+    let first = scheduler.admit(spec(0), NOW).expect("the queue has room");
     let failed = grants(scheduler.pump(NOW)).remove(0).choice.target;
     for _ in 0..3 {
-        scheduler.admit(spec(0), NOW).expect("room");
+        scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
     scheduler.pump(NOW);
     let mut need = spec(0).need;
@@ -356,7 +368,7 @@
 fn unknown_and_ended_numbers_change_nothing(#[case] engines: usize) {
     let mut scheduler = narrow(1);
     for _ in 0..engines {
-        scheduler.admit(spec(0), NOW).expect("room");
+        scheduler.admit(spec(0), NOW).expect("the queue has room");
         scheduler.pump(NOW);
     }
     let before = scheduler.counts();
@@ -366,8 +378,8 @@
     assert_eq!(scheduler.counts(), before);
 }
 
-// Requests whose shared rulebook an engine has read go there again; once it has dropped
-// the rulebook from its cache, its place is no better than another's.
+// Requests with a shared prefix go to the engine that has it cached; once that engine has
+// evicted it, the engine is no better than any other.
 #[test]
 fn cache_events_move_the_affinity() {
     let policy = PolicySettings::default();
@@ -384,7 +396,9 @@
     job.need.prompt_tokens = 4_100.0;
     job.need.shared_prefix = "rules".to_owned();
     job.need.shared_prefix_tokens = 4_000;
-    scheduler.admit(job.clone(), NOW).expect("room");
+    scheduler
+        .admit(job.clone(), NOW)
+        .expect("the queue has room");
     let first = grants(scheduler.pump(NOW)).remove(0);
     assert_eq!(first.choice.target, holder);
     let expected = first.choice.first_token_s;
@@ -396,13 +410,13 @@
         ..cached
     };
     scheduler.note_cache_events(&holder, &[evicted]);
-    scheduler.admit(job, NOW).expect("room");
+    scheduler.admit(job, NOW).expect("the queue has room");
     let second = grants(scheduler.pump(NOW)).remove(0);
     assert!(second.choice.first_token_s > 0.3, "{second:?}");
 }
 
-// Every daemon sees its own part; the more daemons share the engines, the less work each
-// may take on before it refuses.
+// Each daemon uses only its part of the capacity: the more daemons share the engines, the
+// fewer requests each admits.
 #[test]
 fn capacity_is_divided_among_daemons() {
     let mut taken = Vec::new();
@@ -423,7 +437,7 @@
     assert!(taken[1] * 4 < taken[0], "{taken:?}");
 }
 
-// Long prompts go to one side of a pool, short ones to the other; both are served.
+// Long prompts go to one side of a pool and short ones to the other; both are served.
 #[test]
 fn long_prompts_keep_to_their_side() {
     let mut scheduler = scheduler(PolicySettings::default(), LimitSettings::default());
@@ -433,9 +447,9 @@
         let long = round % 2 == 0;
         let tokens = if long { 9_000.0 } else { 100.0 };
         let job = samples::job_spec(0, tokens, NOW);
-        scheduler.admit(job, NOW).expect("room");
+        scheduler.admit(job, NOW).expect("the queue has room");
         for grant in grants(scheduler.pump(NOW)) {
-            // The first requests come before the mix is known.
+            // The mix is not yet known for the first requests.
             if round > 10 {
                 sides[usize::from(!long)].push(grant.choice.target.clone());
             }
@@ -457,14 +471,14 @@
     scheduler.update_fleet(Arc::new(fleet), 1, NOW);
     let mut job = samples::job_spec(0, 30_000.0, NOW);
     job.max_output_tokens = 5;
-    scheduler.admit(job, NOW).expect("room");
+    scheduler.admit(job, NOW).expect("the queue has room");
     let grant = grants(scheduler.pump(NOW)).remove(0);
     assert_eq!(grant.choice.target, reader);
 }
 
-/// A caller asks with a long rulebook that many others share, and is refused although
-/// every engine is nearly idle: each request is priced as if the rulebook were read anew,
-/// so a short queue looks too long for the deadline.
+/// Guards against refusals on nearly idle engines: if the cost of a request included a
+/// long shared prefix that is cached, even a short queue would look too long for the
+/// deadline.
 #[test]
 fn shared_part_of_a_prompt_is_not_priced() {
     let scheduler = narrow(1);
--- a/tests/scheduler_fuzz.rs
+++ b/tests/scheduler_fuzz.rs
@@ -1,5 +1,5 @@
-//! Any order of arrivals, ends, failures and changes of the fleet keeps the books of the
-//! scheduler right.
+//! Scheduler state stays consistent for any sequence of arrivals, completions, failures
+//! and fleet changes.
 
 use std::sync::Arc;
 
@@ -110,7 +110,7 @@
     prop::collection::vec(step, 1..150)
 }
 
-/// The scheduler with the books that a caller of it would keep.
+/// The scheduler with the state that its caller tracks.
 struct BookedScheduler {
     scheduler: Scheduler,
     fleet: FleetView,
@@ -162,18 +162,26 @@
             match action {
                 ScheduleAction::Start(grant) => {
                     let spec = self.waiting.swap_remove(&grant.number);
-                    let spec = spec.expect("only what waits is started");
+                    let spec = spec.expect("only queued requests are started");
                     let target = &self.fleet.targets[&grant.choice.target];
-                    let report = target.report.as_ref().expect("a started engine reported");
-                    assert_eq!(target.state, UseState::Live, "{} started", target.id);
-                    assert!(!report.changing, "{} is in change", target.id);
+                    let report = target
+                        .report
+                        .as_ref()
+                        .expect("an engine with a started request has a report");
+                    assert_eq!(
+                        target.state,
+                        UseState::Live,
+                        "request started on {}",
+                        target.id
+                    );
+                    assert!(!report.changing, "{} is being changed", target.id);
                     assert!(!spec.need.excluded.contains(&target.id));
                     let running = (spec, target.id.clone());
                     self.running.insert(grant.number, running);
                 }
                 ScheduleAction::GiveUp(number, refusal) => {
                     let given_up = self.waiting.swap_remove(&number);
-                    assert!(given_up.is_some(), "{number:?} did not wait");
+                    assert!(given_up.is_some(), "{number:?} was not queued");
                     assert!(!refusal.retry_after.is_zero());
                     assert!(self.ended.insert(number), "{number:?} ended twice");
                 }
@@ -242,9 +250,17 @@
         let is_full = self.waiting.len() >= QUEUE_LENGTH || own >= QUEUE_PER_WORKSPACE;
         match self.scheduler.admit(spec.clone(), self.now) {
             Ok(number) => {
-                assert!(!is_full, "{own} of {} wait already", self.waiting.len());
+                assert!(
+                    !is_full,
+                    "{own} of {} are queued already",
+                    self.waiting.len()
+                );
                 assert!(!self.ended.contains(&number) && !self.running.contains_key(&number));
-                assert_eq!(self.waiting.insert(number, spec), None, "a number twice");
+                assert_eq!(
+                    self.waiting.insert(number, spec),
+                    None,
+                    "number assigned twice"
+                );
             }
             Err(refusal) => assert!(!refusal.retry_after.is_zero()),
         }
@@ -255,7 +271,10 @@
             return;
         }
         let at = pick % self.waiting.len();
-        let (number, _) = self.waiting.swap_remove_index(at).expect("it is there");
+        let (number, _) = self
+            .waiting
+            .swap_remove_index(at)
+            .expect("the index is in range");
         assert!(self.scheduler.withdraw(number));
         assert!(!self.scheduler.withdraw(number));
         assert!(self.ended.insert(number), "{number:?} ended twice");
@@ -266,7 +285,10 @@
             return;
         }
         let at = pick % self.running.len();
-        let (number, _) = self.running.swap_remove_index(at).expect("it is there");
+        let (number, _) = self
+            .running
+            .swap_remove_index(at)
+            .expect("the index is in range");
         let measure = JobMeasure {
             first_token_s: Some(first_token_s),
             gap_s: Some(first_token_s / 10.0),
@@ -282,7 +304,10 @@
             return;
         }
         let at = pick % self.running.len();
-        let (number, (mut spec, target)) = self.running.swap_remove_index(at).expect("it is there");
+        let (number, (mut spec, target)) = self
+            .running
+            .swap_remove_index(at)
+            .expect("the index is in range");
         spec.need.excluded.push(target);
         self.scheduler.retry(number, spec.need.clone());
         self.waiting.insert(number, spec);
@@ -294,11 +319,11 @@
         for target in self.fleet.targets.keys() {
             let own = self.running.values().filter(|(_, t)| t == target).count();
             assert_eq!(self.scheduler.own_in_flight(target), own, "{target}");
-            assert!(own <= MOST_AT_ONCE, "{own} at {target}");
+            assert!(own <= MOST_AT_ONCE, "{own} requests at {target}");
         }
     }
 
-    /// Lets the deadlines pass and ends what runs: nothing may be left.
+    /// Lets all deadlines pass and ends all running requests; none may be left.
     fn drain(&mut self) {
         while !self.running.is_empty() {
             self.finish(0, 0.1, true);
@@ -334,9 +359,9 @@
         ..Config::default()
     })]
 
-    // Every request admitted ends in exactly one of start, give-up and withdrawal, no
-    // engine is given more than it may have or work while it may have none, and in the
-    // end nothing is left.
+    // Every queued request is started, refused or cancelled exactly once, no engine gets
+    // more requests than allowed or any while it may not be used, and at the end no
+    // request is left.
     #[test]
     fn own_policy_keeps_its_books(steps in steps()) {
         run(PolicySettings::default(), steps);
--- a/tests/work_mix_pace.rs
+++ b/tests/work_mix_pace.rs
@@ -1,4 +1,4 @@
-//! The mix of reading and writing, and the pace at which a queue is served.
+//! Mix of prefill and decode work, and the service rate of a queue.
 
 use pistachiowick::decide::placement::WorkSide;
 use pistachiowick::names::MonoTime;
@@ -31,8 +31,8 @@
     assert!((share - case.share).abs() < 1e-9, "{share}");
 }
 
-// Ten engine-seconds are placed every second while work waits; the pace is known once
-// work has waited for a while, and is forgotten when nothing waits.
+// Ten engine-seconds are placed per second while requests are queued. The rate is known
+// after requests have been queued for a half-life, and unknown once the queue is empty.
 #[test]
 fn pace_is_what_was_placed_while_work_waited() {
     let mut pace = PlacedPace::default();
@@ -58,9 +58,9 @@
     most: f64,
 }
 
-/// A batch of long prompts asks for more than the whole fleet; urgent short requests
-/// beside it are refused, since by shares alone nearly all engines read. Writing gets
-/// what its work needs first.
+/// Guards against a batch of long prompts that exceeds the fleet's capacity: by its share
+/// of the work it would get nearly all engines, and urgent short requests beside it would
+/// be refused. The decode side gets the engines it needs first.
 #[rstest]
 #[case::nothing_to_read(PartCase { reading: 0.0, writing: 5.0, daemons: 7, least: 0.0, most: 0.0 })]
 #[case::only_reading(PartCase { reading: 5.0, writing: 0.0, daemons: 7, least: 1.0, most: 1.0 })]
