--- a/src/decide/candidates.rs
+++ b/src/decide/candidates.rs
@@ -6,7 +6,7 @@
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::decide::placement::{ModelLabel, PoolKey, WorkSide};
+use crate::decide::placement::{ModelLabel, PoolKey, PoolSide};
 use crate::membership::fleet::{FleetView, LoadReport, TargetView, UseState};
 use crate::names::{ModelName, TargetId};
 use crate::store::wire::InstanceKind;
@@ -38,8 +38,8 @@
             self.live_before.push(0);
         }
         let live = self.live_before[self.targets.len()];
-        let counts = usize::from(target.state == UseState::Live);
-        self.live_before.push(live + counts);
+        let is_live = usize::from(target.state == UseState::Live);
+        self.live_before.push(live + is_live);
         self.targets.insert(target.id.clone());
         self.roles.extend(target.report.as_ref().map(|r| r.role));
         self.usable |= target.state <= UseState::Suspect;
@@ -69,24 +69,24 @@
 
     /// Returns the target at a position below [`Self::len`]; `None` for any other.
     #[must_use]
-    pub fn get(&self, place: usize) -> Option<&'a TargetId> {
-        let place = self.first + place;
-        (place < self.end)
-            .then(|| self.pool.targets.get_index(place))
+    pub fn get(&self, position: usize) -> Option<&'a TargetId> {
+        let position = self.first + position;
+        (position < self.end)
+            .then(|| self.pool.targets.get_index(position))
             .flatten()
     }
 
     /// Returns whether a target is on this side.
     #[must_use]
     pub fn contains(&self, target: &TargetId) -> bool {
-        let place = self.pool.targets.get_index_of(target);
-        place.is_some_and(|at| (self.first..self.end).contains(&at))
+        let position = self.pool.targets.get_index_of(target);
+        position.is_some_and(|at| (self.first..self.end).contains(&at))
     }
 
     /// Returns the targets in the order of the pool.
     pub fn iter(&self) -> impl Iterator<Item = &'a TargetId> + use<'a> {
         let side = *self;
-        (0..side.len()).filter_map(move |place| side.get(place))
+        (0..side.len()).filter_map(move |position| side.get(position))
     }
 
     /// Returns the number of live targets.
@@ -106,7 +106,7 @@
     pub fn build(fleet: &FleetView) -> Self {
         let mut pools: IndexMap<PoolKey, TargetPool> = IndexMap::new();
         let mut targets: Vec<&TargetView> = fleet.targets.values().collect();
-        targets.sort_by_cached_key(|t| (reading_rank(t), xxh3_64(t.id.as_str().as_bytes())));
+        targets.sort_by_cached_key(|t| (prefill_rank(t), xxh3_64(t.id.as_str().as_bytes())));
         for target in targets {
             for pool in pools_of(target) {
                 pools.entry(pool).or_default().add(target);
@@ -127,7 +127,7 @@
         pool.into_iter().flat_map(|p| p.roles.iter().copied())
     }
 
-    /// Returns the targets of one side, where `reading_share` of the work belongs to the
+    /// Returns the targets of one side, where `prefill_share` of the work belongs to the
     /// prefill side; `None` for an unknown pool.
     ///
     /// A side is never empty while there is work for it, and a pool of one target is not
@@ -136,18 +136,18 @@
     pub fn side(
         &self,
         pool: &PoolKey,
-        side: WorkSide,
-        reading_share: f64,
+        side: PoolSide,
+        prefill_share: f64,
     ) -> Option<CandidateSide<'_>> {
         let pool = self.pools.get(pool)?;
         let count = pool.targets.len();
         let (mut first, mut end) = (0, count);
-        if count >= 2 && reading_share > 0.0 && reading_share < 1.0 {
-            let wanted = (reading_share * count as f64).round() as usize;
-            let line = wanted.clamp(1, count - 1);
+        if count >= 2 && prefill_share > 0.0 && prefill_share < 1.0 {
+            let prefill_count = (prefill_share * count as f64).round() as usize;
+            let split = prefill_count.clamp(1, count - 1);
             match side {
-                WorkSide::Reading => end = line,
-                WorkSide::Writing => first = line,
+                PoolSide::Prefill => end = split,
+                PoolSide::Decode => first = split,
             }
         }
         Some(CandidateSide { pool, first, end })
@@ -157,7 +157,7 @@
 /// Returns whether two views give the same index: the same targets in the same states,
 /// roles and pools.
 #[must_use]
-pub fn has_same_shape(old: &FleetView, new: &FleetView) -> bool {
+pub fn has_same_candidates(old: &FleetView, new: &FleetView) -> bool {
     if old.version == new.version {
         return old.targets.len() == new.targets.len();
     }
@@ -171,17 +171,17 @@
         && old.state == new.state
         && old.kind == new.kind
         && old.service == new.service
-        && has_same_offer(old.report.as_ref(), new.report.as_ref())
+        && has_same_role_and_models(old.report.as_ref(), new.report.as_ref())
 }
 
-fn has_same_offer(old: Option<&LoadReport>, new: Option<&LoadReport>) -> bool {
+fn has_same_role_and_models(old: Option<&LoadReport>, new: Option<&LoadReport>) -> bool {
     match (old, new) {
         (Some(old), Some(new)) => old.role == new.role && old.models == new.models,
         (old, new) => old.is_none() && new.is_none(),
     }
 }
 
-fn reading_rank(target: &TargetView) -> u8 {
+fn prefill_rank(target: &TargetView) -> u8 {
     match target.report.as_ref().map(|r| r.role) {
         Some(EngineRole::Prefill) => 0,
         Some(EngineRole::Mixed) | None => 1,
--- a/src/decide/cost.rs
+++ b/src/decide/cost.rs
@@ -9,13 +9,13 @@
 /// Weight of a new observation in the learned averages.
 const LEARNING_RATE: f64 = 0.05;
 /// Weight of a new load report in the share of time spent on prefill.
-const READING_RATE: f64 = 0.2;
+const PREFILL_TIME_RATE: f64 = 0.2;
 /// Bounds of a learned correction, so that one outlier cannot stop all placement.
 const CORRECTION_RANGE: (f64, f64) = (0.2, 5.0);
 /// Share of the maximum output expected before a class has been observed.
-const FIRST_OUTPUT_SHARE: f64 = 0.7;
+const DEFAULT_OUTPUT_SHARE: f64 = 0.7;
 /// Maximum number of classes kept; the one added first is evicted.
-const CLASSES_REMEMBERED: usize = 20_000;
+const MAX_CLASSES: usize = 20_000;
 
 /// Initial estimates of an engine's speed, which observations correct.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -107,7 +107,7 @@
 pub struct CostModel {
     speeds: SpeedSettings,
     corrections: IndexMap<TargetId, SpeedCorrection>,
-    reading: IndexMap<TargetId, f64>,
+    prefill_time_shares: IndexMap<TargetId, f64>,
     output_shares: IndexMap<(WorkspaceName, ClassName), f64>,
 }
 
@@ -118,7 +118,7 @@
         Self {
             speeds,
             corrections: IndexMap::new(),
-            reading: IndexMap::new(),
+            prefill_time_shares: IndexMap::new(),
             output_shares: IndexMap::new(),
         }
     }
@@ -132,7 +132,7 @@
 
     /// Returns the seconds between output tokens of a stream beside `others` more.
     #[must_use]
-    pub fn gap_seconds(&self, target: &TargetId, role: EngineRole, others: f64) -> f64 {
+    pub fn token_gap_seconds(&self, target: &TargetId, role: EngineRole, others: f64) -> f64 {
         let batch_ms = (others + 1.0) * self.speeds.token_per_stream_ms;
         let gap_ms = batch_ms.max(self.speeds.token_base_ms);
         gap_ms / 1_000.0 / self.speeds.role_speed(role).decode * self.correction(target).decode
@@ -140,10 +140,15 @@
 
     /// Returns the seconds between output tokens while the engine also prefills prompts.
     #[must_use]
-    pub fn prefill_gap_seconds(&self, target: &TargetId, role: EngineRole, others: f64) -> f64 {
+    pub fn prefill_token_gap_seconds(
+        &self,
+        target: &TargetId,
+        role: EngineRole,
+        others: f64,
+    ) -> f64 {
         let step_s = self.speeds.prefill_step_ms / 1_000.0;
-        let read_s = step_s / self.speeds.role_speed(role).prefill;
-        read_s.max(self.gap_seconds(target, role, others))
+        let prefill_step_s = step_s / self.speeds.role_speed(role).prefill;
+        prefill_step_s.max(self.token_gap_seconds(target, role, others))
     }
 
     /// Returns the seconds of a step in which a mixed engine also prefills prompts.
@@ -172,21 +177,24 @@
             .output_shares
             .get(&(workspace.clone(), class.clone()))
             .copied()
-            .unwrap_or(FIRST_OUTPUT_SHARE);
+            .unwrap_or(DEFAULT_OUTPUT_SHARE);
         (share * f64::from(max_output_tokens)).max(1.0)
     }
 
     /// Records whether an engine was prefilling prompts at the time of a load report.
-    pub fn observe_reading(&mut self, target: &TargetId, reads: bool) {
-        let seen = f64::from(u8::from(reads));
-        let share = self.reading.entry(target.clone()).or_insert(seen);
-        *share += READING_RATE * (seen - *share);
+    pub fn observe_prefill_activity(&mut self, target: &TargetId, is_prefilling: bool) {
+        let observed = f64::from(u8::from(is_prefilling));
+        let share = self
+            .prefill_time_shares
+            .entry(target.clone())
+            .or_insert(observed);
+        *share += PREFILL_TIME_RATE * (observed - *share);
     }
 
     /// Returns the share of time in which an engine prefills prompts.
     #[must_use]
-    pub fn reading_share(&self, target: &TargetId) -> f64 {
-        self.reading.get(target).copied().unwrap_or(0.0)
+    pub fn prefill_time_share(&self, target: &TargetId) -> f64 {
+        self.prefill_time_shares.get(target).copied().unwrap_or(0.0)
     }
 
     /// Learns from the length of a complete answer.
@@ -200,34 +208,34 @@
         if max_output_tokens == 0 {
             return;
         }
-        if self.output_shares.len() >= CLASSES_REMEMBERED {
+        if self.output_shares.len() >= MAX_CLASSES {
             self.output_shares.shift_remove_index(0);
         }
-        let seen = f64::from(tokens) / f64::from(max_output_tokens);
+        let observed = f64::from(tokens) / f64::from(max_output_tokens);
         let share = self
             .output_shares
             .entry((workspace.clone(), class.clone()))
-            .or_insert(seen);
-        *share += LEARNING_RATE * (seen - *share);
+            .or_insert(observed);
+        *share += LEARNING_RATE * (observed - *share);
     }
 
     /// Learns from a first token expected after `expected` seconds and received after
     /// `actual`.
     pub fn observe_prefill(&mut self, target: &TargetId, expected: f64, actual: f64) {
         let correction = self.corrections.entry(target.clone()).or_default();
-        correction.prefill = learned(correction.prefill, expected, actual);
+        correction.prefill = updated_factor(correction.prefill, expected, actual);
     }
 
     /// Learns from a mean gap between tokens of `actual` seconds instead of `expected`.
-    pub fn observe_gap(&mut self, target: &TargetId, expected: f64, actual: f64) {
+    pub fn observe_token_gap(&mut self, target: &TargetId, expected: f64, actual: f64) {
         let correction = self.corrections.entry(target.clone()).or_default();
-        correction.decode = learned(correction.decode, expected, actual);
+        correction.decode = updated_factor(correction.decode, expected, actual);
     }
 
     /// Drops what was learned of targets that are no longer in the fleet.
     pub fn retain_targets(&mut self, known: impl Fn(&TargetId) -> bool) {
         self.corrections.retain(|target, _| known(target));
-        self.reading.retain(|target, _| known(target));
+        self.prefill_time_shares.retain(|target, _| known(target));
     }
 
     fn correction(&self, target: &TargetId) -> SpeedCorrection {
@@ -235,7 +243,7 @@
     }
 }
 
-fn learned(factor: f64, expected: f64, actual: f64) -> f64 {
+fn updated_factor(factor: f64, expected: f64, actual: f64) -> f64 {
     if expected <= 0.0 || !actual.is_finite() {
         return factor;
     }
--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -19,7 +19,7 @@
 use crate::names::{MonoTime, WorkspaceName};
 
 /// Minimum weight of a workspace, so that none is starved.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_WEIGHT: f64 = 0.01;
 
 /// Identifies a queued or running request within one daemon.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, Default)]
 struct WorkspaceLane {
     weight: f64,
-    time: VirtualTime,
+    virtual_time: VirtualTime,
     jobs: BTreeMap<JobRank, QueuedJob>,
 }
 
@@ -137,41 +137,41 @@
     /// Adds a request.
     pub fn push(&mut self, job: QueuedJob) {
         let workspace = job.workspace.clone();
-        self.unlist(&workspace);
+        self.unindex_lane(&workspace);
         let floor = self.floor;
         let lane = self.lanes.entry(workspace.clone()).or_default();
-        lane.weight = job.weight.max(LEAST_WEIGHT);
+        lane.weight = job.weight.max(MIN_WEIGHT);
         if lane.jobs.is_empty() {
             // A workspace that was idle gets no credit for that time: the others would
             // starve until it had caught up.
-            lane.time.0 = lane.time.0.max(floor);
+            lane.virtual_time.0 = lane.virtual_time.0.max(floor);
         }
         self.queued_cost += job.cost;
         self.by_start
             .insert((job.latest_start, job.number), job.clone());
         lane.jobs.insert(rank_of(&job), job);
-        self.list(&workspace);
-        self.move_limit();
+        self.index_lane(&workspace);
+        self.update_limit();
     }
 
     /// Removes a request; returns whether it was queued.
     pub fn remove(&mut self, job: &QueuedJob) -> bool {
-        self.unlist(&job.workspace);
-        let removed = self.take_job(job);
-        self.list(&job.workspace);
-        self.move_limit();
+        self.unindex_lane(&job.workspace);
+        let removed = self.remove_job(job);
+        self.index_lane(&job.workspace);
+        self.update_limit();
         removed
     }
 
     /// Charges a workspace for work placed by this daemon or reported by others.
     pub fn charge(&mut self, workspace: &WorkspaceName, weight: f64, cost: f64) {
-        self.unlist(workspace);
+        self.unindex_lane(workspace);
         let floor = self.floor;
         let lane = self.lanes.entry(workspace.clone()).or_default();
-        lane.weight = weight.max(LEAST_WEIGHT);
-        lane.time.0 = lane.time.0.max(floor) + cost / lane.weight;
-        self.list(workspace);
-        self.move_limit();
+        lane.weight = weight.max(MIN_WEIGHT);
+        lane.virtual_time.0 = lane.virtual_time.0.max(floor) + cost / lane.weight;
+        self.index_lane(workspace);
+        self.update_limit();
         self.advance_floor();
     }
 
@@ -179,12 +179,12 @@
     /// removes that request and charges its workspace.
     pub fn take_first(
         &mut self,
-        most: usize,
-        place: impl FnMut(&QueuedJob) -> bool,
+        max_jobs: usize,
+        accept: impl FnMut(&QueuedJob) -> bool,
     ) -> Option<QueuedJob> {
-        let job = self.first_taken(most, place)?.clone();
-        self.unlist(&job.workspace);
-        self.take_job(&job);
+        let job = self.first_accepted(max_jobs, accept)?.clone();
+        self.unindex_lane(&job.workspace);
+        self.remove_job(&job);
         self.charge(&job.workspace, job.weight, job.cost);
         Some(job)
     }
@@ -195,22 +195,22 @@
     /// a more urgent priority, scaled up by the weights of the other busy workspaces, but
     /// at most the cost of the whole queue.
     #[must_use]
-    pub fn cost_before(&self, workspace: &WorkspaceName, weight: f64, rank_priority: u32) -> f64 {
+    pub fn cost_before(&self, workspace: &WorkspaceName, weight: f64, priority: u32) -> f64 {
         if !self.fair {
             return self.queued_cost;
         }
         let lane = self.lanes.get(workspace).filter(|l| !l.jobs.is_empty());
-        let own = lane.map_or(0.0, |l| cost_up_to(l, rank_priority));
-        let rivals = self.busy_weight - lane.map_or(0.0, |l| l.weight);
-        let weight = weight.max(LEAST_WEIGHT);
-        (own * (weight + rivals) / weight).min(self.queued_cost)
+        let own_cost = lane.map_or(0.0, |l| cost_up_to(l, priority));
+        let other_weight = self.busy_weight - lane.map_or(0.0, |l| l.weight);
+        let weight = weight.max(MIN_WEIGHT);
+        (own_cost * (weight + other_weight) / weight).min(self.queued_cost)
     }
 
     /// Drops empty lanes whose virtual time is not ahead of the floor.
     pub fn drop_idle_lanes(&mut self) {
         let floor = self.floor;
         self.lanes
-            .retain(|_, lane| !lane.jobs.is_empty() || lane.time.0 > floor);
+            .retain(|_, lane| !lane.jobs.is_empty() || lane.virtual_time.0 > floor);
     }
 
     /// Returns the requests whose latest start has passed.
@@ -220,30 +220,31 @@
         overdue.map(|(_, job)| job.clone()).collect()
     }
 
-    fn first_taken(
+    fn first_accepted(
         &self,
-        most: usize,
-        mut place: impl FnMut(&QueuedJob) -> bool,
+        max_jobs: usize,
+        mut accept: impl FnMut(&QueuedJob) -> bool,
     ) -> Option<&QueuedJob> {
-        let mut order = self.service_order(most);
-        order.find(|job| place(job))
+        let mut order = self.service_order(max_jobs);
+        order.find(|job| accept(job))
     }
 
     /// Returns the first `most` requests in service order.
-    fn service_order(&self, most: usize) -> impl Iterator<Item = &QueuedJob> {
+    fn service_order(&self, max_jobs: usize) -> impl Iterator<Item = &QueuedJob> {
         // Leaves out lanes behind the first requests of `most` other lanes.
-        let names = self.competing.values().take(most);
+        let names = self.competing.values().take(max_jobs);
         let lanes = names.map(|name| self.lanes[name].jobs.iter().peekable());
         let competing = merge_by_rank(lanes.collect());
-        let beyond = (self.limit, LAST_RANK);
-        let late = self
+        let after_limit = (self.limit, LAST_RANK);
+        let not_competing = self
             .by_time
-            .range((Bound::Excluded(beyond), Bound::Unbounded));
-        let late = late.flat_map(move |(_, name)| self.lanes[name].jobs.values().take(most));
-        competing.chain(late).take(most)
+            .range((Bound::Excluded(after_limit), Bound::Unbounded));
+        let not_competing =
+            not_competing.flat_map(move |(_, name)| self.lanes[name].jobs.values().take(max_jobs));
+        competing.chain(not_competing).take(max_jobs)
     }
 
-    fn take_job(&mut self, job: &QueuedJob) -> bool {
+    fn remove_job(&mut self, job: &QueuedJob) -> bool {
         let Some(lane) = self.lanes.get_mut(&job.workspace) else {
             return false;
         };
@@ -260,14 +261,14 @@
     }
 
     /// Removes a lane from the sorted indexes, so that its fields may be changed.
-    fn unlist(&mut self, workspace: &WorkspaceName) {
+    fn unindex_lane(&mut self, workspace: &WorkspaceName) {
         let Some(lane) = self.lanes.get(workspace) else {
             return;
         };
         let Some(rank) = lane.first_rank() else {
             return;
         };
-        if self.by_time.remove(&(lane.time, rank)).is_some() {
+        if self.by_time.remove(&(lane.virtual_time, rank)).is_some() {
             self.busy_weight -= lane.weight;
             self.competing.remove(&rank);
         }
@@ -278,7 +279,7 @@
     }
 
     /// Adds a lane with requests to the sorted indexes again.
-    fn list(&mut self, workspace: &WorkspaceName) {
+    fn index_lane(&mut self, workspace: &WorkspaceName) {
         let Some(lane) = self.lanes.get(workspace) else {
             return;
         };
@@ -286,40 +287,41 @@
             return;
         };
         self.busy_weight += lane.weight;
-        self.by_time.insert((lane.time, rank), workspace.clone());
-        if lane.time <= self.limit {
+        self.by_time
+            .insert((lane.virtual_time, rank), workspace.clone());
+        if lane.virtual_time <= self.limit {
             self.competing.insert(rank, workspace.clone());
         }
     }
 
     /// Updates the set of competing lanes: those within a quantum of the lowest virtual
     /// time.
-    fn move_limit(&mut self) {
-        let Some(floor) = self.busy_floor().filter(|_| self.fair) else {
+    fn update_limit(&mut self) {
+        let Some(floor) = self.min_virtual_time().filter(|_| self.fair) else {
             return;
         };
         let (old, new) = (self.limit, VirtualTime(floor + self.quantum));
         self.limit = new;
-        let beyond = |limit| Bound::Excluded((limit, LAST_RANK));
+        let after_limit = |limit| Bound::Excluded((limit, LAST_RANK));
         let up_to = |limit| Bound::Included((limit, LAST_RANK));
         if old < new {
-            let moved = self.by_time.range((beyond(old), up_to(new)));
+            let moved = self.by_time.range((after_limit(old), up_to(new)));
             let moved = moved.map(|((_, rank), name)| (*rank, name.clone()));
             self.competing.extend(moved);
         } else if new < old {
-            for ((_, rank), _) in self.by_time.range((beyond(new), up_to(old))) {
+            for ((_, rank), _) in self.by_time.range((after_limit(new), up_to(old))) {
                 self.competing.remove(rank);
             }
         }
     }
 
-    fn busy_floor(&self) -> Option<f64> {
+    fn min_virtual_time(&self) -> Option<f64> {
         let first = self.by_time.first_key_value();
-        first.map(|((time, _), _)| time.0)
+        first.map(|((virtual_time, _), _)| virtual_time.0)
     }
 
     fn advance_floor(&mut self) {
-        if let Some(floor) = self.busy_floor() {
+        if let Some(floor) = self.min_virtual_time() {
             self.floor = self.floor.max(floor);
         }
     }
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -17,19 +17,19 @@
 use crate::targets::wire::EngineRole;
 
 /// Maximum number of candidates evaluated per placement, whatever the fleet's size.
-const MOST_CANDIDATES: usize = 16;
+const MAX_CANDIDATES: usize = 16;
 /// Age in milliseconds beyond which a load report is ignored.
-const REPORT_USELESS_MS: u64 = 10_000;
+const MAX_REPORT_AGE_MS: u64 = 10_000;
 /// Safety factor on the expected time to the complete answer in the deadline check.
 const FINISH_MARGIN: f64 = 1.25;
 /// Maximum additional factor for workspaces that have used more than their fair share.
-const MOST_SHARE_MARGIN: f64 = 2.0;
+const MAX_SHARE_MARGIN: f64 = 2.0;
 /// How similar other daemons' placements since a report are assumed to be to this
 /// daemon's; 1 means identical.
-const ALIKE: f64 = 0.7;
+const PEER_SIMILARITY: f64 = 0.7;
 /// Seconds of prefill work an engine may have queued. Beyond that, requests wait in this
 /// daemon's queue, where fair shares and deadlines still order them.
-const MOST_PREFILL_WAIT_S: f64 = 0.4;
+const MAX_PREFILL_BACKLOG_S: f64 = 0.4;
 
 /// Targets that can do the same work.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -105,7 +105,7 @@
 
 /// This daemon's work at one target.
 #[derive(Clone, Debug, Default)]
-pub struct OwnWork {
+pub struct LocalWork {
     /// Requests in flight.
     pub running: Vec<RunningJob>,
     /// Placement and end times of requests that ended since the last report.
@@ -117,11 +117,11 @@
 /// No stream of an engine gains a token while a long prompt is prefilled. On engines of
 /// their own, long prompts delay only one another, and other answers keep full speed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum WorkSide {
+pub enum PoolSide {
     /// Long prompts.
-    Reading,
+    Prefill,
     /// All other requests.
-    Writing,
+    Decode,
 }
 
 /// Inputs of a placement.
@@ -135,7 +135,7 @@
     /// Engines expected to have shared prefixes cached.
     pub prefixes: &'a PrefixIndex,
     /// This daemon's work by target.
-    pub own: &'a IndexMap<TargetId, OwnWork>,
+    pub local: &'a IndexMap<TargetId, LocalWork>,
     /// Policy in force.
     pub policy: &'a PolicySettings,
     /// Number of live daemons, including this one.
@@ -149,7 +149,7 @@
 pub fn choose_target(
     need: &PlacementNeed,
     inputs: &PlacementInputs<'_>,
-    turn: &mut usize,
+    cursor: &mut usize,
     rng: &mut SmallRng,
 ) -> Option<TargetChoice> {
     let candidates = candidates(need, inputs, rng);
@@ -159,9 +159,9 @@
         .filter_map(|target| estimate(need, target, inputs))
         .collect();
     let chosen = match inputs.policy.placement {
-        PlacementPolicy::Estimate => least(&estimates, |e| e.finish_s + e.delay_s),
-        PlacementPolicy::LeastInFlight => least(&estimates, |e| e.load),
-        PlacementPolicy::RoundRobin => next_in_turn(estimates.len(), turn),
+        PlacementPolicy::Estimate => min_index(&estimates, |e| e.finish_s + e.delay_s),
+        PlacementPolicy::LeastInFlight => min_index(&estimates, |e| e.load),
+        PlacementPolicy::RoundRobin => next_round_robin(estimates.len(), cursor),
     }?;
     Some(estimates.swap_remove(chosen).choice(need))
 }
@@ -213,7 +213,7 @@
     }
 }
 
-fn least(
+fn min_index(
     estimates: &[TargetEstimate<'_>],
     score: impl Fn(&TargetEstimate<'_>) -> f64,
 ) -> Option<usize> {
@@ -223,12 +223,12 @@
         .map(|(at, _)| at)
 }
 
-fn next_in_turn(count: usize, turn: &mut usize) -> Option<usize> {
+fn next_round_robin(count: usize, cursor: &mut usize) -> Option<usize> {
     if count == 0 {
         return None;
     }
-    *turn = turn.wrapping_add(1);
-    Some(*turn % count)
+    *cursor = cursor.wrapping_add(1);
+    Some(*cursor % count)
 }
 
 /// Draws candidates at random, so that daemons with the same outdated view do not all
@@ -239,14 +239,14 @@
     rng: &mut SmallRng,
 ) -> Vec<&'a TargetId> {
     let side = inputs.candidates;
-    if side.len() <= MOST_CANDIDATES {
+    if side.len() <= MAX_CANDIDATES {
         return side.iter().collect();
     }
-    let mut drawn: Vec<&TargetId> = Vec::with_capacity(MOST_CANDIDATES);
+    let mut drawn: Vec<&TargetId> = Vec::with_capacity(MAX_CANDIDATES);
     let holders = inputs.prefixes.holders(&need.shared_prefix);
-    let near = holders.iter().map(|h| &h.target);
-    drawn.extend(near.filter(|t| side.contains(t)));
-    while drawn.len() < MOST_CANDIDATES {
+    let caching_targets = holders.iter().map(|h| &h.target);
+    drawn.extend(caching_targets.filter(|t| side.contains(t)));
+    while drawn.len() < MAX_CANDIDATES {
         drawn.extend(side.get(rng.random_range(0..side.len())));
     }
     drawn
@@ -270,11 +270,14 @@
     target: &'a TargetView,
     inputs: &PlacementInputs<'_>,
 ) -> Option<TargetEstimate<'a>> {
-    let own = inputs.own.get(&target.id).map_or(0, |o| o.running.len());
-    if own >= inputs.policy.service_in_flight {
+    let local = inputs
+        .local
+        .get(&target.id)
+        .map_or(0, |work| work.running.len());
+    if local >= inputs.policy.service_in_flight {
         return None;
     }
-    let load = own as f64;
+    let load = local as f64;
     Some(TargetEstimate {
         target,
         role: None,
@@ -298,7 +301,7 @@
     if report.changing {
         return None;
     }
-    let label = fitting_model(&report.models, model, need)?;
+    let label = matching_model(&report.models, model, need)?;
     let load = EngineLoad::of(target, report, inputs);
     if load.in_flight >= inputs.policy.engine_in_flight as f64 {
         return None;
@@ -306,17 +309,17 @@
     let backlog_s = inputs
         .costs
         .prefill_seconds(&target.id, report.role, load.prefill_tokens);
-    if load.in_flight >= 1.0 && backlog_s > MOST_PREFILL_WAIT_S {
+    if load.in_flight >= 1.0 && backlog_s > MAX_PREFILL_BACKLOG_S {
         return None;
     }
     let uncached = uncached_tokens(need, &target.id, inputs.prefixes);
-    let read_s = inputs
+    let prefill_s = inputs
         .costs
         .prefill_seconds(&target.id, report.role, uncached);
-    let gap_s = mean_gap(target, report, &load, inputs);
-    let first_token_s = backlog_s + read_s;
+    let gap_s = mean_token_gap(target, report, &load, inputs);
+    let first_token_s = backlog_s + prefill_s;
     let finish_s = first_token_s + need.output_tokens * gap_s;
-    if !in_time(need, finish_s, inputs.now) {
+    if !meets_deadline(need, finish_s, inputs.now) {
         return None;
     }
     Some(TargetEstimate {
@@ -328,7 +331,7 @@
         first_token_s,
         gap_s,
         finish_s,
-        delay_s: load.in_flight * read_s,
+        delay_s: load.in_flight * prefill_s,
     })
 }
 
@@ -339,35 +342,35 @@
 /// workspace above its fair share needs a larger margin: without it, a flood of short
 /// answers fills every engine until no engine can finish other workspaces' longer answers
 /// in time.
-fn in_time(need: &PlacementNeed, finish_s: f64, now: MonoTime) -> bool {
-    let share_margin = (1.0 / need.share_factor).clamp(1.0, MOST_SHARE_MARGIN);
+fn meets_deadline(need: &PlacementNeed, finish_s: f64, now: MonoTime) -> bool {
+    let share_margin = (1.0 / need.share_factor).clamp(1.0, MAX_SHARE_MARGIN);
     let margin_s = finish_s * FINISH_MARGIN * share_margin;
-    let ends_at = now.plus(Duration::from_secs_f64(margin_s));
-    need.due.is_none_or(|due| ends_at <= due)
+    let expected_end = now.plus(Duration::from_secs_f64(margin_s));
+    need.due.is_none_or(|due| expected_end <= due)
 }
 
 /// Returns the mean seconds between tokens, weighted by the share of time in which the
 /// engine also prefills prompts.
-fn mean_gap(
+fn mean_token_gap(
     target: &TargetView,
     report: &LoadReport,
     load: &EngineLoad,
     inputs: &PlacementInputs<'_>,
 ) -> f64 {
     let (costs, id) = (inputs.costs, &target.id);
-    let reading = costs.reading_share(id);
-    let quiet_s = costs.gap_seconds(id, report.role, load.in_flight);
-    let reading_s = costs.prefill_gap_seconds(id, report.role, load.in_flight);
-    (1.0 - reading) * quiet_s + reading * reading_s
+    let prefill_share = costs.prefill_time_share(id);
+    let decode_only_s = costs.token_gap_seconds(id, report.role, load.in_flight);
+    let with_prefill_s = costs.prefill_token_gap_seconds(id, report.role, load.in_flight);
+    (1.0 - prefill_share) * decode_only_s + prefill_share * with_prefill_s
 }
 
 fn uncached_tokens(need: &PlacementNeed, target: &TargetId, prefixes: &PrefixIndex) -> f64 {
     if need.shared_prefix.is_empty() {
         return need.prompt_tokens;
     }
-    let held = prefixes.expected_tokens(&need.shared_prefix, target);
-    let shared = held.min(f64::from(need.shared_prefix_tokens));
-    (need.prompt_tokens - shared).max(0.0)
+    let cached = prefixes.expected_tokens(&need.shared_prefix, target);
+    let cached_shared = cached.min(f64::from(need.shared_prefix_tokens));
+    (need.prompt_tokens - cached_shared).max(0.0)
 }
 
 /// Current load of an engine, from its last report and from this daemon's work since.
@@ -384,48 +387,53 @@
 impl EngineLoad {
     fn of(target: &TargetView, report: &LoadReport, inputs: &PlacementInputs<'_>) -> Self {
         let age = inputs.now.since(report.taken_at);
-        let own = inputs.own.get(&target.id);
-        let own_running = own.map_or(0, |o| o.running.len()) as f64;
-        if age.as_millis() as u64 > REPORT_USELESS_MS {
-            return Self::from_own_work(own_running, inputs.live_daemons);
+        let local = inputs.local.get(&target.id);
+        let local_running = local.map_or(0, |work| work.running.len()) as f64;
+        if age.as_millis() as u64 > MAX_REPORT_AGE_MS {
+            return Self::from_local_work(local_running, inputs.live_daemons);
         }
-        let since = |at: MonoTime| at > report.taken_at;
-        let placed: Vec<&RunningJob> = own
-            .map(|o| o.running.iter().filter(|j| since(j.placed_at)).collect())
+        let is_since = |at: MonoTime| at > report.taken_at;
+        let placed: Vec<&RunningJob> = local
+            .map(|work| {
+                work.running
+                    .iter()
+                    .filter(|j| is_since(j.placed_at))
+                    .collect()
+            })
             .unwrap_or_default();
-        let ended = own.map_or(0, |o| {
-            let before = o.ended.iter().filter(|(placed, _)| !since(*placed));
-            before.filter(|(_, ended)| since(*ended)).count()
+        let ended = local.map_or(0, |work| {
+            let before = work.ended.iter().filter(|(placed, _)| !is_since(*placed));
+            before.filter(|(_, ended)| is_since(*ended)).count()
         }) as f64;
-        let others = 1.0 + ALIKE * (inputs.live_daemons.max(1) - 1) as f64;
-        let change = (placed.len() as f64 - ended) * others;
+        let daemon_factor = 1.0 + PEER_SIMILARITY * (inputs.live_daemons.max(1) - 1) as f64;
+        let change = (placed.len() as f64 - ended) * daemon_factor;
         let in_flight = f64::from(report.in_flight) + change;
-        let read = speed(inputs, target, report.role) * age.as_secs_f64();
-        let reported = (report.prefill_backlog_tokens as f64 - read).max(0.0);
+        let prefilled = prefill_rate(inputs, target, report.role) * age.as_secs_f64();
+        let reported = (report.prefill_backlog_tokens as f64 - prefilled).max(0.0);
         let added: f64 = placed.iter().map(|j| j.prefill_tokens).sum();
-        let added = (added * others - read).max(0.0);
+        let added = (added * daemon_factor - prefilled).max(0.0);
         Self {
-            in_flight: in_flight.max(own_running),
+            in_flight: in_flight.max(local_running),
             prefill_tokens: reported + added,
         }
     }
 
     /// Without a usable report, assumes that each other daemon has as much work there as
     /// this one.
-    fn from_own_work(own_running: f64, live_daemons: usize) -> Self {
+    fn from_local_work(local_running: f64, live_daemons: usize) -> Self {
         Self {
-            in_flight: own_running * live_daemons.max(1) as f64,
+            in_flight: local_running * live_daemons.max(1) as f64,
             prefill_tokens: 0.0,
         }
     }
 }
 
-fn speed(inputs: &PlacementInputs<'_>, target: &TargetView, role: EngineRole) -> f64 {
+fn prefill_rate(inputs: &PlacementInputs<'_>, target: &TargetView, role: EngineRole) -> f64 {
     1.0 / inputs.costs.prefill_seconds(&target.id, role, 1.0)
 }
 
 /// Returns the last listed of the loaded models that satisfy the request.
-fn fitting_model<'a>(
+fn matching_model<'a>(
     loaded: &'a [String],
     model: &ModelName,
     need: &PlacementNeed,
--- a/src/decide/prefix_index.rs
+++ b/src/decide/prefix_index.rs
@@ -9,11 +9,11 @@
 use crate::targets::wire::CacheEvent;
 
 /// Maximum number of prefixes; the least recently recorded one is evicted.
-const PREFIXES_REMEMBERED: usize = 4_096;
+const MAX_PREFIXES: usize = 4_096;
 /// Maximum number of engines per prefix; the least recently recorded one is evicted.
-const HOLDERS_REMEMBERED: usize = 8;
+const MAX_HOLDERS: usize = 8;
 /// Factor on the confidence of an engine's entries after a gap in its events.
-const TRUST_AFTER_GAP: f64 = 0.5;
+const CONFIDENCE_AFTER_GAP: f64 = 0.5;
 
 /// An engine expected to have a prefix cached.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,14 +22,14 @@
     pub target: TargetId,
     /// Tokens of the prefix that it cached, as last known.
     pub tokens: u32,
-    trust: f64,
+    confidence: f64,
 }
 
 impl PrefixHolder {
     /// Returns the expected number of cached tokens, weighted by confidence.
     #[must_use]
     pub fn expected_tokens(&self) -> f64 {
-        f64::from(self.tokens) * self.trust
+        f64::from(self.tokens) * self.confidence
     }
 }
 
@@ -57,65 +57,65 @@
     }
 
     /// Records that an engine has a prefix cached.
-    pub fn note_read(&mut self, prefix: &str, target: &TargetId, tokens: u32) {
+    pub fn record_cached(&mut self, prefix: &str, target: &TargetId, tokens: u32) {
         if prefix.is_empty() || tokens == 0 {
             return;
         }
-        self.forget(prefix, target);
-        let holders = self.touch(prefix);
-        if holders.len() == HOLDERS_REMEMBERED {
+        self.remove_entry(prefix, target);
+        let holders = self.move_to_back(prefix);
+        if holders.len() == MAX_HOLDERS {
             holders.remove(0);
         }
         holders.push(PrefixHolder {
             target: target.clone(),
             tokens,
-            trust: 1.0,
+            confidence: 1.0,
         });
     }
 
     /// Applies a cache event of an engine; late and duplicate events are ignored.
-    pub fn note_event(&mut self, target: &TargetId, event: &CacheEvent) {
+    pub fn apply_event(&mut self, target: &TargetId, event: &CacheEvent) {
         let last = self.sequences.get(target).copied().unwrap_or(0);
         if event.sequence <= last {
             return;
         }
         if last != 0 && event.sequence > last + 1 {
-            self.doubt(target);
+            self.reduce_confidence(target);
         }
         self.sequences.insert(target.clone(), event.sequence);
         if event.tokens == 0 {
-            self.forget(&event.prefix, target);
+            self.remove_entry(&event.prefix, target);
         } else {
-            self.note_read(&event.prefix, target, event.tokens);
+            self.record_cached(&event.prefix, target, event.tokens);
         }
     }
 
     /// Removes all entries of an engine, for example after a restart.
-    pub fn forget_target(&mut self, target: &TargetId) {
+    pub fn remove_target(&mut self, target: &TargetId) {
         self.sequences.shift_remove(target);
         for holders in self.prefixes.values_mut() {
             holders.retain(|h| h.target != *target);
         }
     }
 
-    fn touch(&mut self, prefix: &str) -> &mut Vec<PrefixHolder> {
+    fn move_to_back(&mut self, prefix: &str) -> &mut Vec<PrefixHolder> {
         let holders = self.prefixes.shift_remove(prefix).unwrap_or_default();
-        if self.prefixes.len() >= PREFIXES_REMEMBERED {
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.shift_remove_index(0);
         }
         self.prefixes.entry(prefix.to_owned()).or_insert(holders)
     }
 
-    fn forget(&mut self, prefix: &str, target: &TargetId) {
+    fn remove_entry(&mut self, prefix: &str, target: &TargetId) {
         if let Some(holders) = self.prefixes.get_mut(prefix) {
             holders.retain(|h| h.target != *target);
         }
     }
 
-    fn doubt(&mut self, target: &TargetId) {
-        let held = self.prefixes.values_mut().flatten();
-        for holder in held.filter(|h| h.target == *target) {
-            holder.trust *= TRUST_AFTER_GAP;
+    fn reduce_confidence(&mut self, target: &TargetId) {
+        let holders = self.prefixes.values_mut().flatten();
+        for holder in holders.filter(|h| h.target == *target) {
+            holder.confidence *= CONFIDENCE_AFTER_GAP;
         }
     }
 }
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -4,8 +4,8 @@
 //! are refused in turn. A share of first attempts stays bounded at any load.
 
 /// Maximum number of saved retries; they let a daemon with few requests still retry.
-const MOST_SAVED: f64 = 20.0;
-const FIRST_SAVED: f64 = 5.0;
+const MAX_SAVED: f64 = 20.0;
+const INITIAL_SAVED: f64 = 5.0;
 
 /// Retries currently allowed.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,13 +20,13 @@
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            saved: FIRST_SAVED,
+            saved: INITIAL_SAVED,
         }
     }
 
     /// Records a first attempt, which adds its share of a retry.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.share).min(MOST_SAVED);
+        self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
 
     /// Takes one retry from the budget; returns false if none is left.
--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -14,14 +14,14 @@
 use crate::decide::cost::{CostModel, SpeedSettings};
 use crate::decide::fair_queue::{FairQueue, JobNumber, QueuedJob};
 use crate::decide::placement::{
-    OwnWork, PlacementInputs, PlacementNeed, PoolKey, RunningJob, SharedFleet, TargetChoice,
-    WorkSide, choose_target,
+    LocalWork, PlacementInputs, PlacementNeed, PoolKey, PoolSide, RunningJob, SharedFleet,
+    TargetChoice, choose_target,
 };
 use crate::decide::prefix_index::PrefixIndex;
 use crate::invariants::{self, Invariant};
 use crate::membership::fleet::UseState;
 use crate::names::{ClassName, MonoTime, TargetId, WorkspaceName, millis};
-use crate::roles::work_mix::{PlacedPace, WorkMix};
+use crate::roles::work_mix::{PlacementRate, WorkMix};
 use crate::settings::{LimitSettings, PlacementPolicy, PolicySettings};
 use crate::targets::wire::{CacheEvent, EngineRole};
 
@@ -30,18 +30,18 @@
 /// Engine-seconds per unit of weight within which urgency takes precedence over shares.
 const FAIR_QUANTUM_S: f64 = 1.0;
 /// Number of prefill steps above which a prompt counts as long.
-const READING_STEPS: f64 = 2.0;
+const LONG_PROMPT_STEPS: f64 = 2.0;
 /// Safety factor on the expected wait in the deadline check: a queue that may grow up to
 /// the deadline itself serves every request slightly too late.
 const WAIT_MARGIN: f64 = 2.0;
 /// Minimum service rate assumed, as a share of the targets' capacity.
-const LEAST_PACE: f64 = 0.1;
+const MIN_RATE_SHARE: f64 = 0.1;
 /// Minimum time after which a refused caller is told to retry.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// Maximum time after which a refused caller is told to retry.
-const LONGEST_RETRY: Duration = Duration::from_secs(30);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 /// Maximum number of ended requests kept per target to correct its last report.
-const MOST_ENDED: usize = 256;
+const MAX_ENDED: usize = 256;
 
 /// A request as the scheduler sees it.
 #[derive(Clone, Debug, PartialEq)]
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct QueueKey {
     pool: PoolKey,
-    side: WorkSide,
+    side: PoolSide,
 }
 
 #[derive(Clone, Debug)]
@@ -144,12 +144,12 @@
     prefixes: PrefixIndex,
     queues: IndexMap<QueueKey, FairQueue>,
     mixes: IndexMap<PoolKey, WorkMix>,
-    paces: IndexMap<QueueKey, PlacedPace>,
+    placement_rates: IndexMap<QueueKey, PlacementRate>,
     waiting: IndexMap<JobNumber, WaitingJob>,
     placed: IndexMap<JobNumber, PlacedJob>,
-    own: IndexMap<TargetId, OwnWork>,
+    local: IndexMap<TargetId, LocalWork>,
     next_number: u64,
-    turn: usize,
+    cursor: usize,
     rng: SmallRng,
 }
 
@@ -167,12 +167,12 @@
             prefixes: PrefixIndex::default(),
             queues: IndexMap::new(),
             mixes: IndexMap::new(),
-            paces: IndexMap::new(),
+            placement_rates: IndexMap::new(),
             waiting: IndexMap::new(),
             placed: IndexMap::new(),
-            own: IndexMap::new(),
+            local: IndexMap::new(),
             next_number: 0,
-            turn: 0,
+            cursor: 0,
             rng: SmallRng::seed_from_u64(inputs.seed),
         }
     }
@@ -186,13 +186,13 @@
     ) -> Vec<ScheduleAction> {
         self.live_daemons = live_daemons.max(1);
         // Most views contain only new load reports.
-        if !candidates::has_same_shape(&self.fleet, &fleet) {
+        if !candidates::has_same_candidates(&self.fleet, &fleet) {
             self.index = CandidateIndex::build(&fleet);
             self.costs.retain_targets(|t| fleet.targets.contains_key(t));
-            self.own
-                .retain(|t, o| fleet.targets.contains_key(t) || !o.running.is_empty());
+            self.local
+                .retain(|t, work| fleet.targets.contains_key(t) || !work.running.is_empty());
         }
-        self.note_reports(&fleet);
+        self.apply_reports(&fleet);
         self.fleet = fleet;
         self.pump(now)
     }
@@ -200,7 +200,7 @@
     /// Applies an engine's cache events.
     pub fn note_cache_events(&mut self, target: &TargetId, events: &[CacheEvent]) {
         for event in events {
-            self.prefixes.note_event(target, event);
+            self.prefixes.apply_event(target, event);
         }
     }
 
@@ -216,7 +216,7 @@
         self.check_room(&spec)?;
         self.check_pool(&spec)?;
         let queued = self.queued_job(&spec);
-        self.note_mix(&spec, queued.cost, now);
+        self.record_mix(&spec, queued.cost, now);
         if self.policy.refuse_early {
             self.check_deadline(&spec, &queued, now)?;
         }
@@ -256,11 +256,11 @@
         let Some(placed) = self.take_placed(number) else {
             return;
         };
-        if let Some(own) = self.own.get_mut(&placed.choice.target) {
-            if own.ended.len() == MOST_ENDED {
-                own.ended.remove(0);
+        if let Some(local) = self.local.get_mut(&placed.choice.target) {
+            if local.ended.len() == MAX_ENDED {
+                local.ended.remove(0);
             }
-            own.ended.push((placed.placed_at, now));
+            local.ended.push((placed.placed_at, now));
         }
         self.learn(&placed, measure);
     }
@@ -268,14 +268,14 @@
     /// Refuses queued requests that can no longer meet their deadline, and places those
     /// that can be placed.
     pub fn pump(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
-        let mut actions = self.give_up_overdue(now);
+        let mut actions = self.refuse_overdue(now);
         for key in self.queues.keys().cloned().collect::<Vec<_>>() {
             while let Some(grant) = self.place_next(&key, now) {
                 actions.push(ScheduleAction::Start(grant));
             }
             let waits = self.queues.get(&key).is_some_and(|q| !q.is_empty());
-            let pace = self.paces.entry(key).or_default();
-            pace.note_waiting(waits, now);
+            let placement_rate = self.placement_rates.entry(key).or_default();
+            placement_rate.record_waiting(waits, now);
         }
         actions
     }
@@ -283,7 +283,7 @@
     /// Returns the number of this daemon's requests in flight at a target.
     #[must_use]
     pub fn own_in_flight(&self, target: &TargetId) -> usize {
-        self.own.get(target).map_or(0, |o| o.running.len())
+        self.local.get(target).map_or(0, |work| work.running.len())
     }
 
     /// Returns the numbers of queued and of placed requests.
@@ -308,7 +308,7 @@
     }
 
     /// Applies the load reports that are newer than the known ones.
-    fn note_reports(&mut self, fleet: &SharedFleet) {
+    fn apply_reports(&mut self, fleet: &SharedFleet) {
         if fleet.version == self.fleet.version {
             return;
         }
@@ -321,23 +321,23 @@
                 continue;
             };
             if known.is_none_or(|k| k.taken_at < report.taken_at) {
-                let reads = report.prefill_backlog_tokens > 0;
-                self.costs.observe_reading(id, reads);
-                if let Some(own) = self.own.get_mut(id) {
+                let is_prefilling = report.prefill_backlog_tokens > 0;
+                self.costs.observe_prefill_activity(id, is_prefilling);
+                if let Some(local) = self.local.get_mut(id) {
                     // The new report no longer counts these, so it needs no correction.
-                    own.ended.retain(|(_, ended)| *ended > report.taken_at);
+                    local.ended.retain(|(_, ended)| *ended > report.taken_at);
                 }
             }
         }
     }
 
     fn check_room(&self, spec: &JobSpec) -> Result<(), JobRefusal> {
-        let own: usize = self
+        let queued: usize = self
             .queues
             .values()
             .map(|q| q.len_of(&spec.workspace))
             .sum();
-        if own >= self.limits.queue_per_workspace {
+        if queued >= self.limits.queue_per_workspace {
             return Err(self.refusal("the queue of the workspace is full".to_owned(), 1.0));
         }
         if self.waiting.len() >= self.limits.queue_length {
@@ -382,31 +382,33 @@
             return 0.0;
         };
         let before = queue.cost_before(&spec.workspace, spec.weight, spec.priority);
-        before / self.pace(&key, now)
+        before / self.service_rate(&key, now)
     }
 
     /// Returns the engine-seconds per second at which a queue is served: as observed
     /// while requests waited, otherwise the capacity of its targets.
-    fn pace(&self, key: &QueueKey, now: MonoTime) -> f64 {
+    fn service_rate(&self, key: &QueueKey, now: MonoTime) -> f64 {
         let capacity = self.capacity(key);
-        let seen = self.paces.get(key).and_then(|p| p.rate(now));
-        seen.map_or(capacity, |rate| rate.clamp(capacity * LEAST_PACE, capacity))
+        let observed = self.placement_rates.get(key).and_then(|p| p.rate(now));
+        observed.map_or(capacity, |rate| {
+            rate.clamp(capacity * MIN_RATE_SHARE, capacity)
+        })
     }
 
     /// Returns the capacity of this daemon's share of the targets, in engine-seconds per
     /// second.
     fn capacity(&self, key: &QueueKey) -> f64 {
         let live = self.candidates(key).map_or(0, |side| side.live());
-        let each = match &key.pool {
+        let per_target = match &key.pool {
             PoolKey::Model(_) => 1.0,
             PoolKey::Service(_) => self.policy.service_in_flight as f64,
         };
-        (live as f64 * each / self.live_daemons as f64).max(0.05)
+        (live as f64 * per_target / self.live_daemons as f64).max(0.05)
     }
 
     fn queued_job(&mut self, spec: &JobSpec) -> QueuedJob {
         self.next_number += 1;
-        let service_s = self.shortest_service(spec);
+        let service_s = self.min_service_seconds(spec);
         let latest_ms = millis(Duration::from_secs_f64(service_s));
         QueuedJob {
             number: JobNumber(self.next_number),
@@ -420,16 +422,17 @@
 
     /// Returns the seconds that a request takes on an idle engine of the fastest role in
     /// use.
-    fn shortest_service(&self, spec: &JobSpec) -> f64 {
+    fn min_service_seconds(&self, spec: &JobSpec) -> f64 {
         if matches!(spec.need.pool, PoolKey::Service(_)) {
             return 0.0;
         }
         let output = self.expected_output(spec);
-        let nowhere = TargetId::from("");
-        let read = unshared_tokens(&spec.need);
+        let unknown_target = TargetId::from("");
+        let prefill_tokens = unshared_tokens(&spec.need);
         let times = self.roles_in_use(&spec.need.pool).into_iter().map(|role| {
-            self.costs.prefill_seconds(&nowhere, role, read)
-                + output * self.costs.gap_seconds(&nowhere, role, 0.0)
+            self.costs
+                .prefill_seconds(&unknown_target, role, prefill_tokens)
+                + output * self.costs.token_gap_seconds(&unknown_target, role, 0.0)
         });
         times.fold(f64::INFINITY, f64::min)
     }
@@ -447,7 +450,7 @@
             .expected_output(&spec.workspace, &spec.class, spec.max_output_tokens)
     }
 
-    fn give_up_overdue(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
+    fn refuse_overdue(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
         let overdue: Vec<QueuedJob> = self
             .queues
             .values()
@@ -471,26 +474,26 @@
     }
 
     fn place_next(&mut self, key: &QueueKey, now: MonoTime) -> Option<JobGrant> {
-        let share = self.reading_share(&key.pool);
+        let share = self.prefill_share(&key.pool);
         let inputs = PlacementInputs {
             fleet: &self.fleet,
             candidates: self.index.side(&key.pool, key.side, share)?,
             costs: &self.costs,
             prefixes: &self.prefixes,
-            own: &self.own,
+            local: &self.local,
             policy: &self.policy,
             live_daemons: self.live_daemons,
             now,
         };
         let queue = self.queues.get_mut(key)?;
-        let (waiting, turn, rng) = (&self.waiting, &mut self.turn, &mut self.rng);
+        let (waiting, cursor, rng) = (&self.waiting, &mut self.cursor, &mut self.rng);
         let mut choice = None;
         let job = queue.take_first(LOOK_AHEAD, |job| {
             let spec = &waiting[&job.number].spec;
-            choice = choose_target(&spec.need, &inputs, turn, rng);
+            choice = choose_target(&spec.need, &inputs, cursor, rng);
             choice.is_some()
         })?;
-        self.paces
+        self.placement_rates
             .entry(key.clone())
             .or_default()
             .add(job.cost, now);
@@ -510,9 +513,9 @@
                 placed_at: now,
                 prefill_tokens: need.prompt_tokens,
             };
-            let own = self.own.entry(choice.target.clone()).or_default();
-            own.running.push(running);
-            self.prefixes.note_read(
+            let local = self.local.entry(choice.target.clone()).or_default();
+            local.running.push(running);
+            self.prefixes.record_cached(
                 &need.shared_prefix,
                 &choice.target,
                 need.shared_prefix_tokens,
@@ -530,8 +533,8 @@
 
     fn take_placed(&mut self, number: JobNumber) -> Option<PlacedJob> {
         let placed = self.placed.swap_remove(&number)?;
-        if let Some(own) = self.own.get_mut(&placed.choice.target) {
-            own.running.retain(|job| job.number != number);
+        if let Some(local) = self.local.get_mut(&placed.choice.target) {
+            local.running.retain(|job| job.number != number);
         }
         Some(placed)
     }
@@ -547,7 +550,8 @@
                 .observe_prefill(&choice.target, choice.first_token_s, actual);
         }
         if let Some(actual) = measure.gap_s {
-            self.costs.observe_gap(&choice.target, choice.gap_s, actual);
+            self.costs
+                .observe_token_gap(&choice.target, choice.gap_s, actual);
         }
     }
 
@@ -561,12 +565,12 @@
 
     fn queue_key(&self, need: &PlacementNeed) -> QueueKey {
         let step_s = self.costs.prefill_step_seconds();
-        let read_s = self.costs.engine_seconds(unshared_tokens(need), 0.0);
-        let long = read_s > READING_STEPS * step_s;
-        let side = if long && self.divides_work() {
-            WorkSide::Reading
+        let prefill_s = self.costs.engine_seconds(unshared_tokens(need), 0.0);
+        let is_long = prefill_s > LONG_PROMPT_STEPS * step_s;
+        let side = if is_long && self.splits_pools() {
+            PoolSide::Prefill
         } else {
-            WorkSide::Writing
+            PoolSide::Decode
         };
         QueueKey {
             pool: need.pool.clone(),
@@ -574,25 +578,25 @@
         }
     }
 
-    fn divides_work(&self) -> bool {
+    fn splits_pools(&self) -> bool {
         self.policy.placement == PlacementPolicy::Estimate
     }
 
-    fn note_mix(&mut self, spec: &JobSpec, cost: f64, now: MonoTime) {
+    fn record_mix(&mut self, spec: &JobSpec, cost: f64, now: MonoTime) {
         let side = self.queue_key(&spec.need).side;
         let mix = self.mixes.entry(spec.need.pool.clone()).or_default();
         mix.add(side, cost, now);
     }
 
-    fn reading_share(&self, pool: &PoolKey) -> f64 {
-        let whole = self.index.side(pool, WorkSide::Writing, 0.0);
+    fn prefill_share(&self, pool: &PoolKey) -> f64 {
+        let whole = self.index.side(pool, PoolSide::Decode, 0.0);
         let targets = whole.map_or(0, |side| side.len());
         let mix = self.mixes.get(pool);
-        mix.map_or(0.0, |mix| mix.reading_part(targets, self.live_daemons))
+        mix.map_or(0.0, |mix| mix.prefill_part(targets, self.live_daemons))
     }
 
     fn candidates(&self, key: &QueueKey) -> Option<CandidateSide<'_>> {
-        let share = self.reading_share(&key.pool);
+        let share = self.prefill_share(&key.pool);
         self.index.side(&key.pool, key.side, share)
     }
 
@@ -600,7 +604,7 @@
         let after = Duration::from_secs_f64(after_s.max(0.0));
         JobRefusal {
             reason,
-            retry_after: after.clamp(SHORTEST_RETRY, LONGEST_RETRY),
+            retry_after: after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 }
--- a/src/decide/shares.rs
+++ b/src/decide/shares.rs
@@ -11,10 +11,10 @@
 
 use crate::names::{MonoTime, WorkspaceName};
 
-const MEMORY_S: f64 = 30.0;
-const MOST_CORRECTION: f64 = 8.0;
-const FORGET_RATE: f64 = 1e-4;
-const STEP: Duration = Duration::from_secs(1);
+const RATE_WINDOW_S: f64 = 30.0;
+const MAX_CORRECTION: f64 = 8.0;
+const MIN_RATE: f64 = 1e-4;
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Corrections of the workspaces' weights on this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -36,7 +36,7 @@
 pub struct ShareState {
     pending: IndexMap<WorkspaceName, f64>,
     rates: IndexMap<WorkspaceName, f64>,
-    rolled_at: Option<MonoTime>,
+    updated_at: Option<MonoTime>,
 }
 
 impl ShareState {
@@ -47,35 +47,35 @@
 
     /// Updates the rates once per interval; returns whether they were updated.
     pub fn tick(&mut self, now: MonoTime) -> bool {
-        let since = *self.rolled_at.get_or_insert(now);
-        let span = now.since(since);
-        if span < STEP {
+        let last_update = *self.updated_at.get_or_insert(now);
+        let elapsed = now.since(last_update);
+        if elapsed < UPDATE_INTERVAL {
             return false;
         }
-        self.rolled_at = Some(now);
-        let seconds = span.as_secs_f64();
-        let share = (seconds / MEMORY_S).min(1.0);
+        self.updated_at = Some(now);
+        let seconds = elapsed.as_secs_f64();
+        let new_weight = (seconds / RATE_WINDOW_S).min(1.0);
         for rate in self.rates.values_mut() {
-            *rate *= 1.0 - share;
+            *rate *= 1.0 - new_weight;
         }
         for (workspace, cost) in self.pending.drain(..) {
-            *self.rates.entry(workspace).or_default() += cost / seconds * share;
+            *self.rates.entry(workspace).or_default() += cost / seconds * new_weight;
         }
-        self.rates.retain(|_, rate| *rate >= FORGET_RATE);
+        self.rates.retain(|_, rate| *rate >= MIN_RATE);
         true
     }
 
     /// Returns the corrections of the configured weights.
     #[must_use]
     pub fn view(&self, weight: impl Fn(&WorkspaceName) -> u32) -> ShareView {
-        let used: f64 = self.rates.values().sum();
-        let weights: f64 = self.rates.keys().map(|w| f64::from(weight(w))).sum();
-        if used <= 0.0 || weights <= 0.0 {
+        let total_rate: f64 = self.rates.values().sum();
+        let total_weight: f64 = self.rates.keys().map(|w| f64::from(weight(w))).sum();
+        if total_rate <= 0.0 || total_weight <= 0.0 {
             return ShareView::default();
         }
         let factors = self.rates.iter().map(|(workspace, rate)| {
-            let due = used * f64::from(weight(workspace)) / weights;
-            let factor = (due / rate).clamp(1.0 / MOST_CORRECTION, MOST_CORRECTION);
+            let fair_rate = total_rate * f64::from(weight(workspace)) / total_weight;
+            let factor = (fair_rate / rate).clamp(1.0 / MAX_CORRECTION, MAX_CORRECTION);
             (workspace.clone(), factor)
         });
         ShareView {
--- a/src/roles/capacity.rs
+++ b/src/roles/capacity.rs
@@ -5,7 +5,7 @@
 use crate::targets::wire::EngineRole;
 
 const SEARCH_STEPS: u32 = 24;
-const MOST_SCALE: f64 = 64.0;
+const MAX_SCALE: f64 = 64.0;
 const HEADROOM: f64 = 1.25;
 
 /// Number of engines by role.
@@ -32,15 +32,15 @@
 
     /// Adds an engine.
     pub fn add(&mut self, role: EngineRole) {
-        *self.slot(role) += 1;
+        *self.count_mut(role) += 1;
     }
 
     /// Returns the counts with one engine moved to another role, or removed if `to` is
     /// `None`.
     #[must_use]
     pub fn moved(mut self, from: EngineRole, to: Option<EngineRole>) -> Self {
-        let slot = self.slot(from);
-        *slot = slot.saturating_sub(1);
+        let count = self.count_mut(from);
+        *count = count.saturating_sub(1);
         if let Some(role) = to {
             self.add(role);
         }
@@ -49,11 +49,11 @@
 
     /// Returns whether the engines can serve both prefill and decode.
     #[must_use]
-    pub fn is_able(&self) -> bool {
+    pub fn can_serve_both(&self) -> bool {
         self.mixed > 0 || (self.prefill > 0 && self.decode > 0)
     }
 
-    fn slot(&mut self, role: EngineRole) -> &mut usize {
+    fn count_mut(&mut self, role: EngineRole) -> &mut usize {
         match role {
             EngineRole::Prefill => &mut self.prefill,
             EngineRole::Mixed => &mut self.mixed,
@@ -69,7 +69,7 @@
 /// mixed, then decode engines.
 #[must_use]
 pub fn capacity(counts: RoleCounts, mix: &WorkBins, speeds: &SpeedSettings) -> f64 {
-    let (mut low, mut high) = (0.0, MOST_SCALE);
+    let (mut low, mut high) = (0.0, MAX_SCALE);
     if fits(counts, mix, speeds, high) {
         return high;
     }
--- a/src/roles/mix.rs
+++ b/src/roles/mix.rs
@@ -15,12 +15,12 @@
 pub const MIX_BINS: usize = 8;
 
 const TYPICAL_BATCH: f64 = 16.0;
-const FAST_S: f64 = 10.0;
-const SLOW_S: f64 = 60.0;
+const FAST_WINDOW_S: f64 = 10.0;
+const SLOW_WINDOW_S: f64 = 60.0;
 const TREND_WEIGHT: f64 = 0.5;
 const SIGNIFICANT_DEVIATIONS: f64 = 3.0;
-const MOST_MODELS: usize = 256;
-const STEP: Duration = Duration::from_secs(1);
+const MAX_MODELS: usize = 256;
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Amount of work in seconds of a mixed engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -84,7 +84,7 @@
 
 /// Adds a request's work to the totals of its model.
 pub fn add_work(totals: &mut WorkTotals, model: &ModelName, work: WorkAmount) {
-    if totals.len() >= MOST_MODELS && !totals.contains_key(model) {
+    if totals.len() >= MAX_MODELS && !totals.contains_key(model) {
         return;
     }
     let bins = totals.entry(model.clone()).or_default();
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MixForecast {
     models: IndexMap<ModelName, ModelMix>,
-    rolled_at: Option<MonoTime>,
+    updated_at: Option<MonoTime>,
     age_s: f64,
 }
 
@@ -126,30 +126,30 @@
 impl MixForecast {
     /// Adds work received since the last call.
     pub fn note(&mut self, model: &ModelName, bins: &WorkBins) {
-        if self.models.len() >= MOST_MODELS && !self.models.contains_key(model) {
+        if self.models.len() >= MAX_MODELS && !self.models.contains_key(model) {
             return;
         }
         let mix = self.models.entry(model.clone()).or_default();
-        for (pending, seen) in mix.pending.iter_mut().zip(bins) {
-            *pending = pending.plus(*seen);
+        for (pending, received) in mix.pending.iter_mut().zip(bins) {
+            *pending = pending.plus(*received);
         }
     }
 
     /// Updates the rates once per interval.
     pub fn tick(&mut self, now: MonoTime) {
-        let since = *self.rolled_at.get_or_insert(now);
-        let span = now.since(since);
-        if span < STEP {
+        let last_update = *self.updated_at.get_or_insert(now);
+        let elapsed = now.since(last_update);
+        if elapsed < UPDATE_INTERVAL {
             return;
         }
-        self.rolled_at = Some(now);
-        let seconds = span.as_secs_f64();
+        self.updated_at = Some(now);
+        let seconds = elapsed.as_secs_f64();
         self.age_s += seconds;
         // Before its window has passed, a rate is the plain mean since the start.
-        let fast = share_of_new(seconds, FAST_S.min(self.age_s));
-        let slow = share_of_new(seconds, SLOW_S.min(self.age_s));
+        let fast = new_weight(seconds, FAST_WINDOW_S.min(self.age_s));
+        let slow = new_weight(seconds, SLOW_WINDOW_S.min(self.age_s));
         for mix in self.models.values_mut() {
-            mix.roll(seconds, fast, slow);
+            mix.update(seconds, fast, slow);
         }
     }
 
@@ -163,13 +163,16 @@
             recent: mix.fast,
             ..MixRates::default()
         };
-        let recent = if mix.is_noise() { 0.0 } else { 0.5 };
+        let recent = if mix.is_within_noise() { 0.0 } else { 0.5 };
         // In the beginning the mean covers fewer seconds than the window.
-        let (slow_s, fast_s) = (SLOW_S.min(self.age_s / 2.0), FAST_S.min(self.age_s / 2.0));
+        let (slow_s, fast_s) = (
+            SLOW_WINDOW_S.min(self.age_s / 2.0),
+            FAST_WINDOW_S.min(self.age_s / 2.0),
+        );
         rates.error = mix.error(slow_s).max(recent * mix.error(fast_s));
         for (bin, (fast, slow)) in mix.fast.iter().zip(&mix.slow).enumerate() {
-            rates.steady[bin] = blend(*slow, *fast, recent);
-            rates.expected[bin] = ahead(*fast, *slow);
+            rates.steady[bin] = weighted_mean(*slow, *fast, recent);
+            rates.expected[bin] = extrapolate(*fast, *slow);
         }
         rates
     }
@@ -182,15 +185,15 @@
     /// Returns whether the rates cover enough time for a decision.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.age_s >= FAST_S
+        self.age_s >= FAST_WINDOW_S
     }
 }
 
-fn share_of_new(seconds: f64, memory: f64) -> f64 {
-    (seconds / memory.max(seconds)).min(1.0)
+fn new_weight(seconds: f64, window_s: f64) -> f64 {
+    (seconds / window_s.max(seconds)).min(1.0)
 }
 
-fn ahead(fast: WorkAmount, slow: WorkAmount) -> WorkAmount {
+fn extrapolate(fast: WorkAmount, slow: WorkAmount) -> WorkAmount {
     let step = |fast: f64, slow: f64| (fast + TREND_WEIGHT * (fast - slow)).clamp(0.0, 2.0 * fast);
     WorkAmount {
         prefill: step(fast.prefill, slow.prefill),
@@ -201,29 +204,29 @@
 impl ModelMix {
     // Whether the difference between the short and the long mean is within the standard
     // error of the short one.
-    fn is_noise(&self) -> bool {
+    fn is_within_noise(&self) -> bool {
         let shares = prefill_share(&self.fast).zip(prefill_share(&self.slow));
         let Some((fast, slow)) = shares else {
             return true;
         };
-        (fast - slow).abs() < SIGNIFICANT_DEVIATIONS * self.error(FAST_S)
+        (fast - slow).abs() < SIGNIFICANT_DEVIATIONS * self.error(FAST_WINDOW_S)
     }
 
     // Standard error of the prefill share, averaged over a window in seconds.
-    fn error(&self, memory: f64) -> f64 {
-        (self.variance / (2.0 * memory.max(0.5))).sqrt()
+    fn error(&self, window_s: f64) -> f64 {
+        (self.variance / (2.0 * window_s.max(0.5))).sqrt()
     }
 
-    fn roll(&mut self, seconds: f64, fast: f64, slow: f64) {
+    fn update(&mut self, seconds: f64, fast: f64, slow: f64) {
         if let Some(now) = prefill_share(&self.pending) {
-            let usual = prefill_share(&self.fast).unwrap_or(now);
-            let deviation = (now - usual).powi(2);
+            let recent_share = prefill_share(&self.fast).unwrap_or(now);
+            let deviation = (now - recent_share).powi(2);
             self.variance += slow * (deviation - self.variance);
         }
         for bin in 0..MIX_BINS {
             let rate = self.pending[bin].times(1.0 / seconds);
-            self.fast[bin] = blend(self.fast[bin], rate, fast);
-            self.slow[bin] = blend(self.slow[bin], rate, slow);
+            self.fast[bin] = weighted_mean(self.fast[bin], rate, fast);
+            self.slow[bin] = weighted_mean(self.slow[bin], rate, slow);
         }
         self.pending = WorkBins::default();
     }
@@ -231,15 +234,15 @@
 
 /// Returns a mix with the same total work and its prefill share shifted by `by`.
 #[must_use]
-pub fn tilted(bins: &WorkBins, by: f64) -> WorkBins {
+pub fn shift_prefill_share(bins: &WorkBins, by: f64) -> WorkBins {
     let Some(share) = prefill_share(bins) else {
         return *bins;
     };
-    let wanted = (share + by).clamp(0.0, 1.0);
-    let factor = |wanted: f64, now: f64| if now > 0.0 { wanted / now } else { 1.0 };
+    let target = (share + by).clamp(0.0, 1.0);
+    let factor = |target: f64, now: f64| if now > 0.0 { target / now } else { 1.0 };
     bins.map(|work| WorkAmount {
-        prefill: work.prefill * factor(wanted, share),
-        decode: work.decode * factor(1.0 - wanted, 1.0 - share),
+        prefill: work.prefill * factor(target, share),
+        decode: work.decode * factor(1.0 - target, 1.0 - share),
     })
 }
 
@@ -249,6 +252,6 @@
     (total > 0.0).then(|| prefill / total)
 }
 
-fn blend(old: WorkAmount, new: WorkAmount, share: f64) -> WorkAmount {
+fn weighted_mean(old: WorkAmount, new: WorkAmount, share: f64) -> WorkAmount {
     old.times(1.0 - share).plus(new.times(share))
 }
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -14,15 +14,15 @@
 use crate::decide::cost::SpeedSettings;
 use crate::names::{ModelName, MonoTime, TargetId};
 use crate::roles::capacity::{RoleCounts, capacity, demand, served_share};
-use crate::roles::mix::{MixForecast, MixRates, WorkBins, tilted};
+use crate::roles::mix::{MixForecast, MixRates, WorkBins, shift_prefill_share};
 use crate::settings::{PolicySettings, RolePolicy};
 use crate::targets::wire::EngineRole;
 
 const ROLES: [EngineRole; 3] = [EngineRole::Prefill, EngineRole::Mixed, EngineRole::Decode];
-const LEAST_GAIN: f64 = 0.03;
-const BASELINE_GAIN: f64 = 0.001;
+const MIN_GAIN_SHARE: f64 = 0.03;
+const FOLLOW_MIX_MIN_GAIN: f64 = 0.001;
 const ERROR_MARGIN: f64 = 3.0;
-const KEPT_PAUSE: Duration = Duration::from_secs(30);
+const KEEP_REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
 /// An engine as the planner sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -72,11 +72,11 @@
 pub struct RolePlanner {
     policy: PolicySettings,
     changed_at: IndexMap<TargetId, MonoTime>,
-    kept_at: IndexMap<String, MonoTime>,
+    keep_reported_at: IndexMap<String, MonoTime>,
 }
 
 #[derive(Clone, Debug)]
-struct MoveOption {
+struct RoleChangeOption {
     from: EngineRole,
     to: EngineRole,
     gain: f64,
@@ -97,7 +97,7 @@
         Self {
             policy,
             changed_at: IndexMap::new(),
-            kept_at: IndexMap::new(),
+            keep_reported_at: IndexMap::new(),
         }
     }
 
@@ -110,7 +110,7 @@
         changing: usize,
         now: MonoTime,
     ) -> Vec<PlanDecision> {
-        self.forget(engines);
+        self.retain_known(engines);
         let room = self.policy.role_changes_at_once.saturating_sub(changing);
         if room == 0 {
             return Vec::new();
@@ -130,34 +130,34 @@
         decisions
     }
 
-    fn forget(&mut self, engines: &[PlanEngine]) {
+    fn retain_known(&mut self, engines: &[PlanEngine]) {
         self.changed_at
             .retain(|id, _| engines.iter().any(|engine| engine.id == *id));
-        self.kept_at.retain(|models, _| {
+        self.keep_reported_at.retain(|models, _| {
             let mut known = engines.iter().map(|engine| engine.models.join(","));
             known.any(|m| m == *models)
         });
     }
 
     fn plan_pool(&mut self, pool: &EnginePool<'_>, now: MonoTime) -> Option<PlanDecision> {
-        let best = self.best_move(pool)?;
+        let best = self.best_role_change(pool)?;
         let horizon = Duration::from_millis(self.policy.role_horizon_ms);
-        let least = match self.policy.roles {
+        let min_gain = match self.policy.roles {
             RolePolicy::FollowMix => 0.0,
-            _ => LEAST_GAIN * self.served(pool) * horizon.as_secs_f64(),
+            _ => MIN_GAIN_SHARE * self.served(pool) * horizon.as_secs_f64(),
         };
-        let wanted = best.cost.max(least);
-        if best.gain <= wanted {
-            return self.keep(pool, &best, wanted, now);
+        let required_gain = best.cost.max(min_gain);
+        if best.gain <= required_gain {
+            return self.report_keep(pool, &best, required_gain, now);
         }
-        let target = self.pick(pool, best.from, now)?;
+        let target = self.select_engine(pool, best.from, now)?;
         self.changed_at.insert(target.clone(), now);
         let reason = format!(
             "{:?} -> {:?}: gains {:.1} engine-seconds within {:.0} s, {:.1} required",
             best.from,
             best.to,
             best.gain,
-            wanted,
+            required_gain,
             horizon.as_secs_f64()
         );
         let wish = EngineWish {
@@ -168,37 +168,38 @@
         Some(PlanDecision::Change { target, wish })
     }
 
-    fn keep(
+    fn report_keep(
         &mut self,
         pool: &EnginePool<'_>,
-        best: &MoveOption,
-        wanted: f64,
+        best: &RoleChangeOption,
+        required_gain: f64,
         now: MonoTime,
     ) -> Option<PlanDecision> {
         let models = pool.models.join(",");
-        let told = self.kept_at.get(&models);
-        let quiet = told.is_some_and(|at| now.since(*at) < KEPT_PAUSE);
-        if best.gain <= 0.0 || quiet {
+        let reported = self.keep_reported_at.get(&models);
+        let is_recent = reported.is_some_and(|at| now.since(*at) < KEEP_REPORT_INTERVAL);
+        if best.gain <= 0.0 || is_recent {
             return None;
         }
-        self.kept_at.insert(models.clone(), now);
+        self.keep_reported_at.insert(models.clone(), now);
         let reason = format!(
-            "roles kept: {:?} -> {:?} would gain only {:.1} of the {wanted:.1} engine-seconds required",
+            "roles kept: {:?} -> {:?} would gain only {:.1} of the {required_gain:.1} \
+             engine-seconds required",
             best.from, best.to, best.gain
         );
         Some(PlanDecision::Keep { models, reason })
     }
 
-    fn best_move(&self, pool: &EnginePool<'_>) -> Option<MoveOption> {
-        let mut best: Option<MoveOption> = None;
+    fn best_role_change(&self, pool: &EnginePool<'_>) -> Option<RoleChangeOption> {
+        let mut best: Option<RoleChangeOption> = None;
         for from in ROLES {
             for to in ROLES {
                 let during = pool.counts.moved(from, None);
-                if from == to || pool.counts.of(from) == 0 || !during.is_able() {
+                if from == to || pool.counts.of(from) == 0 || !during.can_serve_both() {
                     continue;
                 }
                 let after = pool.counts.moved(from, Some(to));
-                let option = self.weigh(pool, from, to, during, after);
+                let option = self.evaluate_move(pool, from, to, during, after);
                 let net = option.gain - option.cost;
                 if best.as_ref().is_none_or(|b| net > b.gain - b.cost) {
                     best = Some(option);
@@ -208,34 +209,34 @@
         best
     }
 
-    fn weigh(
+    fn evaluate_move(
         &self,
         pool: &EnginePool<'_>,
         from: EngineRole,
         to: EngineRole,
         during: RoleCounts,
         after: RoleCounts,
-    ) -> MoveOption {
+    ) -> RoleChangeOption {
         let rates = &pool.rates;
-        let follows = self.policy.roles == RolePolicy::FollowMix;
+        let follows_mix = self.policy.roles == RolePolicy::FollowMix;
         let margin = ERROR_MARGIN * rates.error;
         let (more, less) = (
-            tilted(&rates.steady, margin),
-            tilted(&rates.steady, -margin),
+            shift_prefill_share(&rates.steady, margin),
+            shift_prefill_share(&rates.steady, -margin),
         );
-        let mixes: &[&WorkBins] = if follows {
+        let mixes: &[&WorkBins] = if follows_mix {
             &[&rates.recent]
         } else {
             &[&rates.recent, &rates.steady, &rates.expected, &more, &less]
         };
         let gains = mixes.iter().map(|mix| self.gain(pool.counts, after, mix));
         let gain = gains.fold(f64::INFINITY, f64::min);
-        let cost = if follows {
+        let cost = if follows_mix {
             0.0
         } else {
             self.cost(pool.counts, during, &rates.recent)
         };
-        MoveOption {
+        RoleChangeOption {
             from,
             to,
             gain,
@@ -248,7 +249,7 @@
         let speeds = &self.policy.speeds;
         let (old, new) = (capacity(before, mix, speeds), capacity(after, mix, speeds));
         if self.policy.roles == RolePolicy::FollowMix {
-            return if new > old * (1.0 + BASELINE_GAIN) {
+            return if new > old * (1.0 + FOLLOW_MIX_MIN_GAIN) {
                 new - old
             } else {
                 0.0
@@ -279,22 +280,27 @@
         lost * demand(mix) * seconds + price * seconds
     }
 
-    fn pick(&self, pool: &EnginePool<'_>, from: EngineRole, now: MonoTime) -> Option<TargetId> {
-        let rested = pool
+    fn select_engine(
+        &self,
+        pool: &EnginePool<'_>,
+        from: EngineRole,
+        now: MonoTime,
+    ) -> Option<TargetId> {
+        let candidates = pool
             .engines
             .iter()
-            .filter(|engine| engine.role == from && engine.usable && self.is_rested(engine, now));
-        let quietest = rested.min_by_key(|engine| (engine.in_flight, engine.id.clone()))?;
-        Some(quietest.id.clone())
+            .filter(|engine| engine.role == from && engine.usable && self.may_change(engine, now));
+        let least_loaded = candidates.min_by_key(|engine| (engine.in_flight, engine.id.clone()))?;
+        Some(least_loaded.id.clone())
     }
 
-    fn is_rested(&self, engine: &PlanEngine, now: MonoTime) -> bool {
-        let rest = match self.policy.roles {
+    fn may_change(&self, engine: &PlanEngine, now: MonoTime) -> bool {
+        let min_interval = match self.policy.roles {
             RolePolicy::FollowMix => Duration::from_millis(self.policy.role_change_ms),
             _ => Duration::from_millis(self.policy.role_horizon_ms),
         };
         let changed_at = self.changed_at.get(&engine.id);
-        changed_at.is_none_or(|at| now.since(*at) >= rest)
+        changed_at.is_none_or(|at| now.since(*at) >= min_interval)
     }
 
     // Loads a model that too few engines have on the least loaded engine that can unload
@@ -306,18 +312,18 @@
         now: MonoTime,
     ) -> Option<PlanDecision> {
         let holders = |model: &ModelName| {
-            let held = engines.iter().filter(|engine| holds(engine, model));
-            held.count()
+            let holding = engines.iter().filter(|engine| has_model(engine, model));
+            holding.count()
         };
         let short = needs
             .iter()
             .find(|need| holders(&need.model) < need.least_engines)?;
-        let spare = |held: &String| {
-            let need = needs.iter().find(|need| names_model(held, &need.model));
+        let spare = |label: &String| {
+            let need = needs.iter().find(|need| names_model(label, &need.model));
             need.is_none_or(|n| holders(&n.model) > n.least_engines.max(1))
         };
         let candidates = engines.iter().filter(|engine| {
-            engine.usable && !holds(engine, &short.model) && self.is_rested(engine, now)
+            engine.usable && !has_model(engine, &short.model) && self.may_change(engine, now)
         });
         let engine = candidates.min_by_key(|engine| {
             let spares = engine.models.iter().any(spare);
@@ -365,11 +371,11 @@
         pool.counts.add(engine.role);
     }
     for model in mix.models() {
-        let holders = engines.iter().filter(|e| e.usable && holds(e, model));
+        let holders = engines.iter().filter(|e| e.usable && has_model(e, model));
         let holders = holders.count().max(1) as f64;
         let rates = mix.rates(model);
         for pool in pools.values_mut() {
-            if pool.models.iter().any(|held| names_model(held, model)) {
+            if pool.models.iter().any(|label| names_model(label, model)) {
                 let share = pool.engines.len() as f64 / holders;
                 add_rates(&mut pool.rates, &rates, share);
             }
@@ -393,12 +399,12 @@
     }
 }
 
-fn holds(engine: &PlanEngine, model: &ModelName) -> bool {
-    engine.models.iter().any(|held| names_model(held, model))
+fn has_model(engine: &PlanEngine, model: &ModelName) -> bool {
+    engine.models.iter().any(|label| names_model(label, model))
 }
 
 // Labels have the form `MODEL`, `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
-fn names_model(held: &str, model: &ModelName) -> bool {
-    let name = held.split(['@', '+']).next().unwrap_or(held);
+fn names_model(label: &str, model: &ModelName) -> bool {
+    let name = label.split(['@', '+']).next().unwrap_or(label);
     name == model.as_str()
 }
--- a/src/roles/plan_book.rs
+++ b/src/roles/plan_book.rs
@@ -15,7 +15,7 @@
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-const CALL_PAUSE: Duration = Duration::from_millis(500);
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The stored plan during one term of the plan's lease.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     must_read: bool,
     busy: bool,
     call_at: MonoTime,
-    marks: u64,
+    write_count: u64,
     fenced_by: Option<FenceNumber>,
 }
 
@@ -44,7 +44,7 @@
             must_read: true,
             busy: false,
             call_at: MonoTime(0),
-            marks: 0,
+            write_count: 0,
             fenced_by: None,
         }
     }
@@ -91,9 +91,9 @@
     }
 
     fn write(&mut self) -> OrderAction {
-        self.marks += 1;
+        self.write_count += 1;
         self.busy = true;
-        let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.marks);
+        let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.write_count);
         let entries = self.wanted.iter().map(|(target, wish)| {
             let entry = OrderEntry {
                 wish: wish.clone(),
@@ -125,12 +125,12 @@
     ) {
         self.busy = false;
         let Ok(found) = result else {
-            self.call_at = now.plus(CALL_PAUSE);
+            self.call_at = now.plus(CALL_RETRY_DELAY);
             return;
         };
         let version = found.as_ref().map_or(ObjectVersion(0), |s| s.version);
         if version < self.version {
-            self.call_at = now.plus(CALL_PAUSE);
+            self.call_at = now.plus(CALL_RETRY_DELAY);
             return;
         }
         self.must_read = false;
@@ -150,7 +150,7 @@
         // The plan may have changed during the write, so the stored one is read back.
         self.must_read = true;
         if let Err(PlatformError::Unavailable { .. }) = result {
-            self.call_at = now.plus(CALL_PAUSE);
+            self.call_at = now.plus(CALL_RETRY_DELAY);
         }
         if let Ok(version) = result {
             self.version = *version;
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -17,16 +17,16 @@
     plan: &IndexMap<TargetId, EngineWish>,
     fleet: &FleetView,
 ) {
-    let mut own = IndexMap::new();
+    let mut group_changes = IndexMap::new();
     for (target, wish) in plan {
         let engine = fleet.targets.get(target).and_then(plan_engine);
-        let open = engine.is_some_and(|e| !has(&e, wish));
-        if open && groups.get(target) == Some(group) {
-            own.insert(target.clone(), wish.clone());
+        let is_pending = engine.is_some_and(|e| !has(&e, wish));
+        if is_pending && groups.get(target) == Some(group) {
+            group_changes.insert(target.clone(), wish.clone());
         }
     }
-    book.keep_wishes(&own);
-    for (target, wish) in own {
+    book.keep_wishes(&group_changes);
+    for (target, wish) in group_changes {
         book.want(target, wish);
     }
 }
@@ -37,8 +37,8 @@
 
 pub(crate) fn plan_engine(target: &TargetView) -> Option<PlanEngine> {
     let report = target.report.as_ref()?;
-    let listed = target.kind == InstanceKind::Engine && target.state < UseState::Leaving;
-    listed.then(|| PlanEngine {
+    let is_plannable = target.kind == InstanceKind::Engine && target.state < UseState::Leaving;
+    is_plannable.then(|| PlanEngine {
         id: target.id.clone(),
         role: report.role,
         models: report.models.clone(),
--- a/src/roles/work_mix.rs
+++ b/src/roles/work_mix.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::decide::placement::WorkSide;
+use crate::decide::placement::PoolSide;
 use crate::names::MonoTime;
 
 /// Time in which the weight of past work halves: short compared to the minutes over which
@@ -10,27 +10,27 @@
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
 /// Factor on the capacity that the decode side needs, as headroom for bursts.
-const WRITING_ROOM: f64 = 1.3;
+const DECODE_HEADROOM: f64 = 1.3;
 /// Minimum part of a pool on the prefill side while there is any work for it.
-const LEAST_PART: f64 = 1e-6;
+const MIN_PREFILL_PART: f64 = 1e-6;
 
 /// Exponentially decayed cost of placed work, which gives the service rate of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PlacedPace {
-    placed: f64,
+pub struct PlacementRate {
+    placed_cost: f64,
     at: MonoTime,
     busy_since: Option<MonoTime>,
 }
 
-impl PlacedPace {
+impl PlacementRate {
     /// Adds the cost of placed work in engine-seconds.
     pub fn add(&mut self, cost: f64, now: MonoTime) {
-        self.placed = self.placed * decay_since(self.at, now) + cost;
+        self.placed_cost = self.placed_cost * decay_factor(self.at, now) + cost;
         self.at = now;
     }
 
     /// Records whether requests are queued.
-    pub fn note_waiting(&mut self, waits: bool, now: MonoTime) {
+    pub fn record_waiting(&mut self, waits: bool, now: MonoTime) {
         if !waits {
             self.busy_since = None;
         } else if self.busy_since.is_none() {
@@ -46,12 +46,12 @@
         if busy < HALF_LIFE {
             return None;
         }
-        let placed = self.placed * decay_since(self.at, now);
-        Some(placed * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64())
+        let placed_cost = self.placed_cost * decay_factor(self.at, now);
+        Some(placed_cost * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64())
     }
 }
 
-fn decay_since(at: MonoTime, now: MonoTime) -> f64 {
+fn decay_factor(at: MonoTime, now: MonoTime) -> f64 {
     let halves = now.since(at).as_secs_f64() / HALF_LIFE.as_secs_f64();
     0.5_f64.powf(halves)
 }
@@ -59,27 +59,27 @@
 /// Exponentially decayed cost of recent work by side.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkMix {
-    reading: f64,
-    writing: f64,
+    prefill: f64,
+    decode: f64,
     at: MonoTime,
 }
 
 impl WorkMix {
     /// Adds the cost of work in engine-seconds.
-    pub fn add(&mut self, side: WorkSide, cost: f64, now: MonoTime) {
+    pub fn add(&mut self, side: PoolSide, cost: f64, now: MonoTime) {
         self.decay(now);
         match side {
-            WorkSide::Reading => self.reading += cost,
-            WorkSide::Writing => self.writing += cost,
+            PoolSide::Prefill => self.prefill += cost,
+            PoolSide::Decode => self.decode += cost,
         }
     }
 
     /// Returns the share of work on the prefill side, 0 if there was no work.
     #[must_use]
-    pub fn reading_share(&self) -> f64 {
-        let total = self.reading + self.writing;
+    pub fn prefill_share(&self) -> f64 {
+        let total = self.prefill + self.decode;
         if total > 0.0 {
-            self.reading / total
+            self.prefill / total
         } else {
             0.0
         }
@@ -92,20 +92,20 @@
     /// long prompts can usually wait, and a flood of them must not leave short, urgent
     /// requests without engines.
     #[must_use]
-    pub fn reading_part(&self, targets: usize, daemons: usize) -> f64 {
-        if self.reading <= 0.0 || targets == 0 {
+    pub fn prefill_part(&self, targets: usize, daemons: usize) -> f64 {
+        if self.prefill <= 0.0 || targets == 0 {
             return 0.0;
         }
-        let pace = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
-        let needed = self.writing * pace * daemons as f64 * WRITING_ROOM;
+        let decay_rate = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
+        let needed = self.decode * decay_rate * daemons as f64 * DECODE_HEADROOM;
         let part = 1.0 - needed / targets as f64;
-        self.reading_share().min(part).max(LEAST_PART)
+        self.prefill_share().min(part).max(MIN_PREFILL_PART)
     }
 
     fn decay(&mut self, now: MonoTime) {
-        let left = decay_since(self.at, now);
-        self.reading *= left;
-        self.writing *= left;
+        let left = decay_factor(self.at, now);
+        self.prefill *= left;
+        self.decode *= left;
         self.at = now;
     }
 }
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -47,7 +47,7 @@
     decode: f64,
 }
 
-const CALM: Load = Load {
+const BALANCED: Load = Load {
     prefill: 0.4,
     decode: 0.4,
 };
@@ -60,7 +60,7 @@
     decode: 1.4,
 };
 
-fn feed(mix: &mut MixForecast, load: Load, engines: usize) {
+fn add_load(mix: &mut MixForecast, load: Load, engines: usize) {
     let mut totals = WorkTotals::new();
     let work = WorkAmount {
         prefill: load.prefill * engines as f64,
@@ -75,7 +75,7 @@
 struct Run {
     log: Vec<(u64, TargetId)>,
     changes: usize,
-    at_once: usize,
+    max_in_progress: usize,
     keeps: usize,
     roles: Vec<EngineRole>,
 }
@@ -85,28 +85,28 @@
     let mut planner = RolePlanner::new(policy);
     let mut mix = MixForecast::default();
     let mut fleet = engines(start);
-    let mut under_way: Vec<(u64, TargetId, EngineRole)> = Vec::new();
+    let mut in_progress: Vec<(u64, TargetId, EngineRole)> = Vec::new();
     let mut run = Run {
         log: Vec::new(),
         changes: 0,
-        at_once: 0,
+        max_in_progress: 0,
         keeps: 0,
         roles: Vec::new(),
     };
     for (second, load) in loads.enumerate() {
         let second = second as u64;
         let now = MonoTime(second * 1_000);
-        feed(&mut mix, load, fleet.len());
+        add_load(&mut mix, load, fleet.len());
         mix.tick(now);
-        for (done, id, role) in &under_way {
+        for (done, id, role) in &in_progress {
             let engine = fleet.iter_mut().find(|e| e.id == *id).unwrap();
             if *done <= second {
                 engine.role = *role;
                 engine.usable = true;
             }
         }
-        under_way.retain(|(done, _, _)| *done > second);
-        for decision in planner.plan(&fleet, &[], &mix, under_way.len(), now) {
+        in_progress.retain(|(done, _, _)| *done > second);
+        for decision in planner.plan(&fleet, &[], &mix, in_progress.len(), now) {
             match decision {
                 PlanDecision::Keep { .. } => run.keeps += 1,
                 PlanDecision::Change { target, wish } => {
@@ -114,21 +114,21 @@
                     run.log.push((second, target.clone()));
                     let engine = fleet.iter_mut().find(|e| e.id == target).unwrap();
                     engine.usable = false;
-                    under_way.push((second + 3, target, wish.role));
+                    in_progress.push((second + 3, target, wish.role));
                 }
             }
         }
-        let able =
+        let can_serve =
             |roles: [EngineRole; 2]| fleet.iter().any(|e| e.usable && roles.contains(&e.role));
         assert!(
-            able([EngineRole::Mixed, EngineRole::Prefill]),
+            can_serve([EngineRole::Mixed, EngineRole::Prefill]),
             "no engine prefills prompts"
         );
         assert!(
-            able([EngineRole::Mixed, EngineRole::Decode]),
+            can_serve([EngineRole::Mixed, EngineRole::Decode]),
             "no engine decodes"
         );
-        run.at_once = run.at_once.max(under_way.len());
+        run.max_in_progress = run.max_in_progress.max(in_progress.len());
     }
     run.roles = fleet.iter().map(|e| e.role).collect();
     run
@@ -138,44 +138,44 @@
     std::iter::repeat_n(load, seconds)
 }
 
-struct SwingCase {
+struct LoadShiftCase {
     policy: PolicySettings,
     load: Load,
-    least: usize,
-    most: usize,
-    towards: EngineRole,
+    min: usize,
+    max: usize,
+    expected_role: EngineRole,
 }
 
 #[rstest]
-#[case::prompts(SwingCase {
-    policy: policy(RolePolicy::Forecast, 1.5), load: PROMPTS, least: 2, most: 3, towards: EngineRole::Prefill,
+#[case::prompts(LoadShiftCase {
+    policy: policy(RolePolicy::Forecast, 1.5), load: PROMPTS, min: 2, max: 3, expected_role: EngineRole::Prefill,
 })]
-#[case::output(SwingCase {
-    policy: policy(RolePolicy::Forecast, 1.5), load: OUTPUT, least: 2, most: 3, towards: EngineRole::Decode,
+#[case::output(LoadShiftCase {
+    policy: policy(RolePolicy::Forecast, 1.5), load: OUTPUT, min: 2, max: 3, expected_role: EngineRole::Decode,
 })]
-#[case::dear(SwingCase {
-    policy: policy(RolePolicy::Forecast, 500.0), load: PROMPTS, least: 0, most: 0, towards: EngineRole::Prefill,
+#[case::costly(LoadShiftCase {
+    policy: policy(RolePolicy::Forecast, 500.0), load: PROMPTS, min: 0, max: 0, expected_role: EngineRole::Prefill,
 })]
-#[case::fixed(SwingCase {
-    policy: policy(RolePolicy::Fixed, 1.0), load: PROMPTS, least: 0, most: 0, towards: EngineRole::Prefill,
+#[case::fixed(LoadShiftCase {
+    policy: policy(RolePolicy::Fixed, 1.0), load: PROMPTS, min: 0, max: 0, expected_role: EngineRole::Prefill,
 })]
-#[case::follow(SwingCase {
-    policy: policy(RolePolicy::FollowMix, 1.0), load: PROMPTS, least: 2, most: 4, towards: EngineRole::Prefill,
+#[case::follow(LoadShiftCase {
+    policy: policy(RolePolicy::FollowMix, 1.0), load: PROMPTS, min: 2, max: 4, expected_role: EngineRole::Prefill,
 })]
-#[case::calm(SwingCase {
-    policy: policy(RolePolicy::Forecast, 1.0), load: CALM, least: 0, most: 0, towards: EngineRole::Prefill,
+#[case::balanced(LoadShiftCase {
+    policy: policy(RolePolicy::Forecast, 1.0), load: BALANCED, min: 0, max: 0, expected_role: EngineRole::Prefill,
 })]
-fn follows_a_swing_that_pays(#[case] case: SwingCase) {
-    let loads = steady(CALM, 60).chain(steady(case.load, 240));
+fn follows_a_worthwhile_load_shift(#[case] case: LoadShiftCase) {
+    let loads = steady(BALANCED, 60).chain(steady(case.load, 240));
     let run = run(case.policy, &[EngineRole::Mixed; ENGINES], loads);
     assert!(
-        (case.least..=case.most).contains(&run.changes),
+        (case.min..=case.max).contains(&run.changes),
         "{}",
         run.changes
     );
-    let moved = run.roles.iter().filter(|role| **role == case.towards);
-    assert!(moved.count() >= case.least, "{:?}", run.roles);
-    assert!(run.at_once <= 2, "{}", run.at_once);
+    let moved = run.roles.iter().filter(|role| **role == case.expected_role);
+    assert!(moved.count() >= case.min, "{:?}", run.roles);
+    assert!(run.max_in_progress <= 2, "{}", run.max_in_progress);
 }
 
 /// Prefill and decode work each vary by more than half from second to second around a
@@ -183,7 +183,7 @@
 /// gain. The forecast may change one engine once, to suit the steady mix; the baseline
 /// policy follows the variations.
 #[rstest]
-fn noise_changes_nothing(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn noise_causes_no_changes(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let loads = |seed| {
         let mut rng = SmallRng::seed_from_u64(seed);
         (0..600).map(move |_| Load {
@@ -201,7 +201,7 @@
 /// Seconds of prefill work only and of decode work only alternate at random. Roles that
 /// suit both kinds of work are worthwhile: they are assigned once and then kept.
 #[rstest]
-fn two_kinds_of_work_settle(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn two_kinds_of_work_lead_to_stable_roles(#[values(1, 2, 3, 4, 5)] seed: u64) {
     let loads = |seconds| {
         let mut rng = SmallRng::seed_from_u64(seed);
         (0..seconds).map(move |_| {
@@ -214,24 +214,24 @@
     };
     let roles = [EngineRole::Mixed; ENGINES];
     let half = run(policy(RolePolicy::Forecast, 1.5), &roles, loads(600));
-    let whole = run(policy(RolePolicy::Forecast, 1.5), &roles, loads(1_200));
+    let full = run(policy(RolePolicy::Forecast, 1.5), &roles, loads(1_200));
     assert!(
         (1..=ENGINES + 1).contains(&half.changes),
         "{}",
         half.changes
     );
     assert!(
-        whole.changes <= half.changes + 1,
+        full.changes <= half.changes + 1,
         "{} {}",
         half.changes,
-        whole.changes
+        full.changes
     );
 }
 
 /// Prefill and decode phases alternate every two minutes: each phase causes only a few
 /// changes, and no engine changes back and forth within one.
 #[test]
-fn a_swing_back_and_forth_is_followed_sparingly() {
+fn alternating_phases_cause_few_changes() {
     let phase = |load| steady(load, 120);
     let loads = phase(PROMPTS)
         .chain(phase(OUTPUT))
@@ -249,7 +249,7 @@
 /// engine that was changed is not changed again within the horizon, whatever the mix;
 /// otherwise it would be out of service half of the time.
 #[test]
-fn a_changed_engine_rests() {
+fn changed_engine_is_not_changed_again_within_the_horizon() {
     let phases = (0..20).flat_map(|n| {
         let load = if n % 2 == 0 { PROMPTS } else { OUTPUT };
         steady(load, 30)
@@ -275,7 +275,7 @@
 #[rstest]
 #[case::lone_mixed(&[EngineRole::Mixed])]
 #[case::one_of_each(&[EngineRole::Prefill, EngineRole::Decode])]
-fn the_last_engine_able_is_never_changed(#[case] roles: &[EngineRole]) {
+fn last_engine_for_a_phase_is_never_changed(#[case] roles: &[EngineRole]) {
     for load in [PROMPTS, OUTPUT] {
         for kind in [RolePolicy::Forecast, RolePolicy::FollowMix] {
             let run = run(policy(kind, 1.0), roles, steady(load, 200));
@@ -285,15 +285,15 @@
 }
 
 #[test]
-fn a_near_miss_is_explained_but_not_every_second() {
-    let near = Load {
+fn kept_roles_are_reported_at_intervals() {
+    let below_threshold = Load {
         prefill: 1.3,
         decode: 0.1,
     };
     let run = run(
         policy(RolePolicy::Forecast, 30.0),
         &[EngineRole::Mixed; ENGINES],
-        steady(near, 120),
+        steady(below_threshold, 120),
     );
     assert_eq!(run.changes, 0);
     assert!((1..=5).contains(&run.keeps), "{}", run.keeps);
@@ -302,18 +302,18 @@
 struct CapacityCase {
     counts: [usize; 3],
     bins: &'static [(usize, f64, f64)],
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 #[rstest]
-#[case::mixed(CapacityCase { counts: [0, 2, 0], bins: &[(4, 0.5, 0.5)], least: 1.99, most: 2.01 })]
-#[case::prefill_alone(CapacityCase { counts: [1, 0, 0], bins: &[(7, 1.0, 0.0)], least: 1.79, most: 1.81 })]
+#[case::mixed(CapacityCase { counts: [0, 2, 0], bins: &[(4, 0.5, 0.5)], min: 1.99, max: 2.01 })]
+#[case::prefill_alone(CapacityCase { counts: [1, 0, 0], bins: &[(7, 1.0, 0.0)], min: 1.79, max: 1.81 })]
 #[case::split_work(CapacityCase {
-    counts: [1, 0, 1], bins: &[(7, 1.0, 0.0), (0, 0.0, 1.0)], least: 1.6, most: 1.7,
+    counts: [1, 0, 1], bins: &[(7, 1.0, 0.0), (0, 0.0, 1.0)], min: 1.6, max: 1.7,
 })]
-#[case::nothing_to_do(CapacityCase { counts: [0, 1, 0], bins: &[], least: 60.0, most: 64.0 })]
-#[case::no_engine(CapacityCase { counts: [0, 0, 0], bins: &[(4, 0.5, 0.5)], least: 0.0, most: 0.01 })]
+#[case::nothing_to_do(CapacityCase { counts: [0, 1, 0], bins: &[], min: 60.0, max: 64.0 })]
+#[case::no_engine(CapacityCase { counts: [0, 0, 0], bins: &[(4, 0.5, 0.5)], min: 0.0, max: 0.01 })]
 fn capacity_is_what_roles_can_serve(#[case] case: CapacityCase) {
     let mut mix = WorkBins::default();
     for (bin, prefill, decode) in case.bins {
@@ -329,46 +329,46 @@
         decode,
     };
     let found = capacity(counts, &mix, &SpeedSettings::default());
-    assert!((case.least..=case.most).contains(&found), "{found}");
+    assert!((case.min..=case.max).contains(&found), "{found}");
 }
 
 #[test]
-fn work_is_sorted_by_its_prefill_share() {
+fn work_is_binned_by_its_prefill_share() {
     let amounts = [(0.0, 1.0), (0.5, 0.5), (1.0, 0.0), (0.0, 0.0)];
     let bins = amounts.map(|(prefill, decode)| WorkAmount { prefill, decode }.bin());
     assert_eq!(bins, [0, MIX_BINS / 2, MIX_BINS - 1, 0]);
 }
 
 #[test]
-fn rates_settle_on_what_is_seen() {
+fn rates_converge_to_the_load() {
     let mut mix = MixForecast::default();
     for second in 0..300 {
-        feed(&mut mix, CALM, 1);
+        add_load(&mut mix, BALANCED, 1);
         mix.tick(MonoTime(second * 1_000));
     }
     let rates = mix.rates(&model());
     for bins in [rates.recent, rates.steady, rates.expected] {
-        let whole: f64 = bins.iter().map(WorkAmount::total).sum();
-        assert!((0.75..=0.85).contains(&whole), "{whole}");
+        let total: f64 = bins.iter().map(WorkAmount::total).sum();
+        assert!((0.75..=0.85).contains(&total), "{total}");
     }
 }
 
 struct PlaceCase {
-    held: [&'static str; 3],
+    loaded: [&'static str; 3],
     needs: [usize; 2],
     target: Option<&'static str>,
     models: &'static [&'static str],
 }
 
 #[rstest]
-#[case::enough(PlaceCase { held: ["a", "a", "b"], needs: [1, 1], target: None, models: &[] })]
-#[case::spare(PlaceCase { held: ["a", "a", "b"], needs: [1, 2], target: Some("e0"), models: &["b"] })]
-#[case::none_to_spare(PlaceCase { held: ["a", "a", "a"], needs: [3, 1], target: Some("e0"), models: &["a", "b"] })]
-fn places_a_model_that_too_few_hold(#[case] case: PlaceCase) {
+#[case::enough_engines(PlaceCase { loaded: ["a", "a", "b"], needs: [1, 1], target: None, models: &[] })]
+#[case::spare(PlaceCase { loaded: ["a", "a", "b"], needs: [1, 2], target: Some("e0"), models: &["b"] })]
+#[case::none_to_spare(PlaceCase { loaded: ["a", "a", "a"], needs: [3, 1], target: Some("e0"), models: &["a", "b"] })]
+fn loads_a_model_that_too_few_engines_have(#[case] case: PlaceCase) {
     let mut planner = RolePlanner::new(policy(RolePolicy::Fixed, 1.0));
     let mut fleet = engines(&[EngineRole::Mixed; 3]);
-    for (engine, held) in fleet.iter_mut().zip(case.held) {
-        engine.models = vec![held.to_owned()];
+    for (engine, loaded) in fleet.iter_mut().zip(case.loaded) {
+        engine.models = vec![loaded.to_owned()];
     }
     let needs =
         [("a", case.needs[0]), ("b", case.needs[1])].map(|(name, least_engines)| ModelNeed {
@@ -400,10 +400,10 @@
             .plan(&fleet, &needs, &mix, 2, MonoTime(0))
             .is_empty()
     );
-    let rest = Duration::from_millis(PolicySettings::default().role_horizon_ms);
+    let min_interval = Duration::from_millis(PolicySettings::default().role_horizon_ms);
     assert!(
         !planner
-            .plan(&fleet, &needs, &mix, 0, MonoTime(0).plus(rest))
+            .plan(&fleet, &needs, &mix, 0, MonoTime(0).plus(min_interval))
             .is_empty()
     );
 }
--- a/tests/fair_queue_order.rs
+++ b/tests/fair_queue_order.rs
@@ -45,27 +45,27 @@
 #[rstest]
 #[case::equal(ShareCase { weights: &[1.0, 1.0], costs: &[0.1, 0.1] })]
 #[case::weighted(ShareCase { weights: &[3.0, 1.0], costs: &[0.1, 0.1] })]
-#[case::dear_requests(ShareCase { weights: &[1.0, 1.0], costs: &[0.05, 0.5] })]
-#[case::three_rivals(ShareCase { weights: &[1.0, 2.0, 5.0], costs: &[0.2, 0.1, 0.3] })]
+#[case::costly_requests(ShareCase { weights: &[1.0, 1.0], costs: &[0.05, 0.5] })]
+#[case::three_workspaces(ShareCase { weights: &[1.0, 2.0, 5.0], costs: &[0.2, 0.1, 0.3] })]
 fn busy_workspaces_share_by_weight(#[case] case: ShareCase) {
     let mut queue = FairQueue::new(QUANTUM, true);
     let mut number = 0;
-    for (place, (weight, cost)) in case.weights.iter().zip(case.costs).enumerate() {
+    for (position, (weight, cost)) in case.weights.iter().zip(case.costs).enumerate() {
         for _ in 0..4_000 {
             number += 1;
-            queue.push(job(number, &format!("w{place}"), *weight, *cost));
+            queue.push(job(number, &format!("w{position}"), *weight, *cost));
         }
     }
     let served = serve(&mut queue, 2_000);
     let total: f64 = served.values().sum();
     let weights: f64 = case.weights.iter().sum();
-    for (place, weight) in case.weights.iter().enumerate() {
-        let share = served[&WorkspaceName::from(format!("w{place}"))] / total;
-        let due = *weight / weights;
-        let slack = (QUANTUM * *weight + case.costs[place]) * 2.0 / total;
+    for (position, weight) in case.weights.iter().enumerate() {
+        let share = served[&WorkspaceName::from(format!("w{position}"))] / total;
+        let fair_share = *weight / weights;
+        let slack = (QUANTUM * *weight + case.costs[position]) * 2.0 / total;
         assert!(
-            (share - due).abs() <= slack,
-            "w{place} got a share of {share:.3} instead of {due:.3}"
+            (share - fair_share).abs() <= slack,
+            "w{position} got a share of {share:.3} instead of {fair_share:.3}"
         );
     }
 }
@@ -78,7 +78,7 @@
 // An urgent request is served first while the virtual time of its workspace is within a
 // quantum of the lowest one, and waits beyond that.
 #[rstest]
-#[case::level(UrgencyCase { charged: 0.0, urgent_first: true })]
+#[case::equal(UrgencyCase { charged: 0.0, urgent_first: true })]
 #[case::within_quantum(UrgencyCase { charged: 0.9, urgent_first: true })]
 #[case::beyond_quantum(UrgencyCase { charged: 1.1, urgent_first: false })]
 fn urgency_decides_within_a_quantum(#[case] case: UrgencyCase) {
@@ -100,7 +100,7 @@
 #[case::by_priority((1, 10), (0, 99), false)]
 #[case::by_slack((1, 20), (1, 10), false)]
 #[case::by_arrival((1, 10), (1, 10), true)]
-fn own_requests_go_by_urgency(
+fn requests_of_a_workspace_are_served_by_urgency(
     #[case] first: (u32, u64),
     #[case] second: (u32, u64),
     #[case] first_wins: bool,
@@ -120,7 +120,7 @@
 // One workspace has requests for a long time while another is idle. When the other
 // becomes active again, it must not be served exclusively to make up for its idle time.
 #[test]
-fn an_idle_workspace_banks_no_time() {
+fn idle_workspace_gets_no_credit() {
     let mut queue = FairQueue::new(QUANTUM, true);
     for number in 0..1_000 {
         queue.push(job(number, "steady", 1.0, 0.1));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn unfair_queue_serves_in_order_of_urgency_alone() {
+fn queue_without_shares_serves_by_urgency_only() {
     let mut queue = FairQueue::new(QUANTUM, false);
     for number in 0..20 {
         queue.push(job(number, if number < 15 { "a" } else { "b" }, 1.0, 1.0));
@@ -163,20 +163,20 @@
 // No target accepts the first requests of the queue, but a later one can be placed. The
 // queue offers that one only if it is within the look-ahead.
 #[rstest]
-#[case::within_reach(15, true)]
-#[case::out_of_reach(16, false)]
-fn look_ahead_is_bounded(#[case] place: u64, #[case] found: bool) {
+#[case::within_look_ahead(15, true)]
+#[case::beyond_look_ahead(16, false)]
+fn look_ahead_is_bounded(#[case] position: u64, #[case] found: bool) {
     let mut queue = FairQueue::new(QUANTUM, true);
     for number in 0..40 {
         queue.push(job(number, "w", 1.0, 0.1));
     }
-    let mut looked = 0;
+    let mut offered = 0;
     let taken = queue.take_first(LOOK_AHEAD, |job| {
-        looked += 1;
-        job.number == JobNumber(place)
+        offered += 1;
+        job.number == JobNumber(position)
     });
     assert_eq!(taken.is_some(), found);
-    assert!(looked <= LOOK_AHEAD);
+    assert!(offered <= LOOK_AHEAD);
     assert_eq!(queue.len(), if found { 39 } else { 40 });
 }
 
@@ -203,7 +203,7 @@
 
 struct WaitCase {
     own: &'static [u32],
-    rivals: usize,
+    others: usize,
     priority: u32,
     expected: f64,
 }
@@ -212,11 +212,11 @@
 // a more urgent priority, scaled up by the weights of the other busy workspaces, at
 // most the cost of the whole queue.
 #[rstest]
-#[case::nothing_own(WaitCase { own: &[], rivals: 3, priority: 1, expected: 0.0 })]
-#[case::own_alone(WaitCase { own: &[1, 1], rivals: 0, priority: 1, expected: 2.0 })]
-#[case::less_urgent_own(WaitCase { own: &[2, 2], rivals: 0, priority: 1, expected: 0.0 })]
-#[case::stretched(WaitCase { own: &[1], rivals: 1, priority: 1, expected: 2.0 })]
-#[case::at_most_all(WaitCase { own: &[1, 1], rivals: 1, priority: 1, expected: 3.0 })]
+#[case::no_own_requests(WaitCase { own: &[], others: 3, priority: 1, expected: 0.0 })]
+#[case::own_requests_only(WaitCase { own: &[1, 1], others: 0, priority: 1, expected: 2.0 })]
+#[case::own_less_urgent(WaitCase { own: &[2, 2], others: 0, priority: 1, expected: 0.0 })]
+#[case::scaled_by_weights(WaitCase { own: &[1], others: 1, priority: 1, expected: 2.0 })]
+#[case::capped_at_total(WaitCase { own: &[1, 1], others: 1, priority: 1, expected: 3.0 })]
 fn cost_before_a_new_request(#[case] case: WaitCase) {
     let mut queue = FairQueue::new(QUANTUM, true);
     let mut number = 0;
@@ -227,9 +227,9 @@
             ..job(number, "own", 1.0, 1.0)
         });
     }
-    for rival in 0..case.rivals {
+    for other in 0..case.others {
         number += 1;
-        queue.push(job(number, &format!("rival-{rival}"), 1.0, 1.0));
+        queue.push(job(number, &format!("other-{other}"), 1.0, 1.0));
     }
     let before = queue.cost_before(&"own".into(), 1.0, case.priority);
     assert!((before - case.expected).abs() < 1e-9, "{before}");
@@ -237,13 +237,13 @@
 
 /// Reference implementation that scans all requests for each operation.
 #[derive(Default)]
-struct PlainQueue {
+struct ReferenceQueue {
     times: IndexMap<WorkspaceName, (f64, f64)>,
     jobs: Vec<QueuedJob>,
     floor: f64,
 }
 
-impl PlainQueue {
+impl ReferenceQueue {
     fn push(&mut self, job: QueuedJob) {
         let busy = self.jobs.iter().any(|j| j.workspace == job.workspace);
         let (weight, time) = self.times.entry(job.workspace.clone()).or_default();
@@ -264,23 +264,23 @@
         let (known, time) = self.times.entry(workspace.clone()).or_default();
         *known = weight;
         *time = time.max(floor) + cost / *known;
-        let lowest = self.lowest();
-        if lowest.is_finite() {
-            self.floor = self.floor.max(lowest);
+        let min_virtual_time = self.min_virtual_time();
+        if min_virtual_time.is_finite() {
+            self.floor = self.floor.max(min_virtual_time);
         }
     }
 
-    fn lowest(&self) -> f64 {
+    fn min_virtual_time(&self) -> f64 {
         let busy = self.jobs.iter().map(|j| self.times[&j.workspace].1);
         busy.fold(f64::INFINITY, f64::min)
     }
 
     fn take(&mut self) -> Option<QueuedJob> {
-        let limit = self.lowest() + QUANTUM;
+        let limit = self.min_virtual_time() + QUANTUM;
         let order = |j: &QueuedJob| {
             let time = self.times[&j.workspace].1;
-            let late = time > limit;
-            (late, if late { time } else { 0.0 })
+            let is_behind = time > limit;
+            (is_behind, if is_behind { time } else { 0.0 })
         };
         let first = self.jobs.iter().min_by(|a, b| {
             let (a_order, b_order) = (order(a), order(b));
@@ -341,9 +341,9 @@
     // For any sequence of operations, the queue serves requests in the same order as the
     // reference implementation.
     #[test]
-    fn serves_as_the_plain_definition(steps in steps()) {
+    fn serves_in_the_order_of_the_reference(steps in steps()) {
         let mut queue = FairQueue::new(QUANTUM, true);
-        let mut plain = PlainQueue::default();
+        let mut reference = ReferenceQueue::default();
         for (number, step) in steps.into_iter().enumerate() {
             match step {
                 QueueStep::Push { workspace, weight, priority, start, cost } => {
@@ -354,27 +354,27 @@
                         ..job(number as u64, &format!("w{workspace}"), f64::from(1 << weight), f64::from(cost) / 16.0)
                     };
                     queue.push(pushed.clone());
-                    plain.push(pushed);
+                    reference.push(pushed);
                 }
-                QueueStep::Remove(pick) if !plain.jobs.is_empty() => {
-                    let at = usize::from(pick) % plain.jobs.len();
-                    let removed = plain.jobs.remove(at);
+                QueueStep::Remove(index) if !reference.jobs.is_empty() => {
+                    let at = usize::from(index) % reference.jobs.len();
+                    let removed = reference.jobs.remove(at);
                     prop_assert!(queue.remove(&removed));
                 }
                 QueueStep::Remove(_) => {}
                 QueueStep::Charge(workspace, cost) => {
                     let name = WorkspaceName::from(format!("w{workspace}"));
                     queue.charge(&name, 2.0, f64::from(cost) / 16.0);
-                    plain.charge(&name, 2.0, f64::from(cost) / 16.0);
+                    reference.charge(&name, 2.0, f64::from(cost) / 16.0);
                 }
                 QueueStep::Take => {
-                    prop_assert_eq!(take(&mut queue), plain.take());
+                    prop_assert_eq!(take(&mut queue), reference.take());
                 }
             }
-            prop_assert_eq!(queue.len(), plain.jobs.len());
+            prop_assert_eq!(queue.len(), reference.jobs.len());
             let mut overdue: Vec<u64> = queue.overdue(MonoTime(25)).iter().map(|j| j.number.0).collect();
             overdue.sort_unstable();
-            let mut expected: Vec<u64> = plain
+            let mut expected: Vec<u64> = reference
                 .jobs
                 .iter()
                 .filter(|j| j.latest_start < MonoTime(25))
--- a/tests/placement_choice.rs
+++ b/tests/placement_choice.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use indexmap::{IndexMap, IndexSet};
-use pistachiowick::decide::candidates::{CandidateIndex, has_same_shape};
+use pistachiowick::decide::candidates::{CandidateIndex, has_same_candidates};
 use pistachiowick::decide::cost::{CostModel, SpeedSettings};
 use pistachiowick::decide::fair_queue::JobNumber;
 use pistachiowick::decide::placement::{
-    OwnWork, PlacementInputs, PlacementNeed, PoolKey, RunningJob, TargetChoice, WorkSide,
+    LocalWork, PlacementInputs, PlacementNeed, PoolKey, PoolSide, RunningJob, TargetChoice,
     choose_target,
 };
 use pistachiowick::decide::prefix_index::PrefixIndex;
@@ -27,7 +27,7 @@
 struct PlacementScene {
     fleet: FleetView,
     need: PlacementNeed,
-    own: IndexMap<TargetId, OwnWork>,
+    local: IndexMap<TargetId, LocalWork>,
     prefixes: PrefixIndex,
     policy: PolicySettings,
     live_daemons: usize,
@@ -42,7 +42,7 @@
         Self {
             fleet,
             need: samples::job_spec(0, 300.0, NOW).need,
-            own: IndexMap::new(),
+            local: IndexMap::new(),
             prefixes: PrefixIndex::default(),
             policy: PolicySettings::default(),
             live_daemons: 1,
@@ -58,10 +58,10 @@
         let costs = CostModel::new(SpeedSettings::default());
         let inputs = PlacementInputs {
             fleet: &self.fleet,
-            candidates: index.side(&self.need.pool, WorkSide::Writing, 0.0)?,
+            candidates: index.side(&self.need.pool, PoolSide::Decode, 0.0)?,
             costs: &costs,
             prefixes: &self.prefixes,
-            own: &self.own,
+            local: &self.local,
             policy: &self.policy,
             live_daemons: self.live_daemons,
             now: NOW,
@@ -83,32 +83,32 @@
         .expect("a sample target has a report")
 }
 
-struct BarredCase {
-    bar: fn(&mut PlacementScene),
+struct ExcludedCase {
+    exclude: fn(&mut PlacementScene),
 }
 
 // Engine 0 is idle but may not be used, for a different reason in each case; engine 1 is
 // busy. Under every policy the request goes to engine 1, and is not placed without it.
 #[rstest]
-#[case::leaving(BarredCase { bar: |s| s.engine(0).state = UseState::Leaving })]
-#[case::gone(BarredCase { bar: |s| s.engine(0).state = UseState::Gone })]
-#[case::drained(BarredCase { bar: |s| s.engine(0).state = UseState::Drained })]
-#[case::suspect(BarredCase { bar: |s| s.engine(0).state = UseState::Suspect })]
-#[case::changing(BarredCase { bar: |s| report_of(s.engine(0)).changing = true })]
-#[case::never_reported(BarredCase { bar: |s| s.engine(0).report = None })]
-#[case::excluded(BarredCase { bar: |s| s.need.excluded.push(samples::engine_name(0).into()) })]
-#[case::other_model(BarredCase { bar: |s| report_of(s.engine(0)).models = vec!["else@1".to_owned()] })]
-#[case::other_version(BarredCase { bar: |s| report_of(s.engine(0)).models = vec!["base@2".to_owned()] })]
+#[case::leaving(ExcludedCase { exclude: |s| s.engine(0).state = UseState::Leaving })]
+#[case::gone(ExcludedCase { exclude: |s| s.engine(0).state = UseState::Gone })]
+#[case::drained(ExcludedCase { exclude: |s| s.engine(0).state = UseState::Drained })]
+#[case::suspect(ExcludedCase { exclude: |s| s.engine(0).state = UseState::Suspect })]
+#[case::changing(ExcludedCase { exclude: |s| report_of(s.engine(0)).changing = true })]
+#[case::never_reported(ExcludedCase { exclude: |s| s.engine(0).report = None })]
+#[case::excluded(ExcludedCase { exclude: |s| s.need.excluded.push(samples::engine_name(0).into()) })]
+#[case::other_model(ExcludedCase { exclude: |s| report_of(s.engine(0)).models = vec!["else@1".to_owned()] })]
+#[case::other_version(ExcludedCase { exclude: |s| report_of(s.engine(0)).models = vec!["base@2".to_owned()] })]
 #[case::with_adapter_only(
-    BarredCase { bar: |s| report_of(s.engine(0)).models = vec!["base@1+law".to_owned()] }
+    ExcludedCase { exclude: |s| report_of(s.engine(0)).models = vec!["base@1+law".to_owned()] }
 )]
-#[case::full(BarredCase { bar: |s| report_of(s.engine(0)).in_flight = 32 })]
-#[case::reading_for_long(BarredCase { bar: |s| {
+#[case::full(ExcludedCase { exclude: |s| report_of(s.engine(0)).in_flight = 32 })]
+#[case::long_prefill_backlog(ExcludedCase { exclude: |s| {
     report_of(s.engine(0)).in_flight = 1;
     report_of(s.engine(0)).prefill_backlog_tokens = 80_000;
 } })]
-fn barred_engine_receives_nothing(
-    #[case] case: BarredCase,
+fn excluded_engine_gets_no_request(
+    #[case] case: ExcludedCase,
     #[values(
         PlacementPolicy::Estimate,
         PlacementPolicy::LeastInFlight,
@@ -119,7 +119,7 @@
     let mut scene = PlacementScene::new(2);
     scene.policy.placement = policy;
     report_of(scene.engine(1)).in_flight = 5;
-    (case.bar)(&mut scene);
+    (case.exclude)(&mut scene);
     for seed in 0..20 {
         let choice = scene.choose(seed).expect("engine 1 has room");
         assert_eq!(choice.target.as_str(), samples::engine_name(1));
@@ -132,8 +132,8 @@
 // must come from the same model version, even if a newer version or an idle engine is
 // available.
 #[rstest]
-#[case::held(Some("base@1"), Some(1))]
-#[case::held_nowhere(Some("base@0"), None)]
+#[case::loaded(Some("base@1"), Some(1))]
+#[case::loaded_nowhere(Some("base@0"), None)]
 #[case::not_pinned(None, Some(0))]
 fn pinned_model_is_kept(#[case] pinned: Option<&str>, #[case] expected: Option<usize>) {
     let mut scene = PlacementScene::new(2);
@@ -151,7 +151,7 @@
 #[case::newest_listed_last("", &["base@1", "base@2"], Some("base@2"))]
 #[case::adapter("law", &["base@1", "base@1+law"], Some("base@1+law"))]
 #[case::adapter_missing("law", &["base@1"], None)]
-fn model_sent_is_one_the_engine_holds(
+fn model_sent_is_loaded_on_the_engine(
     #[case] adapter: &str,
     #[case] models: &[&str],
     #[case] expected: Option<&str>,
@@ -165,11 +165,11 @@
 }
 
 struct BestCase {
-    set: fn(&mut PlacementScene),
+    modify: fn(&mut PlacementScene),
     best: usize,
 }
 
-fn own_work(number: u64, placed_at: MonoTime, prefill_tokens: f64) -> RunningJob {
+fn running_job(number: u64, placed_at: MonoTime, prefill_tokens: f64) -> RunningJob {
     RunningJob {
         number: JobNumber(number),
         placed_at,
@@ -177,53 +177,54 @@
     }
 }
 
-fn add_own(scene: &mut PlacementScene, engine: usize, jobs: u64, placed_at: MonoTime) {
+fn add_local_jobs(scene: &mut PlacementScene, engine: usize, jobs: u64, placed_at: MonoTime) {
     let id = TargetId::from(samples::engine_name(engine));
-    let own = scene.own.entry(id).or_default();
-    own.running
-        .extend((0..jobs).map(|n| own_work(n, placed_at, 300.0)));
+    let local = scene.local.entry(id).or_default();
+    local
+        .running
+        .extend((0..jobs).map(|n| running_job(n, placed_at, 300.0)));
 }
 
 // Two engines that differ in one respect.
 #[rstest]
-#[case::fewer_in_flight(BestCase { set: |s| report_of(s.engine(0)).in_flight = 25, best: 1 })]
-#[case::less_to_read(
-    BestCase { set: |s| report_of(s.engine(0)).prefill_backlog_tokens = 2_000, best: 1 }
+#[case::fewer_in_flight(BestCase { modify: |s| report_of(s.engine(0)).in_flight = 25, best: 1 })]
+#[case::smaller_prefill_backlog(
+    BestCase { modify: |s| report_of(s.engine(0)).prefill_backlog_tokens = 2_000, best: 1 }
 )]
-#[case::own_work_since_the_report(BestCase {
-    set: |s| add_own(s, 0, 20, NOW.plus(Duration::from_millis(1))),
+#[case::local_work_since_the_report(BestCase {
+    modify: |s| add_local_jobs(s, 0, 20, NOW.plus(Duration::from_millis(1))),
     best: 1,
 })]
 #[case::prefix_cached(BestCase {
-    set: |s| {
+    modify: |s| {
         s.need.prompt_tokens = 3_000.0;
         s.need.shared_prefix = "rules".to_owned();
         s.need.shared_prefix_tokens = 2_500;
-        s.prefixes.note_read("rules", &samples::engine_name(1).into(), 2_500);
+        s.prefixes.record_cached("rules", &samples::engine_name(1).into(), 2_500);
     },
     best: 1,
 })]
-#[case::prefix_cached_but_hot(BestCase {
-    set: |s| {
+#[case::prefix_cached_but_busy(BestCase {
+    modify: |s| {
         s.need.prompt_tokens = 3_000.0;
         s.need.shared_prefix = "rules".to_owned();
         s.need.shared_prefix_tokens = 2_500;
-        s.prefixes.note_read("rules", &samples::engine_name(1).into(), 2_500);
+        s.prefixes.record_cached("rules", &samples::engine_name(1).into(), 2_500);
         report_of(s.engine(1)).in_flight = 31;
         report_of(s.engine(1)).prefill_backlog_tokens = 3_000;
     },
     best: 0,
 })]
-#[case::long_prompt_to_the_reader(BestCase {
-    set: |s| {
+#[case::long_prompt_to_the_prefill_engine(BestCase {
+    modify: |s| {
         s.need.prompt_tokens = 30_000.0;
         s.need.output_tokens = 5.0;
         report_of(s.engine(1)).role = EngineRole::Prefill;
     },
     best: 1,
 })]
-#[case::long_answer_to_the_writer(BestCase {
-    set: |s| {
+#[case::long_answer_to_the_decode_engine(BestCase {
+    modify: |s| {
         s.need.prompt_tokens = 50.0;
         s.need.output_tokens = 900.0;
         report_of(s.engine(1)).role = EngineRole::Decode;
@@ -232,42 +233,42 @@
 })]
 fn better_engine_is_chosen(#[case] case: BestCase) {
     let mut scene = PlacementScene::new(2);
-    (case.set)(&mut scene);
+    (case.modify)(&mut scene);
     assert_eq!(scene.chosen(), Some(case.best));
 }
 
 struct AgeCase {
     age_ms: u64,
     reported: u32,
-    own: u64,
+    local: u64,
     daemons: usize,
-    finds_room: bool,
+    has_room: bool,
 }
 
 // A report of a full engine excludes it only until the report is too old. Then the load
 // is estimated from this daemon's work, assuming the other daemons have as much.
 #[rstest]
-#[case::fresh_and_full(AgeCase { age_ms: 0, reported: 32, own: 0, daemons: 1, finds_room: false })]
-#[case::lagging_and_full(AgeCase { age_ms: 10_000, reported: 32, own: 0, daemons: 1, finds_room: false })]
-#[case::useless(AgeCase { age_ms: 10_001, reported: 32, own: 0, daemons: 1, finds_room: true })]
-#[case::useless_own_full(AgeCase { age_ms: 60_000, reported: 0, own: 32, daemons: 1, finds_room: false })]
-#[case::useless_others_as_busy(AgeCase { age_ms: 60_000, reported: 0, own: 8, daemons: 4, finds_room: false })]
-#[case::useless_others_idle(AgeCase { age_ms: 60_000, reported: 0, own: 7, daemons: 4, finds_room: true })]
-#[case::own_work_counts_beside_report(AgeCase { age_ms: 100, reported: 20, own: 12, daemons: 1, finds_room: false })]
-fn reports_age(#[case] case: AgeCase) {
+#[case::fresh_and_full(AgeCase { age_ms: 0, reported: 32, local: 0, daemons: 1, has_room: false })]
+#[case::lagging_and_full(AgeCase { age_ms: 10_000, reported: 32, local: 0, daemons: 1, has_room: false })]
+#[case::too_old(AgeCase { age_ms: 10_001, reported: 32, local: 0, daemons: 1, has_room: true })]
+#[case::too_old_and_local_full(AgeCase { age_ms: 60_000, reported: 0, local: 32, daemons: 1, has_room: false })]
+#[case::too_old_and_peers_as_busy(AgeCase { age_ms: 60_000, reported: 0, local: 8, daemons: 4, has_room: false })]
+#[case::too_old_and_peers_have_room(AgeCase { age_ms: 60_000, reported: 0, local: 7, daemons: 4, has_room: true })]
+#[case::local_work_adds_to_report(AgeCase { age_ms: 100, reported: 20, local: 12, daemons: 1, has_room: false })]
+fn old_reports_are_ignored(#[case] case: AgeCase) {
     let mut scene = PlacementScene::new(1);
     scene.live_daemons = case.daemons;
     report_of(scene.engine(0)).in_flight = case.reported;
     report_of(scene.engine(0)).taken_at = MonoTime(NOW.0 - case.age_ms);
-    add_own(&mut scene, 0, case.own, NOW);
-    assert_eq!(scene.choose(1).is_some(), case.finds_room);
+    add_local_jobs(&mut scene, 0, case.local, NOW);
+    assert_eq!(scene.choose(1).is_some(), case.has_room);
 }
 
 // A stream that cannot meet its deadline would only slow the others, so it stays queued.
 #[rstest]
 #[case::ample(10_000, true)]
-#[case::hopeless(300, false)]
-fn only_what_can_end_in_time_is_placed(#[case] left_ms: u64, #[case] placed: bool) {
+#[case::too_short(300, false)]
+fn only_requests_that_meet_the_deadline_are_placed(#[case] left_ms: u64, #[case] placed: bool) {
     let mut scene = PlacementScene::new(1);
     scene.need.due = Some(NOW.plus(Duration::from_millis(left_ms)));
     assert_eq!(scene.choose(1).is_some(), placed);
@@ -276,12 +277,12 @@
 // A workspace above its fair share needs a larger margin before its deadline; one below
 // its share gets no smaller margin.
 #[rstest]
-#[case::at_its_due(1.0, 700, true)]
-#[case::behind_its_due(4.0, 700, true)]
-#[case::behind_but_hopeless(4.0, 300, false)]
-#[case::beyond_its_due(0.5, 700, false)]
-#[case::beyond_with_room(0.5, 2_000, true)]
-fn workspace_beyond_its_due_leaves_room(
+#[case::at_its_share(1.0, 700, true)]
+#[case::below_its_share(4.0, 700, true)]
+#[case::below_its_share_but_too_short(4.0, 300, false)]
+#[case::above_its_share(0.5, 700, false)]
+#[case::above_its_share_with_margin(0.5, 2_000, true)]
+fn workspace_above_its_share_needs_a_larger_margin(
     #[case] share_factor: f64,
     #[case] left_ms: u64,
     #[case] placed: bool,
@@ -293,7 +294,7 @@
 }
 
 #[test]
-fn service_calls_go_to_the_least_called_instance() {
+fn service_requests_go_to_the_least_loaded_instance() {
     let mut scene = PlacementScene::new(3);
     for target in scene.fleet.targets.values_mut() {
         target.kind = InstanceKind::Service;
@@ -301,11 +302,11 @@
         target.report = None;
     }
     scene.need.pool = PoolKey::Service("ledger".into());
-    add_own(&mut scene, 0, 2, NOW);
-    add_own(&mut scene, 1, 1, NOW);
+    add_local_jobs(&mut scene, 0, 2, NOW);
+    add_local_jobs(&mut scene, 1, 1, NOW);
     assert_eq!(scene.chosen(), Some(2));
     scene.policy.service_in_flight = 1;
-    add_own(&mut scene, 2, 1, NOW);
+    add_local_jobs(&mut scene, 2, 1, NOW);
     assert_eq!(scene.chosen(), None);
 }
 
@@ -318,19 +319,19 @@
     let inputs = PlacementInputs {
         fleet: &scene.fleet,
         candidates: index
-            .side(&scene.need.pool, WorkSide::Writing, 0.0)
+            .side(&scene.need.pool, PoolSide::Decode, 0.0)
             .expect("a pool"),
         costs: &costs,
         prefixes: &scene.prefixes,
-        own: &scene.own,
+        local: &scene.local,
         policy: &scene.policy,
         live_daemons: 1,
         now: NOW,
     };
-    let (mut turn, mut rng) = (0, SmallRng::seed_from_u64(1));
-    let choices = (0..4).filter_map(|_| choose_target(&scene.need, &inputs, &mut turn, &mut rng));
-    let seen: IndexSet<TargetId> = choices.map(|c| c.target).collect();
-    assert_eq!(seen.len(), 4);
+    let (mut cursor, mut rng) = (0, SmallRng::seed_from_u64(1));
+    let choices = (0..4).filter_map(|_| choose_target(&scene.need, &inputs, &mut cursor, &mut rng));
+    let distinct_targets: IndexSet<TargetId> = choices.map(|c| c.target).collect();
+    assert_eq!(distinct_targets.len(), 4);
 }
 
 // Daemons draw candidates at random among many engines: with the same outdated view they
@@ -339,19 +340,23 @@
 fn daemons_with_the_same_view_spread_out() {
     let scene = PlacementScene::new(400);
     let choices = (0..50).filter_map(|seed| scene.choose(seed));
-    let seen: IndexSet<TargetId> = choices.map(|c| c.target).collect();
-    assert!(seen.len() > 25, "only {} engines", seen.len());
+    let distinct_targets: IndexSet<TargetId> = choices.map(|c| c.target).collect();
+    assert!(
+        distinct_targets.len() > 25,
+        "only {} engines",
+        distinct_targets.len()
+    );
 }
 
 // Among many engines a random draw alone would miss the one that has the prefix cached.
 #[test]
-fn holder_of_the_prefix_is_looked_at_in_a_large_fleet() {
+fn holder_of_the_prefix_is_a_candidate_in_a_large_fleet() {
     let mut scene = PlacementScene::new(400);
     scene.need.prompt_tokens = 3_000.0;
     scene.need.shared_prefix = "rules".to_owned();
     scene.need.shared_prefix_tokens = 2_500;
     let holder = TargetId::from(samples::engine_name(250));
-    scene.prefixes.note_read("rules", &holder, 2_500);
+    scene.prefixes.record_cached("rules", &holder, 2_500);
     for seed in 0..20 {
         let choice = scene.choose(seed).expect("room");
         assert_eq!(choice.target, holder);
@@ -362,18 +367,18 @@
 // way; otherwise one would prefill long prompts on the other's decode side.
 #[rstest]
 #[case::all_mixed(&[])]
-#[case::some_readers(&[3, 9])]
-fn sides_are_the_same_on_all_daemons(#[case] readers: &[usize]) {
+#[case::some_prefill_engines(&[3, 9])]
+fn sides_are_the_same_on_all_daemons(#[case] prefill_engines: &[usize]) {
     let mut fleet = samples::fleet_view(12, 1, 1, NOW);
-    for reader in readers {
-        report_of(&mut fleet.targets[*reader]).role = EngineRole::Prefill;
+    for prefill_engine in prefill_engines {
+        report_of(&mut fleet.targets[*prefill_engine]).role = EngineRole::Prefill;
     }
     let mut other = fleet.clone();
     other.targets.reverse();
     let pool = PoolKey::Model(samples::SAMPLE_MODEL.into());
     let (here, there) = (CandidateIndex::build(&fleet), CandidateIndex::build(&other));
     for share in [0.0, 0.01, 0.3, 0.5, 0.99, 1.0] {
-        let sides = [WorkSide::Reading, WorkSide::Writing].map(|side| {
+        let sides = [PoolSide::Prefill, PoolSide::Decode].map(|side| {
             let of = |index: &CandidateIndex| -> Vec<TargetId> {
                 let side = index.side(&pool, side, share).expect("a pool");
                 assert_eq!(side.len(), side.iter().count());
@@ -390,23 +395,23 @@
             assert!(sides[0].iter().all(|t| !sides[1].contains(t)));
         }
         if (0.3..1.0).contains(&share) {
-            for reader in readers {
-                assert!(sides[0].contains(&samples::engine_name(*reader).into()));
+            for prefill_engine in prefill_engines {
+                assert!(sides[0].contains(&samples::engine_name(*prefill_engine).into()));
             }
         }
     }
 }
 
 #[test]
-fn pool_of_one_is_not_divided() {
+fn pool_of_one_is_not_split() {
     let fleet = samples::fleet_view(1, 1, 1, NOW);
     let index = CandidateIndex::build(&fleet);
     let pool = PoolKey::Model(samples::SAMPLE_MODEL.into());
-    for side in [WorkSide::Reading, WorkSide::Writing] {
+    for side in [PoolSide::Prefill, PoolSide::Decode] {
         assert_eq!(index.side(&pool, side, 0.5).map(|s| s.len()), Some(1));
     }
     let unknown = PoolKey::Model("unknown".into());
-    assert!(index.side(&unknown, WorkSide::Reading, 0.5).is_none());
+    assert!(index.side(&unknown, PoolSide::Prefill, 0.5).is_none());
     assert!(!index.is_usable(&unknown));
 }
 
@@ -418,7 +423,7 @@
     report_of(&mut fleet.targets[2]).role = EngineRole::Decode;
     let index = CandidateIndex::build(&fleet);
     let pool = PoolKey::Model(samples::SAMPLE_MODEL.into());
-    let all = index.side(&pool, WorkSide::Writing, 0.0).expect("a pool");
+    let all = index.side(&pool, PoolSide::Decode, 0.0).expect("a pool");
     assert_eq!((all.len(), all.live()), (6, 4));
     let mut roles: Vec<EngineRole> = index.roles(&pool).collect();
     roles.sort_unstable();
@@ -429,7 +434,7 @@
     assert!(!CandidateIndex::build(&fleet).is_usable(&pool));
 }
 
-struct ShapeCase {
+struct CandidatesCase {
     change: fn(&mut FleetView),
     same: bool,
 }
@@ -437,22 +442,22 @@
 // Load reports arrive many times per second. The index is rebuilt only for a view that
 // changes which targets may receive which requests.
 #[rstest]
-#[case::new_load(ShapeCase { change: |f| report_of(&mut f.targets[1]).in_flight = 9, same: true })]
-#[case::new_report(ShapeCase { change: |f| report_of(&mut f.targets[1]).taken_at.0 += 1, same: true })]
-#[case::state(ShapeCase { change: |f| f.targets[1].state = UseState::Suspect, same: false })]
-#[case::role(ShapeCase { change: |f| report_of(&mut f.targets[1]).role = EngineRole::Decode, same: false })]
-#[case::models(ShapeCase { change: |f| report_of(&mut f.targets[1]).models.push("b".to_owned()), same: false })]
-#[case::first_report(ShapeCase { change: |f| f.targets[1].report = None, same: false })]
-#[case::service(ShapeCase { change: |f| f.targets[1].service = Some("ledger".into()), same: false })]
-#[case::one_more(ShapeCase {
+#[case::new_load(CandidatesCase { change: |f| report_of(&mut f.targets[1]).in_flight = 9, same: true })]
+#[case::new_report(CandidatesCase { change: |f| report_of(&mut f.targets[1]).taken_at.0 += 1, same: true })]
+#[case::state(CandidatesCase { change: |f| f.targets[1].state = UseState::Suspect, same: false })]
+#[case::role(CandidatesCase { change: |f| report_of(&mut f.targets[1]).role = EngineRole::Decode, same: false })]
+#[case::models(CandidatesCase { change: |f| report_of(&mut f.targets[1]).models.push("b".to_owned()), same: false })]
+#[case::first_report(CandidatesCase { change: |f| f.targets[1].report = None, same: false })]
+#[case::service(CandidatesCase { change: |f| f.targets[1].service = Some("ledger".into()), same: false })]
+#[case::one_more(CandidatesCase {
     change: |f| {
         let target = samples::engine_view(9, NOW);
         f.targets.insert(target.id.clone(), target);
     },
     same: false,
 })]
-#[case::one_less(ShapeCase { change: |f| drop(f.targets.pop()), same: false })]
-#[case::replaced(ShapeCase {
+#[case::one_less(CandidatesCase { change: |f| drop(f.targets.pop()), same: false })]
+#[case::replaced(CandidatesCase {
     change: |f| {
         f.targets.pop();
         let target = samples::engine_view(9, NOW);
@@ -460,11 +465,11 @@
     },
     same: false,
 })]
-fn shape_of_the_fleet(#[case] case: ShapeCase) {
+fn view_changes_candidates(#[case] case: CandidatesCase) {
     let old = samples::fleet_view(3, 1, 1, NOW);
     let mut new = old.clone();
     new.version = 2;
     (case.change)(&mut new);
-    assert_eq!(has_same_shape(&old, &new), case.same);
-    assert_eq!(has_same_shape(&new, &old), case.same);
+    assert_eq!(has_same_candidates(&old, &new), case.same);
+    assert_eq!(has_same_candidates(&new, &old), case.same);
 }
--- a/tests/scheduler_admission.rs
+++ b/tests/scheduler_admission.rs
@@ -37,7 +37,7 @@
 }
 
 /// A scheduler for engines that run one request each.
-fn narrow(engines: usize) -> Scheduler {
+fn single_slot_scheduler(engines: usize) -> Scheduler {
     let policy = PolicySettings {
         engine_in_flight: 1,
         ..PolicySettings::default()
@@ -59,7 +59,7 @@
     grants.collect()
 }
 
-fn whole() -> JobMeasure {
+fn complete_answer() -> JobMeasure {
     JobMeasure {
         whole_tokens: Some(40),
         ..JobMeasure::default()
@@ -116,11 +116,11 @@
     let total: f64 = served.values().sum();
     for (workspace, weight) in weights.iter().enumerate() {
         let name = WorkspaceName::from(samples::workspace_name(workspace));
-        let due = f64::from(*weight) / f64::from(weights.iter().sum::<u32>());
+        let fair_share = f64::from(*weight) / f64::from(weights.iter().sum::<u32>());
         let share = served.get(&name).copied().unwrap_or(0.0) / total;
         assert!(
-            (share - due).abs() < 0.1 * due,
-            "{name} got a share of {share:.3} instead of {due:.3}: {served:?}"
+            (share - fair_share).abs() < 0.1 * fair_share,
+            "{name} got a share of {share:.3} instead of {fair_share:.3}: {served:?}"
         );
     }
 }
@@ -128,16 +128,16 @@
 struct RoomCase {
     per_workspace: usize,
     length: usize,
-    asks: &'static [usize],
+    requests: &'static [usize],
     refused_at: usize,
 }
 
 // The queue is bounded per workspace and in total: a workspace that reaches its own limit
 // leaves room for the others.
 #[rstest]
-#[case::workspace_full(RoomCase { per_workspace: 2, length: 9, asks: &[0, 0, 0], refused_at: 2 })]
-#[case::rival_has_room(RoomCase { per_workspace: 2, length: 9, asks: &[0, 0, 1, 1, 0], refused_at: 4 })]
-#[case::all_full(RoomCase { per_workspace: 2, length: 3, asks: &[0, 0, 1, 2], refused_at: 3 })]
+#[case::workspace_full(RoomCase { per_workspace: 2, length: 9, requests: &[0, 0, 0], refused_at: 2 })]
+#[case::other_workspace_has_room(RoomCase { per_workspace: 2, length: 9, requests: &[0, 0, 1, 1, 0], refused_at: 4 })]
+#[case::total_full(RoomCase { per_workspace: 2, length: 3, requests: &[0, 0, 1, 2], refused_at: 3 })]
 fn queue_is_bounded(#[case] case: RoomCase) {
     let limits = LimitSettings {
         queue_per_workspace: case.per_workspace,
@@ -150,12 +150,12 @@
     };
     let mut scheduler = scheduler(policy, limits);
     scheduler.update_fleet(Arc::new(idle_fleet(1, 1, NOW)), 1, NOW);
-    for (place, workspace) in case.asks.iter().enumerate() {
+    for (position, workspace) in case.requests.iter().enumerate() {
         let admitted = scheduler.admit(spec(*workspace), NOW);
         assert_eq!(
             admitted.is_err(),
-            place == case.refused_at,
-            "request {place}"
+            position == case.refused_at,
+            "request {position}"
         );
         if let Err(refusal) = admitted {
             assert!(refusal.reason.contains("full"), "{}", refusal.reason);
@@ -183,7 +183,7 @@
     for target in fleet.targets.values_mut() {
         target.state = case.state;
     }
-    let mut scheduler = narrow(3);
+    let mut scheduler = single_slot_scheduler(3);
     fleet.version = 2;
     scheduler.update_fleet(Arc::new(fleet), 1, NOW);
     let admitted = scheduler.admit(spec(0), NOW);
@@ -200,7 +200,7 @@
 fn unknown_service_is_refused_at_once() {
     let mut job = spec(0);
     job.need.pool = PoolKey::Service("ledger".into());
-    let refusal = narrow(1)
+    let refusal = single_slot_scheduler(1)
         .admit(job, NOW)
         .expect_err("no instance offers the service");
     assert!(refusal.reason.contains("no instance of service ledger"));
@@ -209,13 +209,13 @@
 /// Fills one engine and its queue until a request is refused; returns the number admitted
 /// and the refusal.
 fn flood(scheduler: &mut Scheduler, deadline_ms: u64) -> (usize, JobRefusal) {
-    for taken in 0..10_000 {
+    for admitted_count in 0..10_000 {
         let job = JobSpec {
             deadline: MonoTime(NOW.0 + deadline_ms),
             ..spec(0)
         };
         if let Err(refusal) = scheduler.admit(job, NOW) {
-            return (taken, refusal);
+            return (admitted_count, refusal);
         }
         scheduler.pump(NOW);
     }
@@ -226,13 +226,13 @@
 // arrival, before they use any engine; the shorter the deadline, the sooner. Every
 // refusal has a retry time within bounds.
 #[test]
-fn hopeless_requests_are_refused_early() {
+fn unmeetable_deadlines_are_refused_early() {
     let limits = LimitSettings {
         queue_per_workspace: 10_000,
         queue_length: 10_000,
         ..LimitSettings::default()
     };
-    let mut taken_at = Vec::new();
+    let mut admitted_counts = Vec::new();
     for deadline_ms in [2_000, 8_000, 30_000] {
         let policy = PolicySettings {
             engine_in_flight: 1,
@@ -240,7 +240,7 @@
         };
         let mut scheduler = scheduler(policy, limits.clone());
         scheduler.update_fleet(Arc::new(idle_fleet(1, 1, NOW)), 1, NOW);
-        let (taken, refusal) = flood(&mut scheduler, deadline_ms);
+        let (admitted_count, refusal) = flood(&mut scheduler, deadline_ms);
         assert!(refusal.reason.contains("deadline cannot be met"));
         assert!(refusal.retry_after >= Duration::from_millis(100));
         assert!(refusal.retry_after <= Duration::from_secs(30));
@@ -249,19 +249,19 @@
             1,
             "one request runs, the others are queued"
         );
-        taken_at.push(taken);
+        admitted_counts.push(admitted_count);
     }
     assert!(
-        taken_at.is_sorted() && taken_at[0] < taken_at[2],
-        "{taken_at:?}"
+        admitted_counts.is_sorted() && admitted_counts[0] < admitted_counts[2],
+        "{admitted_counts:?}"
     );
 }
 
 // A refused request leaves no state that would delay later ones.
 #[test]
-fn refusal_leaves_no_trace() {
-    let mut scheduler = narrow(1);
-    let (taken, _) = flood(&mut scheduler, 2_000);
+fn refusal_leaves_no_state() {
+    let mut scheduler = single_slot_scheduler(1);
+    let (admitted_count, _) = flood(&mut scheduler, 2_000);
     let before = scheduler.counts();
     for _ in 0..100 {
         let job = JobSpec {
@@ -271,14 +271,14 @@
         assert!(scheduler.admit(job, NOW).is_err());
     }
     assert_eq!(scheduler.counts(), before);
-    assert_eq!(before.0 + before.1, taken);
+    assert_eq!(before.0 + before.1, admitted_count);
 }
 
 // Requests wait for a busy engine until they can no longer meet their deadline. Each is
 // refused once, and none of them has been sent to an engine.
 #[test]
-fn overdue_requests_are_given_up_once() {
-    let mut scheduler = narrow(1);
+fn overdue_requests_are_refused_once() {
+    let mut scheduler = single_slot_scheduler(1);
     let mut waiting = Vec::new();
     for _ in 0..3 {
         let job = JobSpec {
@@ -290,7 +290,7 @@
     let running = grants(scheduler.pump(NOW));
     assert_eq!(running.len(), 1);
     let late = MonoTime(NOW.0 + 6_000);
-    let given_up: Vec<JobNumber> = scheduler
+    let refused: Vec<JobNumber> = scheduler
         .pump(late)
         .into_iter()
         .map(|action| match action {
@@ -302,7 +302,7 @@
         })
         .collect();
     waiting.retain(|number| *number != running[0].number);
-    assert_eq!(given_up, waiting);
+    assert_eq!(refused, waiting);
     assert!(scheduler.pump(late).is_empty());
     assert!(!scheduler.withdraw(waiting[0]));
     assert_eq!(scheduler.counts(), (0, 1));
@@ -311,8 +311,8 @@
 // An engine starts to leave while requests are queued. It receives no more requests, even
 // when it has free capacity; they go to the engine that stays.
 #[test]
-fn leaving_engine_receives_nothing_more() {
-    let mut scheduler = narrow(2);
+fn leaving_engine_gets_no_more_requests() {
+    let mut scheduler = single_slot_scheduler(2);
     for _ in 0..6 {
         scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
@@ -325,7 +325,7 @@
     let mut running = running;
     for _ in 0..6 {
         for grant in running.drain(..) {
-            scheduler.finish(grant.number, whole(), NOW);
+            scheduler.finish(grant.number, complete_answer(), NOW);
         }
         started.extend(grants(scheduler.pump(NOW)));
         assert!(started.iter().all(|g| g.choice.target != leaving));
@@ -339,7 +339,7 @@
 // the engine on which it failed.
 #[test]
 fn retried_request_keeps_its_rank_and_avoids_the_failed_engine() {
-    let mut scheduler = narrow(2);
+    let mut scheduler = single_slot_scheduler(2);
     let first = scheduler.admit(spec(0), NOW).expect("the queue has room");
     let failed = grants(scheduler.pump(NOW)).remove(0).choice.target;
     for _ in 0..3 {
@@ -366,14 +366,14 @@
 #[case::waiting(0)]
 #[case::placed(1)]
 fn unknown_and_ended_numbers_change_nothing(#[case] engines: usize) {
-    let mut scheduler = narrow(1);
+    let mut scheduler = single_slot_scheduler(1);
     for _ in 0..engines {
         scheduler.admit(spec(0), NOW).expect("the queue has room");
         scheduler.pump(NOW);
     }
     let before = scheduler.counts();
     assert!(!scheduler.withdraw(JobNumber(999)));
-    scheduler.finish(JobNumber(999), whole(), NOW);
+    scheduler.finish(JobNumber(999), complete_answer(), NOW);
     scheduler.retry(JobNumber(999), spec(0).need);
     assert_eq!(scheduler.counts(), before);
 }
@@ -381,7 +381,7 @@
 // Requests with a shared prefix go to the engine that has it cached; once that engine has
 // evicted it, the engine is no better than any other.
 #[test]
-fn cache_events_move_the_affinity() {
+fn cache_events_change_the_placement() {
     let policy = PolicySettings::default();
     let mut scheduler = scheduler(policy, LimitSettings::default());
     scheduler.update_fleet(Arc::new(idle_fleet(40, 1, NOW)), 1, NOW);
@@ -419,7 +419,7 @@
 // fewer requests each admits.
 #[test]
 fn capacity_is_divided_among_daemons() {
-    let mut taken = Vec::new();
+    let mut admitted_counts = Vec::new();
     for daemons in [1, 8] {
         let policy = PolicySettings {
             engine_in_flight: 1,
@@ -432,14 +432,17 @@
         };
         let mut scheduler = scheduler(policy, limits);
         scheduler.update_fleet(Arc::new(idle_fleet(8, 1, NOW)), daemons, NOW);
-        taken.push(flood(&mut scheduler, 5_000).0);
+        admitted_counts.push(flood(&mut scheduler, 5_000).0);
     }
-    assert!(taken[1] * 4 < taken[0], "{taken:?}");
+    assert!(
+        admitted_counts[1] * 4 < admitted_counts[0],
+        "{admitted_counts:?}"
+    );
 }
 
 // Long prompts go to one side of a pool and short ones to the other; both are served.
 #[test]
-fn long_prompts_keep_to_their_side() {
+fn long_prompts_stay_on_their_side() {
     let mut scheduler = scheduler(PolicySettings::default(), LimitSettings::default());
     scheduler.update_fleet(Arc::new(idle_fleet(10, 1, NOW)), 1, NOW);
     let mut sides: [Vec<TargetId>; 2] = Default::default();
@@ -461,27 +464,27 @@
 }
 
 #[test]
-fn role_of_an_engine_is_taken_from_its_report() {
+fn engine_role_comes_from_its_report() {
     let mut fleet = idle_fleet(2, 1, NOW);
     if let Some(report) = &mut fleet.targets[1].report {
         report.role = EngineRole::Prefill;
     }
-    let reader = fleet.targets[1].id.clone();
+    let prefill_engine = fleet.targets[1].id.clone();
     let mut scheduler = scheduler(PolicySettings::default(), LimitSettings::default());
     scheduler.update_fleet(Arc::new(fleet), 1, NOW);
     let mut job = samples::job_spec(0, 30_000.0, NOW);
     job.max_output_tokens = 5;
     scheduler.admit(job, NOW).expect("the queue has room");
     let grant = grants(scheduler.pump(NOW)).remove(0);
-    assert_eq!(grant.choice.target, reader);
+    assert_eq!(grant.choice.target, prefill_engine);
 }
 
 /// Guards against refusals on nearly idle engines: if the cost of a request included a
 /// long shared prefix that is cached, even a short queue would look too long for the
 /// deadline.
 #[test]
-fn shared_part_of_a_prompt_is_not_priced() {
-    let scheduler = narrow(1);
+fn shared_prefix_adds_no_cost() {
+    let scheduler = single_slot_scheduler(1);
     let mut plain = spec(0);
     plain.need.prompt_tokens = 1_000.0;
     let mut shared = spec(0);
--- a/tests/scheduler_fuzz.rs
+++ b/tests/scheduler_fuzz.rs
@@ -16,7 +16,7 @@
 use proptest::test_runner::{Config, RngSeed};
 
 const ENGINES: usize = 5;
-const MOST_AT_ONCE: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 const QUEUE_LENGTH: usize = 12;
 const QUEUE_PER_WORKSPACE: usize = 6;
 
@@ -30,9 +30,9 @@
     },
     Withdraw(usize),
     Finish {
-        place: usize,
+        index: usize,
         first_token_s: f64,
-        whole: bool,
+        is_complete: bool,
     },
     Retry(usize),
     Target {
@@ -45,7 +45,7 @@
         in_flight: u32,
         backlog: u64,
     },
-    Silence(usize),
+    DropReport(usize),
     Wait(u64),
 }
 
@@ -75,14 +75,13 @@
                 excluded,
             },
         );
-    let finish =
-        (any::<usize>(), 0.0..30.0f64, any::<bool>()).prop_map(|(place, first_token_s, whole)| {
-            SchedulerStep::Finish {
-                place,
-                first_token_s,
-                whole,
-            }
-        });
+    let finish = (any::<usize>(), 0.0..30.0f64, any::<bool>()).prop_map(
+        |(index, first_token_s, is_complete)| SchedulerStep::Finish {
+            index,
+            first_token_s,
+            is_complete,
+        },
+    );
     let target = (0..ENGINES, states(), any::<bool>()).prop_map(|(engine, state, changing)| {
         SchedulerStep::Target {
             engine,
@@ -104,14 +103,14 @@
         2 => any::<usize>().prop_map(SchedulerStep::Retry),
         2 => target,
         2 => report,
-        1 => (0..ENGINES).prop_map(SchedulerStep::Silence),
+        1 => (0..ENGINES).prop_map(SchedulerStep::DropReport),
         3 => (1..4_000u64).prop_map(SchedulerStep::Wait),
     ];
     prop::collection::vec(step, 1..150)
 }
 
 /// The scheduler with the state that its caller tracks.
-struct BookedScheduler {
+struct TrackedScheduler {
     scheduler: Scheduler,
     fleet: FleetView,
     now: MonoTime,
@@ -120,11 +119,11 @@
     ended: IndexSet<JobNumber>,
 }
 
-impl BookedScheduler {
+impl TrackedScheduler {
     fn new(policy: PolicySettings) -> Self {
         let now = MonoTime(1_000_000);
         let fleet = samples::fleet_view(ENGINES, 1, 1, now);
-        let mut booked = Self {
+        let mut tracked = Self {
             scheduler: Scheduler::new(SchedulerInputs {
                 speeds: policy.speeds.clone(),
                 policy,
@@ -141,23 +140,23 @@
             running: IndexMap::new(),
             ended: IndexSet::new(),
         };
-        booked.publish();
-        booked
+        tracked.publish();
+        tracked
     }
 
     fn publish(&mut self) {
         self.fleet.version += 1;
         let fleet = Arc::new(self.fleet.clone());
         let actions = self.scheduler.update_fleet(fleet, 1, self.now);
-        self.carry_out(actions);
+        self.apply(actions);
     }
 
     fn pump(&mut self) {
         let actions = self.scheduler.pump(self.now);
-        self.carry_out(actions);
+        self.apply(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<ScheduleAction>) {
+    fn apply(&mut self, actions: Vec<ScheduleAction>) {
         for action in actions {
             match action {
                 ScheduleAction::Start(grant) => {
@@ -180,8 +179,8 @@
                     self.running.insert(grant.number, running);
                 }
                 ScheduleAction::GiveUp(number, refusal) => {
-                    let given_up = self.waiting.swap_remove(&number);
-                    assert!(given_up.is_some(), "{number:?} was not queued");
+                    let refused = self.waiting.swap_remove(&number);
+                    assert!(refused.is_some(), "{number:?} was not queued");
                     assert!(!refusal.retry_after.is_zero());
                     assert!(self.ended.insert(number), "{number:?} ended twice");
                 }
@@ -197,13 +196,13 @@
                 deadline_ms,
                 excluded,
             } => self.admit(workspace, prompt, deadline_ms, excluded),
-            SchedulerStep::Withdraw(pick) => self.withdraw(pick),
+            SchedulerStep::Withdraw(index) => self.withdraw(index),
             SchedulerStep::Finish {
-                place,
+                index,
                 first_token_s,
-                whole,
-            } => self.finish(place, first_token_s, whole),
-            SchedulerStep::Retry(pick) => self.retry(pick),
+                is_complete,
+            } => self.finish(index, first_token_s, is_complete),
+            SchedulerStep::Retry(index) => self.retry(index),
             SchedulerStep::Target {
                 engine,
                 state,
@@ -230,7 +229,7 @@
                 self.fleet.targets[engine].report = fresh;
                 self.publish();
             }
-            SchedulerStep::Silence(engine) => {
+            SchedulerStep::DropReport(engine) => {
                 self.fleet.targets[engine].report = None;
                 self.publish();
             }
@@ -245,14 +244,14 @@
         spec.deadline = MonoTime(self.now.0 + deadline_ms);
         let excluded = excluded.map(|e| TargetId::from(samples::engine_name(e)));
         spec.need.excluded.extend(excluded);
-        let own = |s: &&JobSpec| s.workspace == spec.workspace;
-        let own = self.waiting.values().filter(own).count();
-        let is_full = self.waiting.len() >= QUEUE_LENGTH || own >= QUEUE_PER_WORKSPACE;
+        let is_same_workspace = |s: &&JobSpec| s.workspace == spec.workspace;
+        let count = self.waiting.values().filter(is_same_workspace).count();
+        let is_full = self.waiting.len() >= QUEUE_LENGTH || count >= QUEUE_PER_WORKSPACE;
         match self.scheduler.admit(spec.clone(), self.now) {
             Ok(number) => {
                 assert!(
                     !is_full,
-                    "{own} of {} are queued already",
+                    "{count} of {} are queued already",
                     self.waiting.len()
                 );
                 assert!(!self.ended.contains(&number) && !self.running.contains_key(&number));
@@ -266,47 +265,47 @@
         }
     }
 
-    fn withdraw(&mut self, pick: usize) {
+    fn withdraw(&mut self, index: usize) {
         if self.waiting.is_empty() {
             return;
         }
-        let at = pick % self.waiting.len();
+        let position = index % self.waiting.len();
         let (number, _) = self
             .waiting
-            .swap_remove_index(at)
+            .swap_remove_index(position)
             .expect("the index is in range");
         assert!(self.scheduler.withdraw(number));
         assert!(!self.scheduler.withdraw(number));
         assert!(self.ended.insert(number), "{number:?} ended twice");
     }
 
-    fn finish(&mut self, pick: usize, first_token_s: f64, whole: bool) {
+    fn finish(&mut self, index: usize, first_token_s: f64, is_complete: bool) {
         if self.running.is_empty() {
             return;
         }
-        let at = pick % self.running.len();
+        let position = index % self.running.len();
         let (number, _) = self
             .running
-            .swap_remove_index(at)
+            .swap_remove_index(position)
             .expect("the index is in range");
         let measure = JobMeasure {
             first_token_s: Some(first_token_s),
             gap_s: Some(first_token_s / 10.0),
-            whole_tokens: whole.then_some(20),
+            whole_tokens: is_complete.then_some(20),
         };
         self.scheduler.finish(number, measure, self.now);
         self.scheduler.finish(number, measure, self.now);
         assert!(self.ended.insert(number), "{number:?} ended twice");
     }
 
-    fn retry(&mut self, pick: usize) {
+    fn retry(&mut self, index: usize) {
         if self.running.is_empty() {
             return;
         }
-        let at = pick % self.running.len();
+        let position = index % self.running.len();
         let (number, (mut spec, target)) = self
             .running
-            .swap_remove_index(at)
+            .swap_remove_index(position)
             .expect("the index is in range");
         spec.need.excluded.push(target);
         self.scheduler.retry(number, spec.need.clone());
@@ -317,9 +316,9 @@
         let counts = self.scheduler.counts();
         assert_eq!(counts, (self.waiting.len(), self.running.len()));
         for target in self.fleet.targets.keys() {
-            let own = self.running.values().filter(|(_, t)| t == target).count();
-            assert_eq!(self.scheduler.own_in_flight(target), own, "{target}");
-            assert!(own <= MOST_AT_ONCE, "{own} requests at {target}");
+            let count = self.running.values().filter(|(_, t)| t == target).count();
+            assert_eq!(self.scheduler.own_in_flight(target), count, "{target}");
+            assert!(count <= MAX_IN_FLIGHT, "{count} requests at {target}");
         }
     }
 
@@ -341,14 +340,14 @@
 }
 
 fn run(policy: PolicySettings, steps: Vec<SchedulerStep>) {
-    let mut booked = BookedScheduler::new(PolicySettings {
-        engine_in_flight: MOST_AT_ONCE,
+    let mut tracked = TrackedScheduler::new(PolicySettings {
+        engine_in_flight: MAX_IN_FLIGHT,
         ..policy
     });
     for step in steps {
-        booked.step(step);
+        tracked.step(step);
     }
-    booked.drain();
+    tracked.drain();
 }
 
 proptest! {
@@ -363,13 +362,13 @@
     // more requests than allowed or any while it may not be used, and at the end no
     // request is left.
     #[test]
-    fn own_policy_keeps_its_books(steps in steps()) {
+    fn default_policy_keeps_state_consistent(steps in steps()) {
         run(PolicySettings::default(), steps);
     }
 
     #[test]
-    fn baselines_keep_their_books(steps in steps(), in_turn in any::<bool>()) {
-        let placement = if in_turn {
+    fn baseline_policies_keep_state_consistent(steps in steps(), round_robin in any::<bool>()) {
+        let placement = if round_robin {
             PlacementPolicy::RoundRobin
         } else {
             PlacementPolicy::LeastInFlight
