--- a/tests/prefix_index_beliefs.rs
+++ b/tests/prefix_index_beliefs.rs
@@ -53,7 +53,7 @@
 #[test]
 fn gap_of_one_engine_leaves_others_alone() {
     let mut index = PrefixIndex::default();
-    let (lossy, lossless) = (TargetId::from("lossy"), TargetId::from("lossless"));
+    let (lossy, lossless) = (TargetId::from("gappy"), TargetId::from("steady"));
     for target in [&lossy, &lossless] {
         index.apply_event(target, &event(1, "rules", 100));
     }
--- a/tests/scheduler_fuzz.rs
+++ b/tests/scheduler_fuzz.rs
@@ -32,7 +32,7 @@
     Finish {
         index: usize,
         first_token_s: f64,
-        is_complete: bool,
+        complete: bool,
     },
     Retry(usize),
     Target {
@@ -76,10 +76,10 @@
             },
         );
     let finish = (any::<usize>(), 0.0..30.0f64, any::<bool>()).prop_map(
-        |(index, first_token_s, is_complete)| SchedulerStep::Finish {
+        |(index, first_token_s, complete)| SchedulerStep::Finish {
             index,
             first_token_s,
-            is_complete,
+            complete,
         },
     );
     let target = (0..ENGINES, states(), any::<bool>()).prop_map(|(engine, state, changing)| {
@@ -200,8 +200,8 @@
             SchedulerStep::Finish {
                 index,
                 first_token_s,
-                is_complete,
-            } => self.finish(index, first_token_s, is_complete),
+                complete,
+            } => self.finish(index, first_token_s, complete),
             SchedulerStep::Retry(index) => self.retry(index),
             SchedulerStep::Target {
                 engine,
@@ -279,7 +279,7 @@
         assert!(self.ended.insert(number), "{number:?} ended twice");
     }
 
-    fn finish(&mut self, index: usize, first_token_s: f64, is_complete: bool) {
+    fn finish(&mut self, index: usize, first_token_s: f64, complete: bool) {
         if self.running.is_empty() {
             return;
         }
@@ -291,7 +291,7 @@
         let measure = JobMeasure {
             first_token_s: Some(first_token_s),
             gap_s: Some(first_token_s / 10.0),
-            whole_tokens: is_complete.then_some(20),
+            whole_tokens: complete.then_some(20),
         };
         self.scheduler.finish(number, measure, self.now);
         self.scheduler.finish(number, measure, self.now);
