--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -19,8 +19,10 @@
 use pistachiowick::decide::candidates::CandidateIndex;
 use pistachiowick::decide::fair_queue::{FairQueue, JobNumber, QueuedJob};
 use pistachiowick::decide::placement::SharedFleet;
-use pistachiowick::decide::scheduler::{JobMeasure, ScheduleAction, Scheduler, SchedulerInputs};
-use pistachiowick::decide::shares::ShareState;
+use pistachiowick::decide::scheduler::{
+    JobMeasurement, ScheduleAction, Scheduler, SchedulerInputs,
+};
+use pistachiowick::decide::shares::ShareTracker;
 use pistachiowick::membership::{MembershipLimits, MembershipState, PeerWord, own_view};
 use pistachiowick::names::{MonoTime, ProcessIncarnation, TargetId};
 use pistachiowick::peers::state::{PeerHints, PeerTopology};
@@ -71,12 +73,12 @@
 fn run_one(scheduler: &mut Scheduler, workspace: usize) {
     let spec = samples::job_spec(workspace, 300.0, NOW);
     scheduler.admit(spec, NOW).expect("a fleet with room");
-    for action in scheduler.pump(NOW) {
+    for action in scheduler.schedule(NOW) {
         if let ScheduleAction::Start(grant) = action {
-            let measure = JobMeasure {
+            let measure = JobMeasurement {
                 first_token_s: Some(grant.choice.first_token_s),
-                gap_s: Some(grant.choice.gap_s),
-                whole_tokens: Some(40),
+                token_gap_s: Some(grant.choice.token_gap_s),
+                complete_answer_tokens: Some(40),
             };
             scheduler.finish(grant.number, measure, NOW);
         }
@@ -129,8 +131,8 @@
             b.iter(|| {
                 let spec = samples::job_spec(0, 300.0, NOW);
                 let number = scheduler.admit(spec, NOW).expect("a queue with room");
-                black_box(scheduler.pump(NOW));
-                scheduler.withdraw(number);
+                black_box(scheduler.schedule(NOW));
+                scheduler.cancel(number);
             });
         });
     }
@@ -369,7 +371,7 @@
         let engines = plan_engines(targets);
         let needs = vec![ModelNeed {
             model: samples::SAMPLE_MODEL.into(),
-            least_engines: 2,
+            min_engines: 2,
         }];
         let mix = settled_mix(targets);
         let mut planner = RolePlanner::new(PolicySettings::default());
@@ -402,7 +404,7 @@
             let work = WorkAmount::of_request(&speeds, 2_000, 100);
             add_work(&mut totals, &model, work);
         }
-        mix.note(&model, &totals[&model]);
+        mix.add_work(&model, &totals[&model]);
         mix.tick(MonoTime(second * 1_000));
     }
     mix
@@ -414,12 +416,12 @@
         let costs: IndexMap<_, f64> = (0..workspaces)
             .map(|n| (samples::workspace_name(n).into(), 0.5))
             .collect();
-        let mut state = ShareState::default();
+        let mut state = ShareTracker::default();
         let mut now = NOW;
         group.bench_function(BenchmarkId::new("second_and_view", workspaces), |b| {
             b.iter(|| {
                 for (workspace, cost) in &costs {
-                    state.note(workspace, *cost);
+                    state.add_cost(workspace, *cost);
                 }
                 now = now.plus(Duration::from_secs(1));
                 state.tick(now);
--- a/lab/src/samples.rs
+++ b/lab/src/samples.rs
@@ -162,7 +162,7 @@
             pinned_model: None,
             prompt_tokens,
             output_tokens: 50.0,
-            due: None,
+            deadline: None,
             share_factor: 1.0,
             shared_prefix: String::new(),
             shared_prefix_tokens: 0,
--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -29,8 +29,10 @@
 use crate::requests::journal::{DecisionJournal, DecisionKind};
 use crate::roles::mix::MixForecast;
 use crate::roles::plan::{PlanDecision, RolePlanner};
-use crate::roles::plan_book::{PlanBook, wishes_of};
-use crate::roles::plan_inputs::{has, model_needs, plan_engines, want_planned};
+use crate::roles::plan_inputs::{
+    has_planned_state, model_needs, plan_engines, request_planned_changes,
+};
+use crate::roles::plan_store::{PlanStore, planned_changes_of};
 use crate::settings::DaemonSettings;
 use crate::targets::wire::{EngineState, OrderBody};
 
@@ -69,7 +71,7 @@
     count_at: IndexMap<CentreName, MonoTime>,
     leases: LeaseTable,
     books: IndexMap<GroupName, OrderBook>,
-    plan: Option<PlanBook>,
+    plan: Option<PlanStore>,
     planner: RolePlanner,
     plan_at: MonoTime,
     wished_at: IndexMap<TargetId, MonoTime>,
@@ -262,8 +264,8 @@
             };
             let fence = authority.fence;
             if group == plan {
-                if self.plan.as_ref().map(PlanBook::fence) != Some(fence) {
-                    self.plan = Some(PlanBook::new(fence));
+                if self.plan.as_ref().map(PlanStore::fence) != Some(fence) {
+                    self.plan = Some(PlanStore::new(fence));
                 }
             } else if self.books.get(&group).map(OrderBook::fence) != Some(fence) {
                 let book = OrderBook::new(group.clone(), fence, self.times);
@@ -288,9 +290,9 @@
                 .get(target)
                 .map_or(Duration::ZERO, |at| now.since(*at));
             let engine = engines.iter().find(|engine| engine.id == *target);
-            age < WISH_AGE && engine.is_some_and(|e| !has(e, wish))
+            age < WISH_AGE && engine.is_some_and(|e| !has_planned_state(e, wish))
         });
-        let changing = plan.wanted().len();
+        let changing = plan.planned_changes().len();
         let decisions = self.planner.plan(
             &engines,
             &model_needs(inputs.config),
@@ -305,21 +307,21 @@
                     self.journal
                         .record(DecisionKind::Role, target.as_str(), reason);
                     self.wished_at.insert(target.clone(), now);
-                    plan.want(target, wish);
+                    plan.add_change(target, wish);
                 }
                 PlanDecision::Keep { models, reason } => {
                     self.journal.record(DecisionKind::Role, &models, reason);
                 }
             }
         }
-        let wanted = plan.wanted();
+        let wanted = plan.planned_changes();
         self.wished_at
             .retain(|target, _| wanted.contains_key(target));
     }
 
     fn plan_action(&mut self, now: MonoTime) -> Option<AuthorityAction> {
         let group = GroupName::from(PLAN_GROUP);
-        let fenced = self.plan.as_ref().and_then(PlanBook::fenced_by);
+        let fenced = self.plan.as_ref().and_then(PlanStore::fenced_by);
         if let Some(fence) = fenced {
             self.leases.give_up(&group, fence, now);
             self.plan = None;
@@ -333,7 +335,7 @@
         let plan = self
             .seen
             .get(PLAN_GROUP)
-            .map(|seen| wishes_of(&seen.record));
+            .map(|seen| planned_changes_of(&seen.record));
         let plan = plan.unwrap_or_default();
         let mut actions = Vec::new();
         let mut fenced = Vec::new();
@@ -345,7 +347,7 @@
             if self.leases.authority(group, now).is_none() {
                 continue;
             }
-            want_planned(book, group, &self.groups, &plan, fleet);
+            request_planned_changes(book, group, &self.groups, &plan, fleet);
             for action in book.tick(now) {
                 actions.extend(order_action(group, action));
             }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -378,11 +378,11 @@
 
     /// Takes one retry from the budget, if there is one.
     pub(crate) fn take_retry(&self) -> bool {
-        lock(&self.budget).spend()
+        lock(&self.budget).try_spend()
     }
 
     fn earn_retry(&self) {
-        lock(&self.budget).earn();
+        lock(&self.budget).record_attempt();
     }
 
     /// Mints a missing time and clears `first_submission` of a key that may have been sent.
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -94,14 +94,14 @@
         for (model, bins) in std::mem::take(&mut self.own_work) {
             self.peers.note_work(&model, &bins);
             let whole = bins.map(|work| work.times(others as f64));
-            self.mix.note(&model, &whole);
+            self.mix.add_work(&model, &whole);
         }
         for (model, bins) in self.peers.take_work() {
-            self.mix.note(&model, &bins);
+            self.mix.add_work(&model, &bins);
         }
         self.mix.tick(now);
         for (workspace, cost) in self.peers.take_costs() {
-            self.shares.note(&workspace, cost);
+            self.shares.add_cost(&workspace, cost);
         }
         if self.shares.tick(now) {
             self.update_shares();
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::config::catalogue::{ClassSpec, ItemName, ItemSpec, ModelSpec, WorkspaceSpec};
-use crate::decide::shares::ShareView;
+use crate::decide::shares::WeightCorrections;
 use crate::membership::fleet::FleetView;
 use crate::names::{
     ClassName, DaemonId, FenceNumber, GroupName, ModelName, MonoTime, TargetId, WorkspaceName,
@@ -59,7 +59,7 @@
     /// Configuration in force.
     pub config: Arc<ConfigView>,
     /// Corrections of the workspaces' weights here, for fair shares across the fleet.
-    pub shares: Arc<ShareView>,
+    pub shares: Arc<WeightCorrections>,
     /// Leases by group.
     pub leases: Vec<LeaseView>,
     /// Whether a whole configuration and instance list have been seen.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -15,7 +15,7 @@
 use crate::control::peer_desk::PeerDesk;
 use crate::control::snapshot::{ControlSnapshot, SnapshotCell};
 use crate::control::{ControlEvent, ControlInputs};
-use crate::decide::shares::{ShareState, ShareView};
+use crate::decide::shares::{ShareTracker, WeightCorrections};
 use crate::membership::fleet::UseState;
 use crate::membership::suspicion::CallSource;
 use crate::membership::{self, MembershipLimits, MembershipState, StateChange};
@@ -40,8 +40,8 @@
     pub(crate) mix: MixForecast,
     pub(crate) own_work: WorkTotals,
     pub(crate) peers: PeerDesk,
-    pub(crate) shares: ShareState,
-    pub(crate) share_view: Arc<ShareView>,
+    pub(crate) shares: ShareTracker,
+    pub(crate) share_view: Arc<WeightCorrections>,
     pub(crate) confirmations: Vec<PendingConfirmation>,
     pub(crate) stops: Vec<oneshot::Sender<()>>,
     pub(crate) changes_running: usize,
@@ -87,7 +87,7 @@
             mix: MixForecast::default(),
             own_work: WorkTotals::new(),
             peers: PeerDesk::new(settings, inputs.incarnation, inputs.crashes.clone()),
-            shares: ShareState::default(),
+            shares: ShareTracker::default(),
             share_view: Arc::default(),
             confirmations: Vec::new(),
             stops: Vec::new(),
@@ -132,7 +132,7 @@
                 workspace, cost, ..
             } => {
                 let cost = cost.as_secs_f64();
-                self.shares.note(&workspace, cost);
+                self.shares.add_cost(&workspace, cost);
                 self.peers.note_cost(&workspace, cost, clock::mono_now());
             }
             ControlEvent::Peer(event) => self.on_peer(event),
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -56,7 +56,7 @@
     /// Output tokens still expected.
     pub output_tokens: f64,
     /// When the answer must be complete for the request to be placed; `None`: no limit.
-    pub due: Option<MonoTime>,
+    pub deadline: Option<MonoTime>,
     /// Ratio of the workspace's fair share to its recent use; below 1 when it has used
     /// more than its share.
     pub share_factor: f64,
@@ -82,7 +82,7 @@
     /// Expected seconds to the first token.
     pub first_token_s: f64,
     /// Expected seconds between tokens.
-    pub gap_s: f64,
+    pub token_gap_s: f64,
     /// Expected seconds to the complete answer.
     pub finish_s: f64,
     /// Expected delay in seconds of the target's other streams, summed over them: none
@@ -175,7 +175,7 @@
     load: f64,
     uncached: f64,
     first_token_s: f64,
-    gap_s: f64,
+    token_gap_s: f64,
     finish_s: f64,
     delay_s: f64,
 }
@@ -188,7 +188,7 @@
             incarnation: self.target.report.as_ref().map(|r| r.incarnation),
             model: self.model.to_owned(),
             first_token_s: self.first_token_s,
-            gap_s: self.gap_s,
+            token_gap_s: self.token_gap_s,
             finish_s: self.finish_s,
             delay_s: self.delay_s,
             reason: self.reason(need),
@@ -285,7 +285,7 @@
         load,
         uncached: 0.0,
         first_token_s: 0.0,
-        gap_s: 0.0,
+        token_gap_s: 0.0,
         finish_s: load,
         delay_s: 0.0,
     })
@@ -316,9 +316,9 @@
     let prefill_s = inputs
         .costs
         .prefill_seconds(&target.id, report.role, uncached);
-    let gap_s = mean_token_gap(target, report, &load, inputs);
+    let token_gap_s = mean_token_gap(target, report, &load, inputs);
     let first_token_s = backlog_s + prefill_s;
-    let finish_s = first_token_s + need.output_tokens * gap_s;
+    let finish_s = first_token_s + need.output_tokens * token_gap_s;
     if !meets_deadline(need, finish_s, inputs.now) {
         return None;
     }
@@ -329,7 +329,7 @@
         load: load.in_flight,
         uncached,
         first_token_s,
-        gap_s,
+        token_gap_s,
         finish_s,
         delay_s: load.in_flight * prefill_s,
     })
@@ -346,7 +346,8 @@
     let share_margin = (1.0 / need.share_factor).clamp(1.0, MAX_SHARE_MARGIN);
     let margin_s = finish_s * FINISH_MARGIN * share_margin;
     let expected_end = now.plus(Duration::from_secs_f64(margin_s));
-    need.due.is_none_or(|due| expected_end <= due)
+    need.deadline
+        .is_none_or(|deadline| expected_end <= deadline)
 }
 
 /// Returns the mean seconds between tokens, weighted by the share of time in which the
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -25,13 +25,13 @@
     }
 
     /// Records a first attempt, which adds its share of a retry.
-    pub fn earn(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.saved = (self.saved + self.share).min(MAX_SAVED);
     }
 
     /// Takes one retry from the budget; returns false if none is left.
     #[must_use]
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -86,18 +86,18 @@
     /// Send the request to its target.
     Start(JobGrant),
     /// Refuse a queued request, which has not run.
-    GiveUp(JobNumber, JobRefusal),
+    Refuse(JobNumber, JobRefusal),
 }
 
 /// Measurements of a placed request, from which cost estimates are learned.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct JobMeasure {
+pub struct JobMeasurement {
     /// Seconds from dispatch to the first token.
     pub first_token_s: Option<f64>,
     /// Mean seconds between tokens.
-    pub gap_s: Option<f64>,
+    pub token_gap_s: Option<f64>,
     /// Output tokens of a complete answer; `None` if the answer is incomplete.
-    pub whole_tokens: Option<u32>,
+    pub complete_answer_tokens: Option<u32>,
 }
 
 /// Key of a queue: requests that wait for the same targets.
@@ -194,11 +194,11 @@
         }
         self.apply_reports(&fleet);
         self.fleet = fleet;
-        self.pump(now)
+        self.schedule(now)
     }
 
     /// Applies an engine's cache events.
-    pub fn note_cache_events(&mut self, target: &TargetId, events: &[CacheEvent]) {
+    pub fn apply_cache_events(&mut self, target: &TargetId, events: &[CacheEvent]) {
         for event in events {
             self.prefixes.apply_event(target, event);
         }
@@ -211,7 +211,7 @@
     /// Returns the refusal if the queue is full, no target serves the request's model or
     /// service, or the deadline cannot be met.
     pub fn admit(&mut self, mut spec: JobSpec, now: MonoTime) -> Result<JobNumber, JobRefusal> {
-        spec.need.due = self.policy.refuse_early.then_some(spec.deadline);
+        spec.need.deadline = self.policy.refuse_early.then_some(spec.deadline);
         spec.need.output_tokens = self.expected_output(&spec);
         self.check_room(&spec)?;
         self.check_pool(&spec)?;
@@ -244,7 +244,7 @@
     }
 
     /// Removes a queued request; returns whether it was still queued.
-    pub fn withdraw(&mut self, number: JobNumber) -> bool {
+    pub fn cancel(&mut self, number: JobNumber) -> bool {
         let Some(waiting) = self.waiting.swap_remove(&number) else {
             return false;
         };
@@ -252,7 +252,7 @@
     }
 
     /// Removes a placed request that ended and learns from its measurements.
-    pub fn finish(&mut self, number: JobNumber, measure: JobMeasure, now: MonoTime) {
+    pub fn finish(&mut self, number: JobNumber, measure: JobMeasurement, now: MonoTime) {
         let Some(placed) = self.take_placed(number) else {
             return;
         };
@@ -267,7 +267,7 @@
 
     /// Refuses queued requests that can no longer meet their deadline, and places those
     /// that can be placed.
-    pub fn pump(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
+    pub fn schedule(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
         let mut actions = self.refuse_overdue(now);
         for key in self.queues.keys().cloned().collect::<Vec<_>>() {
             while let Some(grant) = self.place_next(&key, now) {
@@ -282,7 +282,7 @@
 
     /// Returns the number of this daemon's requests in flight at a target.
     #[must_use]
-    pub fn own_in_flight(&self, target: &TargetId) -> usize {
+    pub fn local_in_flight(&self, target: &TargetId) -> usize {
         self.local.get(target).map_or(0, |work| work.running.len())
     }
 
@@ -459,10 +459,10 @@
             .collect();
         let mut actions = Vec::with_capacity(overdue.len());
         for job in overdue {
-            self.withdraw(job.number);
+            self.cancel(job.number);
             let reason = "no target became available in time to meet the deadline".to_owned();
             let refusal = self.refusal(reason, 1.0);
-            actions.push(ScheduleAction::GiveUp(job.number, refusal));
+            actions.push(ScheduleAction::Refuse(job.number, refusal));
         }
         actions
     }
@@ -539,9 +539,9 @@
         Some(placed)
     }
 
-    fn learn(&mut self, placed: &PlacedJob, measure: JobMeasure) {
+    fn learn(&mut self, placed: &PlacedJob, measure: JobMeasurement) {
         let (spec, choice) = (&placed.spec, &placed.choice);
-        if let Some(tokens) = measure.whole_tokens {
+        if let Some(tokens) = measure.complete_answer_tokens {
             self.costs
                 .observe_output(&spec.workspace, &spec.class, tokens, spec.max_output_tokens);
         }
@@ -549,9 +549,9 @@
             self.costs
                 .observe_prefill(&choice.target, choice.first_token_s, actual);
         }
-        if let Some(actual) = measure.gap_s {
+        if let Some(actual) = measure.token_gap_s {
             self.costs
-                .observe_token_gap(&choice.target, choice.gap_s, actual);
+                .observe_token_gap(&choice.target, choice.token_gap_s, actual);
         }
     }
 
--- a/src/decide/shares.rs
+++ b/src/decide/shares.rs
@@ -18,12 +18,12 @@
 
 /// Corrections of the workspaces' weights on this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ShareView {
+pub struct WeightCorrections {
     /// Factor on a workspace's weight; workspaces not listed have 1.
     pub factors: IndexMap<WorkspaceName, f64>,
 }
 
-impl ShareView {
+impl WeightCorrections {
     /// Returns the factor on a workspace's weight.
     #[must_use]
     pub fn factor(&self, workspace: &WorkspaceName) -> f64 {
@@ -33,15 +33,15 @@
 
 /// Tracks the rate of cost per workspace across the fleet.
 #[derive(Clone, Debug, Default)]
-pub struct ShareState {
+pub struct ShareTracker {
     pending: IndexMap<WorkspaceName, f64>,
     rates: IndexMap<WorkspaceName, f64>,
     updated_at: Option<MonoTime>,
 }
 
-impl ShareState {
+impl ShareTracker {
     /// Adds cost in engine-seconds, used locally or reported by a peer.
-    pub fn note(&mut self, workspace: &WorkspaceName, cost: f64) {
+    pub fn add_cost(&mut self, workspace: &WorkspaceName, cost: f64) {
         *self.pending.entry(workspace.clone()).or_default() += cost;
     }
 
@@ -67,18 +67,18 @@
 
     /// Returns the corrections of the configured weights.
     #[must_use]
-    pub fn view(&self, weight: impl Fn(&WorkspaceName) -> u32) -> ShareView {
+    pub fn view(&self, weight: impl Fn(&WorkspaceName) -> u32) -> WeightCorrections {
         let total_rate: f64 = self.rates.values().sum();
         let total_weight: f64 = self.rates.keys().map(|w| f64::from(weight(w))).sum();
         if total_rate <= 0.0 || total_weight <= 0.0 {
-            return ShareView::default();
+            return WeightCorrections::default();
         }
         let factors = self.rates.iter().map(|(workspace, rate)| {
             let fair_rate = total_rate * f64::from(weight(workspace)) / total_weight;
             let factor = (fair_rate / rate).clamp(1.0 / MAX_CORRECTION, MAX_CORRECTION);
             (workspace.clone(), factor)
         });
-        ShareView {
+        WeightCorrections {
             factors: factors.collect(),
         }
     }
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -8,7 +8,7 @@
 
 use crate::clock;
 use crate::decide::placement::TargetChoice;
-use crate::decide::scheduler::JobMeasure;
+use crate::decide::scheduler::JobMeasurement;
 use crate::intents::permit::UndeliveredProof;
 use crate::names::millis;
 use crate::ports::{LineStream, StreamPosition, TargetCall, TargetError};
@@ -180,18 +180,18 @@
 
     /// Returns what can be learned from the last attempt.
     #[must_use]
-    pub fn measure(&self, whole: bool) -> JobMeasure {
+    pub fn measure(&self, whole: bool) -> JobMeasurement {
         let meter = &self.meter;
         let span = |from: Option<Instant>, to: Option<Instant>| {
             Some(to?.duration_since(from?).as_secs_f64())
         };
         let gaps = f64::from(meter.tokens.saturating_sub(1));
-        JobMeasure {
+        JobMeasurement {
             first_token_s: span(meter.started, meter.first),
-            gap_s: span(meter.first, meter.last)
+            token_gap_s: span(meter.first, meter.last)
                 .filter(|_| gaps >= 1.0)
                 .map(|s| s / gaps),
-            whole_tokens: whole.then_some(self.tokens),
+            complete_answer_tokens: whole.then_some(self.tokens),
         }
     }
 
@@ -307,7 +307,7 @@
     fn allowed_silence(&self, choice: &TargetChoice) -> Duration {
         match self.meter.first {
             None => first_silence(choice),
-            Some(_) => scaled(choice.gap_s, SILENT_GAPS),
+            Some(_) => scaled(choice.token_gap_s, SILENT_GAPS),
         }
     }
 
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::control::{ControlEvent, ControlHandle};
 use crate::decide::fair_queue::JobNumber;
 use crate::decide::placement::{PlacementNeed, TargetChoice};
-use crate::decide::scheduler::{JobMeasure, JobRefusal, JobSpec, ScheduleAction, Scheduler};
+use crate::decide::scheduler::{JobMeasurement, JobRefusal, JobSpec, ScheduleAction, Scheduler};
 use crate::names::{RequestId, TargetId};
 use crate::ports::TargetError;
 use crate::requests::journal::{DecisionJournal, DecisionKind};
@@ -102,20 +102,20 @@
                 .record(DecisionKind::Refused, request_id.as_str(), reason);
         })?;
         let ticket = self.wait_in(&mut state, number, request_id);
-        let actions = state.scheduler.pump(now);
+        let actions = state.scheduler.schedule(now);
         self.carry_out(&mut state, actions);
         Ok(ticket)
     }
 
     /// Takes in an engine's cache events.
-    pub fn note_cache_events(&self, target: &TargetId, events: &[CacheEvent]) {
-        self.lock().scheduler.note_cache_events(target, events);
+    pub fn apply_cache_events(&self, target: &TargetId, events: &[CacheEvent]) {
+        self.lock().scheduler.apply_cache_events(target, events);
     }
 
     /// Returns the number of own requests at a target.
     #[must_use]
-    pub fn own_in_flight(&self, target: &TargetId) -> usize {
-        self.lock().scheduler.own_in_flight(target)
+    pub fn local_in_flight(&self, target: &TargetId) -> usize {
+        self.lock().scheduler.local_in_flight(target)
     }
 
     /// Returns the numbers of waiting and of placed requests.
@@ -180,12 +180,12 @@
         for action in actions {
             let (number, reply) = match action {
                 ScheduleAction::Start(grant) => (grant.number, Ok(grant.choice)),
-                ScheduleAction::GiveUp(number, refusal) => (number, Err(refusal)),
+                ScheduleAction::Refuse(number, refusal) => (number, Err(refusal)),
             };
             let Some(waiter) = state.waiters.swap_remove(&number) else {
                 state
                     .scheduler
-                    .finish(number, JobMeasure::default(), clock::mono_now());
+                    .finish(number, JobMeasurement::default(), clock::mono_now());
                 continue;
             };
             self.explain(&waiter.request_id, &reply);
@@ -193,7 +193,7 @@
             if waiter.reply.send(reply).is_err() {
                 state
                     .scheduler
-                    .finish(number, JobMeasure::default(), clock::mono_now());
+                    .finish(number, JobMeasurement::default(), clock::mono_now());
             }
         }
     }
@@ -263,18 +263,18 @@
         }
         let mut state = self.dispatcher.lock();
         state.waiters.swap_remove(&self.number);
-        if !state.scheduler.withdraw(self.number) {
+        if !state.scheduler.cancel(self.number) {
             // The grant was sent and not yet taken: without this its slot would leak.
             state
                 .scheduler
-                .finish(self.number, JobMeasure::default(), clock::mono_now());
+                .finish(self.number, JobMeasurement::default(), clock::mono_now());
         }
     }
 }
 
 impl JobSlot {
     /// Frees the slot and learns from the work.
-    pub fn finish(mut self, measure: JobMeasure) {
+    pub fn finish(mut self, measure: JobMeasurement) {
         self.settle(measure);
     }
 
@@ -287,17 +287,17 @@
         let mut state = dispatcher.lock();
         state.scheduler.retry(self.number, need);
         let ticket = dispatcher.wait_in(&mut state, self.number, request_id);
-        let actions = state.scheduler.pump(now);
+        let actions = state.scheduler.schedule(now);
         dispatcher.carry_out(&mut state, actions);
         ticket
     }
 
-    fn settle(&mut self, measure: JobMeasure) {
+    fn settle(&mut self, measure: JobMeasurement) {
         self.settled = true;
         let now = clock::mono_now();
         let mut state = self.dispatcher.lock();
         state.scheduler.finish(self.number, measure, now);
-        let actions = state.scheduler.pump(now);
+        let actions = state.scheduler.schedule(now);
         self.dispatcher.carry_out(&mut state, actions);
     }
 }
@@ -305,7 +305,7 @@
 impl Drop for JobSlot {
     fn drop(&mut self) {
         if !self.settled {
-            self.settle(JobMeasure::default());
+            self.settle(JobMeasurement::default());
         }
     }
 }
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -155,7 +155,7 @@
                 pinned_model: None,
                 prompt_tokens: f64::from(self.submit.prompt_tokens),
                 output_tokens: f64::from(self.submit.max_output_tokens),
-                due: None,
+                deadline: None,
                 share_factor: self.share_factor,
                 shared_prefix: self.submit.shared_prefix.clone(),
                 shared_prefix_tokens: self.submit.shared_prefix_tokens,
--- a/src/requests/run_call.rs
+++ b/src/requests/run_call.rs
@@ -9,7 +9,7 @@
 
 use crate::clock;
 use crate::decide::placement::TargetChoice;
-use crate::decide::scheduler::JobMeasure;
+use crate::decide::scheduler::JobMeasurement;
 use crate::names::RequestKey;
 use crate::ports::{TargetCall, TargetError};
 use crate::requests::answer::{AnswerPart, AnswerSummary, accept_reply};
@@ -70,7 +70,7 @@
             Err(refusal) => return not_run(refusal.reason, refusal.retry_after),
         };
         if let Some(refusal) = context.held_meanwhile(request).filter(|_| !is_trial) {
-            slot.finish(JobMeasure::default());
+            slot.finish(JobMeasurement::default());
             return if sink.may_have_run() {
                 unknown(refusal.reason)
             } else {
@@ -86,7 +86,7 @@
         sink.note_dispatched();
         let fault = match call_service(context, request, &slot.choice, request.time_left()).await {
             Ok(data) => {
-                slot.finish(JobMeasure::default());
+                slot.finish(JobMeasurement::default());
                 return deliver(sink, attempt, data).await;
             }
             Err(error) => AttemptFault::from(&error),
@@ -95,7 +95,7 @@
             sink.note_not_run();
         }
         if attempt == MOST_ATTEMPTS || context.is_held(request) || !context.spend_retry() {
-            slot.finish(JobMeasure::default());
+            slot.finish(JobMeasurement::default());
             return if sink.may_have_run() {
                 unknown(fault.reason)
             } else {
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -14,7 +14,7 @@
 
 use crate::clock;
 use crate::decide::placement::{PoolKey, TargetChoice};
-use crate::decide::scheduler::{JobMeasure, JobRefusal};
+use crate::decide::scheduler::{JobMeasurement, JobRefusal};
 use crate::intents::permit::{DispatchPermit, DispatchedClaim, UndeliveredProof};
 use crate::intents::store::{ClaimResult, IntentClaim, LookupError};
 use crate::intents::{AnswerRecord, IntentKey, RecordView};
@@ -259,7 +259,7 @@
     let dispatched = permit.dispatch();
     let patience = request.time_left() + RECORD_PATIENCE;
     let ended = call_service(&context, &request, &slot.choice, patience).await;
-    slot.finish(JobMeasure::default());
+    slot.finish(JobMeasurement::default());
     match ended {
         Ok(data) => {
             record_answer(&context, dispatched, &data);
--- a/src/requests/run_resume.rs
+++ b/src/requests/run_resume.rs
@@ -137,7 +137,7 @@
         address: token.target_address.clone(),
         model: token.model.clone(),
         first_token_s: USUAL_FIRST_TOKEN_S,
-        gap_s: USUAL_GAP_S,
+        token_gap_s: USUAL_GAP_S,
         finish_s: 0.0,
         delay_s: 0.0,
         reason: String::new(),
--- a/src/requests/run_stream.rs
+++ b/src/requests/run_stream.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use crate::decide::placement::PlacementNeed;
-use crate::decide::scheduler::{JobMeasure, JobRefusal};
+use crate::decide::scheduler::{JobMeasurement, JobRefusal};
 use crate::names::RequestId;
 use crate::ports::TargetCall;
 use crate::requests::answer_sink::{AnswerSink, FinalOutcome};
@@ -88,7 +88,7 @@
         attempt += 1;
         // Its work may be held since it began to wait.
         if let Some(refusal) = context.held_meanwhile(request).filter(|_| !is_trial) {
-            slot.finish(JobMeasure::default());
+            slot.finish(JobMeasurement::default());
             return refused(&state, &refusal);
         }
         remember(engine, Some(slot.choice.address.clone()));
@@ -103,7 +103,7 @@
         };
         cancel_at(context, engine, &request.id);
         if context.is_held(request) || !may_retry(context, &fault, attempt) {
-            slot.finish(JobMeasure::default());
+            slot.finish(JobMeasurement::default());
             return given_up(&state, &fault);
         }
         update_need(&mut need, &state, &slot.choice.target, &slot.choice.model);
--- a/src/requests/traffic.rs
+++ b/src/requests/traffic.rs
@@ -153,7 +153,7 @@
     /// Takes one retry from the budget, if one is left.
     #[must_use]
     pub fn spend_retry(&self) -> bool {
-        lock(&self.budget).spend()
+        lock(&self.budget).try_spend()
     }
 
     /// Stops a request of this daemon; true when a run here can still be stopped.
@@ -205,7 +205,7 @@
     }
 
     fn earn_retry(&self) {
-        lock(&self.budget).earn();
+        lock(&self.budget).record_attempt();
     }
 
     fn measure(&self, request: &CallerRequest, outcome: &FinalOutcome, progress: &RequestProgress) {
--- a/src/roles/mix.rs
+++ b/src/roles/mix.rs
@@ -125,7 +125,7 @@
 
 impl MixForecast {
     /// Adds work received since the last call.
-    pub fn note(&mut self, model: &ModelName, bins: &WorkBins) {
+    pub fn add_work(&mut self, model: &ModelName, bins: &WorkBins) {
         if self.models.len() >= MAX_MODELS && !self.models.contains_key(model) {
             return;
         }
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -3,6 +3,6 @@
 pub mod capacity;
 pub mod mix;
 pub mod plan;
-pub mod plan_book;
 pub mod plan_inputs;
+pub mod plan_store;
 pub mod work_mix;
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -64,7 +64,7 @@
     /// Model.
     pub model: ModelName,
     /// Minimum number of engines that have it loaded.
-    pub least_engines: usize,
+    pub min_engines: usize,
 }
 
 /// Plans engine roles for the whole fleet.
@@ -317,10 +317,10 @@
         };
         let short = needs
             .iter()
-            .find(|need| holders(&need.model) < need.least_engines)?;
+            .find(|need| holders(&need.model) < need.min_engines)?;
         let spare = |label: &String| {
             let need = needs.iter().find(|need| names_model(label, &need.model));
-            need.is_none_or(|n| holders(&n.model) > n.least_engines.max(1))
+            need.is_none_or(|n| holders(&n.model) > n.min_engines.max(1))
         };
         let candidates = engines.iter().filter(|engine| {
             engine.usable && !has_model(engine, &short.model) && self.may_change(engine, now)
@@ -344,7 +344,7 @@
             "{} is loaded on {} engines, at least {} required",
             short.model,
             holders(&short.model),
-            short.least_engines
+            short.min_engines
         );
         let wish = EngineWish {
             role: engine.role,
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -10,7 +10,7 @@
 use crate::roles::plan::{ModelNeed, PlanEngine};
 use crate::store::wire::InstanceKind;
 
-pub(crate) fn want_planned(
+pub(crate) fn request_planned_changes(
     book: &mut OrderBook,
     group: &GroupName,
     groups: &IndexMap<TargetId, GroupName>,
@@ -20,7 +20,7 @@
     let mut group_changes = IndexMap::new();
     for (target, wish) in plan {
         let engine = fleet.targets.get(target).and_then(plan_engine);
-        let is_pending = engine.is_some_and(|e| !has(&e, wish));
+        let is_pending = engine.is_some_and(|e| !has_planned_state(&e, wish));
         if is_pending && groups.get(target) == Some(group) {
             group_changes.insert(target.clone(), wish.clone());
         }
@@ -47,7 +47,7 @@
     })
 }
 
-pub(crate) fn has(engine: &PlanEngine, wish: &EngineWish) -> bool {
+pub(crate) fn has_planned_state(engine: &PlanEngine, wish: &EngineWish) -> bool {
     engine.role == wish.role && engine.models == wish.models
 }
 
@@ -56,7 +56,7 @@
     models
         .map(|spec| ModelNeed {
             model: spec.name.clone(),
-            least_engines: spec.least_engines as usize,
+            min_engines: spec.least_engines as usize,
         })
         .collect()
 }
--- a/src/roles/plan_book.rs
+++ b/src/roles/plan_store.rs
@@ -19,10 +19,10 @@
 
 /// The stored plan during one term of the plan's lease.
 #[derive(Clone, Debug)]
-pub struct PlanBook {
+pub struct PlanStore {
     fence: FenceNumber,
     version: ObjectVersion,
-    wanted: IndexMap<TargetId, EngineWish>,
+    planned_changes: IndexMap<TargetId, EngineWish>,
     stored: Option<IndexMap<TargetId, EngineWish>>,
     must_read: bool,
     busy: bool,
@@ -31,7 +31,7 @@
     fenced_by: Option<FenceNumber>,
 }
 
-impl PlanBook {
+impl PlanStore {
     /// Creates an empty plan for a newly acquired lease: the reasons of the previous
     /// planner are unknown, and changes already ordered complete on their own.
     #[must_use]
@@ -39,7 +39,7 @@
         Self {
             fence,
             version: ObjectVersion(0),
-            wanted: IndexMap::new(),
+            planned_changes: IndexMap::new(),
             stored: None,
             must_read: true,
             busy: false,
@@ -64,18 +64,19 @@
 
     /// Returns the planned changes.
     #[must_use]
-    pub fn wanted(&self) -> &IndexMap<TargetId, EngineWish> {
-        &self.wanted
+    pub fn planned_changes(&self) -> &IndexMap<TargetId, EngineWish> {
+        &self.planned_changes
     }
 
     /// Adds a planned change.
-    pub fn want(&mut self, target: TargetId, wish: EngineWish) {
-        self.wanted.insert(target, wish);
+    pub fn add_change(&mut self, target: TargetId, wish: EngineWish) {
+        self.planned_changes.insert(target, wish);
     }
 
     /// Keeps only the planned changes for which `keep` returns true.
     pub fn retain(&mut self, keep: impl Fn(&TargetId, &EngineWish) -> bool) {
-        self.wanted.retain(|target, wish| keep(target, wish));
+        self.planned_changes
+            .retain(|target, wish| keep(target, wish));
     }
 
     /// Returns the next read or write to send, if one is due.
@@ -87,14 +88,14 @@
             self.busy = true;
             return Some(OrderAction::Read);
         }
-        (self.stored.as_ref() != Some(&self.wanted)).then(|| self.write())
+        (self.stored.as_ref() != Some(&self.planned_changes)).then(|| self.write())
     }
 
     fn write(&mut self) -> OrderAction {
         self.write_count += 1;
         self.busy = true;
         let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.write_count);
-        let entries = self.wanted.iter().map(|(target, wish)| {
+        let entries = self.planned_changes.iter().map(|(target, wish)| {
             let entry = OrderEntry {
                 wish: wish.clone(),
                 phase: OrderPhase::Draining,
@@ -141,7 +142,7 @@
             self.fenced_by = Some(record.fence);
         }
         let own = record.fence == self.fence;
-        self.stored = own.then(|| wishes_of(&record));
+        self.stored = own.then(|| planned_changes_of(&record));
     }
 
     /// Handles the result of a write.
@@ -160,7 +161,7 @@
 
 /// Returns the engine changes in a stored record, of the plan or of a group.
 #[must_use]
-pub fn wishes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
+pub fn planned_changes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
     let entries = record.entries.iter();
     entries
         .map(|(target, entry)| (target.clone(), entry.wish.clone()))
--- a/src/rpc/operations.rs
+++ b/src/rpc/operations.rs
@@ -303,7 +303,7 @@
             state: target.state.as_str().to_owned(),
             role: report.map_or_else(String::new, |r| format!("{:?}", r.role).to_lowercase()),
             models: report.map_or_else(Vec::new, |r| r.models.clone()),
-            own_in_flight: small(context.dispatcher.own_in_flight(&target.id) as u64),
+            own_in_flight: small(context.dispatcher.local_in_flight(&target.id) as u64),
             reported_in_flight: report.map_or(0, |r| r.in_flight),
             report_age_ms: report.map_or(0, |r| small(millis(now.since(r.taken_at)))),
         }
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -13,7 +13,7 @@
     ChangeReport, ControlEvent, ControlHandle, ControlInputs, ItemChange, start_control,
 };
 use pistachiowick::crashes::SharedCrashTracker;
-use pistachiowick::decide::shares::ShareState;
+use pistachiowick::decide::shares::ShareTracker;
 use pistachiowick::membership::fleet::{DaemonView, FleetView, UseState};
 use pistachiowick::names::{
     CentreName, DaemonId, ModelName, MonoTime, ProcessIncarnation, WorkspaceName,
@@ -227,14 +227,14 @@
 #[test]
 fn shares_are_corrected_across_the_fleet() {
     let (wide, narrow) = (WorkspaceName::from("wide"), WorkspaceName::from("narrow"));
-    let mut shares = ShareState::default();
+    let mut shares = ShareTracker::default();
     let mut factors = (1.0, 1.0);
     let mut used = (0.0, 0.0);
     for second in 0..300 {
         let part = factors.1 / (factors.0 + factors.1);
         used = (7.0 + (1.0 - part), part);
-        shares.note(&wide, used.0);
-        shares.note(&narrow, used.1);
+        shares.add_cost(&wide, used.0);
+        shares.add_cost(&narrow, used.1);
         shares.tick(MonoTime(second * 1_000));
         let view = shares.view(|_| 1);
         factors = (view.factor(&wide), view.factor(&narrow));
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -68,7 +68,7 @@
     };
     add_work(&mut totals, &model(), work);
     for (model, bins) in &totals {
-        mix.note(model, bins);
+        mix.add_work(model, bins);
     }
 }
 
@@ -370,11 +370,10 @@
     for (engine, loaded) in fleet.iter_mut().zip(case.loaded) {
         engine.models = vec![loaded.to_owned()];
     }
-    let needs =
-        [("a", case.needs[0]), ("b", case.needs[1])].map(|(name, least_engines)| ModelNeed {
-            model: ModelName::from(name),
-            least_engines,
-        });
+    let needs = [("a", case.needs[0]), ("b", case.needs[1])].map(|(name, min_engines)| ModelNeed {
+        model: ModelName::from(name),
+        min_engines,
+    });
     let mix = MixForecast::default();
     let decisions = planner.plan(&fleet, &needs, &mix, 0, MonoTime(0));
     let Some(name) = case.target else {
--- a/tests/cost_learning.rs
+++ b/tests/cost_learning.rs
@@ -18,21 +18,21 @@
 struct RoleCase {
     role: EngineRole,
     prefill_s: f64,
-    gap_s: f64,
+    token_gap_s: f64,
 }
 
 // Expected time of 8,000 prompt tokens, and the token gap of a single stream, on engines
 // without observations.
 #[rstest]
-#[case::mixed(RoleCase { role: EngineRole::Mixed, prefill_s: 1.0, gap_s: 0.010 })]
-#[case::prefill(RoleCase { role: EngineRole::Prefill, prefill_s: 1.0 / 1.8, gap_s: 0.010 / 0.35 })]
-#[case::decode(RoleCase { role: EngineRole::Decode, prefill_s: 1.0 / 0.45, gap_s: 0.010 / 1.6 })]
+#[case::mixed(RoleCase { role: EngineRole::Mixed, prefill_s: 1.0, token_gap_s: 0.010 })]
+#[case::prefill(RoleCase { role: EngineRole::Prefill, prefill_s: 1.0 / 1.8, token_gap_s: 0.010 / 0.35 })]
+#[case::decode(RoleCase { role: EngineRole::Decode, prefill_s: 1.0 / 0.45, token_gap_s: 0.010 / 1.6 })]
 fn initial_estimate_follows_the_role(#[case] case: RoleCase) {
     let model = model();
     let prefill = model.prefill_seconds(&engine(), case.role, 8_000.0);
     let gap = model.token_gap_seconds(&engine(), case.role, 0.0);
     assert!((prefill - case.prefill_s).abs() < 1e-9, "{prefill}");
-    assert!((gap - case.gap_s).abs() < 1e-9, "{gap}");
+    assert!((gap - case.token_gap_s).abs() < 1e-9, "{gap}");
 }
 
 // The step time is constant for small batches; beyond that each stream adds to it.
--- a/tests/placement_choice.rs
+++ b/tests/placement_choice.rs
@@ -270,7 +270,7 @@
 #[case::too_short(300, false)]
 fn only_requests_that_meet_the_deadline_are_placed(#[case] left_ms: u64, #[case] placed: bool) {
     let mut scene = PlacementScene::new(1);
-    scene.need.due = Some(NOW.plus(Duration::from_millis(left_ms)));
+    scene.need.deadline = Some(NOW.plus(Duration::from_millis(left_ms)));
     assert_eq!(scene.choose(1).is_some(), placed);
 }
 
@@ -289,7 +289,7 @@
 ) {
     let mut scene = PlacementScene::new(1);
     scene.need.share_factor = share_factor;
-    scene.need.due = Some(NOW.plus(Duration::from_millis(left_ms)));
+    scene.need.deadline = Some(NOW.plus(Duration::from_millis(left_ms)));
     assert_eq!(scene.choose(1).is_some(), placed);
 }
 
--- a/tests/request_checks.rs
+++ b/tests/request_checks.rs
@@ -9,7 +9,7 @@
 use pistachiowick::config::view::set_item;
 use pistachiowick::control::snapshot::{ConfigView, ControlSnapshot, ItemRecord};
 use pistachiowick::decide::placement::PoolKey;
-use pistachiowick::decide::shares::ShareView;
+use pistachiowick::decide::shares::WeightCorrections;
 use pistachiowick::names::WorkspaceName;
 use pistachiowick::pb::SubmitRequest;
 use pistachiowick::requests::request::{CallerRequest, RequestFault};
@@ -324,7 +324,7 @@
     let factors = IndexMap::from([(workspace.clone(), 0.5)]);
     let snapshot = ControlSnapshot {
         config: Arc::new(config()),
-        shares: Arc::new(ShareView { factors }),
+        shares: Arc::new(WeightCorrections { factors }),
         ..ControlSnapshot::default()
     };
     let request = CallerRequest::check(
--- a/tests/retry_budget_bounds.rs
+++ b/tests/retry_budget_bounds.rs
@@ -21,10 +21,10 @@
     let mut budget = RetryBudget::new(case.share);
     let mut retries = 0;
     for _ in 0..case.attempts {
-        budget.earn();
-        retries += usize::from(budget.spend());
+        budget.record_attempt();
+        retries += usize::from(budget.try_spend());
     }
-    while budget.spend() {
+    while budget.try_spend() {
         retries += 1;
     }
     // Sums of 0.1 have rounding errors, so one retry less is accepted.
@@ -36,8 +36,8 @@
 fn savings_are_bounded() {
     let mut budget = RetryBudget::new(0.5);
     for _ in 0..1_000_000 {
-        budget.earn();
+        budget.record_attempt();
     }
-    let saved = (0..1_000).filter(|_| budget.spend()).count();
+    let saved = (0..1_000).filter(|_| budget.try_spend()).count();
     assert_eq!(saved, 20);
 }
--- a/tests/scheduler_admission.rs
+++ b/tests/scheduler_admission.rs
@@ -7,7 +7,7 @@
 use pistachiowick::decide::fair_queue::JobNumber;
 use pistachiowick::decide::placement::PoolKey;
 use pistachiowick::decide::scheduler::{
-    JobGrant, JobMeasure, JobRefusal, JobSpec, ScheduleAction, Scheduler, SchedulerInputs,
+    JobGrant, JobMeasurement, JobRefusal, JobSpec, ScheduleAction, Scheduler, SchedulerInputs,
 };
 use pistachiowick::membership::fleet::{FleetView, UseState};
 use pistachiowick::names::{MonoTime, TargetId, WorkspaceName};
@@ -54,15 +54,15 @@
 fn grants(actions: Vec<ScheduleAction>) -> Vec<JobGrant> {
     let grants = actions.into_iter().filter_map(|action| match action {
         ScheduleAction::Start(grant) => Some(grant),
-        ScheduleAction::GiveUp(..) => None,
+        ScheduleAction::Refuse(..) => None,
     });
     grants.collect()
 }
 
-fn complete_answer() -> JobMeasure {
-    JobMeasure {
-        whole_tokens: Some(40),
-        ..JobMeasure::default()
+fn complete_answer() -> JobMeasurement {
+    JobMeasurement {
+        complete_answer_tokens: Some(40),
+        ..JobMeasurement::default()
     }
 }
 
@@ -89,10 +89,10 @@
                 owners.insert(number, (name, cost));
             }
         }
-        for grant in grants(scheduler.pump(now)) {
+        for grant in grants(scheduler.schedule(now)) {
             let (workspace, cost) = &owners[&grant.number];
             *served.entry(workspace.clone()).or_default() += cost;
-            scheduler.finish(grant.number, JobMeasure::default(), now);
+            scheduler.finish(grant.number, JobMeasurement::default(), now);
         }
         now = now.plus(Duration::from_millis(1));
     }
@@ -188,7 +188,7 @@
     scheduler.update_fleet(Arc::new(fleet), 1, NOW);
     let admitted = scheduler.admit(spec(0), NOW);
     assert_eq!(admitted.is_ok(), case.admitted);
-    let placed = grants(scheduler.pump(NOW));
+    let placed = grants(scheduler.schedule(NOW));
     assert_eq!(!placed.is_empty(), case.state == UseState::Live);
     let refusal = admitted.err().map(|r| r.reason);
     assert!(
@@ -217,7 +217,7 @@
         if let Err(refusal) = scheduler.admit(job, NOW) {
             return (admitted_count, refusal);
         }
-        scheduler.pump(NOW);
+        scheduler.schedule(NOW);
     }
     panic!("no request was refused");
 }
@@ -287,14 +287,14 @@
         };
         waiting.push(scheduler.admit(job, NOW).expect("the queue has room"));
     }
-    let running = grants(scheduler.pump(NOW));
+    let running = grants(scheduler.schedule(NOW));
     assert_eq!(running.len(), 1);
     let late = MonoTime(NOW.0 + 6_000);
     let refused: Vec<JobNumber> = scheduler
-        .pump(late)
+        .schedule(late)
         .into_iter()
         .map(|action| match action {
-            ScheduleAction::GiveUp(number, refusal) => {
+            ScheduleAction::Refuse(number, refusal) => {
                 assert!(refusal.retry_after >= Duration::from_millis(100));
                 number
             }
@@ -303,8 +303,8 @@
         .collect();
     waiting.retain(|number| *number != running[0].number);
     assert_eq!(refused, waiting);
-    assert!(scheduler.pump(late).is_empty());
-    assert!(!scheduler.withdraw(waiting[0]));
+    assert!(scheduler.schedule(late).is_empty());
+    assert!(!scheduler.cancel(waiting[0]));
     assert_eq!(scheduler.counts(), (0, 1));
 }
 
@@ -316,7 +316,7 @@
     for _ in 0..6 {
         scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
-    let running = grants(scheduler.pump(NOW));
+    let running = grants(scheduler.schedule(NOW));
     assert_eq!(running.len(), 2);
     let mut fleet = idle_fleet(2, 2, NOW);
     fleet.targets[0].state = UseState::Leaving;
@@ -327,12 +327,12 @@
         for grant in running.drain(..) {
             scheduler.finish(grant.number, complete_answer(), NOW);
         }
-        started.extend(grants(scheduler.pump(NOW)));
+        started.extend(grants(scheduler.schedule(NOW)));
         assert!(started.iter().all(|g| g.choice.target != leaving));
         running.append(&mut started);
     }
     assert_eq!(scheduler.counts(), (0, 0));
-    assert_eq!(scheduler.own_in_flight(&leaving), 0);
+    assert_eq!(scheduler.local_in_flight(&leaving), 0);
 }
 
 // A retried request keeps its rank before those that arrived later, and is not sent to
@@ -341,16 +341,16 @@
 fn retried_request_keeps_its_rank_and_avoids_the_failed_engine() {
     let mut scheduler = single_slot_scheduler(2);
     let first = scheduler.admit(spec(0), NOW).expect("the queue has room");
-    let failed = grants(scheduler.pump(NOW)).remove(0).choice.target;
+    let failed = grants(scheduler.schedule(NOW)).remove(0).choice.target;
     for _ in 0..3 {
         scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
-    scheduler.pump(NOW);
+    scheduler.schedule(NOW);
     let mut need = spec(0).need;
     need.excluded.push(failed.clone());
     scheduler.retry(first, need);
-    assert_eq!(scheduler.own_in_flight(&failed), 0);
-    let other = scheduler.pump(NOW);
+    assert_eq!(scheduler.local_in_flight(&failed), 0);
+    let other = scheduler.schedule(NOW);
     assert!(
         grants(other).iter().all(|g| g.number != first),
         "the other engine is busy"
@@ -369,10 +369,10 @@
     let mut scheduler = single_slot_scheduler(1);
     for _ in 0..engines {
         scheduler.admit(spec(0), NOW).expect("the queue has room");
-        scheduler.pump(NOW);
+        scheduler.schedule(NOW);
     }
     let before = scheduler.counts();
-    assert!(!scheduler.withdraw(JobNumber(999)));
+    assert!(!scheduler.cancel(JobNumber(999)));
     scheduler.finish(JobNumber(999), complete_answer(), NOW);
     scheduler.retry(JobNumber(999), spec(0).need);
     assert_eq!(scheduler.counts(), before);
@@ -391,7 +391,7 @@
         prefix: "rules".to_owned(),
         tokens: 4_000,
     };
-    scheduler.note_cache_events(&holder, std::slice::from_ref(&cached));
+    scheduler.apply_cache_events(&holder, std::slice::from_ref(&cached));
     let mut job = spec(0);
     job.need.prompt_tokens = 4_100.0;
     job.need.shared_prefix = "rules".to_owned();
@@ -399,19 +399,19 @@
     scheduler
         .admit(job.clone(), NOW)
         .expect("the queue has room");
-    let first = grants(scheduler.pump(NOW)).remove(0);
+    let first = grants(scheduler.schedule(NOW)).remove(0);
     assert_eq!(first.choice.target, holder);
     let expected = first.choice.first_token_s;
     assert!(expected < 0.1, "{expected}");
-    scheduler.finish(first.number, JobMeasure::default(), NOW);
+    scheduler.finish(first.number, JobMeasurement::default(), NOW);
     let evicted = CacheEvent {
         sequence: 2,
         tokens: 0,
         ..cached
     };
-    scheduler.note_cache_events(&holder, &[evicted]);
+    scheduler.apply_cache_events(&holder, &[evicted]);
     scheduler.admit(job, NOW).expect("the queue has room");
-    let second = grants(scheduler.pump(NOW)).remove(0);
+    let second = grants(scheduler.schedule(NOW)).remove(0);
     assert!(second.choice.first_token_s > 0.3, "{second:?}");
 }
 
@@ -451,12 +451,12 @@
         let tokens = if long { 9_000.0 } else { 100.0 };
         let job = samples::job_spec(0, tokens, NOW);
         scheduler.admit(job, NOW).expect("the queue has room");
-        for grant in grants(scheduler.pump(NOW)) {
+        for grant in grants(scheduler.schedule(NOW)) {
             // The mix is not yet known for the first requests.
             if round > 10 {
                 sides[usize::from(!long)].push(grant.choice.target.clone());
             }
-            scheduler.finish(grant.number, JobMeasure::default(), NOW);
+            scheduler.finish(grant.number, JobMeasurement::default(), NOW);
         }
     }
     assert!(!sides[0].is_empty() && !sides[1].is_empty());
@@ -475,7 +475,7 @@
     let mut job = samples::job_spec(0, 30_000.0, NOW);
     job.max_output_tokens = 5;
     scheduler.admit(job, NOW).expect("the queue has room");
-    let grant = grants(scheduler.pump(NOW)).remove(0);
+    let grant = grants(scheduler.schedule(NOW)).remove(0);
     assert_eq!(grant.choice.target, prefill_engine);
 }
 
--- a/tests/scheduler_fuzz.rs
+++ b/tests/scheduler_fuzz.rs
@@ -6,7 +6,7 @@
 use indexmap::{IndexMap, IndexSet};
 use pistachiowick::decide::fair_queue::JobNumber;
 use pistachiowick::decide::scheduler::{
-    JobMeasure, JobSpec, ScheduleAction, Scheduler, SchedulerInputs,
+    JobMeasurement, JobSpec, ScheduleAction, Scheduler, SchedulerInputs,
 };
 use pistachiowick::membership::fleet::{FleetView, UseState};
 use pistachiowick::names::{MonoTime, TargetId};
@@ -28,7 +28,7 @@
         deadline_ms: u64,
         excluded: Option<usize>,
     },
-    Withdraw(usize),
+    Cancel(usize),
     Finish {
         index: usize,
         first_token_s: f64,
@@ -98,7 +98,7 @@
     });
     let step = prop_oneof![
         8 => admit,
-        2 => any::<usize>().prop_map(SchedulerStep::Withdraw),
+        2 => any::<usize>().prop_map(SchedulerStep::Cancel),
         4 => finish,
         2 => any::<usize>().prop_map(SchedulerStep::Retry),
         2 => target,
@@ -151,8 +151,8 @@
         self.apply(actions);
     }
 
-    fn pump(&mut self) {
-        let actions = self.scheduler.pump(self.now);
+    fn schedule(&mut self) {
+        let actions = self.scheduler.schedule(self.now);
         self.apply(actions);
     }
 
@@ -178,7 +178,7 @@
                     let running = (spec, target.id.clone());
                     self.running.insert(grant.number, running);
                 }
-                ScheduleAction::GiveUp(number, refusal) => {
+                ScheduleAction::Refuse(number, refusal) => {
                     let refused = self.waiting.swap_remove(&number);
                     assert!(refused.is_some(), "{number:?} was not queued");
                     assert!(!refusal.retry_after.is_zero());
@@ -196,7 +196,7 @@
                 deadline_ms,
                 excluded,
             } => self.admit(workspace, prompt, deadline_ms, excluded),
-            SchedulerStep::Withdraw(index) => self.withdraw(index),
+            SchedulerStep::Cancel(index) => self.cancel(index),
             SchedulerStep::Finish {
                 index,
                 first_token_s,
@@ -235,7 +235,7 @@
             }
             SchedulerStep::Wait(ms) => self.now.0 += ms,
         }
-        self.pump();
+        self.schedule();
         self.check();
     }
 
@@ -265,7 +265,7 @@
         }
     }
 
-    fn withdraw(&mut self, index: usize) {
+    fn cancel(&mut self, index: usize) {
         if self.waiting.is_empty() {
             return;
         }
@@ -274,8 +274,8 @@
             .waiting
             .swap_remove_index(position)
             .expect("the index is in range");
-        assert!(self.scheduler.withdraw(number));
-        assert!(!self.scheduler.withdraw(number));
+        assert!(self.scheduler.cancel(number));
+        assert!(!self.scheduler.cancel(number));
         assert!(self.ended.insert(number), "{number:?} ended twice");
     }
 
@@ -288,10 +288,10 @@
             .running
             .swap_remove_index(position)
             .expect("the index is in range");
-        let measure = JobMeasure {
+        let measure = JobMeasurement {
             first_token_s: Some(first_token_s),
-            gap_s: Some(first_token_s / 10.0),
-            whole_tokens: complete.then_some(20),
+            token_gap_s: Some(first_token_s / 10.0),
+            complete_answer_tokens: complete.then_some(20),
         };
         self.scheduler.finish(number, measure, self.now);
         self.scheduler.finish(number, measure, self.now);
@@ -317,7 +317,7 @@
         assert_eq!(counts, (self.waiting.len(), self.running.len()));
         for target in self.fleet.targets.keys() {
             let count = self.running.values().filter(|(_, t)| t == target).count();
-            assert_eq!(self.scheduler.own_in_flight(target), count, "{target}");
+            assert_eq!(self.scheduler.local_in_flight(target), count, "{target}");
             assert!(count <= MAX_IN_FLIGHT, "{count} requests at {target}");
         }
     }
@@ -326,13 +326,13 @@
     fn drain(&mut self) {
         while !self.running.is_empty() {
             self.finish(0, 0.1, true);
-            self.pump();
+            self.schedule();
         }
         self.now.0 += 1_000_000;
-        self.pump();
+        self.schedule();
         while !self.running.is_empty() {
             self.finish(0, 0.1, true);
-            self.pump();
+            self.schedule();
         }
         assert_eq!(self.scheduler.counts(), (0, 0));
         self.check();
