--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -182,7 +182,7 @@
                 }
             };
             if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
-                self.note_begun(&call.access);
+                self.record_start(&call.access);
             }
             if !(history.may_have_run && attempt.did_not_run()) {
                 last = attempt.into_result(call);
@@ -218,7 +218,7 @@
     /// Returns whether it may be sent again.
     #[must_use]
     pub fn may_retry(&self, call: &RoutedRequest) -> bool {
-        if self.is_held(call) {
+        if self.is_quarantined(call) {
             return false;
         }
         let daemons = self.daemon_count();
@@ -270,7 +270,7 @@
                     SendResult::Answered
                 };
                 self.note_result(target, result);
-                self.note_answered(target, times);
+                self.record_answer(target, times);
                 if head.status.is_success() {
                     self.record_completion(call, &head.headers);
                 }
