--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -175,8 +175,8 @@
         self.advance_floor();
     }
 
-    /// Offers the first `most` requests in service order until `place` accepts one, then
-    /// removes that request and charges its workspace.
+    /// Offers the first `max_jobs` requests in service order to `accept` until it accepts
+    /// one, then removes that request and charges its workspace.
     pub fn take_first(
         &mut self,
         max_jobs: usize,
@@ -229,9 +229,9 @@
         order.find(|job| accept(job))
     }
 
-    /// Returns the first `most` requests in service order.
+    /// Returns the first `max_jobs` requests in service order.
     fn service_order(&self, max_jobs: usize) -> impl Iterator<Item = &QueuedJob> {
-        // Leaves out lanes behind the first requests of `most` other lanes.
+        // Leaves out lanes behind the first requests of `max_jobs` other lanes.
         let names = self.competing.values().take(max_jobs);
         let lanes = names.map(|name| self.lanes[name].jobs.iter().peekable());
         let competing = merge_by_rank(lanes.collect());
--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -252,7 +252,7 @@
     }
 
     /// Removes a placed request that ended and learns from its measurements.
-    pub fn finish(&mut self, number: JobNumber, measure: JobMeasurement, now: MonoTime) {
+    pub fn finish(&mut self, number: JobNumber, measurement: JobMeasurement, now: MonoTime) {
         let Some(placed) = self.take_placed(number) else {
             return;
         };
@@ -262,7 +262,7 @@
             }
             local.ended.push((placed.placed_at, now));
         }
-        self.learn(&placed, measure);
+        self.learn(&placed, measurement);
     }
 
     /// Refuses queued requests that can no longer meet their deadline, and places those
@@ -539,17 +539,17 @@
         Some(placed)
     }
 
-    fn learn(&mut self, placed: &PlacedJob, measure: JobMeasurement) {
+    fn learn(&mut self, placed: &PlacedJob, measurement: JobMeasurement) {
         let (spec, choice) = (&placed.spec, &placed.choice);
-        if let Some(tokens) = measure.complete_answer_tokens {
+        if let Some(tokens) = measurement.complete_answer_tokens {
             self.costs
                 .observe_output(&spec.workspace, &spec.class, tokens, spec.max_output_tokens);
         }
-        if let Some(actual) = measure.first_token_s {
+        if let Some(actual) = measurement.first_token_s {
             self.costs
                 .observe_prefill(&choice.target, choice.first_token_s, actual);
         }
-        if let Some(actual) = measure.token_gap_s {
+        if let Some(actual) = measurement.token_gap_s {
             self.costs
                 .observe_token_gap(&choice.target, choice.token_gap_s, actual);
         }
@@ -589,8 +589,8 @@
     }
 
     fn prefill_share(&self, pool: &PoolKey) -> f64 {
-        let whole = self.index.side(pool, PoolSide::Decode, 0.0);
-        let targets = whole.map_or(0, |side| side.len());
+        let all_targets = self.index.side(pool, PoolSide::Decode, 0.0);
+        let targets = all_targets.map_or(0, |side| side.len());
         let mix = self.mixes.get(pool);
         mix.map_or(0.0, |mix| mix.prefill_part(targets, self.live_daemons))
     }
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -111,8 +111,8 @@
         now: MonoTime,
     ) -> Vec<PlanDecision> {
         self.retain_known(engines);
-        let room = self.policy.role_changes_at_once.saturating_sub(changing);
-        if room == 0 {
+        let max_new_changes = self.policy.role_changes_at_once.saturating_sub(changing);
+        if max_new_changes == 0 {
             return Vec::new();
         }
         if let Some(decision) = self.place_model(engines, needs, now) {
@@ -123,7 +123,7 @@
         }
         let mut decisions = Vec::new();
         for pool in pools(engines, mix) {
-            if decisions.len() < room {
+            if decisions.len() < max_new_changes {
                 decisions.extend(self.plan_pool(&pool, now));
             }
         }
--- a/src/roles/plan_store.rs
+++ b/src/roles/plan_store.rs
@@ -25,7 +25,7 @@
     planned_changes: IndexMap<TargetId, EngineWish>,
     stored: Option<IndexMap<TargetId, EngineWish>>,
     must_read: bool,
-    busy: bool,
+    call_in_flight: bool,
     call_at: MonoTime,
     write_count: u64,
     fenced_by: Option<FenceNumber>,
@@ -42,7 +42,7 @@
             planned_changes: IndexMap::new(),
             stored: None,
             must_read: true,
-            busy: false,
+            call_in_flight: false,
             call_at: MonoTime(0),
             write_count: 0,
             fenced_by: None,
@@ -81,11 +81,11 @@
 
     /// Returns the next read or write to send, if one is due.
     pub fn tick(&mut self, now: MonoTime) -> Option<OrderAction> {
-        if self.busy || now < self.call_at {
+        if self.call_in_flight || now < self.call_at {
             return None;
         }
         if self.must_read {
-            self.busy = true;
+            self.call_in_flight = true;
             return Some(OrderAction::Read);
         }
         (self.stored.as_ref() != Some(&self.planned_changes)).then(|| self.write())
@@ -93,7 +93,7 @@
 
     fn write(&mut self) -> OrderAction {
         self.write_count += 1;
-        self.busy = true;
+        self.call_in_flight = true;
         let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.write_count);
         let entries = self.planned_changes.iter().map(|(target, wish)| {
             let entry = OrderEntry {
@@ -124,7 +124,7 @@
         result: &Result<Option<StoredObject>, PlatformError>,
         now: MonoTime,
     ) {
-        self.busy = false;
+        self.call_in_flight = false;
         let Ok(found) = result else {
             self.call_at = now.plus(CALL_RETRY_DELAY);
             return;
@@ -141,13 +141,13 @@
         if record.fence > self.fence {
             self.fenced_by = Some(record.fence);
         }
-        let own = record.fence == self.fence;
-        self.stored = own.then(|| planned_changes_of(&record));
+        let is_same_lease = record.fence == self.fence;
+        self.stored = is_same_lease.then(|| planned_changes_of(&record));
     }
 
     /// Handles the result of a write.
     pub fn note_write(&mut self, result: &Result<ObjectVersion, PlatformError>, now: MonoTime) {
-        self.busy = false;
+        self.call_in_flight = false;
         // The plan may have changed during the write, so the stored one is read back.
         self.must_read = true;
         if let Err(PlatformError::Unavailable { .. }) = result {
--- a/src/roles/work_mix.rs
+++ b/src/roles/work_mix.rs
@@ -19,7 +19,7 @@
 pub struct PlacementRate {
     placed_cost: f64,
     at: MonoTime,
-    busy_since: Option<MonoTime>,
+    waiting_since: Option<MonoTime>,
 }
 
 impl PlacementRate {
@@ -30,11 +30,11 @@
     }
 
     /// Records whether requests are queued.
-    pub fn record_waiting(&mut self, waits: bool, now: MonoTime) {
-        if !waits {
-            self.busy_since = None;
-        } else if self.busy_since.is_none() {
-            self.busy_since = Some(now);
+    pub fn record_waiting(&mut self, has_waiting: bool, now: MonoTime) {
+        if !has_waiting {
+            self.waiting_since = None;
+        } else if self.waiting_since.is_none() {
+            self.waiting_since = Some(now);
         }
     }
 
@@ -42,8 +42,8 @@
     /// queued for at least one half-life.
     #[must_use]
     pub fn rate(&self, now: MonoTime) -> Option<f64> {
-        let busy = now.since(self.busy_since?);
-        if busy < HALF_LIFE {
+        let waited = now.since(self.waiting_since?);
+        if waited < HALF_LIFE {
             return None;
         }
         let placed_cost = self.placed_cost * decay_factor(self.at, now);
--- a/tests/placement_choice.rs
+++ b/tests/placement_choice.rs
@@ -358,7 +358,7 @@
     let holder = TargetId::from(samples::engine_name(250));
     scene.prefixes.record_cached("rules", &holder, 2_500);
     for seed in 0..20 {
-        let choice = scene.choose(seed).expect("room");
+        let choice = scene.choose(seed).expect("an engine has room");
         assert_eq!(choice.target, holder);
     }
 }
--- a/tests/scheduler_fuzz.rs
+++ b/tests/scheduler_fuzz.rs
@@ -288,13 +288,13 @@
             .running
             .swap_remove_index(position)
             .expect("the index is in range");
-        let measure = JobMeasurement {
+        let measurement = JobMeasurement {
             first_token_s: Some(first_token_s),
             token_gap_s: Some(first_token_s / 10.0),
             complete_answer_tokens: complete.then_some(20),
         };
-        self.scheduler.finish(number, measure, self.now);
-        self.scheduler.finish(number, measure, self.now);
+        self.scheduler.finish(number, measurement, self.now);
+        self.scheduler.finish(number, measurement, self.now);
         assert!(self.ended.insert(number), "{number:?} ended twice");
     }
 
