--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -1,8 +1,8 @@
-//! Decisions on requests: which targets serve them, in which order, or that none can.
+//! Placement decisions: which targets serve a request, or that none can.
 //!
-//! One part owns everything that decisions rest on. It takes what was observed in and
-//! gives decisions out, with the time as an argument, and knows no network, no runtime
-//! and no cell; whoever carries traffic asks it, and tests drive it in virtual time.
+//! [`DecisionCore`] owns all state that decisions depend on. It takes in observations and
+//! returns decisions, with the time as an argument, and uses no network, no async runtime
+//! and no interior mutability, so that tests can run it in virtual time.
 
 pub mod affinity;
 pub mod engine_choice;
@@ -26,16 +26,16 @@
 use crate::names::{MonoTime, ServiceName};
 use crate::target_incarnation::TargetIncarnation;
 
-/// Added to the rank of a request that can no longer be in time.
+/// Added to the rank of a request that can no longer meet its objective.
 const LATE_RANKS: u8 = 5;
 
-/// Engines as a decision may use them.
+/// Engines that a decision may choose from.
 pub struct EngineCandidates<'a> {
     /// Engines of the service.
     pub engines: &'a [Arc<TargetRecord>],
-    /// Engines that are being changed and get no work.
+    /// Engines whose stage is being changed; they get no new work.
     pub changing: &'a [TargetIncarnation],
-    /// Engines that the request cannot use any more.
+    /// Engines that the request must not be sent to any more.
     pub excluded: &'a [TargetIncarnation],
 }
 
@@ -46,48 +46,48 @@
     }
 }
 
-/// Work at an engine whose time is taken.
+/// Work at an engine whose time is measured.
 #[derive(Clone, Debug)]
 pub struct TimedWork {
     /// The engine.
     pub engine: Arc<TargetRecord>,
-    /// What it does.
+    /// Kind of work.
     pub work: EngineWork,
-    /// Tokens that it has to read until that is done, as known at the start.
+    /// Tokens that the engine has to prefill until it is done, as known at the start.
     pub tokens: f64,
 }
 
-/// A request as the choice of its engines sees it.
+/// What is known of a request whose engines are to be chosen.
 pub struct PlacementQuery<'a> {
     /// Engines to choose from.
     pub choices: EngineCandidates<'a>,
-    /// Its prompt.
+    /// The prompt.
     pub prompt: &'a PromptShape,
-    /// Rank of its route; 0 is the most urgent.
+    /// Rank of the request; 0 is the most urgent.
     pub urgency: u8,
-    /// Time left for an answer of full worth.
+    /// Time left for an answer within the latency objective.
     pub objective_left: Duration,
 }
 
-/// What decisions rest on.
+/// State that decisions depend on.
 #[derive(Debug, Default)]
 pub struct DecisionCore {
-    /// Weights of the choice.
+    /// Weights of the placement costs.
     pub weights: PlacementWeights,
-    /// Which targets answer.
+    /// Health of targets.
     pub health: HealthTracker,
-    /// Work outstanding.
+    /// Outstanding work at targets.
     pub load: LoadTracker,
-    /// What engines have cached.
+    /// Prompt parts that engines cache.
     pub caches: CacheIndex,
-    /// How fast engines work.
+    /// Learned latencies of engines.
     pub engines: EngineSpeeds,
-    /// Work offered to engines.
+    /// Rate of the work placed on engines.
     pub work: WorkMeter,
 }
 
 impl DecisionCore {
-    /// Creates a core that has observed nothing.
+    /// Creates a core without observations.
     #[must_use]
     pub fn new(weights: PlacementWeights) -> Self {
         Self {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Notes what came of a send; returns what it changed for choices.
+    /// Records the result of a send; returns whether the target is now avoided or has
+    /// recovered.
     pub fn note_result(
         &mut self,
         target: &TargetIncarnation,
@@ -106,21 +107,21 @@
         self.health.note(target, result, now)
     }
 
-    /// Notes the time of work at an engine; returns it against what was expected.
+    /// Records the time of work at an engine; returns its ratio to the expected time.
     pub fn note_time(&mut self, timed: &TimedWork, taken_ms: f64, now: MonoTime) -> f64 {
         let TimedWork {
             engine,
             work,
             tokens,
         } = timed;
-        let pace = self.health.view(&engine.id, now).pace;
-        let expected = self.engines.line(&engine.service, *work).at(*tokens);
+        let slowdown = self.health.view(&engine.id, now).slowdown;
+        let expected = self.engines.latency(&engine.service, *work).at(*tokens);
         self.health.note_time(&engine.id, taken_ms, expected);
         self.engines.note(&engine.service, *work, *tokens, taken_ms);
-        taken_ms / (expected * pace)
+        taken_ms / (expected * slowdown)
     }
 
-    /// Notes parts of a prompt that an engine holds, or was asked to read.
+    /// Records parts of a prompt that an engine caches (`ready`) or is prefilling.
     pub fn note_parts(
         &mut self,
         engine: &TargetIncarnation,
@@ -135,35 +136,45 @@
         }
     }
 
-    /// Leaves out what is too old, and what is believed of targets for which `keep` is
-    /// false.
+    /// Drops load reports that are too old, and what is known of targets for which `keep`
+    /// is false.
     pub fn sweep(&mut self, keep: impl Fn(&TargetIncarnation) -> bool, now: MonoTime) {
         self.load.expire(now);
         self.health.retain(&keep);
         self.caches.retain(&keep);
     }
 
-    /// Chooses engines for a request; `None` without one that generates.
+    /// Chooses engines for a request; `None` if no decode engine is available.
     #[must_use]
-    pub fn place(&self, order: &PlacementQuery<'_>, now: MonoTime) -> Option<EnginePlacement> {
-        let engines = self.engine_states(&order.choices, &order.prompt.parts, now);
-        let service = order.choices.service();
-        let choose = |rank, gives_way| {
-            let lines = self.engines.lines(&service, gives_way);
-            let place = engine_choice::choose(&self.weights, &lines, &engines, order.prompt, rank)?;
-            Some(EnginePlacement { gives_way, ..place })
+    pub fn place(&self, query: &PlacementQuery<'_>, now: MonoTime) -> Option<EnginePlacement> {
+        let engines = self.engine_states(&query.choices, &query.prompt.parts, now);
+        let service = query.choices.service();
+        let choose = |rank, deprioritized| {
+            let latencies = self.engines.latencies(&service, deprioritized);
+            let place = engine_choice::choose_engines(
+                &self.weights,
+                &latencies,
+                &engines,
+                query.prompt,
+                rank,
+            )?;
+            Some(EnginePlacement {
+                deprioritized,
+                ..place
+            })
         };
-        let in_time = choose(order.urgency, false)?;
-        // What waits too long to be in time gives way to what can still be. A prompt
-        // that is late by its own length does not: the largest would never be read.
-        let waiting_ms = in_time.expected_ms - in_time.own_ms;
-        if waiting_ms <= order.objective_left.as_secs_f64() * 1_000.0 {
-            return Some(in_time);
+        let on_time = choose(query.urgency, false)?;
+        // A request that misses its objective by waiting is queued behind those that can
+        // still meet theirs. One that misses it by its own prefill time is not: the
+        // longest prompts would never be served.
+        let waiting_ms = on_time.expected_ms - on_time.own_prefill_ms;
+        if waiting_ms <= query.objective_left.as_secs_f64() * 1_000.0 {
+            return Some(on_time);
         }
-        choose(order.urgency.saturating_add(LATE_RANKS).min(9), true)
+        choose(query.urgency.saturating_add(LATE_RANKS).min(9), true)
     }
 
-    /// Chooses the engine that reads a prompt instead of the one chosen before.
+    /// Chooses another prefill engine in place of the one chosen before.
     #[must_use]
     pub fn choose_other_prefill_engine(
         &self,
@@ -173,16 +184,17 @@
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
         let engines = self.engine_states(choices, &prompt.parts, now);
-        let lines = self.engines.lines(&choices.service(), false);
-        engine_choice::choose(&self.weights, &lines, &engines, prompt, rank)?.reader
+        let latencies = self.engines.latencies(&choices.service(), false);
+        engine_choice::choose_engines(&self.weights, &latencies, &engines, prompt, rank)?
+            .prefill_engine
     }
 
-    /// Chooses the engine that takes over a prompt which was read elsewhere.
+    /// Chooses the decode engine for a prompt that was prefilled elsewhere.
     ///
-    /// Reading takes up to seconds, in which engines leave and loads change, so this is
-    /// asked again once the prompt is read.
+    /// A prefill takes up to seconds, in which engines leave and loads change, so the
+    /// decode engine is chosen again once it is done.
     #[must_use]
-    pub fn writer(
+    pub fn choose_decode_engine(
         &self,
         choices: &EngineCandidates<'_>,
         prompt: &PromptShape,
@@ -190,26 +202,27 @@
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
         let engines = self.engine_states(choices, &prompt.parts, now);
-        let lines = self.engines.lines(&choices.service(), false);
-        engine_choice::choose_decode_engine(&self.weights, &lines, &engines, prompt, rank)
+        let latencies = self.engines.latencies(&choices.service(), false);
+        engine_choice::choose_decode_engine(&self.weights, &latencies, &engines, prompt, rank)
     }
 
-    /// Chooses a target of a plain service; `draw` gives numbers of 0 to 1 by which
-    /// daemons that know the same do not all choose alike.
+    /// Chooses a target of a service without model engines. `draw` returns random numbers
+    /// from 0 to 1, so that daemons with the same knowledge do not all choose the same
+    /// target.
     #[must_use]
-    pub fn plain_target<'a>(
+    pub fn choose_plain_target<'a>(
         &self,
         targets: impl Iterator<Item = &'a Arc<TargetRecord>>,
         mut draw: impl FnMut() -> f64,
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
-        let scored = targets.map(|target| {
+        let costs = targets.map(|target| {
             let health = self.health.view(&target.id, now);
             let running = self.load.total(&target.id).running;
             let cost = plain_cost(running, target.slots, health) + draw() * TIE_RANGE;
             (cost, target)
         });
-        let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
+        let best = costs.min_by(|a, b| a.0.total_cmp(&b.0));
         best.map(|(_, target)| target.clone())
     }
 
@@ -223,28 +236,28 @@
         let changing = |id: &TargetIncarnation| choices.changing.contains(id);
         let states = choices.engines.iter().map(|engine| EngineState {
             record: engine.clone(),
-            held_tokens: self.caches.cached_tokens(&engine.id, parts, now),
-            ready_tokens: self.caches.ready_tokens(&engine.id, parts, now),
+            cached_tokens: self.caches.cached_tokens(&engine.id, parts, now),
+            copyable_tokens: self.caches.copyable_tokens(&engine.id, parts, now),
             work: self.load.total(&engine.id),
             health: self.health.view(&engine.id, now),
-            may_get_work: !excluded(&engine.id) && !changing(&engine.id),
+            available: !excluded(&engine.id) && !changing(&engine.id),
         });
         states.collect()
     }
 }
 
-/// Part of a plain target's places by which draws decide between targets.
+/// Difference in the share of busy slots within which targets are chosen at random.
 const TIE_RANGE: f64 = 0.3;
-/// Weight of the rate of failures against the share of busy places.
+/// Weight of the failure rate relative to the share of busy slots.
 const FAILURE_WEIGHT: f64 = 4.0;
-/// Cost of a plain target that gave no answers lately: more than any load.
-const AWAY_COST: f64 = 100.0;
+/// Cost of a target that recently did not answer: more than any load.
+const AVOIDED_COST: f64 = 100.0;
 
-// Cost of one more request: the share of busy places, worse for targets that fail.
+// Cost of sending one more request: the share of busy slots plus penalties for failures.
 fn plain_cost(running: u32, slots: u32, health: HealthView) -> f64 {
-    let filled = f64::from(running) / f64::from(slots.max(1));
-    let failing = FAILURE_WEIGHT * health.failure_rate;
-    let away = if health.avoided { AWAY_COST } else { 0.0 };
-    let unproved = if health.unproved { 1.0 } else { 0.0 };
-    filled + failing + away + unproved
+    let busy_share = f64::from(running) / f64::from(slots.max(1));
+    let failure_cost = FAILURE_WEIGHT * health.failure_rate;
+    let avoided_cost = if health.avoided { AVOIDED_COST } else { 0.0 };
+    let unverified = if health.unverified { 1.0 } else { 0.0 };
+    busy_share + failure_cost + avoided_cost + unverified
 }
--- a/tests/deciding_world/mod.rs
+++ b/tests/deciding_world/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons that choose among engines in virtual time, for tests of decisions under load.
+//! Simulation of daemons that place requests on engines, in virtual time.
 //!
-//! An engine reads prompts one after the other at its speed. Each daemon has a decision
-//! core of its own and hears of the others' work by hints, as often as the test says.
+//! An engine prefills prompts one after the other at its speed. Each daemon has its own
+//! decision core and learns of its peers' work from hints sent at a given interval.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -18,48 +18,48 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// An engine as it is, whatever daemons believe of it.
+/// Actual behaviour of an engine, independent of the daemons' estimates.
 #[derive(Clone, Copy, Debug)]
-pub struct FakeEngine {
-    /// Time of a reading beside its tokens.
+pub struct SimulatedEngine {
+    /// Time of a prefill independent of its tokens.
     pub fixed_ms: f64,
-    /// Tokens read in a millisecond.
+    /// Tokens prefilled per millisecond.
     pub rate: f64,
-    /// From when to when it gives no answers.
-    pub dark: Option<(f64, f64)>,
+    /// Start and end, in milliseconds, of the time in which it does not answer.
+    pub unresponsive: Option<(f64, f64)>,
 }
 
-/// A world of daemons and engines.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
-pub struct WorldPlan {
-    /// Daemons that callers' requests reach by turns.
+pub struct SimulationPlan {
+    /// Number of daemons, which receive requests in round-robin order.
     pub daemons: usize,
-    /// Time between two hints, in milliseconds.
+    /// Interval between hints, in milliseconds.
     pub hint_ms: f64,
-    /// Engines that read prompts for the writers.
-    pub readers: Vec<FakeEngine>,
-    /// Requests in a second.
-    pub per_second: f64,
-    /// Least and most tokens of a prompt.
+    /// Prefill engines.
+    pub prefill_engines: Vec<SimulatedEngine>,
+    /// Requests per second.
+    pub requests_per_second: f64,
+    /// Minimum and maximum tokens of a prompt.
     pub tokens: (u32, u32),
-    /// Time for the first event, in milliseconds.
+    /// Latency objective, in milliseconds.
     pub objective_ms: u64,
     /// Length of the run, in seconds.
     pub seconds: f64,
 }
 
-/// What became of the requests.
+/// Outcome of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorldTally {
-    /// All of them.
+pub struct SimulationTally {
+    /// Number of requests.
     pub requests: u32,
-    /// Read within the objective.
+    /// Requests prefilled within the objective.
     pub in_time: u32,
-    /// Sent to an engine that gave no answers.
+    /// Requests sent to an engine that did not answer.
     pub lost: u32,
 }
 
-struct RunningRead {
+struct RunningPrefill {
     end_ms: f64,
     sent_ms: f64,
     daemon: usize,
@@ -67,50 +67,51 @@
     lost: bool,
 }
 
-/// Time after which a daemon gives up a reading, as the gateway does.
-const READ_WAIT_MS: f64 = 1_500.0;
+/// Time-out of a prefill, as in the gateway.
+const PREFILL_TIMEOUT_MS: f64 = 1_500.0;
 /// Step of the virtual time, in milliseconds.
 const STEP_MS: f64 = 1.0;
 
-struct World {
-    plan: WorldPlan,
+struct Simulation {
+    plan: SimulationPlan,
     cores: Vec<DecisionCore>,
     engines: Vec<Arc<TargetRecord>>,
     free_at: IndexMap<TargetIncarnation, f64>,
-    reads: Vec<RunningRead>,
-    tally: WorldTally,
+    prefills: Vec<RunningPrefill>,
+    tally: SimulationTally,
     last_key: u64,
 }
 
-/// Plays a world; the same seed gives the same run.
-pub fn play(plan: &WorldPlan, seed: u64) -> WorldTally {
+/// Runs a simulation; the same seed gives the same run.
+pub fn simulate(plan: &SimulationPlan, seed: u64) -> SimulationTally {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = World::new(plan.clone());
+    let mut simulation = Simulation::new(plan.clone());
     let (mut now, mut next_hint, mut turn) = (0.0, 0.0, 0);
     while now < plan.seconds * 1_000.0 {
-        world.end_reads(now);
+        simulation.end_prefills(now);
         if now >= next_hint {
-            world.hint(now);
+            simulation.hint(now);
             next_hint += plan.hint_ms;
         }
-        if rng.random::<f64>() < plan.per_second * STEP_MS / 1_000.0 {
+        if rng.random::<f64>() < plan.requests_per_second * STEP_MS / 1_000.0 {
             let tokens = rng.random_range(plan.tokens.0..=plan.tokens.1);
-            world.arrive(turn % plan.daemons, tokens, now);
+            simulation.arrive(turn % plan.daemons, tokens, now);
             turn += 1;
         }
         now += STEP_MS;
     }
-    world.tally
+    simulation.tally
 }
 
-impl World {
-    fn new(plan: WorldPlan) -> Self {
-        let readers = (0..plan.readers.len()).map(|n| engine(n, "p", EngineStage::Prefill));
-        let writers = (0..3).map(|n| engine(n, "d", EngineStage::Decode));
+impl Simulation {
+    fn new(plan: SimulationPlan) -> Self {
+        let prefill_engines =
+            (0..plan.prefill_engines.len()).map(|n| engine(n, "p", EngineStage::Prefill));
+        let decode_engines = (0..3).map(|n| engine(n, "d", EngineStage::Decode));
         let mut core = DecisionCore::new(PlacementWeights::default());
         core.caches.set_capacity(800_000);
-        // The load of the writers is not what is looked at: readings there are dear.
-        core.weights.disturbance = 1_000.0;
+        // Only prefill engines are under test: prefills on decode engines are expensive.
+        core.weights.interference = 1_000.0;
         let cores = (0..plan.daemons).map(|_| {
             let mut core = DecisionCore::new(core.weights);
             core.caches.set_capacity(800_000);
@@ -118,10 +119,13 @@
         });
         Self {
             cores: cores.collect(),
-            engines: readers.chain(writers).map(Arc::new).collect(),
+            engines: prefill_engines
+                .chain(decode_engines)
+                .map(Arc::new)
+                .collect(),
             free_at: IndexMap::new(),
-            reads: Vec::new(),
-            tally: WorldTally::default(),
+            prefills: Vec::new(),
+            tally: SimulationTally::default(),
             last_key: 0,
             plan,
         }
@@ -130,7 +134,7 @@
     fn arrive(&mut self, daemon: usize, tokens: u32, now: f64) {
         self.last_key += 1;
         let prompt = prompt(self.last_key, tokens);
-        let order = PlacementQuery {
+        let query = PlacementQuery {
             choices: EngineCandidates {
                 engines: &self.engines,
                 changing: &[],
@@ -140,64 +144,73 @@
             urgency: 0,
             objective_left: Duration::from_millis(self.plan.objective_ms),
         };
-        let place = self.cores[daemon].place(&order, at(now)).expect("a place");
+        let place = self.cores[daemon]
+            .place(&query, at(now))
+            .expect("a placement");
         self.tally.requests += 1;
-        let Some(reader) = place.reader.clone() else {
+        let Some(prefill_engine) = place.prefill_engine.clone() else {
             return;
         };
-        let number: usize = reader.id.as_str()[1..].parse().expect("a number");
-        let fake = self.plan.readers[number];
+        let number: usize = prefill_engine.id.as_str()[1..].parse().expect("a number");
+        let simulated = self.plan.prefill_engines[number];
         let load = &mut self.cores[daemon].load;
-        load.begin(&reader.id, place.rank, place.unread_tokens);
-        let dark = fake
-            .dark
+        load.begin(&prefill_engine.id, place.rank, place.pending_prefill_tokens);
+        let unresponsive = simulated
+            .unresponsive
             .is_some_and(|(from, to)| (from..to).contains(&now));
-        let free_at = self.free_at.entry(reader.id.clone()).or_default();
-        let end_ms = if dark {
-            now + READ_WAIT_MS
+        let free_at = self.free_at.entry(prefill_engine.id.clone()).or_default();
+        let end_ms = if unresponsive {
+            now + PREFILL_TIMEOUT_MS
         } else {
-            *free_at = free_at.max(now) + f64::from(tokens) / fake.rate;
-            *free_at + fake.fixed_ms
+            *free_at = free_at.max(now) + f64::from(tokens) / simulated.rate;
+            *free_at + simulated.fixed_ms
         };
-        self.reads.push(RunningRead {
+        self.prefills.push(RunningPrefill {
             end_ms,
             sent_ms: now,
             daemon,
             place,
-            lost: dark,
+            lost: unresponsive,
         });
     }
 
-    fn end_reads(&mut self, now: f64) {
-        let (ended, going) = std::mem::take(&mut self.reads)
+    fn end_prefills(&mut self, now: f64) {
+        let (ended, going) = std::mem::take(&mut self.prefills)
             .into_iter()
-            .partition(|read| read.end_ms <= now);
-        self.reads = going;
-        for read in ended {
-            self.end_read(&read, now);
+            .partition(|prefill| prefill.end_ms <= now);
+        self.prefills = going;
+        for prefill in ended {
+            self.end_prefill(&prefill, now);
         }
     }
 
-    fn end_read(&mut self, read: &RunningRead, now: f64) {
-        let reader = read.place.reader.as_ref().expect("a reader");
-        let core = &mut self.cores[read.daemon];
-        core.load
-            .end(&reader.id, read.place.rank, read.place.unread_tokens);
-        if read.lost {
-            core.note_result(&reader.id, SendResult::Silent, at(now));
+    fn end_prefill(&mut self, prefill: &RunningPrefill, now: f64) {
+        let prefill_engine = prefill
+            .place
+            .prefill_engine
+            .as_ref()
+            .expect("a prefill engine");
+        let core = &mut self.cores[prefill.daemon];
+        core.load.end(
+            &prefill_engine.id,
+            prefill.place.rank,
+            prefill.place.pending_prefill_tokens,
+        );
+        if prefill.lost {
+            core.note_result(&prefill_engine.id, SendResult::Silent, at(now));
             self.tally.lost += 1;
             return;
         }
-        let taken = read.end_ms - read.sent_ms;
-        core.note_result(&reader.id, SendResult::Answered, at(now));
-        core.note_time(&read.place.timed_prefill(reader), taken, at(now));
+        let taken = prefill.end_ms - prefill.sent_ms;
+        core.note_result(&prefill_engine.id, SendResult::Answered, at(now));
+        core.note_time(&prefill.place.timed_prefill(prefill_engine), taken, at(now));
         if taken <= self.plan.objective_ms as f64 {
             self.tally.in_time += 1;
         }
     }
 
     fn hint(&mut self, now: f64) {
-        let work: Vec<_> = self.cores.iter().map(|c| c.load.own().clone()).collect();
+        let work: Vec<_> = self.cores.iter().map(|c| c.load.local().clone()).collect();
         for (own, core) in self.cores.iter_mut().enumerate() {
             for (other, work) in work.iter().enumerate().filter(|(other, _)| *other != own) {
                 let id = DaemonId::from(format!("n{other}"));
