--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -16,30 +16,31 @@
 use crate::settings::{PlacementPolicy, PolicySettings};
 use crate::targets::wire::EngineRole;
 
-/// Candidates looked at for one placement, however large the fleet is.
-const MOST_CANDIDATES: usize = 16;
-/// Age from which a load report says nothing any more, in milliseconds.
-const REPORT_USELESS_MS: u64 = 10_000;
-/// Factor on the expected time to the whole answer before it counts as in time.
+/// Maximum number of candidates evaluated per placement, whatever the fleet's size.
+const MAX_CANDIDATES: usize = 16;
+/// Age in milliseconds beyond which a load report is ignored.
+const MAX_REPORT_AGE_MS: u64 = 10_000;
+/// Safety factor on the expected time to the complete answer in the deadline check.
 const FINISH_MARGIN: f64 = 1.25;
-/// Largest further factor, for workspaces beyond their due share.
-const MOST_SHARE_MARGIN: f64 = 2.0;
-/// How alike the other daemons' choices since a report are to one's own: 1 is the same.
-const ALIKE: f64 = 0.7;
-/// Prefill work an engine may have waiting before requests wait here instead,
-/// where shares and deadlines still order them.
-const MOST_PREFILL_WAIT_S: f64 = 0.4;
+/// Maximum additional factor for workspaces that have used more than their fair share.
+const MAX_SHARE_MARGIN: f64 = 2.0;
+/// How similar other daemons' placements since a report are assumed to be to this
+/// daemon's; 1 means identical.
+const PEER_SIMILARITY: f64 = 0.7;
+/// Seconds of prefill work an engine may have queued. Beyond that, requests wait in this
+/// daemon's queue, where fair shares and deadlines still order them.
+const MAX_PREFILL_BACKLOG_S: f64 = 0.4;
 
 /// Targets that can do the same work.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum PoolKey {
-    /// Engines that hold a model.
+    /// Engines that have a model loaded.
     Model(ModelName),
-    /// Instances of a plain service.
+    /// Instances of a service without engines.
     Service(ServiceName),
 }
 
-/// What a request needs of a target.
+/// What a request requires of a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementNeed {
     /// Pool to choose from.
@@ -54,100 +55,101 @@
     pub prompt_tokens: f64,
     /// Output tokens still expected.
     pub output_tokens: f64,
-    /// When the answer must be whole to be worth placing; `None` places it at any time.
-    pub due: Option<MonoTime>,
-    /// How the workspace's due share compares to what it got: below 1 beyond its due.
+    /// When the answer must be complete for the request to be placed; `None`: no limit.
+    pub deadline: Option<MonoTime>,
+    /// Ratio of the workspace's fair share to its recent use; below 1 when it has used
+    /// more than its share.
     pub share_factor: f64,
     /// Shared part of the prompt; empty for none.
     pub shared_prefix: String,
     /// Tokens of the shared part.
     pub shared_prefix_tokens: u32,
-    /// Targets that failed the request before.
+    /// Targets on which this request has failed.
     pub excluded: Vec<TargetId>,
 }
 
-/// A target chosen.
+/// The target chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetChoice {
     /// The target.
     pub target: TargetId,
     /// Its address.
     pub address: String,
-    /// Life of its process as reported last; `None` where it reports none.
+    /// Incarnation of its process as last reported; `None` if it reports none.
     pub incarnation: Option<ProcessIncarnation>,
     /// Model, version and adapter as the engine names them; empty for services.
     pub model: String,
     /// Expected seconds to the first token.
     pub first_token_s: f64,
     /// Expected seconds between tokens.
-    pub gap_s: f64,
-    /// Expected seconds to the whole answer.
+    pub token_gap_s: f64,
+    /// Expected seconds to the complete answer.
     pub finish_s: f64,
-    /// Expected seconds by which the other streams there are delayed, all together:
-    /// none of them gains a token while this prompt is read.
+    /// Expected delay in seconds of the target's other streams, summed over them: none
+    /// of them gains a token while this prompt is prefilled.
     pub delay_s: f64,
-    /// Why it was chosen.
+    /// Reason for the choice.
     pub reason: String,
 }
 
-/// A request of this daemon at a target.
+/// A request that this daemon has placed on a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningJob {
     /// The request.
     pub number: JobNumber,
     /// When it was placed.
     pub placed_at: MonoTime,
-    /// Prompt tokens to read.
+    /// Prompt tokens to prefill.
     pub prefill_tokens: f64,
 }
 
-/// Own work at one target.
+/// This daemon's work at one target.
 #[derive(Clone, Debug, Default)]
-pub struct OwnWork {
+pub struct LocalWork {
     /// Requests in flight.
     pub running: Vec<RunningJob>,
-    /// Placement and end of requests that ended since the last report.
+    /// Placement and end times of requests that ended since the last report.
     pub ended: Vec<(MonoTime, MonoTime)>,
 }
 
-/// Whether a request is mostly reading of its prompt or writing of its answer.
+/// Side of a pool that serves a request.
 ///
-/// No stream of an engine gains a token while a long prompt is read. Kept apart, long
-/// prompts delay one another only, and answers flow at their full pace.
+/// No stream of an engine gains a token while a long prompt is prefilled. On engines of
+/// their own, long prompts delay only one another, and other answers keep full speed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum WorkSide {
+pub enum PoolSide {
     /// Long prompts.
-    Reading,
-    /// Everything else.
-    Writing,
+    Prefill,
+    /// All other requests.
+    Decode,
 }
 
-/// Everything a choice looks at.
+/// Inputs of a placement.
 pub struct PlacementInputs<'a> {
     /// The fleet.
     pub fleet: &'a FleetView,
     /// Targets to choose from.
     pub candidates: CandidateSide<'a>,
-    /// Expected times.
+    /// Expected times of prefill and decode.
     pub costs: &'a CostModel,
-    /// Beliefs about caches.
+    /// Engines expected to have shared prefixes cached.
     pub prefixes: &'a PrefixIndex,
-    /// Own work by target.
-    pub own: &'a IndexMap<TargetId, OwnWork>,
+    /// This daemon's work by target.
+    pub local: &'a IndexMap<TargetId, LocalWork>,
     /// Policy in force.
     pub policy: &'a PolicySettings,
-    /// Live daemons, this one included.
+    /// Number of live daemons, including this one.
     pub live_daemons: usize,
-    /// Time of the choice.
+    /// Time of the placement.
     pub now: MonoTime,
 }
 
-/// Chooses a target with room for the request, or `None` when all are full.
+/// Chooses a target for the request, or returns `None` when no target can take it.
 #[must_use]
 pub fn choose_target(
     need: &PlacementNeed,
     inputs: &PlacementInputs<'_>,
-    turn: &mut usize,
+    cursor: &mut usize,
     rng: &mut SmallRng,
 ) -> Option<TargetChoice> {
     let candidates = candidates(need, inputs, rng);
@@ -157,15 +159,15 @@
         .filter_map(|target| estimate(need, target, inputs))
         .collect();
     let chosen = match inputs.policy.placement {
-        PlacementPolicy::Estimate => least(&estimates, |e| e.finish_s + e.delay_s),
-        PlacementPolicy::LeastInFlight => least(&estimates, |e| e.load),
-        PlacementPolicy::RoundRobin => next_in_turn(estimates.len(), turn),
+        PlacementPolicy::Estimate => min_index(&estimates, |e| e.finish_s + e.delay_s),
+        PlacementPolicy::LeastInFlight => min_index(&estimates, |e| e.load),
+        PlacementPolicy::RoundRobin => next_round_robin(estimates.len(), cursor),
     }?;
     Some(estimates.swap_remove(chosen).choice(need))
 }
 
-/// What a request may expect of one target. Names and reason are copied for the
-/// target chosen only: for all of them they would cost more than the choice.
+/// Expected times of a request on one target. Names and reason are copied for the chosen
+/// target only: copying them for every candidate would cost more than the choice itself.
 struct TargetEstimate<'a> {
     target: &'a TargetView,
     role: Option<EngineRole>,
@@ -173,7 +175,7 @@
     load: f64,
     uncached: f64,
     first_token_s: f64,
-    gap_s: f64,
+    token_gap_s: f64,
     finish_s: f64,
     delay_s: f64,
 }
@@ -186,7 +188,7 @@
             incarnation: self.target.report.as_ref().map(|r| r.incarnation),
             model: self.model.to_owned(),
             first_token_s: self.first_token_s,
-            gap_s: self.gap_s,
+            token_gap_s: self.token_gap_s,
             finish_s: self.finish_s,
             delay_s: self.delay_s,
             reason: self.reason(need),
@@ -195,11 +197,12 @@
 
     fn reason(&self, need: &PlacementNeed) -> String {
         let Some(role) = self.role else {
-            return format!("{} own calls in flight", self.load);
+            return format!("{} requests of this daemon in flight", self.load);
         };
         format!(
-            "{role:?} engine, about {:.0} in flight, {:.0} of {:.0} prompt tokens to read, \
-             first token in {:.0} ms, whole answer in {:.0} ms, others delayed by {:.0} ms",
+            "{role:?} engine, about {:.0} requests in flight, {:.0} of {:.0} prompt tokens to \
+             prefill, first token expected in {:.0} ms, complete answer in {:.0} ms, other \
+             streams delayed by {:.0} ms in total",
             self.load,
             self.uncached,
             need.prompt_tokens,
@@ -210,7 +213,7 @@
     }
 }
 
-fn least(
+fn min_index(
     estimates: &[TargetEstimate<'_>],
     score: impl Fn(&TargetEstimate<'_>) -> f64,
 ) -> Option<usize> {
@@ -220,30 +223,30 @@
         .map(|(at, _)| at)
 }
 
-fn next_in_turn(count: usize, turn: &mut usize) -> Option<usize> {
+fn next_round_robin(count: usize, cursor: &mut usize) -> Option<usize> {
     if count == 0 {
         return None;
     }
-    *turn = turn.wrapping_add(1);
-    Some(*turn % count)
+    *cursor = cursor.wrapping_add(1);
+    Some(*cursor % count)
 }
 
-/// Draws candidates at random, so that daemons with the same lagging view do not
-/// all run to the same target, and adds the holders of the shared prefix.
+/// Draws candidates at random, so that daemons with the same outdated view do not all
+/// choose the same target, and adds the engines that have the shared prefix cached.
 fn candidates<'a>(
     need: &PlacementNeed,
     inputs: &PlacementInputs<'a>,
     rng: &mut SmallRng,
 ) -> Vec<&'a TargetId> {
     let side = inputs.candidates;
-    if side.len() <= MOST_CANDIDATES {
+    if side.len() <= MAX_CANDIDATES {
         return side.iter().collect();
     }
-    let mut drawn: Vec<&TargetId> = Vec::with_capacity(MOST_CANDIDATES);
+    let mut drawn: Vec<&TargetId> = Vec::with_capacity(MAX_CANDIDATES);
     let holders = inputs.prefixes.holders(&need.shared_prefix);
-    let near = holders.iter().map(|h| &h.target);
-    drawn.extend(near.filter(|t| side.contains(t)));
-    while drawn.len() < MOST_CANDIDATES {
+    let caching_targets = holders.iter().map(|h| &h.target);
+    drawn.extend(caching_targets.filter(|t| side.contains(t)));
+    while drawn.len() < MAX_CANDIDATES {
         drawn.extend(side.get(rng.random_range(0..side.len())));
     }
     drawn
@@ -267,11 +270,14 @@
     target: &'a TargetView,
     inputs: &PlacementInputs<'_>,
 ) -> Option<TargetEstimate<'a>> {
-    let own = inputs.own.get(&target.id).map_or(0, |o| o.running.len());
-    if own >= inputs.policy.service_in_flight {
+    let local = inputs
+        .local
+        .get(&target.id)
+        .map_or(0, |work| work.running.len());
+    if local >= inputs.policy.service_in_flight {
         return None;
     }
-    let load = own as f64;
+    let load = local as f64;
     Some(TargetEstimate {
         target,
         role: None,
@@ -279,7 +285,7 @@
         load,
         uncached: 0.0,
         first_token_s: 0.0,
-        gap_s: 0.0,
+        token_gap_s: 0.0,
         finish_s: load,
         delay_s: 0.0,
     })
@@ -295,7 +301,7 @@
     if report.changing {
         return None;
     }
-    let label = fitting_model(&report.models, model, need)?;
+    let label = matching_model(&report.models, model, need)?;
     let load = EngineLoad::of(target, report, inputs);
     if load.in_flight >= inputs.policy.engine_in_flight as f64 {
         return None;
@@ -303,17 +309,17 @@
     let backlog_s = inputs
         .costs
         .prefill_seconds(&target.id, report.role, load.prefill_tokens);
-    if load.in_flight >= 1.0 && backlog_s > MOST_PREFILL_WAIT_S {
+    if load.in_flight >= 1.0 && backlog_s > MAX_PREFILL_BACKLOG_S {
         return None;
     }
     let uncached = uncached_tokens(need, &target.id, inputs.prefixes);
-    let read_s = inputs
+    let prefill_s = inputs
         .costs
         .prefill_seconds(&target.id, report.role, uncached);
-    let gap_s = mean_gap(target, report, &load, inputs);
-    let first_token_s = backlog_s + read_s;
-    let finish_s = first_token_s + need.output_tokens * gap_s;
-    if !in_time(need, finish_s, inputs.now) {
+    let token_gap_s = mean_token_gap(target, report, &load, inputs);
+    let first_token_s = backlog_s + prefill_s;
+    let finish_s = first_token_s + need.output_tokens * token_gap_s;
+    if !meets_deadline(need, finish_s, inputs.now) {
         return None;
     }
     Some(TargetEstimate {
@@ -323,53 +329,56 @@
         load: load.in_flight,
         uncached,
         first_token_s,
-        gap_s,
+        token_gap_s,
         finish_s,
-        delay_s: load.in_flight * read_s,
+        delay_s: load.in_flight * prefill_s,
     })
 }
 
-/// Tells whether the answer is expected in time, with a margin for what is unknown.
+/// Returns whether the answer is expected before its deadline, with a safety margin.
 ///
-/// A stream placed where it cannot end in time slows the others down until they miss
-/// their deadlines too; held back, it finds a less busy engine or is refused. A
-/// workspace beyond its due must leave more room: without it a flood of short answers
-/// fills every engine until the longer answers of others are in time nowhere.
-fn in_time(need: &PlacementNeed, finish_s: f64, now: MonoTime) -> bool {
-    let share_margin = (1.0 / need.share_factor).clamp(1.0, MOST_SHARE_MARGIN);
+/// A stream that cannot meet its deadline on an engine slows the others there until they
+/// miss theirs too; if it stays queued, it finds a less busy engine or is refused. A
+/// workspace above its fair share needs a larger margin: without it, a flood of short
+/// answers fills every engine until no engine can finish other workspaces' longer answers
+/// in time.
+fn meets_deadline(need: &PlacementNeed, finish_s: f64, now: MonoTime) -> bool {
+    let share_margin = (1.0 / need.share_factor).clamp(1.0, MAX_SHARE_MARGIN);
     let margin_s = finish_s * FINISH_MARGIN * share_margin;
-    let ends_at = now.plus(Duration::from_secs_f64(margin_s));
-    need.due.is_none_or(|due| ends_at <= due)
+    let expected_end = now.plus(Duration::from_secs_f64(margin_s));
+    need.deadline
+        .is_none_or(|deadline| expected_end <= deadline)
 }
 
-/// Seconds between tokens, over the times in which the engine reads prompts and those
-/// in which it does not.
-fn mean_gap(
+/// Returns the mean seconds between tokens, weighted by the share of time in which the
+/// engine also prefills prompts.
+fn mean_token_gap(
     target: &TargetView,
     report: &LoadReport,
     load: &EngineLoad,
     inputs: &PlacementInputs<'_>,
 ) -> f64 {
     let (costs, id) = (inputs.costs, &target.id);
-    let reading = costs.reading_share(id);
-    let quiet_s = costs.gap_seconds(id, report.role, load.in_flight);
-    let reading_s = costs.prefill_gap_seconds(id, report.role, load.in_flight);
-    (1.0 - reading) * quiet_s + reading * reading_s
+    let prefill_share = costs.prefill_time_share(id);
+    let decode_only_s = costs.token_gap_seconds(id, report.role, load.in_flight);
+    let with_prefill_s = costs.prefill_token_gap_seconds(id, report.role, load.in_flight);
+    (1.0 - prefill_share) * decode_only_s + prefill_share * with_prefill_s
 }
 
 fn uncached_tokens(need: &PlacementNeed, target: &TargetId, prefixes: &PrefixIndex) -> f64 {
     if need.shared_prefix.is_empty() {
         return need.prompt_tokens;
     }
-    let held = prefixes.expected_tokens(&need.shared_prefix, target);
-    let shared = held.min(f64::from(need.shared_prefix_tokens));
-    (need.prompt_tokens - shared).max(0.0)
+    let cached = prefixes.expected_tokens(&need.shared_prefix, target);
+    let cached_shared = cached.min(f64::from(need.shared_prefix_tokens));
+    (need.prompt_tokens - cached_shared).max(0.0)
 }
 
-/// Load of an engine now, from a report that lags and from own work since.
+/// Current load of an engine, from its last report and from this daemon's work since.
 ///
-/// The other daemons act on the same lagging reports. Without counting their share,
-/// every engine that looked free fills up several times over until the next report.
+/// The other daemons act on the same outdated reports. If their placements were not
+/// estimated too, each engine that looked free would be filled several times over before
+/// its next report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct EngineLoad {
     in_flight: f64,
@@ -379,47 +388,53 @@
 impl EngineLoad {
     fn of(target: &TargetView, report: &LoadReport, inputs: &PlacementInputs<'_>) -> Self {
         let age = inputs.now.since(report.taken_at);
-        let own = inputs.own.get(&target.id);
-        let own_running = own.map_or(0, |o| o.running.len()) as f64;
-        if age.as_millis() as u64 > REPORT_USELESS_MS {
-            return Self::from_own_work(own_running, inputs.live_daemons);
+        let local = inputs.local.get(&target.id);
+        let local_running = local.map_or(0, |work| work.running.len()) as f64;
+        if age.as_millis() as u64 > MAX_REPORT_AGE_MS {
+            return Self::from_local_work(local_running, inputs.live_daemons);
         }
-        let since = |at: MonoTime| at > report.taken_at;
-        let placed: Vec<&RunningJob> = own
-            .map(|o| o.running.iter().filter(|j| since(j.placed_at)).collect())
+        let is_since = |at: MonoTime| at > report.taken_at;
+        let placed: Vec<&RunningJob> = local
+            .map(|work| {
+                work.running
+                    .iter()
+                    .filter(|j| is_since(j.placed_at))
+                    .collect()
+            })
             .unwrap_or_default();
-        let ended = own.map_or(0, |o| {
-            let before = o.ended.iter().filter(|(placed, _)| !since(*placed));
-            before.filter(|(_, ended)| since(*ended)).count()
+        let ended = local.map_or(0, |work| {
+            let before = work.ended.iter().filter(|(placed, _)| !is_since(*placed));
+            before.filter(|(_, ended)| is_since(*ended)).count()
         }) as f64;
-        let others = 1.0 + ALIKE * (inputs.live_daemons.max(1) - 1) as f64;
-        let change = (placed.len() as f64 - ended) * others;
+        let daemon_factor = 1.0 + PEER_SIMILARITY * (inputs.live_daemons.max(1) - 1) as f64;
+        let change = (placed.len() as f64 - ended) * daemon_factor;
         let in_flight = f64::from(report.in_flight) + change;
-        let read = speed(inputs, target, report.role) * age.as_secs_f64();
-        let reported = (report.prefill_backlog_tokens as f64 - read).max(0.0);
+        let prefilled = prefill_rate(inputs, target, report.role) * age.as_secs_f64();
+        let reported = (report.prefill_backlog_tokens as f64 - prefilled).max(0.0);
         let added: f64 = placed.iter().map(|j| j.prefill_tokens).sum();
-        let added = (added * others - read).max(0.0);
+        let added = (added * daemon_factor - prefilled).max(0.0);
         Self {
-            in_flight: in_flight.max(own_running),
+            in_flight: in_flight.max(local_running),
             prefill_tokens: reported + added,
         }
     }
 
-    /// Without a useful report the other daemons are taken to be as busy as this one.
-    fn from_own_work(own_running: f64, live_daemons: usize) -> Self {
+    /// Without a usable report, assumes that each other daemon has as much work there as
+    /// this one.
+    fn from_local_work(local_running: f64, live_daemons: usize) -> Self {
         Self {
-            in_flight: own_running * live_daemons.max(1) as f64,
+            in_flight: local_running * live_daemons.max(1) as f64,
             prefill_tokens: 0.0,
         }
     }
 }
 
-fn speed(inputs: &PlacementInputs<'_>, target: &TargetView, role: EngineRole) -> f64 {
+fn prefill_rate(inputs: &PlacementInputs<'_>, target: &TargetView, role: EngineRole) -> f64 {
     1.0 / inputs.costs.prefill_seconds(&target.id, role, 1.0)
 }
 
-/// Returns the loaded model that fits the request, the last one listed first.
-fn fitting_model<'a>(
+/// Returns the last listed of the loaded models that satisfy the request.
+fn matching_model<'a>(
     loaded: &'a [String],
     model: &ModelName,
     need: &PlacementNeed,
@@ -436,7 +451,8 @@
     loaded.iter().rfind(fits).map(String::as_str)
 }
 
-/// A loaded model as engines name it: `MODEL`, `MODEL@VERSION`, `MODEL@VERSION+ADAPTER`.
+/// Label of a loaded model as engines report it: `MODEL`, `MODEL@VERSION` or
+/// `MODEL@VERSION+ADAPTER`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ModelLabel<'a> {
     /// Model.
@@ -448,7 +464,7 @@
 }
 
 impl<'a> ModelLabel<'a> {
-    /// Splits a label.
+    /// Splits a label into its parts.
     #[must_use]
     pub fn parse(label: &'a str) -> Self {
         let (base, adapter) = label.split_once('+').unwrap_or((label, ""));
@@ -461,5 +477,5 @@
     }
 }
 
-/// Shares a fleet view with the scheduler.
+/// A fleet view shared with the scheduler.
 pub type SharedFleet = Arc<FleetView>;
--- a/src/roles/plan_book.rs
+++ b/src/roles/plan_store.rs
@@ -1,6 +1,7 @@
-//! Keeps the fleet's plan of engine changes in the platform.
+//! Stores the planned engine changes of the fleet in the platform.
 //!
-//! Only the holder of the plan's lease writes it; holders of the groups carry it out.
+//! Only the holder of the plan's lease writes them; the holders of the groups' leases
+//! carry them out.
 
 use std::time::Duration;
 
@@ -14,85 +15,87 @@
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-const CALL_PAUSE: Duration = Duration::from_millis(500);
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The plan under one lease.
+/// The stored plan during one term of the plan's lease.
 #[derive(Clone, Debug)]
-pub struct PlanBook {
+pub struct PlanStore {
     fence: FenceNumber,
     version: ObjectVersion,
-    wanted: IndexMap<TargetId, EngineWish>,
+    planned_changes: IndexMap<TargetId, EngineWish>,
     stored: Option<IndexMap<TargetId, EngineWish>>,
     must_read: bool,
-    busy: bool,
+    call_in_flight: bool,
     call_at: MonoTime,
-    marks: u64,
+    write_count: u64,
     fenced_by: Option<FenceNumber>,
 }
 
-impl PlanBook {
-    /// Opens the plan for a lease just acquired. It starts empty: the last planner's
-    /// reasons are unknown, and what was ordered runs to its end by itself.
+impl PlanStore {
+    /// Creates an empty plan for a newly acquired lease: the reasons of the previous
+    /// planner are unknown, and changes already ordered complete on their own.
     #[must_use]
     pub fn new(fence: FenceNumber) -> Self {
         Self {
             fence,
             version: ObjectVersion(0),
-            wanted: IndexMap::new(),
+            planned_changes: IndexMap::new(),
             stored: None,
             must_read: true,
-            busy: false,
+            call_in_flight: false,
             call_at: MonoTime(0),
-            marks: 0,
+            write_count: 0,
             fenced_by: None,
         }
     }
 
-    /// Returns the fence the plan was opened with.
+    /// Returns the fence of the lease that the plan was created for.
     #[must_use]
     pub fn fence(&self) -> FenceNumber {
         self.fence
     }
 
-    /// Returns a later fence met in the object; the lease is lost then.
+    /// Returns the later fence found in the stored object; if there is one, the lease is
+    /// lost.
     #[must_use]
     pub fn fenced_by(&self) -> Option<FenceNumber> {
         self.fenced_by
     }
 
-    /// Returns the changes wanted.
+    /// Returns the planned changes.
     #[must_use]
-    pub fn wanted(&self) -> &IndexMap<TargetId, EngineWish> {
-        &self.wanted
+    pub fn planned_changes(&self) -> &IndexMap<TargetId, EngineWish> {
+        &self.planned_changes
     }
 
-    /// Adds a wish.
-    pub fn want(&mut self, target: TargetId, wish: EngineWish) {
-        self.wanted.insert(target, wish);
+    /// Adds a planned change.
+    pub fn add_change(&mut self, target: TargetId, wish: EngineWish) {
+        self.planned_changes.insert(target, wish);
     }
 
-    /// Keeps the wishes for which `keep` holds.
+    /// Keeps only the planned changes for which `keep` returns true.
     pub fn retain(&mut self, keep: impl Fn(&TargetId, &EngineWish) -> bool) {
-        self.wanted.retain(|target, wish| keep(target, wish));
+        self.planned_changes
+            .retain(|target, wish| keep(target, wish));
     }
 
-    /// Lets time pass.
+    /// Returns the next read or write to send, if one is due.
     pub fn tick(&mut self, now: MonoTime) -> Option<OrderAction> {
-        if self.busy || now < self.call_at {
+        if self.call_in_flight || now < self.call_at {
             return None;
         }
         if self.must_read {
-            self.busy = true;
+            self.call_in_flight = true;
             return Some(OrderAction::Read);
         }
-        (self.stored.as_ref() != Some(&self.wanted)).then(|| self.write())
+        (self.stored.as_ref() != Some(&self.planned_changes)).then(|| self.write())
     }
 
     fn write(&mut self) -> OrderAction {
-        self.marks += 1;
-        self.busy = true;
-        let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.marks);
-        let entries = self.wanted.iter().map(|(target, wish)| {
+        self.write_count += 1;
+        self.call_in_flight = true;
+        let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.write_count);
+        let entries = self.planned_changes.iter().map(|(target, wish)| {
             let entry = OrderEntry {
                 wish: wish.clone(),
                 phase: OrderPhase::Draining,
@@ -115,20 +118,20 @@
         }
     }
 
-    /// Notes what a read of the plan found.
+    /// Handles the result of a read of the plan.
     pub fn note_read(
         &mut self,
         result: &Result<Option<StoredObject>, PlatformError>,
         now: MonoTime,
     ) {
-        self.busy = false;
+        self.call_in_flight = false;
         let Ok(found) = result else {
-            self.call_at = now.plus(CALL_PAUSE);
+            self.call_at = now.plus(CALL_RETRY_DELAY);
             return;
         };
         let version = found.as_ref().map_or(ObjectVersion(0), |s| s.version);
         if version < self.version {
-            self.call_at = now.plus(CALL_PAUSE);
+            self.call_at = now.plus(CALL_RETRY_DELAY);
             return;
         }
         self.must_read = false;
@@ -138,17 +141,17 @@
         if record.fence > self.fence {
             self.fenced_by = Some(record.fence);
         }
-        let own = record.fence == self.fence;
-        self.stored = own.then(|| wishes_of(&record));
+        let is_same_lease = record.fence == self.fence;
+        self.stored = is_same_lease.then(|| planned_changes_of(&record));
     }
 
-    /// Notes the answer to a write.
+    /// Handles the result of a write.
     pub fn note_write(&mut self, result: &Result<ObjectVersion, PlatformError>, now: MonoTime) {
-        self.busy = false;
-        // A write that landed is read back: it may be older than what is wanted by now.
+        self.call_in_flight = false;
+        // The plan may have changed during the write, so the stored one is read back.
         self.must_read = true;
         if let Err(PlatformError::Unavailable { .. }) = result {
-            self.call_at = now.plus(CALL_PAUSE);
+            self.call_at = now.plus(CALL_RETRY_DELAY);
         }
         if let Ok(version) = result {
             self.version = *version;
@@ -156,9 +159,9 @@
     }
 }
 
-/// Returns the wishes in a plan or the changes in a group's record.
+/// Returns the engine changes in a stored record, of the plan or of a group.
 #[must_use]
-pub fn wishes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
+pub fn planned_changes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
     let entries = record.entries.iter();
     entries
         .map(|(target, entry)| (target.clone(), entry.wish.clone()))
