--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: follows the store and publishes what traffic reads.
+//! The control thread: follows the store and publishes the fleet view for the traffic thread.
 
 use std::future::pending;
 use std::io;
@@ -28,58 +28,58 @@
 use crate::target_life::TargetLife;
 use crate::timer::TimerService;
 
-/// How often what is remembered of ended entries and lives is cleared.
+/// Interval at which expired records of ended entries and incarnations are dropped.
 const TICK: Duration = Duration::from_millis(200);
-/// How often targets without an entry that still get work are told of.
+/// Interval at which targets that get work without an entry are reported.
 const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// Attempts to write the own record before it is left to the next change.
+/// Attempts to write this daemon's record; after that it is written with its next change.
 const RECORD_ATTEMPTS: u32 = 8;
 
-/// What others tell the control thread.
+/// Messages to the control thread.
 #[derive(Debug)]
 pub enum ControlNews {
-    /// A target was not at its address any more.
+    /// A target is no longer at its address.
     TargetDeparted(TargetLife),
-    /// Another daemon told of entries that began or ended.
+    /// Another daemon reported entries that were created or removed.
     EntryNotes(Vec<EntryNote>),
     /// Another daemon sent a configuration.
     PeerConfig {
-        /// Revision of the store's object.
+        /// Revision of the configuration object in the store.
         revision: u64,
-        /// Its value.
+        /// Value of that object.
         value: Vec<u8>,
     },
-    /// A hub passed on objects of the store.
+    /// A hub relayed objects of the store.
     PeerObjects(FeedObjects),
-    /// How this daemon is to follow the store.
+    /// New mode in which this daemon follows the store.
     Duty(WatchDuty),
     /// This daemon is stopping.
     Stopping,
 }
 
-/// What the control thread is started with.
+/// Arguments of [`start`].
 pub struct ControlSetup {
-    /// Adapter.
+    /// Ports of the adapter.
     pub ports: GatewayPorts,
-    /// Where to publish.
+    /// Cell that the fleet view is published in.
     pub cell: FleetCell,
-    /// Where to note that the store was heard.
+    /// Records when the store last answered.
     pub pulse: Arc<StorePulse>,
     /// This daemon's record.
     pub record: DaemonRecord,
-    /// How the store is followed at first.
+    /// Initial mode of following the store.
     pub duty: WatchDuty,
-    /// How often the configuration is asked for while nothing changes.
+    /// Longest waits of the configuration watch.
     pub pace: FollowPace,
 }
 
-/// Handle of the control thread.
+/// Handle of the running control thread.
 pub struct ControlLink {
-    /// Where traffic tells it something.
+    /// Sends messages to the control thread.
     pub news: mpsc::UnboundedSender<ControlNews>,
-    /// What it reads of the store, for hubs to pass on.
+    /// Objects that the control thread read from the store, for a hub to relay.
     pub relays: mpsc::UnboundedReceiver<FeedObjects>,
-    /// The thread; it ends when all senders of news are gone.
+    /// The thread; it ends when all senders of messages are dropped.
     pub thread: JoinHandle<()>,
 }
 
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error when no thread or no runtime can be had.
+/// Returns an error when the thread or its runtime cannot be created.
 pub fn start(setup: ControlSetup) -> io::Result<ControlLink> {
     let (news, inbox) = mpsc::unbounded_channel();
     let (relay, relays) = mpsc::unbounded_channel();
@@ -117,7 +117,7 @@
     targets_known: bool,
     own_record_seen: bool,
     pulse: Arc<StorePulse>,
-    // Revision of a configuration that could not be read and is not in force here.
+    // Revision of a configuration that could not be decoded and is not in force here.
     unread_config: Option<u64>,
 }
 
@@ -203,12 +203,12 @@
 }
 
 impl ControlState {
-    // Each request that meets the target tells of it.
+    // Every request that finds the target gone reports it, so only the first report counts.
     fn note_departed(&mut self, id: &TargetLife) -> bool {
         if self.registry.has_departed(id) {
             return false;
         }
-        log::info!(target_id = id.as_str(); "target is not at its address any more");
+        log::info!(target_id = id.as_str(); "target is no longer at its address");
         self.registry.depart(id, clock::mono_now());
         true
     }
@@ -237,7 +237,7 @@
         self.take_target(&object, EntrySource::Peer)
     }
 
-    // Whether a target's life began with the change.
+    // Returns whether the change is the start of a new incarnation of the target.
     fn take_target(&mut self, object: &StoredObject, source: EntrySource) -> bool {
         let now = clock::mono_now();
         let news = self.decode_target(object);
@@ -249,7 +249,7 @@
         begins
     }
 
-    // Told again and again: what is kept of a busy daemon's log may be its last seconds.
+    // Logged repeatedly: only the last seconds of a busy daemon's log may be kept.
     fn report_missing(&self) {
         let now = clock::mono_now();
         let missing = self.registry.missing();
@@ -259,7 +259,7 @@
             log::info!(
                 targets = missing.join(" "),
                 store_heard_ms = millis(self.pulse.age(now));
-                "targets without an entry get work"
+                "targets get work without an entry in the store"
             );
         }
     }
@@ -289,7 +289,7 @@
         self.take(news, EntrySource::Hub)
     }
 
-    // Whether the daemons were listed and the own record, seen before, is not there.
+    // Returns whether this daemon's record was seen before and is now missing.
     fn lost_own_record(&mut self, own: &DaemonId) -> bool {
         let holds = self.members.holds(own);
         let lost = self.own_record_seen && !holds;
@@ -297,7 +297,7 @@
         lost
     }
 
-    // Whether something changed that traffic has to see.
+    // Returns whether the published view has to change.
     fn take(&mut self, news: FeedNews, source: EntrySource) -> bool {
         let now = clock::mono_now();
         let answered = matches!(news, FeedNews::Listed(..) | FeedNews::Changed(..));
@@ -306,8 +306,8 @@
         }
         match news {
             FeedNews::Confirmed(at) => {
-                // Nothing is confirmed by an answer that could not be read: keys that it
-                // takes away would stay in force.
+                // An answer that could not be decoded confirms nothing: keys that it
+                // revokes would stay in force.
                 if self.routes.is_some() && self.unread_config.is_none() {
                     self.pulse.note_confirmed(at);
                 }
@@ -379,7 +379,7 @@
         true
     }
 
-    // An object beside the operator's one is somebody else's.
+    // Other objects of the same kind are not the operator's configuration.
     fn take_config(&mut self, object: &StoredObject) -> bool {
         let named = object.object.name == self.ports.schema.config_name;
         let value = object.value.as_ref().filter(|_| named);
@@ -398,7 +398,7 @@
             }
             Err(fault) => {
                 self.unread_config = self.unread_config.max(Some(revision));
-                log::error!(revision = revision; "configuration left out, the one before stays: {fault}");
+                log::error!(revision = revision; "configuration rejected, keeping the previous one: {fault}");
                 false
             }
         }
@@ -444,7 +444,7 @@
     }
 }
 
-// Keeps the own record in the store as it is wanted.
+// Writes this daemon's record to the store, and again with each change.
 async fn keep_record(ports: GatewayPorts, mut wanted: watch::Receiver<DaemonRecord>) {
     let object = ObjectName {
         kind: ports.schema.daemon_kind.clone(),
@@ -470,13 +470,13 @@
         };
         match (ports.store.write)(write).await {
             Ok(_) => return,
-            // The record of an earlier life; only this daemon writes under its name.
+            // A record of an earlier incarnation; only this daemon writes under its name.
             Err(PlatformError::Conflict { current }) => expected = current,
             Err(error) => {
-                log::warn!("own record not written: {error}");
+                log::warn!("could not write this daemon's record to the store: {error}");
                 pause(&mut backoff, LONGEST_BACKOFF).await;
             }
         }
     }
-    log::error!(attempts = RECORD_ATTEMPTS; "own record not written; others learn of this daemon late");
+    log::error!(attempts = RECORD_ATTEMPTS; "gave up writing this daemon's record until its next change; other daemons will discover this daemon late");
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread holds, and the life of the process.
+//! State of the traffic thread, and start and stop of the process.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -48,75 +48,75 @@
 use crate::telemetry;
 use crate::timer::TimerService;
 
-/// State of the traffic thread. Each part is borrowed for one step and never
-/// across a wait.
+/// State of the traffic thread. Each `RefCell` is borrowed for one step and never
+/// across an `await`.
 pub struct Gateway {
     settings: RefCell<Rc<GatewaySettings>>,
     /// Name of this daemon.
     pub daemon: DaemonId,
-    /// Adapter.
+    /// Ports of the adapter.
     pub ports: GatewayPorts,
-    /// What the control thread published.
+    /// Fleet view published by the control thread.
     pub fleet: FleetCell,
-    /// Kept connections.
+    /// Idle connections to targets.
     pub pool: Rc<RefCell<LinkPool>>,
-    /// What decisions rest on.
+    /// State that decisions are based on.
     pub core: RefCell<DecisionCore>,
     /// The other daemons.
     pub peers: RefCell<PeerBook>,
-    /// As of when the configuration is known to be the newest one.
+    /// Time at which the configuration was last confirmed to be the newest one.
     pub proofs: RefCell<ProofBook>,
-    /// Usage counted here and heard, and true time.
+    /// Usage counted locally and by peers, and true time.
     pub duties: RefCell<DutyBook>,
-    /// Whom to ask for places on engines.
+    /// Client for placement requests to hubs.
     pub placing: RefCell<PlacingDesk>,
-    /// What this daemon has placed as a hub.
+    /// Placements that this daemon has made as a hub.
     pub placements: RefCell<PlacementLog>,
-    /// Wakes up who tells the other hubs of it.
+    /// Wakes up the task that reports new placements to the other hubs.
     pub placed: Notify,
-    /// Hubs that are told of it.
+    /// Hubs that placements are reported to.
     pub other_hubs: RefCell<Vec<DaemonId>>,
-    /// Who is whose hub.
+    /// Which daemons are hubs, and of which members.
     pub hubs: RefCell<HubBook>,
-    /// Whether a hub is relied on for the store's objects.
+    /// Whether this daemon relies on a hub for the store's objects, and on which.
     pub joins: RefCell<FeedJoin>,
-    /// What is passed on by a hub: what engines came to hold, whom it tells of when.
+    /// Newly cached prompt parts that a hub relays, and their broadcast schedule.
     pub relayed: RefCell<RelayedNews>,
-    /// Which notes on entries were told when.
+    /// Broadcast schedule of entry changes.
     pub entry_turns: RefCell<EntryTurns>,
-    /// What own sends showed, to be told to the hub.
+    /// Work observed by local sends, to be reported to the hub.
     pub seen: RefCell<SeenWork>,
-    /// Own work as last told.
+    /// Local work as last sent to other daemons.
     pub last_hint_work: RefCell<WorkByTarget>,
-    /// The store's objects, to be passed on by a hub.
+    /// Objects of the store as last read, for a hub to relay.
     pub stock: RefCell<FeedStock>,
-    /// Changes of the store's objects for links to members.
+    /// Senders of the store's changes to the links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
     pub duty: Cell<WatchDuty>,
     /// When this daemon started.
     pub started: MonoTime,
-    /// When the store was last heard.
+    /// When the store last answered.
     pub pulse: Arc<StorePulse>,
-    /// Distinguishes this life of the daemon from others under its name.
+    /// Identifies this run of the daemon among all runs under its name.
     pub life: u64,
-    /// Engines that this daemon is changing.
+    /// Engines whose stage this daemon is changing.
     pub own_changing: RefCell<Vec<TargetLife>>,
-    /// Work that ended targets.
+    /// Work that crashed targets.
     pub crashes: RefCell<CrashBook>,
-    /// Held work as the store has it.
+    /// Quarantined work as recorded in the store.
     pub held: RefCell<HeldDesk>,
-    /// Wakes up requests that wait for a target, where work is held.
+    /// Wakes up requests that wait for a target when work is newly quarantined.
     pub newly_held: Notify,
-    /// Repeats.
+    /// Budget of retries.
     pub budget: RefCell<RepeatBudget>,
-    /// Draws.
+    /// Random number generator.
     pub rng: RefCell<SmallRng>,
     /// Whether the process is stopping.
     pub stopping: Cell<bool>,
-    /// Callers' connections that are open.
+    /// Number of open connections from callers.
     pub serving: Cell<usize>,
-    /// Where the control thread hears what traffic noticed.
+    /// Sends messages to the control thread.
     pub news: mpsc::UnboundedSender<ControlNews>,
 }
 
@@ -133,56 +133,56 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Returns the newest picture of the fleet.
+    /// Returns the newest snapshot of the fleet.
     #[must_use]
     pub fn view(&self) -> Arc<FleetView> {
         self.fleet.load_full()
     }
 
-    /// Tells the control thread that a target is no longer at its address.
+    /// Notifies the control thread that a target is no longer at its address.
     pub fn tell_departed(&self, target: &TargetLife) {
         // The control thread ends only with the process.
         let _ = self.news.send(ControlNews::TargetDeparted(target.clone()));
     }
 
-    /// Daemons that share the fleet's budgets, this one included.
+    /// Returns the number of daemons that share the fleet's budgets, this one included.
     #[must_use]
     pub fn daemon_count(&self) -> usize {
         self.view().daemons.len().max(1)
     }
 }
 
-/// Why a daemon could not run.
+/// Error that kept a daemon from starting.
 #[derive(Debug, Error)]
 pub enum DaemonFault {
-    /// A socket or a thread could not be had.
-    #[error("{what}: {error}; free the address or raise the limit")]
+    /// A socket or a thread could not be created.
+    #[error("cannot start {what}: {error}; free the address or raise the limit")]
     Start {
-        /// What was tried.
+        /// What could not be started.
         what: String,
-        /// What happened.
+        /// Error of the operating system.
         error: io::Error,
     },
     /// The metrics recorder could not be installed.
-    #[error("metrics: {0}")]
+    #[error("metrics recorder could not be installed: {0}")]
     Metrics(#[from] metrics_exporter_prometheus::BuildError),
 }
 
 /// Time after the request to stop during which connections are still accepted:
-/// callers keep the directory's answer for up to two seconds, and one that finds
-/// a closed port loses a try.
+/// callers cache the directory's answer for up to two seconds, and one that finds
+/// a closed port wastes an attempt.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
-/// Time before the end of the grace at which the process ends by itself.
+/// Time before the end of the grace period at which the process exits by itself.
 const END_MARGIN: Duration = Duration::from_millis(400);
-/// How often idle connections and old counts are swept.
+/// Interval at which idle connections and old counts are removed.
 const SWEEP: Duration = Duration::from_millis(500);
-/// How often the end of running requests is looked for while stopping.
+/// Interval at which a stopping daemon checks whether its running requests have ended.
 const END_CHECK: Duration = Duration::from_millis(50);
-/// Exit code of a process of which a part panicked.
+/// Exit code of a process in which a task panicked.
 const EXIT_PART_FAILED: i32 = 70;
-/// How often records of daemons that are gone are looked for.
+/// Interval at which records of daemons that are gone are removed.
 const RECORD_SWEEP: Duration = Duration::from_secs(20);
-/// How often recorded samples are compacted.
+/// Interval at which recorded metric samples are compacted.
 const METRICS_UPKEEP: Duration = Duration::from_secs(5);
 
 impl Gateway {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Whether callers may be sent to a daemon.
+    /// Returns whether callers may be directed to a daemon.
     #[must_use]
     pub fn is_usable(&self, daemon: &DaemonId) -> bool {
         if *daemon == self.daemon {
@@ -245,7 +245,7 @@
         self.peers.borrow().is_usable(daemon, clock::mono_now())
     }
 
-    /// Whether a daemon knows which keys are in force, as far as heard.
+    /// Returns whether a daemon knows which keys are in force, by its last report.
     #[must_use]
     pub fn daemon_confirms_keys(&self, daemon: &DaemonId) -> bool {
         if *daemon == self.daemon {
@@ -254,9 +254,9 @@
         self.peers.borrow().confirms_keys(daemon)
     }
 
-    // Instances are replaced for good, and nothing in the store expires by itself.
-    // One daemon removes the records of those that nobody heard for long; one that
-    // lives after all writes its record anew when it sees it gone.
+    // Replaced instances never return, and nothing in the store expires by itself. One
+    // daemon removes the records of daemons that have been unreachable for long. A daemon
+    // that is alive after all writes its record again when it finds it gone.
     async fn remove_left_records(&self) {
         if self.rank() != 0 || self.stopping.get() {
             return;
@@ -281,7 +281,7 @@
         let same = DaemonRecord::decode(&object.name, &value).is_ok_and(|r| r.life == record.life);
         if same {
             let removed = (self.ports.remove)((object, stored.version)).await;
-            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "record of a daemon that is gone");
+            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removing the record of a daemon that is gone");
         }
     }
 
@@ -306,21 +306,21 @@
     }
 }
 
-/// What a daemon is told from outside while it runs.
+/// Signals from outside to a running daemon.
 pub struct DaemonSignals<S> {
     /// Completes when the daemon is to stop.
     pub stop: S,
-    /// Asks for a look at the settings.
+    /// Requests a reload of the settings.
     pub reload: mpsc::UnboundedReceiver<()>,
-    /// Where the settings are.
+    /// Path of the settings file.
     pub settings_path: String,
 }
 
-/// Runs a gateway until its stop is asked for and its requests have ended.
+/// Runs a gateway until it is told to stop and its requests have ended.
 ///
 /// # Errors
 ///
-/// Returns what kept it from starting.
+/// Returns an error when the gateway cannot start.
 pub async fn run(
     settings: GatewaySettings,
     ports: GatewayPorts,
@@ -374,24 +374,24 @@
     Ok(())
 }
 
-// Callers that still hold this address are served and told to close; the others
-// have a new answer of the directory by the time the port closes.
-// A part that panics would leave a daemon that looks alive and decides without it,
-// for instance without knowing the other daemons' work. Ending the process is
-// enough: it is started again within seconds and keeps nothing that could be lost.
+// Without this, a daemon in which a task has panicked would look alive and decide
+// without that task's state, for instance without the other daemons' work. Exiting is
+// safe: the process is restarted within seconds and has no state that could be lost.
 fn supervise(part: &'static str, task: impl Future<Output = ()> + 'static) {
     let running = spawn_local(task);
     spawn_local(async move {
         if let Err(error) = running.await {
-            eprintln!("{part} ended ({error}); ending the process, to be started again");
+            eprintln!("task {part:?} ended unexpectedly ({error}); exiting to be restarted");
             std::process::exit(EXIT_PART_FAILED);
         }
     });
 }
 
+// Callers that still use this address are served, with `Connection: close`; the others
+// have received a new directory answer by the time the port closes.
 async fn stop_gracefully(gateway: &Gateway, close: &watch::Sender<bool>, grace: Duration) {
     let began = tokio::time::Instant::now();
-    log::info!(grace_ms = grace.as_millis() as u64; "stopping: running requests end first");
+    log::info!(grace_ms = grace.as_millis() as u64; "stopping after running requests have ended");
     gateway.stopping.set(true);
     // The control thread ends only with the process.
     let _ = gateway.news.send(ControlNews::Stopping);
@@ -464,7 +464,7 @@
 
 async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonFault> {
     let fault = |error| DaemonFault::Start {
-        what: format!("listening on {address}"),
+        what: format!("the listener on {address}"),
         error,
     };
     let listener = TcpListener::bind(address).await.map_err(fault)?;
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! What traffic reads of the fleet: routes, targets, other daemons.
+//! The traffic thread's view of the fleet: routes, targets, other daemons.
 
 use std::sync::Arc;
 
@@ -15,20 +15,20 @@
 /// Targets by the service that they offer.
 pub type TargetsByService = IndexMap<ServiceName, Vec<Arc<TargetRecord>>>;
 
-/// A consistent picture of the fleet, replaced whole.
+/// A consistent snapshot of the fleet, replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Newest configuration known; `None` until the first one arrived.
+    /// Newest known configuration; `None` until the first one arrives.
     pub routes: Option<Arc<RouteTable>>,
     /// Targets that may get work, by service.
     pub targets: TargetsByService,
-    /// Whether the targets were listed once.
+    /// Whether the targets have been listed at least once.
     pub targets_known: bool,
-    /// Revision and value of that configuration, for daemons that are behind.
+    /// Revision and value of that configuration, to be sent to daemons with an older one.
     pub config_source: Option<(u64, Arc<[u8]>)>,
-    /// Targets that announced their departure lately.
+    /// Targets that recently announced their departure.
     pub departed: Vec<TargetLife>,
-    /// Entries of targets that began or certainly ended lately.
+    /// Entries of targets that were recently created or are recently known to be gone.
     pub entry_notes: Vec<KeptNote>,
     /// Targets without an entry that still get work.
     pub missing: IndexMap<TargetLife, MissingEntry>,
@@ -37,19 +37,19 @@
 }
 
 impl FleetView {
-    /// Whether requests can be routed.
+    /// Returns whether requests can be routed.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.routes.is_some() && self.targets_known
     }
 
-    /// Targets of a service that may get work.
+    /// Returns the targets of a service that may get work.
     #[must_use]
     pub fn of_service(&self, service: &ServiceName) -> &[Arc<TargetRecord>] {
         self.targets.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a target may still get work.
+    /// Returns whether a target may still get work.
     #[must_use]
     pub fn holds(&self, target: &TargetLife) -> bool {
         self.find(target).is_some()
@@ -63,10 +63,9 @@
     }
 }
 
-/// Leaves out records that name no target of a configuration, whoever wrote them: those
-/// of services that it does not name, and entries without a stage among the engines of a
-/// service, which all tell theirs. Orders to change stages would go there, and work that
-/// comes back as a failure.
+/// Removes records that are not targets of the configuration, whoever wrote them: those of
+/// services that it does not name, and entries without a stage in a service whose engines
+/// all state theirs. Stage orders would be sent there, and requests that would then fail.
 pub fn leave_out_strangers(targets: &mut TargetsByService, routes: &RouteTable) {
     targets.retain(|service, records| {
         let Some(rule) = routes.service(service) else {
@@ -80,5 +79,5 @@
     });
 }
 
-/// Where the control thread publishes and traffic reads.
+/// Cell that the control thread publishes the view in and the traffic thread reads it from.
 pub type FleetCell = Arc<ArcSwap<FleetView>>;
--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -1,4 +1,4 @@
-//! Keeps a lease in the store for a part of the gateway that acts for the whole fleet.
+//! Maintains a lease in the store for a component of the gateway that acts for the whole fleet.
 
 use std::rc::Rc;
 
@@ -12,16 +12,16 @@
 use crate::names::{GroupName, MonoTime, ProcessIncarnation};
 use crate::ports::{ObjectVersion, PlatformError, StoredObject};
 
-/// What came of a call to the store.
+/// Result of a lease operation on the store.
 #[derive(Debug)]
 pub enum LeaseAnswer {
     /// The lease was read.
     Read(Result<Option<StoredObject>, PlatformError>),
-    /// The lease was written, with the mark of that write.
+    /// The lease was written; the string identifies that write.
     Written(String, Result<ObjectVersion, PlatformError>),
 }
 
-/// One lease, for which some daemons contend in a common order.
+/// One lease, for which some daemons contend in an order that all of them agree on.
 pub struct LeaseUpkeep {
     gateway: Rc<Gateway>,
     table: LeaseTable,
@@ -29,7 +29,7 @@
 }
 
 impl LeaseUpkeep {
-    /// Creates the upkeep of the lease of a group.
+    /// Creates the manager of a group's lease.
     #[must_use]
     pub fn new(gateway: Rc<Gateway>, group: &str, times: LeaseTimes) -> Self {
         let incarnation = ProcessIncarnation(gateway.life);
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Contends for the lease with a rank, or gives it up without one; `tell` gets what
-    /// came of the calls that this takes.
+    /// Contends for the lease with a rank, or gives it up without one; `on_result` receives
+    /// the results of the store calls that this makes.
     pub fn keep(
         &mut self,
         rank: Option<usize>,
         now: MonoTime,
-        tell: impl Fn(LeaseAnswer) + Clone + 'static,
+        on_result: impl Fn(LeaseAnswer) + Clone + 'static,
     ) {
         if self.gateway.stopping.get() {
             self.table.stop();
@@ -57,17 +57,17 @@
             .collect();
         self.table.set_groups(&ranks, now);
         for action in self.table.tick(now) {
-            self.act(action, tell.clone());
+            self.act(action, on_result.clone());
         }
         for news in self.table.take_news() {
-            log::info!(lease = self.group.as_str(), held = news.held, reason = news.reason.as_str(); "right to act for the fleet changed");
+            log::info!(lease = self.group.as_str(), held = news.held, reason = news.reason.as_str(); "lease to act for the whole fleet was acquired or lost");
         }
     }
 
-    fn act(&self, action: LeaseAction, tell: impl Fn(LeaseAnswer) + 'static) {
+    fn act(&self, action: LeaseAction, on_result: impl Fn(LeaseAnswer) + 'static) {
         let store = self.gateway.ports.store.clone();
         spawn_local(async move {
-            tell(match action {
+            on_result(match action {
                 LeaseAction::Read(group) => {
                     LeaseAnswer::Read((store.read)(lease_object(&group)).await)
                 }
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Takes what came of a call.
+    /// Processes the result of a store call.
     pub fn take(&mut self, answer: LeaseAnswer, now: MonoTime) {
         match answer {
             LeaseAnswer::Read(result) => self.table.note_read(&self.group, &result, now),
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Returns the right to act now, if this daemon has it.
+    /// Returns the authority to act now, if this daemon has it.
     #[must_use]
     pub fn authority(&self, now: MonoTime) -> Option<LeaseAuthority> {
         self.table.authority(&self.group, now)
     }
 
-    /// Whether this daemon holds the lease, also while it may not act by it.
+    /// Returns whether this daemon holds the lease, even while it may not act under it.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.table.held_groups().any(|held| *held == self.group)
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -1,4 +1,4 @@
-//! The daemons of the fleet: their records in the store and who takes callers.
+//! The daemons of the fleet: their records in the store.
 
 use std::net::SocketAddr;
 
@@ -8,54 +8,56 @@
 
 use crate::names::{CentreName, DaemonId};
 
-/// A daemon's own record, written when it starts and when it stops.
+/// A daemon's record in the store, which it writes when it starts and when it stops.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DaemonRecord {
     /// Name of the daemon; one record per name.
     pub id: DaemonId,
-    /// Distinguishes lives of a daemon of the same name.
+    /// Identifies this run of the daemon among all runs under its name.
     pub life: u64,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers: SocketAddr,
-    /// Where other daemons connect.
+    /// Address that other daemons connect to.
     pub peers: SocketAddr,
-    /// Where it runs.
+    /// Data centre that it runs in.
     pub centre: CentreName,
     /// Whether it is stopping.
     pub leaving: bool,
-    /// What its instance carries; 0 where that is not stated.
+    /// Capacity of its instance; 0 where not stated.
     #[serde(default)]
     pub strength: InstanceStrength,
 }
 
-/// What an instance carries, by what a hub needs most: its processor's time, then its
-/// link, then its memory.
+/// Capacity of an instance, ordered by what a hub needs most: CPU time, then network
+/// bandwidth, then memory.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct InstanceStrength {
-    /// Thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub core_thousandths: u32,
-    /// Megabits a second.
+    /// Network bandwidth, in megabits per second.
     pub link_mbps: u32,
-    /// Megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: u32,
 }
 
-/// A record that cannot be read.
+/// A daemon record that cannot be decoded.
 #[derive(Debug, Error)]
-#[error("daemon record {name:?} cannot be read ({reason}); it is left out, delete it if it stays")]
+#[error(
+    "ignoring daemon record {name:?}, which cannot be decoded ({reason}); delete it if it persists"
+)]
 pub struct RecordFault {
     /// Name of the object.
     pub name: String,
-    /// What is wrong.
+    /// Why it cannot be decoded.
     pub reason: String,
 }
 
 impl DaemonRecord {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the object.
+    /// Returns an error when the value is not a daemon record.
     pub fn decode(name: &str, value: &[u8]) -> Result<Self, RecordFault> {
         serde_json::from_slice(value).map_err(|error| RecordFault {
             name: name.to_owned(),
@@ -63,25 +65,25 @@
         })
     }
 
-    /// Writes the record as a value of the store.
+    /// Encodes the record as a value for the store.
     ///
     /// # Panics
     ///
-    /// Never: plain fields always encode.
+    /// Never: plain fields can always be encoded.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("plain fields encode")
+        serde_json::to_vec(self).expect("plain fields can be encoded")
     }
 }
 
-/// Records by name, as the store last showed them.
+/// Daemon records by name, as last read from the store.
 #[derive(Clone, Debug, Default)]
 pub struct MemberBook {
     records: IndexMap<String, DaemonRecord>,
 }
 
 impl MemberBook {
-    /// Takes a record or its deletion.
+    /// Sets a record, or removes it when it was deleted.
     pub fn set(&mut self, name: &str, record: Option<DaemonRecord>) {
         match record {
             Some(record) => {
@@ -93,18 +95,18 @@
         }
     }
 
-    /// Forgets everything before a whole listing.
+    /// Removes all records before a full listing is taken in.
     pub fn clear(&mut self) {
         self.records.clear();
     }
 
-    /// Whether a daemon has a record.
+    /// Returns whether a daemon has a record.
     #[must_use]
     pub fn holds(&self, daemon: &DaemonId) -> bool {
         self.records.contains_key(daemon.as_str())
     }
 
-    /// All records, in the order of their names, so that all daemons see the same order.
+    /// Returns all records sorted by name, so that all daemons see the same order.
     #[must_use]
     pub fn all(&self) -> Vec<DaemonRecord> {
         let mut all: Vec<_> = self.records.values().cloned().collect();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,12 +1,13 @@
-//! Plain-HTTP gateway: takes callers' requests on their own connections and
+//! Plain-HTTP gateway: accepts callers' requests on their own connections and
 //! forwards them to model engines and plain services.
 //!
-//! The gRPC interface keeps its own path (`requests`). Here each attempt of a
-//! caller arrives on one connection at one process, so nothing has to be recorded
-//! to run it at most once: one send whose outcome is unclear ends the attempt.
+//! The gRPC interface has its own code path (`requests`). Here each attempt of a
+//! caller arrives on one connection at one process, so at-most-once execution needs
+//! no record: a send with an unknown outcome ends the attempt.
 //!
-//! One thread carries traffic; the control thread (`control`) follows the object
-//! store and publishes a [`fleet::FleetView`], which traffic reads without waiting.
+//! One thread handles all traffic. The control thread (`control`) follows the object
+//! store and publishes a [`fleet::FleetView`], which the traffic thread reads without
+//! blocking.
 
 pub mod access;
 pub mod budget;
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -1,6 +1,7 @@
-//! Ports of the gateway: what an adapter translates between wire and gateway.
+//! Ports of the gateway: functions of an adapter that translate between wire and gateway.
 //!
-//! Each is a pure function, so a plain pointer to it; connections, waits and retries are the gateway's own.
+//! Encoding and decoding are pure functions, so plain function pointers suffice. Connections,
+//! timeouts and retries are handled by the gateway.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,20 +16,20 @@
 use crate::ports::{ObjectName, ObjectVersion, PlatformError, PlatformPort, PortCall};
 use crate::target_life::TargetLife;
 
-/// Something on the wire that cannot be read.
+/// A value on the wire that cannot be decoded.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{field}: found {found:?}; expected {expected}")]
 pub struct WireFault {
-    /// Field or header.
+    /// Name of the field or header.
     pub field: &'static str,
-    /// What stood there, shortened.
+    /// Value found, truncated.
     pub found: String,
-    /// What may stand there.
+    /// Values that are allowed.
     pub expected: &'static str,
 }
 
 impl WireFault {
-    /// Creates a fault; keeps the first 80 characters of what was found.
+    /// Creates an error; keeps the first 80 characters of the value found.
     #[must_use]
     pub fn new(field: &'static str, found: &str, expected: &'static str) -> Self {
         let found = found.chars().take(80).collect();
@@ -40,62 +41,62 @@
     }
 }
 
-/// Memory of a prompt that an engine read and keeps for another engine.
+/// KV cache of a prompt that one engine has prefilled and keeps for another engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CacheHandle {
-    /// Engine that keeps it.
+    /// Address of the engine that keeps it.
     pub holder: SocketAddr,
-    /// The holder's name for it.
+    /// Name that the holder gave it.
     pub name: String,
 }
 
-/// What a target is asked to do with a caller's request.
+/// How a target is to process a caller's request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SendMode {
     /// Run it from its beginning.
     Run,
-    /// Read the prompt only and keep its memory.
+    /// Prefill the prompt only and keep its KV cache.
     ReadPrompt,
-    /// Run it from the memory of a prompt read elsewhere.
+    /// Generate from the KV cache of a prompt that was prefilled on another engine.
     TakeOver(CacheHandle),
 }
 
 /// One send of a caller's request to a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SendOrder {
-    /// Target meant; any other one at its address refuses.
+    /// Intended target; another one at its address refuses the request.
     pub target: TargetLife,
     /// Time the target may spend.
     pub time_left: Duration,
-    /// What to do.
+    /// How to process it.
     pub mode: SendMode,
-    /// Last event already delivered, for a stream that goes on.
+    /// Last event already delivered, for a stream that is resumed.
     pub resume_after: Option<u64>,
-    /// Engine from which cached parts of the prompt are copied first.
+    /// Engine from which cached prompt parts are copied before the prefill.
     pub fetch_from: Option<SocketAddr>,
-    /// Rank at the engine, 0 to 9, 0 first; `None` leaves it to the engine.
+    /// Priority at the engine, 0 (first) to 9; `None` leaves it to the engine.
     pub rank: Option<u8>,
-    /// Whom it is for: targets are told the workspace, never the key.
+    /// Caller's workspace and key; targets receive the workspace, never the key.
     pub access: CallerAccess,
 }
 
-/// What an answer's head says beside its status.
+/// Metadata in the head of a target's answer, beside the status.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AnswerMarks {
-    /// Attempt that it answers, where it says so.
+    /// Attempt that it answers, if stated.
     pub request_id: Option<String>,
-    /// The target states that it has not run the request.
+    /// Whether the target states that it has not run the request.
     pub not_run: bool,
-    /// The request went astray: the target that answered is another one than was meant,
-    /// or does other work now. It has not run it.
+    /// Whether the request was misdirected: the target that answered is not the intended
+    /// one, or does other work now. It has not run the request.
     pub misdirected: bool,
-    /// Name of the target that answered, where it says so.
+    /// Name of the target that answered, if stated.
     pub answered_by: Option<TargetId>,
-    /// The answer bears the target's signature.
+    /// Whether the answer carries the target's signature.
     pub signed: bool,
 }
 
-/// A call to a target that carries no caller's request.
+/// An HTTP call to a target that does not carry a caller's request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetQuery {
     /// HTTP method.
@@ -111,157 +112,157 @@
 /// An order to an engine to change its stage.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineOrder {
-    /// Engine meant.
+    /// Intended engine.
     pub target: TargetLife,
-    /// Stage that it is to have.
+    /// New stage of the engine.
     pub stage: EngineStage,
-    /// Daemon that orders.
+    /// Daemon that sends the order.
     pub holder: DaemonId,
-    /// Fence of the holder's lease.
+    /// Fencing token of the holder's lease.
     pub fence: FenceNumber,
-    /// Orders that the engine must have taken before, or it refuses.
+    /// Number of orders that the engine must have accepted before; otherwise it refuses.
     pub orders_taken: u64,
 }
 
-/// What became of an order that was answered.
+/// Outcome of an order that was answered.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
     /// It is being carried out.
     Accepted,
-    /// The engine is as ordered already.
+    /// The engine already is in the ordered stage.
     Holds,
     /// It is not carried out.
     Refused(String),
 }
 
-/// What an engine reports of itself.
+/// Status report of an engine.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EngineReport {
     /// Its stage.
     pub stage: Option<EngineStage>,
     /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders taken since its start.
+    /// Number of orders accepted since its start.
     pub orders_taken: u64,
-    /// Its start on its own clock, where it tells it.
+    /// Start time on its own clock, if reported.
     pub born: Option<UnixTime>,
 }
 
-/// A caller's question which address to use.
+/// A caller's query for the addresses to use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DirectoryQuestion {
-    /// Data centre the caller is in, or an empty name.
+    /// Data centre of the caller, or an empty name.
     pub centre: CentreName,
 }
 
-/// Translation of requests and answers.
+/// Encoding and decoding of requests and answers.
 #[derive(Clone)]
 pub struct WirePort {
-    /// Reads what a caller's head says.
+    /// Decodes the headers of a caller's request.
     pub decode_caller: fn(&HeaderMap) -> Result<CallerRequest, WireFault>,
-    /// Makes the head of a send from the caller's head.
+    /// Builds the headers of a send from the caller's headers.
     pub encode_send: fn(&HeaderMap, &SendOrder) -> HeaderMap,
-    /// Reads what a target's head says.
+    /// Decodes the head of a target's answer.
     pub decode_answer: fn(StatusCode, &HeaderMap) -> AnswerMarks,
-    /// Reads the engine's name for the memory from the answer to [`SendMode::ReadPrompt`].
+    /// Decodes the name of the kept KV cache from the answer to [`SendMode::ReadPrompt`].
     pub decode_read: fn(&[u8]) -> Result<String, WireFault>,
-    /// Makes the call that frees a kept prompt.
+    /// Builds the call that frees a kept KV cache.
     pub free_handle: fn(&str) -> TargetQuery,
-    /// Makes an order.
+    /// Builds the call that carries an order.
     pub encode_order: fn(&EngineOrder) -> TargetQuery,
-    /// Reads the answer to an order.
+    /// Decodes the answer to an order.
     pub decode_order: fn(StatusCode, &[u8]) -> OrderOutcome,
-    /// Makes the question for an engine's report.
+    /// Builds the call that requests an engine's report.
     pub report_query: fn() -> TargetQuery,
-    /// Reads an engine's report.
+    /// Decodes an engine's report.
     pub decode_report: fn(&[u8]) -> Result<EngineReport, WireFault>,
-    /// Reads a question to the directory; `None` where the path is another one.
+    /// Decodes a directory query; `None` when the path is a different one.
     pub directory_question: fn(&Uri) -> Option<DirectoryQuestion>,
-    /// Makes the directory's answer from addresses and the time to keep them.
+    /// Encodes the directory's answer from addresses and the time to cache them.
     pub directory_answer: fn(&[SocketAddr], Duration) -> Bytes,
-    /// Whether a path asks if this daemon is ready.
+    /// Returns whether a path is that of the readiness check.
     pub is_ready_path: fn(&str) -> bool,
 }
 
-/// Objects of the store and what they hold.
+/// Kinds of objects in the store, and their decoding.
 #[derive(Clone)]
 pub struct StoreSchema {
     /// Kind of the configuration.
     pub config_kind: String,
-    /// Name of the configuration, the only object of its kind that counts.
+    /// Name of the configuration, the only object of its kind that is used.
     pub config_name: String,
     /// Kind of the targets' entries.
     pub target_kind: String,
-    /// Kind of the daemons' records, which is the gateway's own.
+    /// Kind of the daemons' records, which only the gateway uses.
     pub daemon_kind: String,
-    /// Kind of the records of held work, which is the gateway's own too.
+    /// Kind of the records of quarantined work, which only the gateway uses.
     pub held_kind: String,
-    /// Reads a configuration.
+    /// Decodes a configuration.
     pub decode_config: fn(&[u8]) -> Result<FleetConfig, WireFault>,
-    /// Reads a target's entry from its name and value.
+    /// Decodes a target's entry from its name and value.
     pub decode_target: fn(&str, &[u8]) -> Result<TargetRecord, WireFault>,
 }
 
-/// Who performs a duty of the whole fleet.
+/// Daemon that performs a fleet task, and its authority.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DutyCaller {
     /// The daemon.
     pub holder: DaemonId,
-    /// Fence of its lease.
+    /// Fencing token of its lease.
     pub fence: FenceNumber,
 }
 
-/// Requests that began in a window of true time, by workspace.
+/// Requests that began in a window of true time, counted by workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageReport {
     /// Number of the window.
     pub window: WindowNumber,
-    /// Its requests.
+    /// Request counts of the window.
     pub counts: WorkspaceCounts,
 }
 
-/// An order for so many servers of a kind, whatever there are.
+/// An order that sets the total number of servers of a kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ServerOrder {
-    /// Service that they offer.
+    /// Service that the servers offer.
     pub service: ServiceName,
-    /// Where.
+    /// Data centre of the servers.
     pub centre: CentreName,
-    /// How many.
+    /// Total number ordered.
     pub count: u32,
-    /// Whether the platform may take them away with little notice.
+    /// Whether the platform may reclaim them at short notice.
     pub reclaimable: bool,
 }
 
-/// What became of an order for servers.
+/// Outcome of an order for servers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
-    /// It is carried out.
+    /// The platform carries it out.
     Taken,
-    /// There are none of the kind at present.
+    /// No servers of the kind are available at present.
     NoneThere,
 }
 
-/// Calls to the platform that one daemon makes at a time.
+/// Calls to the platform that only one daemon may make at a time.
 #[derive(Clone)]
 pub struct DutyPort {
-    /// Reports the usage of a window; an exact repeat is taken as well.
+    /// Reports the usage of a window; an identical retry is accepted as well.
     pub report_usage: PortCall<(DutyCaller, UsageReport), Result<(), PlatformError>>,
     /// Orders servers.
     pub order_servers: PortCall<(DutyCaller, ServerOrder), Result<OrderAnswer, PlatformError>>,
 }
 
-/// Everything that the gateway needs from its adapter.
+/// All ports that the gateway needs from its adapter.
 #[derive(Clone)]
 pub struct GatewayPorts {
-    /// Requests and answers.
+    /// Encoding and decoding of requests and answers.
     pub wire: WirePort,
-    /// What the store's objects mean.
+    /// Kinds of objects in the store, and their decoding.
     pub schema: StoreSchema,
     /// The object store.
     pub store: PlatformPort,
-    /// Removes an object of the store if it has the version.
+    /// Deletes an object of the store if it has the given version.
     pub remove: PortCall<(ObjectName, ObjectVersion), Result<(), PlatformError>>,
-    /// Duties of one daemon at a time, where the platform asks for any.
+    /// Tasks that one daemon performs for the fleet, if the platform requires any.
     pub duties: Option<DutyPort>,
 }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Takes changed settings while the process runs.
+//! Reloads settings while the process runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::timer::TimerService;
 
-/// How often the file is looked at: it may change without a signal.
+/// Interval at which the file is checked: it may change without a signal.
 const LOOK_EVERY: Duration = Duration::from_secs(2);
 
-/// Follows the settings file until the process ends; each message asks for a look
-/// at once.
+/// Watches the settings file until the process ends; each message requests an immediate
+/// reload.
 pub async fn run(gateway: Rc<Gateway>, path: String, mut asked: mpsc::UnboundedReceiver<()>) {
     let timer = TimerService::start();
     let mut ticks = timer.every(LOOK_EVERY);
@@ -26,7 +26,7 @@
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) => {
-                log::warn!(path = path.as_str(); "settings cannot be read ({error}); those before stay");
+                log::warn!(path = path.as_str(); "settings file cannot be read ({error}); keeping the current settings");
                 continue;
             }
         };
@@ -39,19 +39,21 @@
 }
 
 impl Gateway {
-    /// Takes settings that may change while the process runs; a faulty text and
-    /// changes that need a new start are logged and left.
+    /// Applies settings that may change while the process runs. Invalid settings and
+    /// changes that require a restart are logged and ignored.
     pub fn take_settings(&self, text: &str) {
         let fresh = match GatewaySettings::parse(text) {
             Ok(fresh) => fresh,
             Err(fault) => {
-                log::error!("settings cannot be used, those before stay: {fault}");
+                log::error!("settings rejected, keeping the current ones: {fault}");
                 return;
             }
         };
         let before = self.settings();
         if !fresh.same_place(&before) {
-            log::warn!("name, addresses and store of a daemon change with its next start only");
+            log::warn!(
+                "changed settings ignored: a daemon's name, addresses and store change only with a restart"
+            );
             return;
         }
         let changed = fresh != *before;
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway process, in JSON.
+//! Settings of a gateway process, read from JSON.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use crate::gateway::store_follow::FollowPace;
 use crate::names::{CentreName, DaemonId};
 
-/// Settings that cannot be used.
+/// Error in the settings of a gateway process.
 #[derive(Debug, Error)]
 pub enum SettingsFault {
     /// The file cannot be read.
     #[error("settings {path:?} cannot be read ({reason}); name a readable file")]
     Unreadable {
-        /// Path tried.
+        /// Path of the file.
         path: String,
-        /// What happened.
+        /// Error of the operating system.
         reason: String,
     },
-    /// It is no JSON of the expected form.
-    #[error("settings are not as expected: {0}; compare with docs/SETTINGS.md")]
+    /// The text is not JSON of the expected form.
+    #[error("settings are not JSON of the expected form: {0}; compare with docs/SETTINGS.md")]
     Form(#[from] serde_json::Error),
     /// A value is out of its range.
     #[error("{field}: found {found}; expected {expected}")]
     Range {
-        /// Field.
+        /// Name of the field.
         field: &'static str,
         /// Value found.
         found: String,
-        /// What it may be.
+        /// Values that are allowed.
         expected: &'static str,
     },
 }
@@ -41,43 +41,43 @@
 /// Addresses that a process listens on.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct ListenSettings {
-    /// Callers' requests.
+    /// Address for callers' requests.
     pub callers: Option<SocketAddr>,
-    /// The question whether this process is ready.
+    /// Address of the readiness check.
     pub readiness: Option<SocketAddr>,
-    /// Callers' questions which address to use.
+    /// Address for callers' directory queries.
     pub directory: Option<SocketAddr>,
 }
 
-/// Bounds that the deployment states. Times are in the unit that the name ends with.
+/// Bounds stated by the deployment. Each name ends with the unit of its time.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct BoundSettings {
-    /// Time between the request to stop and the end of the process by force.
+    /// Time between the request to stop and the forced end of the process.
     pub stop_grace_s: f64,
-    /// Repeated sends per request, for all daemons together.
+    /// Retries per request, for all daemons together.
     pub repeat_ratio: f64,
-    /// Repeated sends per window beside the ratio, for all daemons together.
+    /// Retries per window in addition to the ratio, for all daemons together.
     pub repeat_allowance: f64,
-    /// Window in which repeats are counted.
+    /// Window in which retries are counted.
     pub repeat_window_s: f64,
-    /// Longest time that callers keep the directory's answer.
+    /// Longest time that callers cache the directory's answer.
     pub directory_keep_s: f64,
-    /// Time in which a change of the configuration has to be in force everywhere.
+    /// Time within which a configuration change must be in force on all daemons.
     #[serde(default = "default_change_ms")]
     pub config_within_ms: f64,
-    /// Time in which a target that announced its departure has to be left alone.
+    /// Time within which a target that announced its departure must stop getting work.
     #[serde(default = "default_change_ms")]
     pub departure_within_ms: f64,
-    /// Time between two writes of a target to its entry.
+    /// Interval at which a target writes its entry.
     #[serde(default = "default_target_heartbeat_ms")]
     pub target_heartbeat_ms: f64,
-    /// Time in which a key that is taken away must be refused by every daemon, also by
-    /// one that is cut off; without it keys are refused as other changes come into force.
+    /// Time within which every daemon, even one that is disconnected, must refuse a revoked
+    /// key; without it, revocations come into force like other configuration changes.
     #[serde(default)]
     pub revoked_within_ms: Option<f64>,
 }
 
-// The shortest time that a deployment has stated so far.
+// The shortest time stated by any deployment so far.
 fn default_change_ms() -> f64 {
     2_000.0
 }
@@ -86,59 +86,59 @@
     1_200.0
 }
 
-/// Writes that a target has missed for certain when its entry lapsed: the store removes it
-/// after three, and waits longer after its own return.
+/// Missed writes after which an ended target's entry has certainly lapsed: the store removes
+/// an entry after three, and waits longer after its own return.
 const LAPSE_HEARTBEATS: u32 = 8;
-/// Part of the time for a change after which a member no longer relies on its hub to hear
-/// of it. The rest is for a listing of its own.
+/// Fraction of the time allowed for a change after which a member no longer relies on its
+/// hub for changes. The rest is left for a listing of its own.
 const MEMBER_PART: f64 = 0.85;
-/// The same for a hub: earlier, so that it hears the store again before its members miss it.
+/// The same for a hub: shorter, so that it reaches the store before its members time out.
 const HUB_PART: f64 = 0.55;
-/// The same for the longest wait of a hub's watch: half of [`HUB_PART`], so that one watch
-/// that is answered late does not make the other hubs follow the store.
+/// The same for the longest wait of a hub's watch: about half of [`HUB_PART`], so that one
+/// late answer does not make the other hubs follow the store.
 const HEARTBEAT_PART: f64 = 0.3;
 
-/// Longest wait of any watch of the configuration.
+/// Longest wait of any configuration watch.
 const LONGEST_CONFIG_WAIT_MS: f64 = 60_000.0;
 
-/// For how long daemons rely on each other to hear of changes of the store.
+/// Times for which daemons rely on each other for changes of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RelayBounds {
-    /// Silence of the store after which a member follows it itself.
+    /// Time without contact to the store after which a member follows the store itself.
     pub member_silence: Duration,
-    /// Silence of the store after which a hub follows it itself.
+    /// Time without contact to the store after which a hub follows the store itself.
     pub hub_silence: Duration,
 }
 
-/// Part of the time for taking keys away for which a key counts as in force since the
-/// configuration that holds it was certainly the newest one. The rest is for answers of
-/// the store that are behind, and for a request's way here.
+/// Fraction of the revocation time for which a key is accepted after its configuration was
+/// last confirmed to be the newest one. The rest covers stale answers of the store and the
+/// transit time of a request.
 const KEY_TRUST_PART: f64 = 0.9;
-/// Longest wait of the watch by which a daemon that follows the store for itself confirms
-/// its keys, as a part of that time: two waits pass between two confirmations at most.
+/// Longest wait of the watch by which a daemon that follows the store itself confirms its
+/// keys, as a fraction of that time: at most two waits pass between two confirmations.
 const CONFIRM_PART: f64 = 0.3;
-/// The same for a hub, whose word takes up to three further hops of 0.2 s each.
+/// The same for a hub, whose confirmation takes up to three more hops of 0.2 s each.
 const HUB_CONFIRM_PART: f64 = 0.12;
 
-/// What the instance of a process carries; 0 stands for not stated.
+/// Capacity of the instance that a process runs on; 0 means not stated.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct InstanceLimits {
     /// Share of a core that the process may use.
     pub cpu_share: f64,
-    /// Speed of that core against a usual one.
+    /// Speed of that core relative to a typical one.
     pub core_speed: f64,
     /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// Link, in megabits a second.
+    /// Network bandwidth, in megabits per second.
     pub link_mbps: f64,
 }
 
 impl InstanceLimits {
-    /// Returns them as other daemons are told.
+    /// Returns the capacity as announced to other daemons.
     #[must_use]
     pub fn strength(&self) -> InstanceStrength {
-        // Casts of numbers below zero give zero.
+        // Casts of negative numbers saturate at zero.
         InstanceStrength {
             core_thousandths: (self.cpu_share * self.core_speed * 1_000.0) as u32,
             link_mbps: self.link_mbps as u32,
@@ -147,19 +147,19 @@
     }
 }
 
-/// Duties that one daemon performs for the fleet. Times are in the unit that the name
-/// ends with.
+/// Settings of the tasks that one daemon performs for the fleet. Each name ends with the
+/// unit of its time.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct DutySettings {
-    /// Where the platform takes calls.
+    /// Address of the platform.
     pub address: SocketAddr,
-    /// Length of a window of usage.
+    /// Length of a usage window.
     #[serde(default = "default_usage_window_s")]
     pub usage_window_s: f64,
-    /// Time after a window's end in which its report is due.
+    /// Time after a window's end within which its report is due.
     #[serde(default = "default_usage_due_s")]
     pub usage_due_s: f64,
-    /// Time within which no two daemons may act in turns.
+    /// Time within which no two daemons may act one after the other.
     #[serde(default = "default_turn_ms")]
     pub turn_ms: f64,
 }
@@ -177,19 +177,19 @@
 }
 
 impl DutySettings {
-    /// Returns the length of a window of usage.
+    /// Returns the length of a usage window.
     #[must_use]
     pub fn usage_window(&self) -> Duration {
         Duration::from_secs_f64(self.usage_window_s)
     }
 
-    /// Returns the time after a window's end in which its report is due.
+    /// Returns the time after a window's end within which its report is due.
     #[must_use]
     pub fn usage_due(&self) -> Duration {
         Duration::from_secs_f64(self.usage_due_s)
     }
 
-    /// Returns the time within which no two daemons may act in turns.
+    /// Returns the time within which no two daemons may act one after the other.
     #[must_use]
     pub fn turn_time(&self) -> Duration {
         Duration::from_secs_f64(self.turn_ms / 1_000.0)
@@ -205,30 +205,30 @@
 /// Settings of one process.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct GatewaySettings {
-    /// Name of this daemon; its record in the store bears it.
+    /// Name of this daemon, under which its record is stored.
     pub daemon: DaemonId,
     /// Address of this instance.
     pub ip: Ipv4Addr,
     /// Data centre of this instance.
     pub centre: CentreName,
-    /// Where to listen.
+    /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// First and last port that daemons may use among themselves.
+    /// First and last port for connections between daemons.
     pub internal_ports: (u16, u16),
-    /// The object store.
+    /// Address of the object store.
     pub store: SocketAddr,
     /// Bounds of the deployment.
     pub bounds: BoundSettings,
-    /// Duties of one daemon at a time, where the platform asks for any.
+    /// Tasks that one daemon performs for the fleet, if the platform requires any.
     #[serde(default)]
     pub duties: Option<DutySettings>,
-    /// What the instance carries.
+    /// Capacity of the instance.
     #[serde(default)]
     pub limits: InstanceLimits,
     /// Whether the whole fleet starts for the first time.
     #[serde(default)]
     pub first_start: bool,
-    /// Share of a service's engines that read prompts, from 0 to 1.
+    /// Share of a service's engines that are prefill engines, from 0 to 1.
     #[serde(default = "default_prefill_share")]
     pub prefill_share: f64,
     /// Weights of the choice of engines.
@@ -239,8 +239,8 @@
     pub log_level: String,
 }
 
-// Of 0.35 to 0.83, played on two deployments, this gave the most; more readers leave
-// too little memory for running requests, fewer let prompts wait.
+// With more prefill engines, the decode engines have too little memory for running
+// requests; with fewer, prompts queue. Best of 0.35 to 0.83 on two deployments.
 fn default_prefill_share() -> f64 {
     0.42
 }
@@ -254,7 +254,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is wrong and where.
+    /// Returns an error that names the file or the field at fault.
     pub fn load(path: &str) -> Result<Self, SettingsFault> {
         let text = std::fs::read_to_string(path).map_err(|error| SettingsFault::Unreadable {
             path: path.to_owned(),
@@ -263,11 +263,11 @@
         Self::parse(&text)
     }
 
-    /// Reads settings from text.
+    /// Parses settings.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong and where.
+    /// Returns an error that names the field at fault.
     pub fn parse(text: &str) -> Result<Self, SettingsFault> {
         let settings: Self = serde_json::from_str(text)?;
         settings.check()?;
@@ -309,7 +309,7 @@
         Ok(())
     }
 
-    /// Whether both are for the same daemon at the same addresses.
+    /// Returns whether both are for the same daemon at the same addresses.
     #[must_use]
     pub fn same_place(&self, other: &Self) -> bool {
         let ports = self.internal_ports == other.internal_ports;
@@ -317,7 +317,7 @@
         self.daemon == other.daemon && self.ip == other.ip && ports && store
     }
 
-    /// Returns the rule of the fleet's budget of repeats.
+    /// Returns the rule of the fleet's retry budget.
     #[must_use]
     pub fn budget_rule(&self) -> BudgetRule {
         BudgetRule {
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Returns for how long daemons rely on each other to hear of changes.
+    /// Returns the times for which daemons rely on each other for changes of the store.
     #[must_use]
     pub fn relay_bounds(&self) -> RelayBounds {
         let bounds = &self.bounds;
@@ -339,14 +339,14 @@
         }
     }
 
-    /// Returns the time after which the entry of a target that ended has lapsed for certain.
+    /// Returns the time after which the entry of an ended target has certainly lapsed.
     #[must_use]
     pub fn entry_lapse_time(&self) -> Duration {
         let heartbeat = Duration::from_secs_f64(self.bounds.target_heartbeat_ms / 1_000.0);
         heartbeat * LAPSE_HEARTBEATS
     }
 
-    /// Returns how often the configuration is asked for while nothing changes.
+    /// Returns the longest waits of the configuration watch.
     #[must_use]
     pub fn follow_pace(&self) -> FollowPace {
         let bounds = &self.bounds;
@@ -359,8 +359,8 @@
         }
     }
 
-    /// Returns how long a key counts as in force after the configuration that holds it was
-    /// certainly the newest one; `None` where that is not bounded.
+    /// Returns how long a key is accepted after its configuration was last confirmed to be
+    /// the newest one; `None` if that is not bounded.
     #[must_use]
     pub fn key_trust(&self) -> Option<Duration> {
         let revoked = self.bounds.revoked_within_ms?;
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -1,10 +1,10 @@
-//! Orders engines to change their stage, by one daemon at a time.
+//! Orders engines to change their stage, from one daemon at a time.
 //!
-//! The right to order is a lease in the store. It is taken only while a change is
-//! wanted and given up after it. Engines here do not check who orders them, so two
-//! daemons that order in turns would do harm that no later step mends: a daemon
-//! orders only well before its lease ends on its own clock, and a new holder waits
-//! until nothing of the one before can arrive any more.
+//! Only the holder of a lease in the store may send orders. The lease is acquired only
+//! while a change is planned and released afterwards. These engines do not check who
+//! sends an order, so conflicting orders of two daemons could not be corrected later.
+//! Therefore a holder sends orders only well before its lease ends on its own clock, and
+//! a new holder waits until no order of the previous one can still arrive.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,35 +28,35 @@
 use crate::target_life::TargetLife;
 use crate::timer::TimerService;
 
-/// Group of the lease: all engines together, so that there is one holder.
+/// Group of the lease: it covers all engines, so that there is one holder.
 const GROUP: &str = "engine-stages";
-/// How long a lease lasts. Long against a slow answer of the store.
+/// Duration of a lease: much longer than a slow answer of the store.
 const LEASE_TIME: Duration = Duration::from_secs(6);
-/// How long before its end the holder stops ordering.
+/// Time before the end of the lease at which the holder stops sending orders.
 const LEASE_GUARD: Duration = Duration::from_millis(2_500);
-/// Longest time that an order may be under way: unacknowledged bytes end their
-/// connection before.
+/// Longest time that an order may be in flight: a connection with unacknowledged bytes is
+/// closed earlier.
 const ORDER_FLIGHT: Duration = Duration::from_millis(3_000);
-/// Time between taking the lease and the first order. Within it another daemon's
-/// last order may still have arrived.
+/// Time between acquiring the lease and the first order: the last order of the previous
+/// holder may still arrive within it.
 const SETTLE_TIME: Duration = Duration::from_millis(3_500);
-/// How often the plan is looked at.
+/// Interval at which the plan is updated.
 const PLAN_EVERY: Duration = Duration::from_millis(250);
-/// Time between telling the other daemons of a change and the order, so that they
-/// send no more work to the engine.
+/// Time between announcing a change to the other daemons and the order, in which they stop
+/// sending work to the engine.
 const NOTICE_TIME: Duration = Duration::from_millis(500);
-/// Time for a report or an order.
+/// Timeout of a report or an order.
 const CALL_WAIT: Duration = Duration::from_millis(1_200);
-/// Largest report, in bytes.
+/// Largest accepted report, in bytes.
 const MOST_REPORT: usize = 1 << 20;
-/// Time after which an engine that took an order should show its new stage.
+/// Time within which an engine that accepted an order should show its new stage.
 const CHANGE_TIME: Duration = Duration::from_secs(9);
 /// Engines changed at once while requests are served.
 const CHANGES_AT_ONCE: usize = 2;
-/// Time that a change must be wanted before the lease is taken.
+/// Time for which a change must be planned before the lease is acquired.
 const WANTED_FOR: Duration = Duration::from_millis(1_500);
 
-/// A change under way.
+/// A change in progress.
 #[derive(Clone, Debug)]
 struct StageChange {
     stage: EngineStage,
@@ -119,8 +119,8 @@
         self.wanted_since = wanted.then(|| self.wanted_since.unwrap_or(now));
     }
 
-    // Only the first daemons in a common order contend for the lease, and only while
-    // a change is wanted: calls to the store cost.
+    // Only the first daemons in a common order contend for the lease, and only while a
+    // change is planned, because calls to the store have a price.
     fn update_lease(&mut self, now: MonoTime) {
         let wanted = self
             .wanted_since
@@ -131,7 +131,7 @@
         let results = self.results.clone();
         self.lease
             .keep(contends.then_some(rank), now, move |answer| {
-                // The desk ends only with the process.
+                // The receiver ends only with the process.
                 let _ = results.send(DeskNews::Lease(answer));
             });
         let held = self.lease.authority(now).is_some();
@@ -152,15 +152,15 @@
         result: &Result<OrderOutcome, SendFault>,
         now: MonoTime,
     ) {
-        log::info!(target_id = id.as_str(), stage = format!("{stage:?}"), outcome = format!("{result:?}"); "engine ordered to change its stage");
+        log::info!(target_id = id.as_str(), stage = format!("{stage:?}"), outcome = format!("{result:?}"); "ordered an engine to change its stage");
         metrics::counter!("pistachiowick_stage_orders_total").increment(1);
         let Some(change) = self.changes.get_mut(id) else {
             return;
         };
         change.busy = false;
         match result {
-            // An order without an answer may still be carried out, so the engine is
-            // treated as changing until it shows what it does.
+            // An order without an answer may still be carried out, so the engine counts as
+            // changing until its entry shows its stage.
             Ok(OrderOutcome::Accepted) | Err(SendFault::Unclear(_) | SendFault::Cut(_)) => {
                 change.ordered_at = Some(now);
             }
@@ -199,7 +199,7 @@
         wishes
     }
 
-    // An engine under change counts with the stage that it will have.
+    // An engine whose stage is changing counts with its new stage.
     fn as_changed(&self, engine: &Arc<TargetRecord>) -> Arc<TargetRecord> {
         match self.changes.get(&engine.id) {
             Some(change) => Arc::new(TargetRecord {
@@ -257,13 +257,13 @@
             let until = authority.until;
             spawn_local(async move {
                 let result = gateway.order_stage(&engine, stage, fence, until).await;
-                // The desk ends only with the process.
+                // The receiver ends only with the process.
                 let _ = results.send(DeskNews::Ordered(engine.id.clone(), stage, result));
             });
         }
     }
 
-    // A change is done when the engine shows its stage, has left, or took too long.
+    // A change is done when the engine shows the new stage, has left, or took too long.
     fn forget_done(&mut self, now: MonoTime) {
         let engines: Vec<Arc<TargetRecord>> =
             self.engines().into_iter().flat_map(|(_, e)| e).collect();
@@ -290,9 +290,9 @@
 const CONTENDERS: usize = 2;
 
 impl Gateway {
-    // Reads the engine's state first: the order names the number of orders that the
-    // engine has taken, so that an earlier order which is carried out late cannot
-    // undo this one, nor this one a later one.
+    // Reads the engine's report first: the order states how many orders the engine has
+    // accepted, so that an earlier order that is carried out late cannot undo this one,
+    // nor this one a later one.
     async fn order_stage(
         &self,
         engine: &TargetRecord,
@@ -302,9 +302,9 @@
     ) -> Result<OrderOutcome, SendFault> {
         let report = self.read_report(engine).await?;
         if report.born.is_some() && report.born != engine.id.born() {
-            // Its entry lags: the life that was to be changed has ended.
+            // The entry is stale: the incarnation that was to be changed has ended.
             self.tell_departed(&engine.id);
-            return Err(SendFault::NotSent("the engine started again".to_owned()));
+            return Err(SendFault::NotSent("the engine has restarted".to_owned()));
         }
         if report.stage == Some(stage) {
             return Ok(OrderOutcome::Holds);
@@ -315,7 +315,7 @@
             ));
         }
         if clock::mono_now().plus(CALL_WAIT) >= until {
-            return Err(SendFault::NotSent("the lease ends soon".to_owned()));
+            return Err(SendFault::NotSent("the lease is about to end".to_owned()));
         }
         let order = EngineOrder {
             target: engine.id.clone(),
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -1,20 +1,20 @@
-//! Whether the store was away, as far as this daemon's own calls tell.
+//! Detects outages of the store from the results of this daemon's own calls.
 //!
-//! Entries lapse while the store is away, and are back soon after its return. The return is
-//! the first answer to any call after failures, not the first answer that shows the entries:
-//! that one may come seconds later, on a connection that hung.
+//! Entries lapse during an outage and reappear soon after the store's return. The return is
+//! the first answer to any call after failures, not the first answer that shows the entries,
+//! which may come seconds later, on a connection that hung.
 
 use std::time::Duration;
 
 use crate::names::MonoTime;
 
-/// Time in which entries of living targets are back after the store's return: about two
-/// seconds, as the users state it, less the time in which a send reaches its target.
+/// Time within which entries of live targets reappear after the store's return: about two
+/// seconds, as stated by the users, less the time in which a send reaches its target.
 pub const REAPPEAR_TIME: Duration = Duration::from_millis(1_900);
-/// How long after its last failure the store counts as just returned. Where no call of this
-/// daemon is answered after the failure, it bounds the time from the return.
+/// Time after its last failure for which the store counts as just returned. It is the only
+/// bound while no call of this daemon has been answered since that failure.
 pub const RETURN_TIME: Duration = Duration::from_millis(2_500);
-/// Silence of the store that is too short for an entry to lapse.
+/// Shortest outage in which an entry can lapse.
 const SHORTEST_ABSENCE: Duration = Duration::from_millis(2_000);
 
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     returned_at: Option<MonoTime>,
 }
 
-/// What the calls to the store tell of it.
+/// Tracks outages of the store by the results of calls to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreContact {
     heard_at: Option<MonoTime>,
@@ -31,10 +31,10 @@
 }
 
 impl StoreContact {
-    /// Notes that a call that was begun at `asked` has failed.
+    /// Records that a call that was started at `asked` has failed.
     ///
-    /// A call that hung while others were answered shows a lost connection, not a store
-    /// that is away.
+    /// A call that hung while others were answered indicates a lost connection, not an
+    /// outage of the store.
     pub fn note_failure(&mut self, asked: MonoTime, now: MonoTime) {
         let heard_since = self
             .heard_at
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Notes an answer of the store.
+    /// Records an answer of the store.
     pub fn note_answer(&mut self, now: MonoTime) {
         if let Some(absence) = &mut self.absence {
             absence.returned_at.get_or_insert(now);
@@ -55,7 +55,8 @@
         self.heard_at = Some(now);
     }
 
-    /// Returns until when an entry that vanishes now may be back; `None` where it will not be.
+    /// Returns the time until which an entry that vanishes now may reappear; `None` if it is
+    /// not expected to.
     #[must_use]
     pub fn reappears_until(&self, now: MonoTime) -> Option<MonoTime> {
         let StoreAbsence {
@@ -67,7 +68,7 @@
         (now < until).then_some(until)
     }
 
-    /// Returns the time since a call last showed the store away.
+    /// Returns the time since the last failed call that indicated an outage.
     #[must_use]
     pub fn failed_for(&self, now: MonoTime) -> Option<Duration> {
         self.absence.map(|absence| now.since(absence.failed_at))
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -1,5 +1,5 @@
-//! Follows one kind of the store's objects: lists it, watches it, and lists it again
-//! when the watch cannot go on.
+//! Follows one kind of objects in the store: lists it, watches it, and lists it again when
+//! the watch cannot be resumed.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,34 +17,35 @@
 use crate::names::{MonoTime, millis};
 use crate::ports::{ObjectBatch, PlatformError, StoredObject, WatchQuery};
 
-/// Longest wait of one watch. A connection can fall silent without a reset; a
-/// watch that is not answered by then is begun anew on another connection, so this
-/// also bounds for how long a silent one goes unnoticed.
+/// Longest wait of one watch. A connection can stop responding without a reset. A watch
+/// that is not answered by then is restarted on another connection, so this also bounds
+/// how long a dead connection goes unnoticed.
 const WATCH_WAIT: Duration = Duration::from_millis(3_000);
-/// First pause after a failed call; doubles up to [`LONGEST_BACKOFF`].
+/// First backoff after a failed call; doubles up to [`LONGEST_BACKOFF`].
 pub(super) const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause after a failed call. Short, since a daemon that missed a
-/// configuration has to have it soon after the store returns.
+/// Longest backoff after a failed call. Short, because a daemon that missed a configuration
+/// must receive it soon after the store's return.
 pub(super) const LONGEST_BACKOFF: Duration = Duration::from_millis(800);
-/// The same for a member beside its hub. When the store is away for all, hubs ask often
-/// and tell their members of its return; 190 members that ask as often learn no more.
+/// The same for a member whose hub is reachable. While the store is unavailable to all, hubs
+/// poll it often and notify their members of its return; 190 members that poll as often
+/// learn nothing more.
 const LONGEST_MEMBER_BACKOFF: Duration = Duration::from_millis(3_000);
-/// Longest time for a listing of the configuration, one object: a listing begun on a
-/// connection that fell silent with the store must not outlast its return for long.
+/// Timeout of a listing of the configuration, a single object. A listing on a connection
+/// that died with the store must not continue long after the store's return.
 const CONFIG_LIST_WAIT: Duration = Duration::from_millis(1_500);
-/// Time between a member's first answer of the store after failures and its listings of
-/// the larger kinds: its hub mostly has them by then and passes them on.
+/// Time between the first answer that a member receives from the store after failures and
+/// its listings of the larger kinds: its hub mostly has them by then and relays them.
 const RETURN_PAUSE: Duration = Duration::from_millis(900);
 
-/// Wait of a watch after a failure: the answer tells when the store is back, which an
-/// answer that waits for a change does seconds later.
+/// Wait of a watch after a failure. The short wait shows at once when the store is back; a
+/// watch that waits for a change would show it seconds later.
 const RETURN_WAIT: Duration = Duration::from_millis(20);
-/// Pause after changes before more are asked for, so that many at once, as when a whole
-/// fleet starts, take a call together instead of one each. Calls are shared by all
-/// daemons and priced; the pause is a small part of the time in which a target's
-/// departure has to be acted on.
+/// Pause after changes before the next watch, so that many changes at once, as when a whole
+/// fleet starts, share a call instead of taking one each. Calls have a price, and all daemons
+/// share one budget of them. The pause is a small part of the time within which a target's
+/// departure must be acted on.
 const GATHER_PAUSE: Duration = Duration::from_millis(150);
-/// The same while a daemon starts: it waits for its hub, and a whole fleet writes
+/// The same while a daemon starts: it waits for its hub, and a starting fleet writes
 /// hundreds of records in this time.
 const START_GATHER_PAUSE: Duration = Duration::from_millis(400);
 
@@ -71,23 +72,23 @@
     }
 }
 
-/// What following the store brings.
+/// Events from following the store.
 #[derive(Debug)]
 pub enum FeedNews {
     /// All objects of a kind.
     Listed(Feed, Vec<StoredObject>),
     /// Objects that changed.
     Changed(Feed, Vec<StoredObject>),
-    /// The store did not answer a call that was begun at this moment.
+    /// A call that was started at this time has failed.
     Failed(MonoTime),
-    /// All that the store held of the configuration at this moment was told before.
+    /// Earlier events contain everything that the store held of the configuration at this time.
     Confirmed(MonoTime),
-    /// All changes of the targets' kind up to this revision were told before.
+    /// Earlier events contain all changes of targets' entries up to this revision.
     TargetsThrough(u64),
 }
 
 impl FeedNews {
-    /// What hubs pass on of it.
+    /// Returns the objects that a hub relays to its members, if any.
     #[must_use]
     pub fn relayed(&self) -> Option<FeedObjects> {
         let (feed, whole, objects) = match self {
@@ -113,29 +114,30 @@
     }
 }
 
-/// How a daemon follows the store.
+/// Mode in which a daemon follows the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WatchDuty {
-    /// Only the daemons' records, until it is known who follows it for whom: the whole
-    /// fleet starts, and each listing would be read by all at once.
+    /// Follows only the daemons' records until the hubs are known: the whole fleet is
+    /// starting, and all daemons would request each listing at once.
     Gathering,
-    /// The daemons' records; the other kinds are listed once, so that requests can be
-    /// served before a hub is heard.
+    /// Follows the daemons' records and lists the other kinds once, so that requests can be
+    /// served before a hub is reachable.
     Starting,
-    /// For itself, in a fleet without hubs.
+    /// Follows the store for itself, in a fleet without hubs.
     Alone,
-    /// For itself, as no hub is heard.
+    /// Follows the store for itself because no hub is reachable.
     WithoutHub,
-    /// For itself, as its hub is heard and does not hear the store either, so far.
+    /// Follows the store for itself because its hub, though reachable, has no contact to the
+    /// store either.
     BesideHub,
-    /// For the members of its data centre too.
+    /// Follows the store for itself and for the members of its data centre.
     ForOthers,
-    /// Not at all: a hub passes on what it reads.
+    /// Does not follow the store: a hub relays what it reads.
     Fed,
 }
 
 impl WatchDuty {
-    /// Returns the duty of a daemon that starts.
+    /// Returns the mode of a daemon that starts.
     #[must_use]
     pub fn at_start(first_start: bool) -> Self {
         if first_start {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Returns the duty's name in metrics.
+    /// Returns the mode's name in metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Whether a kind of objects is listed.
+    /// Returns whether a kind of objects is listed.
     #[must_use]
     pub fn lists(self, feed: Feed) -> bool {
         match self {
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Whether a kind of objects is watched.
+    /// Returns whether a kind of objects is watched.
     #[must_use]
     pub fn watches(self, feed: Feed) -> bool {
         match self {
@@ -181,8 +183,8 @@
         }
     }
 
-    // A hub asks for one kind often: those that rely on it have to notice within their
-    // bounds that it hears the store no more. So does whoever has to confirm keys.
+    // A hub polls the configuration often, so that its members notice in time when it loses
+    // contact to the store. So does a daemon that has to confirm keys.
     fn wait(self, feed: Feed, pace: FollowPace) -> Duration {
         match (self, feed) {
             (Self::ForOthers, Feed::Config) => pace.heartbeat,
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Returns the longest pause after a failed call.
+    /// Returns the longest backoff after a failed call.
     #[must_use]
     pub fn longest_backoff(self) -> Duration {
         match self {
@@ -208,21 +210,22 @@
     }
 }
 
-/// How often the configuration's kind is asked for while nothing changes.
+/// Longest waits of the configuration watch, which bound the time between two answers while
+/// nothing changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FollowPace {
-    /// Longest wait of the watch by which a hub hears of the store.
+    /// Longest wait for a hub, for whose members it serves as a heartbeat of the store.
     pub heartbeat: Duration,
-    /// The same for a daemon that follows the store for itself.
+    /// Longest wait for a daemon that follows the store for itself.
     pub config_wait: Duration,
 }
 
-/// When the store was last heard, by kind of object.
+/// Records when the store last answered and when the configuration was last confirmed.
 #[derive(Debug)]
 pub struct StorePulse {
     listed: [AtomicBool; 3],
     config_heard: watch::Sender<Option<MonoTime>>,
-    // Milliseconds on the own clock, one more than they are; 0 stands for never.
+    // Milliseconds on the local clock plus one; 0 means never.
     confirmed: AtomicU64,
 }
 
@@ -244,8 +247,8 @@
         }
     }
 
-    /// Time since the configuration's kind was heard, which is asked for most often;
-    /// the longest there is before all kinds were listed once.
+    /// Returns the time since the last answer for the configuration, the kind polled most
+    /// often; [`Duration::MAX`] until all kinds have been listed once.
     #[must_use]
     pub fn age(&self, now: MonoTime) -> Duration {
         let listed = self.listed.iter().all(|l| l.load(Ordering::Relaxed));
@@ -253,20 +256,21 @@
         heard.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// Notes that the published configuration was the newest one at a moment.
+    /// Records that the published configuration was the newest one at the given time.
     pub fn note_confirmed(&self, at: MonoTime) {
         self.confirmed
             .fetch_max(at.0.saturating_add(1), Ordering::Release);
     }
 
-    /// When the published configuration was the newest one, by the store's own word.
+    /// Returns the last time at which the store confirmed that the published configuration
+    /// was the newest one.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
         let confirmed = self.confirmed.load(Ordering::Acquire);
         confirmed.checked_sub(1).map(MonoTime)
     }
 
-    // Waits until the store was heard after a moment.
+    // Waits until the store has answered after the given time.
     async fn heard_after(&self, moment: MonoTime) {
         let mut heard = self.config_heard.subscribe();
         // The sender lives as long as this.
@@ -274,7 +278,7 @@
     }
 }
 
-/// Returns the store's name for a kind.
+/// Returns the name of a kind in the store.
 #[must_use]
 pub fn kind_of(ports: &GatewayPorts, feed: Feed) -> String {
     let schema = &ports.schema;
@@ -287,24 +291,24 @@
 
 /// Follows one kind of objects.
 pub struct Follower {
-    /// Adapter.
+    /// Ports of the adapter.
     pub ports: GatewayPorts,
-    /// Kind followed.
+    /// Kind of objects that is followed.
     pub feed: Feed,
-    /// The store's name for it.
+    /// Name of that kind in the store.
     pub kind: String,
-    /// Where news go.
+    /// Receives the events.
     pub news: mpsc::UnboundedSender<FeedNews>,
-    /// Whether to follow, and for whom.
+    /// Current mode of following the store.
     pub duty: watch::Receiver<WatchDuty>,
-    /// Where to note that the store was heard.
+    /// Records when the store last answered.
     pub pulse: Arc<StorePulse>,
-    /// How often the configuration is asked for while nothing changes.
+    /// Longest waits of the configuration watch.
     pub pace: FollowPace,
 }
 
 impl Follower {
-    /// Lists, then watches, and lists again when the watch cannot go on.
+    /// Lists, then watches, and lists again when the watch cannot be resumed.
     pub async fn run(mut self) {
         let mut backoff = FIRST_BACKOFF;
         let mut failing = false;
@@ -341,12 +345,12 @@
             .await
             .unwrap_or_else(|_| {
                 Err(PlatformError::Lost {
-                    reason: "no listing in time".to_owned(),
+                    reason: "configuration not listed in time".to_owned(),
                 })
             })
     }
 
-    // Watches until the store says that it cannot go on from here, or a hub does it.
+    // Watches until the store refuses to resume from the revision or a hub takes over.
     async fn watch_from(&mut self, mut since: u64) {
         let mut backoff = FIRST_BACKOFF;
         let mut failing = false;
@@ -377,7 +381,7 @@
                     }
                 }
                 Err(PlatformError::Refused { reason }) => {
-                    log::info!(kind = self.kind.as_str(), since = since; "watch cannot go on, listing again: {reason}");
+                    log::info!(kind = self.kind.as_str(), since = since; "watch cannot be resumed, listing again: {reason}");
                     return;
                 }
                 Err(error) => {
@@ -389,7 +393,7 @@
         }
     }
 
-    // Waits until this kind is to be watched; `None` when a hub passes it on instead.
+    // Waits until this kind is to be watched; `None` if a hub relays it instead.
     async fn duty_to_watch(&mut self) -> Option<WatchDuty> {
         let feed = self.feed;
         let decided = |duty: &WatchDuty| duty.watches(feed) || *duty == WatchDuty::Fed;
@@ -398,9 +402,9 @@
         duty.watches(feed).then_some(duty)
     }
 
-    // In a fleet with hubs, a member asks for one kind until the store answers. A pause ends
-    // where the duty changes: the next hub was a member that paused for long, and a store
-    // that is back would be heard by nobody of its data centre until that pause is over.
+    // In a fleet with hubs, a member polls only the configuration until the store answers. A
+    // pause ends when the mode changes: the next hub is a member in a long pause, and until
+    // it ended, nobody in its data centre would notice that the store is back.
     async fn pause_after_failure(&mut self, backoff: &mut Duration, begun: Instant) {
         let duty = *self.duty.borrow();
         let is_member = matches!(duty, WatchDuty::WithoutHub | WatchDuty::BesideHub);
@@ -432,8 +436,8 @@
             .increment(1);
     }
 
-    // Hands on what the store answered to a question that was sent at `asked`. The answer
-    // may have been under way for long; what it holds was true when it was asked for.
+    // Sends the store's answer to a call that was started at `asked`. The answer may have
+    // been in transit for long, but was valid at the time of the call.
     fn tell(&self, news: FeedNews, through: u64, asked: MonoTime) {
         self.pulse.note(self.feed);
         // The loop that receives this ends only with the thread.
@@ -455,20 +459,21 @@
     fn note_failure(&self, error: &PlatformError, asked: MonoTime) {
         metrics::counter!("pistachiowick_store_failures_total").increment(1);
         let took_ms = millis(clock::mono_now().since(asked));
-        log::warn!(kind = self.kind.as_str(), took_ms = took_ms; "store does not answer: {error}");
+        log::warn!(kind = self.kind.as_str(), took_ms = took_ms; "call to the store failed: {error}");
         let _ = self.news.send(FeedNews::Failed(asked));
     }
 }
 
-/// Waits like [`pause`], less the time that the failed call took: one that hung was a pause.
+/// Waits like [`pause`], less the time that the failed call took: a call that hung already
+/// was a pause.
 async fn pause_since(begun: Instant, backoff: &mut Duration, longest: Duration) {
     let mut left = backoff.saturating_sub(begun.elapsed()).max(FIRST_BACKOFF);
     pause(&mut left, longest).await;
     *backoff = (*backoff * 2).min(longest);
 }
 
-/// Waits and doubles the wait up to `longest`. It differs between daemons, so that they
-/// do not all come back in the same instant.
+/// Waits with jitter and doubles the wait up to `longest`. The jitter keeps daemons from
+/// retrying in the same instant.
 pub(super) async fn pause(backoff: &mut Duration, longest: Duration) {
     let part = rand::rng().random_range(0.5..1.0);
     sleep(backoff.mul_f64(part)).await;
