--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -13,15 +13,15 @@
 
 use crate::clock;
 use crate::gateway::fleet::{self, FleetCell, FleetView};
-use crate::gateway::members::{DaemonRecord, MemberBook};
+use crate::gateway::members::{DaemonRecord, DaemonTable};
 use crate::gateway::model::FleetConfig;
 use crate::gateway::peers::wire::FeedObjects;
 use crate::gateway::port::GatewayPorts;
 use crate::gateway::registry::{EntryContent, EntryNews, EntryNote, EntrySource, TargetRegistry};
 use crate::gateway::routes::RouteTable;
 use crate::gateway::store_follow::{
-    FIRST_BACKOFF, Feed, FeedNews, FollowPace, Follower, LONGEST_BACKOFF, StorePulse, WatchDuty,
-    kind_of, pause,
+    ConfigWatchWaits, Feed, FeedNews, INITIAL_BACKOFF, MAX_BACKOFF, StoreFollower, StorePulse,
+    WatchDuty, kind_of, sleep_with_backoff,
 };
 use crate::names::{DaemonId, MonoTime, TargetId, millis};
 use crate::ports::{ConditionalWrite, ObjectName, ObjectVersion, PlatformError, StoredObject};
@@ -29,11 +29,11 @@
 use crate::timer::TimerService;
 
 /// Interval at which expired records of ended entries and incarnations are dropped.
-const TICK: Duration = Duration::from_millis(200);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval at which targets that get work without an entry are reported.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Attempts to write this daemon's record; after that it is written with its next change.
-const RECORD_ATTEMPTS: u32 = 8;
+const MAX_RECORD_ATTEMPTS: u32 = 8;
 
 /// Messages to the control thread.
 #[derive(Debug)]
@@ -68,15 +68,15 @@
     /// This daemon's record.
     pub record: DaemonRecord,
     /// Initial mode of following the store.
-    pub duty: WatchDuty,
+    pub mode: WatchDuty,
     /// Longest waits of the configuration watch.
-    pub pace: FollowPace,
+    pub config_waits: ConfigWatchWaits,
 }
 
 /// Handle of the running control thread.
-pub struct ControlLink {
+pub struct ControlThread {
     /// Sends messages to the control thread.
-    pub news: mpsc::UnboundedSender<ControlNews>,
+    pub messages: mpsc::UnboundedSender<ControlNews>,
     /// Objects that the control thread read from the store, for a hub to relay.
     pub relays: mpsc::UnboundedReceiver<FeedObjects>,
     /// The thread; it ends when all senders of messages are dropped.
@@ -88,8 +88,8 @@
 /// # Errors
 ///
 /// Returns an error when the thread or its runtime cannot be created.
-pub fn start(setup: ControlSetup) -> io::Result<ControlLink> {
-    let (news, inbox) = mpsc::unbounded_channel();
+pub fn start(setup: ControlSetup) -> io::Result<ControlThread> {
+    let (messages, inbox) = mpsc::unbounded_channel();
     let (relay, relays) = mpsc::unbounded_channel();
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
@@ -100,8 +100,8 @@
             let local = LocalSet::new();
             local.block_on(&runtime, run(setup, inbox, relay));
         })?;
-    Ok(ControlLink {
-        news,
+    Ok(ControlThread {
+        messages,
         relays,
         thread,
     })
@@ -111,14 +111,14 @@
     ports: GatewayPorts,
     cell: FleetCell,
     registry: TargetRegistry,
-    members: MemberBook,
+    members: DaemonTable,
     routes: Option<Arc<RouteTable>>,
     config_source: Option<(u64, Arc<[u8]>)>,
     targets_known: bool,
     own_record_seen: bool,
     pulse: Arc<StorePulse>,
     // Revision of a configuration that could not be decoded and is not in force here.
-    unread_config: Option<u64>,
+    rejected_revision: Option<u64>,
 }
 
 async fn run(
@@ -126,48 +126,48 @@
     mut inbox: mpsc::UnboundedReceiver<ControlNews>,
     relay: mpsc::UnboundedSender<FeedObjects>,
 ) {
-    let (duty_sender, duty) = watch::channel(setup.duty);
-    let (feed_sender, mut feeds) = mpsc::unbounded_channel();
+    let (mode_sender, mode) = watch::channel(setup.mode);
+    let (event_sender, mut events) = mpsc::unbounded_channel();
     let (record_sender, record) = watch::channel(setup.record);
     for feed in [Feed::Config, Feed::Targets, Feed::Daemons] {
-        let follower = Follower {
+        let follower = StoreFollower {
             ports: setup.ports.clone(),
             feed,
             kind: kind_of(&setup.ports, feed),
-            news: feed_sender.clone(),
-            duty: duty.clone(),
+            events: event_sender.clone(),
+            mode: mode.clone(),
             pulse: setup.pulse.clone(),
-            pace: setup.pace,
+            config_waits: setup.config_waits,
         };
         spawn_local(follower.run());
     }
-    spawn_local(keep_record(setup.ports.clone(), record));
+    spawn_local(maintain_record(setup.ports.clone(), record));
     let mut state = ControlState {
         ports: setup.ports,
         cell: setup.cell,
         registry: TargetRegistry::default(),
-        members: MemberBook::default(),
+        members: DaemonTable::default(),
         routes: None,
         config_source: None,
         targets_known: false,
         own_record_seen: false,
         pulse: setup.pulse,
-        unread_config: None,
+        rejected_revision: None,
     };
     let timer = TimerService::start();
-    let mut ticks = timer.every(TICK);
-    let mut reports = timer.every(REPORT_EVERY);
+    let mut ticks = timer.every(EXPIRY_INTERVAL);
+    let mut reports = timer.every(REPORT_INTERVAL);
     loop {
         let changed = tokio::select! {
-            news = inbox.recv() => match news {
+            message = inbox.recv() => match message {
                 Some(ControlNews::TargetDeparted(id)) => state.note_departed(&id),
-                Some(ControlNews::EntryNotes(notes)) => state.take_notes(notes),
+                Some(ControlNews::EntryNotes(notes)) => state.apply_entry_notes(notes),
                 Some(ControlNews::PeerConfig { revision, value }) => {
-                    state.take_value(revision, &value)
+                    state.apply_config_value(revision, &value)
                 }
-                Some(ControlNews::PeerObjects(objects)) => state.take_relayed(objects),
-                Some(ControlNews::Duty(duty)) => {
-                    duty_sender.send_replace(duty);
+                Some(ControlNews::PeerObjects(objects)) => state.apply_relayed(objects),
+                Some(ControlNews::Duty(mode)) => {
+                    mode_sender.send_replace(mode);
                     false
                 }
                 Some(ControlNews::Stopping) => {
@@ -176,13 +176,13 @@
                 }
                 None => return,
             },
-            news = feeds.recv() => {
-                if let Some(objects) = news.as_ref().and_then(FeedNews::relayed) {
+            event = events.recv() => {
+                if let Some(objects) = event.as_ref().and_then(FeedNews::relayed) {
                     // The traffic thread ends only with the process.
                     let _ = relay.send(objects);
                 }
-                let changed = news.is_some_and(|news| state.take(news, EntrySource::Store));
-                if state.lost_own_record(&record_sender.borrow().id) {
+                let changed = event.is_some_and(|event| state.apply(event, EntrySource::Store));
+                if state.has_lost_own_record(&record_sender.borrow().id) {
                     record_sender.send_modify(|_| {});
                 }
                 changed
@@ -213,19 +213,21 @@
         true
     }
 
-    fn take_notes(&mut self, notes: Vec<EntryNote>) -> bool {
+    fn apply_entry_notes(&mut self, notes: Vec<EntryNote>) -> bool {
         let now = clock::mono_now();
         let mut changed = false;
         for note in notes {
             changed |= match note.value {
                 None => self.registry.take_end(&note.name, note.revision, now),
-                Some(value) => self.take_begun(&note.name, note.revision, value.into_vec()),
+                Some(value) => {
+                    self.apply_created_entry(&note.name, note.revision, value.into_vec())
+                }
             };
         }
         changed
     }
 
-    fn take_begun(&mut self, name: &TargetId, revision: u64, value: Vec<u8>) -> bool {
+    fn apply_created_entry(&mut self, name: &TargetId, revision: u64, value: Vec<u8>) -> bool {
         let object = StoredObject {
             object: ObjectName {
                 kind: String::new(),
@@ -234,15 +236,15 @@
             version: ObjectVersion(revision),
             value: Some(value),
         };
-        self.take_target(&object, EntrySource::Peer)
+        self.apply_target(&object, EntrySource::Peer)
     }
 
     // Returns whether the change is the start of a new incarnation of the target.
-    fn take_target(&mut self, object: &StoredObject, source: EntrySource) -> bool {
+    fn apply_target(&mut self, object: &StoredObject, source: EntrySource) -> bool {
         let now = clock::mono_now();
-        let news = self.decode_target(object);
-        let name = news.name.clone();
-        let begins = self.registry.take(news, source, now);
+        let change = self.decode_target(object);
+        let name = change.name.clone();
+        let begins = self.registry.take(change, source, now);
         if let Some(value) = object.value.as_ref().filter(|_| begins) {
             self.registry.note_begun(&name, value, now);
         }
@@ -264,7 +266,7 @@
         }
     }
 
-    fn take_relayed(&mut self, relayed: FeedObjects) -> bool {
+    fn apply_relayed(&mut self, relayed: FeedObjects) -> bool {
         let FeedObjects {
             feed,
             whole,
@@ -281,34 +283,34 @@
                 value: value.map(serde_bytes::ByteBuf::into_vec),
             });
         let stored = stored.collect();
-        let news = if whole {
+        let event = if whole {
             FeedNews::Listed(feed, stored)
         } else {
             FeedNews::Changed(feed, stored)
         };
-        self.take(news, EntrySource::Hub)
+        self.apply(event, EntrySource::Hub)
     }
 
     // Returns whether this daemon's record was seen before and is now missing.
-    fn lost_own_record(&mut self, own: &DaemonId) -> bool {
-        let holds = self.members.holds(own);
-        let lost = self.own_record_seen && !holds;
-        self.own_record_seen = holds;
+    fn has_lost_own_record(&mut self, own: &DaemonId) -> bool {
+        let present = self.members.contains(own);
+        let lost = self.own_record_seen && !present;
+        self.own_record_seen = present;
         lost
     }
 
     // Returns whether the published view has to change.
-    fn take(&mut self, news: FeedNews, source: EntrySource) -> bool {
+    fn apply(&mut self, event: FeedNews, source: EntrySource) -> bool {
         let now = clock::mono_now();
-        let answered = matches!(news, FeedNews::Listed(..) | FeedNews::Changed(..));
-        if answered && source == EntrySource::Store {
+        let is_answer = matches!(event, FeedNews::Listed(..) | FeedNews::Changed(..));
+        if is_answer && source == EntrySource::Store {
             self.registry.note_store_answer(now);
         }
-        match news {
+        match event {
             FeedNews::Confirmed(at) => {
                 // An answer that could not be decoded confirms nothing: keys that it
                 // revokes would stay in force.
-                if self.routes.is_some() && self.unread_config.is_none() {
+                if self.routes.is_some() && self.rejected_revision.is_none() {
                     self.pulse.note_confirmed(at);
                 }
                 false
@@ -317,8 +319,8 @@
                 self.registry.note_read_through(revision);
                 false
             }
-            FeedNews::Failed(asked) => {
-                self.registry.note_store_failure(asked, now);
+            FeedNews::Failed(called_at) => {
+                self.registry.note_store_failure(called_at, now);
                 false
             }
             FeedNews::Listed(Feed::Targets, objects) => {
@@ -330,19 +332,19 @@
             }
             FeedNews::Listed(Feed::Daemons, objects) => {
                 self.members.clear();
-                self.take_daemons(&objects)
+                self.apply_daemons(&objects)
             }
             FeedNews::Changed(Feed::Targets, objects) => {
                 for object in &objects {
-                    self.take_target(object, source);
+                    self.apply_target(object, source);
                 }
                 !objects.is_empty()
             }
-            FeedNews::Changed(Feed::Daemons, objects) => self.take_daemons(&objects),
+            FeedNews::Changed(Feed::Daemons, objects) => self.apply_daemons(&objects),
             FeedNews::Listed(Feed::Config, objects) | FeedNews::Changed(Feed::Config, objects) => {
                 let mut changed = false;
                 for object in &objects {
-                    changed |= self.take_config(object);
+                    changed |= self.apply_config_object(object);
                 }
                 changed
             }
@@ -356,7 +358,7 @@
             None => EntryContent::Gone,
             Some(value) => match decode(name, value) {
                 Ok(record) => EntryContent::Named(record),
-                Err(fault) => EntryContent::Unreadable(fault),
+                Err(error) => EntryContent::Unreadable(error),
             },
         };
         EntryNews {
@@ -366,12 +368,12 @@
         }
     }
 
-    fn take_daemons(&mut self, objects: &[StoredObject]) -> bool {
+    fn apply_daemons(&mut self, objects: &[StoredObject]) -> bool {
         for object in objects {
             let name = &object.object.name;
             let record = object.value.as_ref().and_then(|value| {
                 DaemonRecord::decode(name, value)
-                    .map_err(|fault| log::warn!("{fault}"))
+                    .map_err(|error| log::warn!("{error}"))
                     .ok()
             });
             self.members.set(name, record);
@@ -380,25 +382,27 @@
     }
 
     // Other objects of the same kind are not the operator's configuration.
-    fn take_config(&mut self, object: &StoredObject) -> bool {
+    fn apply_config_object(&mut self, object: &StoredObject) -> bool {
         let named = object.object.name == self.ports.schema.config_name;
         let value = object.value.as_ref().filter(|_| named);
-        value.is_some_and(|value| self.take_value(object.version.0, value))
+        value.is_some_and(|value| self.apply_config_value(object.version.0, value))
     }
 
-    fn take_value(&mut self, revision: u64, value: &[u8]) -> bool {
+    fn apply_config_value(&mut self, revision: u64, value: &[u8]) -> bool {
         match (self.ports.schema.decode_config)(value) {
             Ok(config) => {
-                self.unread_config = self.unread_config.filter(|unread| *unread > revision);
+                self.rejected_revision = self
+                    .rejected_revision
+                    .filter(|rejected| *rejected > revision);
                 let applied = self.apply_config(config, revision);
                 if applied {
                     self.config_source = Some((revision, Arc::from(value)));
                 }
                 applied
             }
-            Err(fault) => {
-                self.unread_config = self.unread_config.max(Some(revision));
-                log::error!(revision = revision; "configuration rejected, keeping the previous one: {fault}");
+            Err(error) => {
+                self.rejected_revision = self.rejected_revision.max(Some(revision));
+                log::error!(revision = revision; "configuration rejected, keeping the previous one: {error}");
                 false
             }
         }
@@ -445,15 +449,15 @@
 }
 
 // Writes this daemon's record to the store, and again with each change.
-async fn keep_record(ports: GatewayPorts, mut wanted: watch::Receiver<DaemonRecord>) {
+async fn maintain_record(ports: GatewayPorts, mut desired: watch::Receiver<DaemonRecord>) {
     let object = ObjectName {
         kind: ports.schema.daemon_kind.clone(),
-        name: wanted.borrow().id.to_string(),
+        name: desired.borrow().id.to_string(),
     };
     loop {
-        let record = wanted.borrow_and_update().clone();
+        let record = desired.borrow_and_update().clone();
         write_record(&ports, &object, &record).await;
-        if wanted.changed().await.is_err() {
+        if desired.changed().await.is_err() {
             return;
         }
     }
@@ -461,8 +465,8 @@
 
 async fn write_record(ports: &GatewayPorts, object: &ObjectName, record: &DaemonRecord) {
     let mut expected = ObjectVersion(0);
-    let mut backoff = FIRST_BACKOFF;
-    for _ in 0..RECORD_ATTEMPTS {
+    let mut backoff = INITIAL_BACKOFF;
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let write = ConditionalWrite {
             object: object.clone(),
             expected,
@@ -474,9 +478,9 @@
             Err(PlatformError::Conflict { current }) => expected = current,
             Err(error) => {
                 log::warn!("could not write this daemon's record to the store: {error}");
-                pause(&mut backoff, LONGEST_BACKOFF).await;
+                sleep_with_backoff(&mut backoff, MAX_BACKOFF).await;
             }
         }
     }
-    log::error!(attempts = RECORD_ATTEMPTS; "gave up writing this daemon's record until its next change; other daemons will discover this daemon late");
+    log::error!(attempts = MAX_RECORD_ATTEMPTS; "gave up writing this daemon's record until its next change; other daemons will discover this daemon late");
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -20,7 +20,7 @@
 use crate::clock;
 use crate::crashes::book::CrashBook;
 use crate::gateway::budget::RepeatBudget;
-use crate::gateway::control::{self, ControlLink, ControlNews, ControlSetup};
+use crate::gateway::control::{self, ControlNews, ControlSetup, ControlThread};
 use crate::gateway::deciding::DecisionCore;
 use crate::gateway::deciding::load::WorkByTarget;
 use crate::gateway::duties::{self, DutyBook};
@@ -173,17 +173,17 @@
 /// a closed port wastes an attempt.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
 /// Time before the end of the grace period at which the process exits by itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// Interval at which idle connections and old counts are removed.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which a stopping daemon checks whether its running requests have ended.
-const END_CHECK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Exit code of a process in which a task panicked.
-const EXIT_PART_FAILED: i32 = 70;
+const EXIT_TASK_PANICKED: i32 = 70;
 /// Interval at which records of daemons that are gone are removed.
-const RECORD_SWEEP: Duration = Duration::from_secs(20);
+const RECORD_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
 /// Interval at which recorded metric samples are compacted.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Gateway {
     /// Creates the state of the traffic thread.
@@ -257,14 +257,14 @@
     // Replaced instances never return, and nothing in the store expires by itself. One
     // daemon removes the records of daemons that have been unreachable for long. A daemon
     // that is alive after all writes its record again when it finds it gone.
-    async fn remove_left_records(&self) {
+    async fn remove_stale_records(&self) {
         if self.rank() != 0 || self.stopping.get() {
             return;
         }
         let view = self.view();
-        let silent = self.peers.borrow().long_silent(clock::mono_now());
-        let left = view.daemons.iter().filter(|d| silent.contains(&d.id));
-        for record in left {
+        let unreachable = self.peers.borrow().long_silent(clock::mono_now());
+        let stale = view.daemons.iter().filter(|d| unreachable.contains(&d.id));
+        for record in stale {
             self.remove_record(record).await;
         }
     }
@@ -278,8 +278,9 @@
             return;
         };
         let value = stored.value.unwrap_or_default();
-        let same = DaemonRecord::decode(&object.name, &value).is_ok_and(|r| r.life == record.life);
-        if same {
+        let same_incarnation =
+            DaemonRecord::decode(&object.name, &value).is_ok_and(|r| r.life == record.life);
+        if same_incarnation {
             let removed = (self.ports.remove)((object, stored.version)).await;
             log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removing the record of a daemon that is gone");
         }
@@ -333,7 +334,7 @@
     let listeners = open_listeners(&settings, &metrics).await?;
     let peer_listener = listen("peers", settings.peer_address()).await?;
     let life = rand::rng().random();
-    let record = own_record(&settings, &listeners, &peer_listener, life);
+    let record = build_record(&settings, &listeners, &peer_listener, life);
     let pulse = Arc::new(StorePulse::default());
     let duty = WatchDuty::at_start(settings.first_start);
     let setup = ControlSetup {
@@ -342,10 +343,10 @@
         pulse: pulse.clone(),
         record,
         duty,
-        pace: settings.follow_pace(),
+        config_waits: settings.follow_pace(),
     };
     let control = start_control(setup)?;
-    let mut gateway = Gateway::new(settings, ports, fleet, life, control.news);
+    let mut gateway = Gateway::new(settings, ports, fleet, life, control.messages);
     gateway.pulse = pulse;
     let gateway = Rc::new(gateway);
     let (close, closing) = watch::channel(false);
@@ -358,9 +359,9 @@
             closing,
         ));
     }
-    let linking = peers::run(gateway.clone(), peer_listener, control.relays);
-    supervise("peers", linking);
-    supervise("held work", held_work::run(gateway.clone()));
+    let peer_links = peers::run(gateway.clone(), peer_listener, control.relays);
+    supervise("peers", peer_links);
+    supervise("quarantined work", held_work::run(gateway.clone()));
     supervise("stages", stage_control::run(gateway.clone()));
     if let Some(duties) = gateway.settings().duties {
         supervise("duties", duties::run(gateway.clone(), duties));
@@ -377,12 +378,12 @@
 // Without this, a daemon in which a task has panicked would look alive and decide
 // without that task's state, for instance without the other daemons' work. Exiting is
 // safe: the process is restarted within seconds and has no state that could be lost.
-fn supervise(part: &'static str, task: impl Future<Output = ()> + 'static) {
+fn supervise(task_name: &'static str, task: impl Future<Output = ()> + 'static) {
     let running = spawn_local(task);
     spawn_local(async move {
         if let Err(error) = running.await {
-            eprintln!("task {part:?} ended unexpectedly ({error}); exiting to be restarted");
-            std::process::exit(EXIT_PART_FAILED);
+            eprintln!("task {task_name:?} ended unexpectedly ({error}); exiting to be restarted");
+            std::process::exit(EXIT_TASK_PANICKED);
         }
     });
 }
@@ -395,26 +396,26 @@
     gateway.stopping.set(true);
     // The control thread ends only with the process.
     let _ = gateway.news.send(ControlNews::Stopping);
-    let latest = began + grace.saturating_sub(END_MARGIN);
+    let latest = began + grace.saturating_sub(EXIT_MARGIN);
     tokio::time::sleep_until((began + ACCEPT_AFTER_STOP).min(latest)).await;
     close.send_replace(true);
     while gateway.serving.get() > 0 && tokio::time::Instant::now() < latest {
-        tokio::time::sleep(END_CHECK).await;
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    let left = gateway.serving.get();
-    log::info!(unfinished = left, took_ms = began.elapsed().as_millis() as u64; "stopped");
+    let unfinished = gateway.serving.get();
+    log::info!(unfinished = unfinished, took_ms = began.elapsed().as_millis() as u64; "stopped");
 }
 
-fn start_control(setup: ControlSetup) -> Result<ControlLink, DaemonFault> {
+fn start_control(setup: ControlSetup) -> Result<ControlThread, DaemonFault> {
     control::start(setup).map_err(|error| DaemonFault::Start {
         what: "the control thread".to_owned(),
         error,
     })
 }
 
-fn own_record(
+fn build_record(
     settings: &GatewaySettings,
-    listeners: &[OpenListener],
+    listeners: &[PageListener],
     peers: &TcpListener,
     life: u64,
 ) -> DaemonRecord {
@@ -435,7 +436,7 @@
     }
 }
 
-struct OpenListener {
+struct PageListener {
     listener: TcpListener,
     kind: PageKind,
 }
@@ -443,46 +444,46 @@
 async fn open_listeners(
     settings: &GatewaySettings,
     metrics: &PrometheusHandle,
-) -> Result<Vec<OpenListener>, DaemonFault> {
+) -> Result<Vec<PageListener>, DaemonFault> {
     let addresses = &settings.listen;
     let pages = || PageKind::Pages(metrics.clone());
-    let wanted = [
+    let configured = [
         ("metrics", Some(settings.metrics_address()), pages()),
         ("callers", addresses.callers, PageKind::Callers),
         ("readiness", addresses.readiness, pages()),
         ("directory", addresses.directory, pages()),
     ];
     let mut listeners = Vec::new();
-    for (name, address, kind) in wanted {
+    for (name, address, kind) in configured {
         if let Some(address) = address {
             let listener = listen(name, address).await?;
-            listeners.push(OpenListener { listener, kind });
+            listeners.push(PageListener { listener, kind });
         }
     }
     Ok(listeners)
 }
 
 async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonFault> {
-    let fault = |error| DaemonFault::Start {
+    let start_error = |error| DaemonFault::Start {
         what: format!("the listener on {address}"),
         error,
     };
-    let listener = TcpListener::bind(address).await.map_err(fault)?;
-    let bound = listener.local_addr().map_err(fault)?;
+    let listener = TcpListener::bind(address).await.map_err(start_error)?;
+    let bound = listener.local_addr().map_err(start_error)?;
     log::info!(pages = name, address = bound.to_string(); "listening");
     Ok(listener)
 }
 
 async fn upkeep(gateway: Rc<Gateway>, metrics: PrometheusHandle) {
     let timer = TimerService::start();
-    let mut removals = timer.every(RECORD_SWEEP);
-    let mut sweeps = timer.every(SWEEP);
-    let mut compactions = timer.every(METRICS_UPKEEP);
+    let mut removals = timer.every(RECORD_SWEEP_INTERVAL);
+    let mut sweeps = timer.every(SWEEP_INTERVAL);
+    let mut compactions = timer.every(METRICS_UPKEEP_INTERVAL);
     loop {
         tokio::select! {
             _ = sweeps.next() => gateway.sweep(),
             _ = compactions.next() => metrics.run_upkeep(),
-            _ = removals.next() => gateway.remove_left_records().await,
+            _ = removals.next() => gateway.remove_stale_records().await,
         }
     }
 }
--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -57,14 +57,14 @@
             .collect();
         self.table.set_groups(&ranks, now);
         for action in self.table.tick(now) {
-            self.act(action, on_result.clone());
+            self.execute(action, on_result.clone());
         }
         for news in self.table.take_news() {
             log::info!(lease = self.group.as_str(), held = news.held, reason = news.reason.as_str(); "lease to act for the whole fleet was acquired or lost");
         }
     }
 
-    fn act(&self, action: LeaseAction, on_result: impl Fn(LeaseAnswer) + 'static) {
+    fn execute(&self, action: LeaseAction, on_result: impl Fn(LeaseAnswer) + 'static) {
         let store = self.gateway.ports.store.clone();
         spawn_local(async move {
             on_result(match action {
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -45,7 +45,7 @@
 #[error(
     "ignoring daemon record {name:?}, which cannot be decoded ({reason}); delete it if it persists"
 )]
-pub struct RecordFault {
+pub struct RecordError {
     /// Name of the object.
     pub name: String,
     /// Why it cannot be decoded.
@@ -58,8 +58,8 @@
     /// # Errors
     ///
     /// Returns an error when the value is not a daemon record.
-    pub fn decode(name: &str, value: &[u8]) -> Result<Self, RecordFault> {
-        serde_json::from_slice(value).map_err(|error| RecordFault {
+    pub fn decode(name: &str, value: &[u8]) -> Result<Self, RecordError> {
+        serde_json::from_slice(value).map_err(|error| RecordError {
             name: name.to_owned(),
             reason: error.to_string(),
         })
@@ -78,11 +78,11 @@
 
 /// Daemon records by name, as last read from the store.
 #[derive(Clone, Debug, Default)]
-pub struct MemberBook {
+pub struct DaemonTable {
     records: IndexMap<String, DaemonRecord>,
 }
 
-impl MemberBook {
+impl DaemonTable {
     /// Sets a record, or removes it when it was deleted.
     pub fn set(&mut self, name: &str, record: Option<DaemonRecord>) {
         match record {
@@ -102,7 +102,7 @@
 
     /// Returns whether a daemon has a record.
     #[must_use]
-    pub fn holds(&self, daemon: &DaemonId) -> bool {
+    pub fn contains(&self, daemon: &DaemonId) -> bool {
         self.records.contains_key(daemon.as_str())
     }
 
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -10,18 +10,22 @@
 use crate::timer::TimerService;
 
 /// Interval at which the file is checked: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Watches the settings file until the process ends; each message requests an immediate
 /// reload.
-pub async fn run(gateway: Rc<Gateway>, path: String, mut asked: mpsc::UnboundedReceiver<()>) {
+pub async fn run(
+    gateway: Rc<Gateway>,
+    path: String,
+    mut reload_requests: mpsc::UnboundedReceiver<()>,
+) {
     let timer = TimerService::start();
-    let mut ticks = timer.every(LOOK_EVERY);
-    let mut known = std::fs::read_to_string(&path).unwrap_or_default();
+    let mut ticks = timer.every(CHECK_INTERVAL);
+    let mut current_text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
-        let by_signal = tokio::select! {
+        let is_requested = tokio::select! {
             _ = ticks.next() => false,
-            signal = asked.recv() => signal.is_some(),
+            signal = reload_requests.recv() => signal.is_some(),
         };
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
@@ -30,35 +34,35 @@
                 continue;
             }
         };
-        if text == known && !by_signal {
+        if text == current_text && !is_requested {
             continue;
         }
-        known = text;
-        gateway.take_settings(&known);
+        current_text = text;
+        gateway.apply_settings(&current_text);
     }
 }
 
 impl Gateway {
     /// Applies settings that may change while the process runs. Invalid settings and
     /// changes that require a restart are logged and ignored.
-    pub fn take_settings(&self, text: &str) {
-        let fresh = match GatewaySettings::parse(text) {
-            Ok(fresh) => fresh,
-            Err(fault) => {
-                log::error!("settings rejected, keeping the current ones: {fault}");
+    pub fn apply_settings(&self, text: &str) {
+        let updated = match GatewaySettings::parse(text) {
+            Ok(updated) => updated,
+            Err(error) => {
+                log::error!("settings rejected, keeping the current ones: {error}");
                 return;
             }
         };
-        let before = self.settings();
-        if !fresh.same_place(&before) {
+        let current = self.settings();
+        if !updated.same_identity(&current) {
             log::warn!(
                 "changed settings ignored: a daemon's name, addresses and store change only with a restart"
             );
             return;
         }
-        let changed = fresh != *before;
-        self.budget.borrow_mut().set_rule(fresh.budget_rule());
-        self.set_settings(fresh);
+        let changed = updated != *current;
+        self.budget.borrow_mut().set_rule(updated.budget_rule());
+        self.set_settings(updated);
         log::info!(changed = changed; "settings read again");
     }
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -9,7 +9,7 @@
 use crate::gateway::budget::BudgetRule;
 use crate::gateway::deciding::engine_choice::PlacementWeights;
 use crate::gateway::members::InstanceStrength;
-use crate::gateway::store_follow::FollowPace;
+use crate::gateway::store_follow::ConfigWatchWaits;
 use crate::names::{CentreName, DaemonId};
 
 /// Error in the settings of a gateway process.
@@ -91,19 +91,19 @@
 const LAPSE_HEARTBEATS: u32 = 8;
 /// Fraction of the time allowed for a change after which a member no longer relies on its
 /// hub for changes. The rest is left for a listing of its own.
-const MEMBER_PART: f64 = 0.85;
+const MEMBER_TIMEOUT_FRACTION: f64 = 0.85;
 /// The same for a hub: shorter, so that it reaches the store before its members time out.
-const HUB_PART: f64 = 0.55;
-/// The same for the longest wait of a hub's watch: about half of [`HUB_PART`], so that one
+const HUB_TIMEOUT_FRACTION: f64 = 0.55;
+/// The same for the longest wait of a hub's watch: about half of [`HUB_TIMEOUT_FRACTION`], so that one
 /// late answer does not make the other hubs follow the store.
-const HEARTBEAT_PART: f64 = 0.3;
+const HUB_WATCH_FRACTION: f64 = 0.3;
 
 /// Longest wait of any configuration watch.
-const LONGEST_CONFIG_WAIT_MS: f64 = 60_000.0;
+const MAX_CONFIG_WAIT_MS: f64 = 60_000.0;
 
 /// Times for which daemons rely on each other for changes of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct RelayBounds {
+pub struct RelayTimeouts {
     /// Time without contact to the store after which a member follows the store itself.
     pub member_silence: Duration,
     /// Time without contact to the store after which a hub follows the store itself.
@@ -113,12 +113,12 @@
 /// Fraction of the revocation time for which a key is accepted after its configuration was
 /// last confirmed to be the newest one. The rest covers stale answers of the store and the
 /// transit time of a request.
-const KEY_TRUST_PART: f64 = 0.9;
+const KEY_VALIDITY_FRACTION: f64 = 0.9;
 /// Longest wait of the watch by which a daemon that follows the store itself confirms its
 /// keys, as a fraction of that time: at most two waits pass between two confirmations.
-const CONFIRM_PART: f64 = 0.3;
+const CONFIRM_WATCH_FRACTION: f64 = 0.3;
 /// The same for a hub, whose confirmation takes up to three more hops of 0.2 s each.
-const HUB_CONFIRM_PART: f64 = 0.12;
+const HUB_CONFIRM_WATCH_FRACTION: f64 = 0.12;
 
 /// Capacity of the instance that a process runs on; 0 means not stated.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
@@ -195,7 +195,7 @@
         Duration::from_secs_f64(self.turn_ms / 1_000.0)
     }
 
-    fn check(&self) -> Result<(), SettingsFault> {
+    fn validate(&self) -> Result<(), SettingsFault> {
         positive("duties.usage_window_s", self.usage_window_s)?;
         positive("duties.usage_due_s", self.usage_due_s)?;
         positive("duties.turn_ms", self.turn_ms)
@@ -270,11 +270,11 @@
     /// Returns an error that names the field at fault.
     pub fn parse(text: &str) -> Result<Self, SettingsFault> {
         let settings: Self = serde_json::from_str(text)?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), SettingsFault> {
+    fn validate(&self) -> Result<(), SettingsFault> {
         let bounds = &self.bounds;
         positive("bounds.stop_grace_s", bounds.stop_grace_s)?;
         positive("bounds.repeat_window_s", bounds.repeat_window_s)?;
@@ -286,7 +286,7 @@
             positive("bounds.revoked_within_ms", revoked)?;
         }
         if let Some(duties) = &self.duties {
-            duties.check()?;
+            duties.validate()?;
         }
         let limits = &self.limits;
         not_negative("limits.cpu_share", limits.cpu_share)?;
@@ -311,7 +311,7 @@
 
     /// Returns whether both are for the same daemon at the same addresses.
     #[must_use]
-    pub fn same_place(&self, other: &Self) -> bool {
+    pub fn same_identity(&self, other: &Self) -> bool {
         let ports = self.internal_ports == other.internal_ports;
         let store = self.store == other.store && self.listen == other.listen;
         self.daemon == other.daemon && self.ip == other.ip && ports && store
@@ -329,13 +329,13 @@
 
     /// Returns the times for which daemons rely on each other for changes of the store.
     #[must_use]
-    pub fn relay_bounds(&self) -> RelayBounds {
+    pub fn relay_bounds(&self) -> RelayTimeouts {
         let bounds = &self.bounds;
         let within = bounds.config_within_ms.min(bounds.departure_within_ms);
-        let part = |part: f64| Duration::from_secs_f64(within * part / 1_000.0);
-        RelayBounds {
-            member_silence: part(MEMBER_PART),
-            hub_silence: part(HUB_PART),
+        let scaled = |fraction: f64| Duration::from_secs_f64(within * fraction / 1_000.0);
+        RelayTimeouts {
+            member_silence: scaled(MEMBER_TIMEOUT_FRACTION),
+            hub_silence: scaled(HUB_TIMEOUT_FRACTION),
         }
     }
 
@@ -348,14 +348,16 @@
 
     /// Returns the longest waits of the configuration watch.
     #[must_use]
-    pub fn follow_pace(&self) -> FollowPace {
+    pub fn follow_pace(&self) -> ConfigWatchWaits {
         let bounds = &self.bounds;
         let within = bounds.config_within_ms.min(bounds.departure_within_ms);
         let revoked = bounds.revoked_within_ms.unwrap_or(f64::INFINITY);
-        let wait = |ms: f64| Duration::from_secs_f64(ms.min(LONGEST_CONFIG_WAIT_MS) / 1_000.0);
-        FollowPace {
-            heartbeat: wait((within * HEARTBEAT_PART).min(revoked * HUB_CONFIRM_PART)),
-            config_wait: wait(revoked * CONFIRM_PART),
+        let wait = |ms: f64| Duration::from_secs_f64(ms.min(MAX_CONFIG_WAIT_MS) / 1_000.0);
+        ConfigWatchWaits {
+            heartbeat: wait(
+                (within * HUB_WATCH_FRACTION).min(revoked * HUB_CONFIRM_WATCH_FRACTION),
+            ),
+            standalone_wait: wait(revoked * CONFIRM_WATCH_FRACTION),
         }
     }
 
@@ -364,7 +366,9 @@
     #[must_use]
     pub fn key_trust(&self) -> Option<Duration> {
         let revoked = self.bounds.revoked_within_ms?;
-        Some(Duration::from_secs_f64(revoked * KEY_TRUST_PART / 1_000.0))
+        Some(Duration::from_secs_f64(
+            revoked * KEY_VALIDITY_FRACTION / 1_000.0,
+        ))
     }
 
     /// Returns the address that other daemons connect to.
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -29,32 +29,32 @@
 use crate::timer::TimerService;
 
 /// Group of the lease: it covers all engines, so that there is one holder.
-const GROUP: &str = "engine-stages";
+const LEASE_GROUP: &str = "engine-stages";
 /// Duration of a lease: much longer than a slow answer of the store.
-const LEASE_TIME: Duration = Duration::from_secs(6);
+const LEASE_DURATION: Duration = Duration::from_secs(6);
 /// Time before the end of the lease at which the holder stops sending orders.
 const LEASE_GUARD: Duration = Duration::from_millis(2_500);
 /// Longest time that an order may be in flight: a connection with unacknowledged bytes is
 /// closed earlier.
-const ORDER_FLIGHT: Duration = Duration::from_millis(3_000);
+const MAX_ORDER_FLIGHT: Duration = Duration::from_millis(3_000);
 /// Time between acquiring the lease and the first order: the last order of the previous
 /// holder may still arrive within it.
 const SETTLE_TIME: Duration = Duration::from_millis(3_500);
 /// Interval at which the plan is updated.
-const PLAN_EVERY: Duration = Duration::from_millis(250);
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between announcing a change to the other daemons and the order, in which they stop
 /// sending work to the engine.
-const NOTICE_TIME: Duration = Duration::from_millis(500);
+const ANNOUNCEMENT_TIME: Duration = Duration::from_millis(500);
 /// Timeout of a report or an order.
-const CALL_WAIT: Duration = Duration::from_millis(1_200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Largest accepted report, in bytes.
-const MOST_REPORT: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 /// Time within which an engine that accepted an order should show its new stage.
-const CHANGE_TIME: Duration = Duration::from_secs(9);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(9);
 /// Engines changed at once while requests are served.
-const CHANGES_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_CHANGES: usize = 2;
 /// Time for which a change must be planned before the lease is acquired.
-const WANTED_FOR: Duration = Duration::from_millis(1_500);
+const MIN_PLANNED_TIME: Duration = Duration::from_millis(1_500);
 
 /// A change in progress.
 #[derive(Clone, Debug)]
@@ -62,86 +62,87 @@
     stage: EngineStage,
     announced_at: MonoTime,
     ordered_at: Option<MonoTime>,
-    busy: bool,
+    in_flight: bool,
 }
 
-struct StageDesk {
+struct StageController {
     gateway: Rc<Gateway>,
     lease: LeaseUpkeep,
-    held_since: Option<MonoTime>,
-    wanted_since: Option<MonoTime>,
+    authority_since: Option<MonoTime>,
+    planned_since: Option<MonoTime>,
     changes: IndexMap<TargetLife, StageChange>,
-    results: mpsc::UnboundedSender<DeskNews>,
+    event_sender: mpsc::UnboundedSender<StageEvent>,
 }
 
-enum DeskNews {
+enum StageEvent {
     Lease(LeaseAnswer),
     Ordered(TargetLife, EngineStage, Result<OrderOutcome, SendFault>),
 }
 
 /// Runs until the process ends.
 pub async fn run(gateway: Rc<Gateway>) {
-    let (results, mut inbox) = mpsc::unbounded_channel();
+    let (event_sender, mut events) = mpsc::unbounded_channel();
     let times = LeaseTimes {
-        duration: LEASE_TIME,
+        duration: LEASE_DURATION,
         guard: LEASE_GUARD,
-        order_flight: ORDER_FLIGHT,
+        order_flight: MAX_ORDER_FLIGHT,
     };
-    let mut desk = StageDesk {
-        lease: LeaseUpkeep::new(gateway.clone(), GROUP, times),
+    let mut controller = StageController {
+        lease: LeaseUpkeep::new(gateway.clone(), LEASE_GROUP, times),
         gateway,
-        held_since: None,
-        wanted_since: None,
+        authority_since: None,
+        planned_since: None,
         changes: IndexMap::new(),
-        results,
+        event_sender,
     };
     let timer = TimerService::start();
-    let mut ticks = timer.every(PLAN_EVERY);
+    let mut ticks = timer.every(PLAN_INTERVAL);
     loop {
         tokio::select! {
-            _ = ticks.next() => desk.tick(clock::mono_now()),
-            Some(news) = inbox.recv() => desk.take(news, clock::mono_now()),
+            _ = ticks.next() => controller.tick(clock::mono_now()),
+            Some(event) = events.recv() => controller.take(event, clock::mono_now()),
         }
     }
 }
 
-impl StageDesk {
+impl StageController {
     fn tick(&mut self, now: MonoTime) {
-        self.forget_done(now);
-        let wishes = self.wishes();
-        self.note_wanted(!wishes.is_empty(), now);
+        self.drop_finished(now);
+        let planned_changes = self.planned_changes();
+        self.note_planned(!planned_changes.is_empty(), now);
         self.update_lease(now);
-        self.obey(wishes, now);
+        self.start_changes(planned_changes, now);
         self.publish();
     }
 
-    fn note_wanted(&mut self, wanted: bool, now: MonoTime) {
-        self.wanted_since = wanted.then(|| self.wanted_since.unwrap_or(now));
+    fn note_planned(&mut self, is_planned: bool, now: MonoTime) {
+        self.planned_since = is_planned.then(|| self.planned_since.unwrap_or(now));
     }
 
     // Only the first daemons in a common order contend for the lease, and only while a
     // change is planned, because calls to the store have a price.
     fn update_lease(&mut self, now: MonoTime) {
-        let wanted = self
-            .wanted_since
-            .is_some_and(|s| now.since(s) >= WANTED_FOR);
-        let busy = !self.changes.is_empty();
+        let planned = self
+            .planned_since
+            .is_some_and(|s| now.since(s) >= MIN_PLANNED_TIME);
+        let has_changes = !self.changes.is_empty();
         let rank = self.gateway.rank();
-        let contends = (wanted || busy) && rank < CONTENDERS && !self.gateway.stopping.get();
-        let results = self.results.clone();
+        let contends =
+            (planned || has_changes) && rank < LEASE_CONTENDERS && !self.gateway.stopping.get();
+        let event_sender = self.event_sender.clone();
         self.lease
             .keep(contends.then_some(rank), now, move |answer| {
                 // The receiver ends only with the process.
-                let _ = results.send(DeskNews::Lease(answer));
+                let _ = event_sender.send(StageEvent::Lease(answer));
             });
-        let held = self.lease.authority(now).is_some();
-        self.held_since = held.then(|| self.held_since.unwrap_or(now));
+        let has_authority = self.lease.authority(now).is_some();
+        self.authority_since = has_authority.then(|| self.authority_since.unwrap_or(now));
     }
 
-    fn take(&mut self, news: DeskNews, now: MonoTime) {
-        match news {
-            DeskNews::Lease(answer) => self.lease.take(answer, now),
-            DeskNews::Ordered(id, stage, result) => self.note_ordered(&id, stage, &result, now),
+    fn take(&mut self, event: StageEvent, now: MonoTime) {
+        match event {
+            StageEvent::Lease(answer) => self.lease.take(answer, now),
+            StageEvent::Ordered(id, stage, result) => self.note_ordered(&id, stage, &result, now),
         }
     }
 
@@ -157,7 +158,7 @@
         let Some(change) = self.changes.get_mut(id) else {
             return;
         };
-        change.busy = false;
+        change.in_flight = false;
         match result {
             // An order without an answer may still be carried out, so the engine counts as
             // changing until its entry shows its stage.
@@ -179,28 +180,28 @@
             .collect()
     }
 
-    fn wishes(&self) -> Vec<StageWish> {
-        let mut wishes = Vec::new();
+    fn planned_changes(&self) -> Vec<StageWish> {
+        let mut planned_changes = Vec::new();
         let share = self.gateway.settings().prefill_share;
         let idle = self.gateway.is_idle();
         let core = self.gateway.core.borrow();
         for (_, engines) in self.engines() {
             let after: Vec<Arc<TargetRecord>> =
-                engines.iter().map(|e| self.as_changed(e)).collect();
-            let wanted = stage_plan::wanted_readers(engines.len(), share);
+                engines.iter().map(|e| self.with_new_stage(e)).collect();
+            let prefill_count = stage_plan::wanted_readers(engines.len(), share);
             let at_once = if idle {
                 engines.len()
             } else {
-                CHANGES_AT_ONCE.saturating_sub(self.changes.len())
+                MAX_CONCURRENT_CHANGES.saturating_sub(self.changes.len())
             };
             let running = |id: &TargetLife| core.load.total(id).running;
-            wishes.extend(stage_plan::wishes(&after, running, wanted, at_once));
+            planned_changes.extend(stage_plan::wishes(&after, running, prefill_count, at_once));
         }
-        wishes
+        planned_changes
     }
 
     // An engine whose stage is changing counts with its new stage.
-    fn as_changed(&self, engine: &Arc<TargetRecord>) -> Arc<TargetRecord> {
+    fn with_new_stage(&self, engine: &Arc<TargetRecord>) -> Arc<TargetRecord> {
         match self.changes.get(&engine.id) {
             Some(change) => Arc::new(TargetRecord {
                 stage: Some(change.stage),
@@ -210,73 +211,73 @@
         }
     }
 
-    fn obey(&mut self, wishes: Vec<StageWish>, now: MonoTime) {
+    fn start_changes(&mut self, planned_changes: Vec<StageWish>, now: MonoTime) {
         let settled = self
-            .held_since
+            .authority_since
             .is_some_and(|since| now.since(since) >= SETTLE_TIME);
         if !settled {
             return;
         }
-        for wish in wishes {
-            if self.changes.contains_key(&wish.engine.id) {
+        for planned in planned_changes {
+            if self.changes.contains_key(&planned.engine.id) {
                 continue;
             }
             let change = StageChange {
-                stage: wish.stage,
+                stage: planned.stage,
                 announced_at: now,
                 ordered_at: None,
-                busy: false,
+                in_flight: false,
             };
-            self.changes.insert(wish.engine.id.clone(), change);
+            self.changes.insert(planned.engine.id.clone(), change);
         }
-        self.send_due(now);
+        self.send_due_orders(now);
     }
 
-    fn send_due(&mut self, now: MonoTime) {
+    fn send_due_orders(&mut self, now: MonoTime) {
         let Some(authority) = self.lease.authority(now) else {
             return;
         };
         let engines: Vec<Arc<TargetRecord>> =
             self.engines().into_iter().flat_map(|(_, e)| e).collect();
-        let notice = if self.gateway.is_idle() {
+        let announcement_time = if self.gateway.is_idle() {
             Duration::ZERO
         } else {
-            NOTICE_TIME
+            ANNOUNCEMENT_TIME
         };
         for (id, change) in &mut self.changes {
-            let waited = now.since(change.announced_at) >= notice;
-            if change.busy || change.ordered_at.is_some() || !waited {
+            let is_announced = now.since(change.announced_at) >= announcement_time;
+            if change.in_flight || change.ordered_at.is_some() || !is_announced {
                 continue;
             }
             let Some(engine) = engines.iter().find(|e| e.id == *id) else {
                 continue;
             };
-            change.busy = true;
-            let (gateway, results) = (self.gateway.clone(), self.results.clone());
+            change.in_flight = true;
+            let (gateway, event_sender) = (self.gateway.clone(), self.event_sender.clone());
             let (engine, stage, fence) = (engine.clone(), change.stage, authority.fence);
             let until = authority.until;
             spawn_local(async move {
                 let result = gateway.order_stage(&engine, stage, fence, until).await;
                 // The receiver ends only with the process.
-                let _ = results.send(DeskNews::Ordered(engine.id.clone(), stage, result));
+                let _ = event_sender.send(StageEvent::Ordered(engine.id.clone(), stage, result));
             });
         }
     }
 
     // A change is done when the engine shows the new stage, has left, or took too long.
-    fn forget_done(&mut self, now: MonoTime) {
+    fn drop_finished(&mut self, now: MonoTime) {
         let engines: Vec<Arc<TargetRecord>> =
             self.engines().into_iter().flat_map(|(_, e)| e).collect();
-        let has_lease = self.held_since.is_some();
+        let has_lease = self.authority_since.is_some();
         self.changes.retain(|id, change| {
             let Some(engine) = engines.iter().find(|e| e.id == *id) else {
                 return false;
             };
-            let shown = engine.stage == Some(change.stage) && change.ordered_at.is_some();
+            let is_visible = engine.stage == Some(change.stage) && change.ordered_at.is_some();
             let since = change.ordered_at.unwrap_or(change.announced_at);
-            let overdue = now.since(since) > CHANGE_TIME;
-            let dropped = change.ordered_at.is_none() && !change.busy && !has_lease;
-            !(shown || overdue || dropped)
+            let is_overdue = now.since(since) > CHANGE_TIMEOUT;
+            let is_abandoned = change.ordered_at.is_none() && !change.in_flight && !has_lease;
+            !(is_visible || is_overdue || is_abandoned)
         });
     }
 
@@ -287,7 +288,7 @@
 }
 
 /// Daemons that contend for the lease.
-const CONTENDERS: usize = 2;
+const LEASE_CONTENDERS: usize = 2;
 
 impl Gateway {
     // Reads the engine's report first: the order states how many orders the engine has
@@ -300,7 +301,7 @@
         fence: FenceNumber,
         until: MonoTime,
     ) -> Result<OrderOutcome, SendFault> {
-        let report = self.read_report(engine).await?;
+        let report = self.fetch_report(engine).await?;
         if report.born.is_some() && report.born != engine.id.born() {
             // The entry is stale: the incarnation that was to be changed has ended.
             self.tell_departed(&engine.id);
@@ -314,7 +315,7 @@
                 "another order is in progress".to_owned(),
             ));
         }
-        if clock::mono_now().plus(CALL_WAIT) >= until {
+        if clock::mono_now().plus(CALL_TIMEOUT) >= until {
             return Err(SendFault::NotSent("the lease is about to end".to_owned()));
         }
         let order = EngineOrder {
@@ -329,7 +330,7 @@
         Ok((self.ports.wire.decode_order)(head.status, &body))
     }
 
-    async fn read_report(&self, engine: &TargetRecord) -> Result<EngineReport, SendFault> {
+    async fn fetch_report(&self, engine: &TargetRecord) -> Result<EngineReport, SendFault> {
         let query = (self.ports.wire.report_query)();
         let (_, body) = self.call_target(engine, query).await?;
         (self.ports.wire.decode_report)(&body).map_err(|e| SendFault::NotSent(e.to_string()))
@@ -340,9 +341,9 @@
         engine: &TargetRecord,
         query: TargetQuery,
     ) -> Result<(http::response::Parts, bytes::Bytes), SendFault> {
-        let until = Instant::now() + CALL_WAIT;
+        let until = Instant::now() + CALL_TIMEOUT;
         let request = query_request(engine, query);
         let mut link = HttpLink::open(engine.address, until).await?;
-        client::call(&mut link, &request, MOST_REPORT, until).await
+        client::call(&mut link, &request, MAX_REPORT_BYTES, until).await
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -13,12 +13,12 @@
 pub const REAPPEAR_TIME: Duration = Duration::from_millis(1_900);
 /// Time after its last failure for which the store counts as just returned. It is the only
 /// bound while no call of this daemon has been answered since that failure.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_500);
+pub const RETURN_WINDOW: Duration = Duration::from_millis(2_500);
 /// Shortest outage in which an entry can lapse.
-const SHORTEST_ABSENCE: Duration = Duration::from_millis(2_000);
+const MIN_OUTAGE: Duration = Duration::from_millis(2_000);
 
 #[derive(Clone, Copy, Debug)]
-struct StoreAbsence {
+struct StoreOutage {
     failed_at: MonoTime,
     returned_at: Option<MonoTime>,
 }
@@ -26,21 +26,21 @@
 /// Tracks outages of the store by the results of calls to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreContact {
-    heard_at: Option<MonoTime>,
-    absence: Option<StoreAbsence>,
+    answered_at: Option<MonoTime>,
+    outage: Option<StoreOutage>,
 }
 
 impl StoreContact {
-    /// Records that a call that was started at `asked` has failed.
+    /// Records that a call that was started at `called_at` has failed.
     ///
     /// A call that hung while others were answered indicates a lost connection, not an
     /// outage of the store.
-    pub fn note_failure(&mut self, asked: MonoTime, now: MonoTime) {
-        let heard_since = self
-            .heard_at
-            .is_some_and(|heard| asked <= heard && now.since(heard) < SHORTEST_ABSENCE);
-        if !heard_since {
-            self.absence = Some(StoreAbsence {
+    pub fn note_failure(&mut self, called_at: MonoTime, now: MonoTime) {
+        let answered_since = self
+            .answered_at
+            .is_some_and(|answered| called_at <= answered && now.since(answered) < MIN_OUTAGE);
+        if !answered_since {
+            self.outage = Some(StoreOutage {
                 failed_at: now,
                 returned_at: None,
             });
@@ -49,28 +49,28 @@
 
     /// Records an answer of the store.
     pub fn note_answer(&mut self, now: MonoTime) {
-        if let Some(absence) = &mut self.absence {
-            absence.returned_at.get_or_insert(now);
+        if let Some(outage) = &mut self.outage {
+            outage.returned_at.get_or_insert(now);
         }
-        self.heard_at = Some(now);
+        self.answered_at = Some(now);
     }
 
     /// Returns the time until which an entry that vanishes now may reappear; `None` if it is
     /// not expected to.
     #[must_use]
     pub fn reappears_until(&self, now: MonoTime) -> Option<MonoTime> {
-        let StoreAbsence {
+        let StoreOutage {
             failed_at,
             returned_at,
-        } = self.absence?;
-        let returned = returned_at.unwrap_or(now).plus(REAPPEAR_TIME);
-        let until = returned.min(failed_at.plus(RETURN_TIME));
+        } = self.outage?;
+        let return_bound = returned_at.unwrap_or(now).plus(REAPPEAR_TIME);
+        let until = return_bound.min(failed_at.plus(RETURN_WINDOW));
         (now < until).then_some(until)
     }
 
     /// Returns the time since the last failed call that indicated an outage.
     #[must_use]
     pub fn failed_for(&self, now: MonoTime) -> Option<Duration> {
-        self.absence.map(|absence| now.since(absence.failed_at))
+        self.outage.map(|outage| now.since(outage.failed_at))
     }
 }
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -20,34 +20,34 @@
 /// Longest wait of one watch. A connection can stop responding without a reset. A watch
 /// that is not answered by then is restarted on another connection, so this also bounds
 /// how long a dead connection goes unnoticed.
-const WATCH_WAIT: Duration = Duration::from_millis(3_000);
-/// First backoff after a failed call; doubles up to [`LONGEST_BACKOFF`].
-pub(super) const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(3_000);
+/// First backoff after a failed call; doubles up to [`MAX_BACKOFF`].
+pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest backoff after a failed call. Short, because a daemon that missed a configuration
 /// must receive it soon after the store's return.
-pub(super) const LONGEST_BACKOFF: Duration = Duration::from_millis(800);
+pub(super) const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// The same for a member whose hub is reachable. While the store is unavailable to all, hubs
 /// poll it often and notify their members of its return; 190 members that poll as often
 /// learn nothing more.
-const LONGEST_MEMBER_BACKOFF: Duration = Duration::from_millis(3_000);
+const MAX_MEMBER_BACKOFF: Duration = Duration::from_millis(3_000);
 /// Timeout of a listing of the configuration, a single object. A listing on a connection
 /// that died with the store must not continue long after the store's return.
-const CONFIG_LIST_WAIT: Duration = Duration::from_millis(1_500);
+const CONFIG_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time between the first answer that a member receives from the store after failures and
 /// its listings of the larger kinds: its hub mostly has them by then and relays them.
-const RETURN_PAUSE: Duration = Duration::from_millis(900);
+const MEMBER_LISTING_DELAY: Duration = Duration::from_millis(900);
 
 /// Wait of a watch after a failure. The short wait shows at once when the store is back; a
 /// watch that waits for a change would show it seconds later.
-const RETURN_WAIT: Duration = Duration::from_millis(20);
+const RECOVERY_WATCH_WAIT: Duration = Duration::from_millis(20);
 /// Pause after changes before the next watch, so that many changes at once, as when a whole
 /// fleet starts, share a call instead of taking one each. Calls have a price, and all daemons
 /// share one budget of them. The pause is a small part of the time within which a target's
 /// departure must be acted on.
-const GATHER_PAUSE: Duration = Duration::from_millis(150);
+const BATCH_PAUSE: Duration = Duration::from_millis(150);
 /// The same while a daemon starts: it waits for its hub, and a starting fleet writes
 /// hundreds of records in this time.
-const START_GATHER_PAUSE: Duration = Duration::from_millis(400);
+const STARTUP_BATCH_PAUSE: Duration = Duration::from_millis(400);
 
 /// Kinds of objects that are followed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
@@ -185,27 +185,27 @@
 
     // A hub polls the configuration often, so that its members notice in time when it loses
     // contact to the store. So does a daemon that has to confirm keys.
-    fn wait(self, feed: Feed, pace: FollowPace) -> Duration {
+    fn wait(self, feed: Feed, config_waits: ConfigWatchWaits) -> Duration {
         match (self, feed) {
-            (Self::ForOthers, Feed::Config) => pace.heartbeat,
-            (_, Feed::Config) => pace.config_wait.min(WATCH_WAIT),
-            _ => WATCH_WAIT,
+            (Self::ForOthers, Feed::Config) => config_waits.heartbeat,
+            (_, Feed::Config) => config_waits.standalone_wait.min(MAX_WATCH_WAIT),
+            _ => MAX_WATCH_WAIT,
         }
     }
 
-    fn gather_pause(self) -> Duration {
+    fn batch_pause(self) -> Duration {
         match self {
-            Self::Gathering | Self::Starting => START_GATHER_PAUSE,
-            _ => GATHER_PAUSE,
+            Self::Gathering | Self::Starting => STARTUP_BATCH_PAUSE,
+            _ => BATCH_PAUSE,
         }
     }
 
     /// Returns the longest backoff after a failed call.
     #[must_use]
-    pub fn longest_backoff(self) -> Duration {
+    pub fn max_backoff(self) -> Duration {
         match self {
-            Self::BesideHub => LONGEST_MEMBER_BACKOFF,
-            _ => LONGEST_BACKOFF,
+            Self::BesideHub => MAX_MEMBER_BACKOFF,
+            _ => MAX_BACKOFF,
         }
     }
 }
@@ -213,18 +213,18 @@
 /// Longest waits of the configuration watch, which bound the time between two answers while
 /// nothing changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct FollowPace {
+pub struct ConfigWatchWaits {
     /// Longest wait for a hub, for whose members it serves as a heartbeat of the store.
     pub heartbeat: Duration,
     /// Longest wait for a daemon that follows the store for itself.
-    pub config_wait: Duration,
+    pub standalone_wait: Duration,
 }
 
 /// Records when the store last answered and when the configuration was last confirmed.
 #[derive(Debug)]
 pub struct StorePulse {
     listed: [AtomicBool; 3],
-    config_heard: watch::Sender<Option<MonoTime>>,
+    config_answered: watch::Sender<Option<MonoTime>>,
     // Milliseconds on the local clock plus one; 0 means never.
     confirmed: AtomicU64,
 }
@@ -233,17 +233,17 @@
     fn default() -> Self {
         Self {
             listed: Default::default(),
-            config_heard: watch::Sender::new(None),
+            config_answered: watch::Sender::new(None),
             confirmed: AtomicU64::new(0),
         }
     }
 }
 
 impl StorePulse {
-    fn note(&self, feed: Feed) {
+    fn note_answer(&self, feed: Feed) {
         self.listed[feed as usize].store(true, Ordering::Relaxed);
         if feed == Feed::Config {
-            self.config_heard.send_replace(Some(clock::mono_now()));
+            self.config_answered.send_replace(Some(clock::mono_now()));
         }
     }
 
@@ -252,8 +252,8 @@
     #[must_use]
     pub fn age(&self, now: MonoTime) -> Duration {
         let listed = self.listed.iter().all(|l| l.load(Ordering::Relaxed));
-        let heard = self.config_heard.borrow().filter(|_| listed);
-        heard.map_or(Duration::MAX, |at| now.since(at))
+        let answered = self.config_answered.borrow().filter(|_| listed);
+        answered.map_or(Duration::MAX, |at| now.since(at))
     }
 
     /// Records that the published configuration was the newest one at the given time.
@@ -271,10 +271,12 @@
     }
 
     // Waits until the store has answered after the given time.
-    async fn heard_after(&self, moment: MonoTime) {
-        let mut heard = self.config_heard.subscribe();
+    async fn answered_after(&self, moment: MonoTime) {
+        let mut answered = self.config_answered.subscribe();
         // The sender lives as long as this.
-        let _ = heard.wait_for(|at| at.is_some_and(|at| at > moment)).await;
+        let _ = answered
+            .wait_for(|at| at.is_some_and(|at| at > moment))
+            .await;
     }
 }
 
@@ -290,7 +292,7 @@
 }
 
 /// Follows one kind of objects.
-pub struct Follower {
+pub struct StoreFollower {
     /// Ports of the adapter.
     pub ports: GatewayPorts,
     /// Kind of objects that is followed.
@@ -298,39 +300,39 @@
     /// Name of that kind in the store.
     pub kind: String,
     /// Receives the events.
-    pub news: mpsc::UnboundedSender<FeedNews>,
+    pub events: mpsc::UnboundedSender<FeedNews>,
     /// Current mode of following the store.
-    pub duty: watch::Receiver<WatchDuty>,
+    pub mode: watch::Receiver<WatchDuty>,
     /// Records when the store last answered.
     pub pulse: Arc<StorePulse>,
     /// Longest waits of the configuration watch.
-    pub pace: FollowPace,
+    pub config_waits: ConfigWatchWaits,
 }
 
-impl Follower {
+impl StoreFollower {
     /// Lists, then watches, and lists again when the watch cannot be resumed.
     pub async fn run(mut self) {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let mut failing = false;
         loop {
             let feed = self.feed;
             // The sender lives as long as the thread.
-            let _ = self.duty.wait_for(|duty| duty.lists(feed)).await;
+            let _ = self.mode.wait_for(|mode| mode.lists(feed)).await;
             self.count("list");
-            let (asked, begun) = (clock::mono_now(), Instant::now());
+            let (called_at, started) = (clock::mono_now(), Instant::now());
             match self.list().await {
                 Ok(batch) => {
-                    backoff = FIRST_BACKOFF;
-                    self.log_return(&mut failing, asked);
-                    let news = FeedNews::Listed(self.feed, batch.objects);
-                    self.tell(news, batch.revision, asked);
+                    backoff = INITIAL_BACKOFF;
+                    self.log_recovery(&mut failing, called_at);
+                    let event = FeedNews::Listed(self.feed, batch.objects);
+                    self.publish(event, batch.revision, called_at);
                     self.watch_from(batch.revision).await;
-                    pause(&mut backoff, LONGEST_BACKOFF).await;
+                    sleep_with_backoff(&mut backoff, MAX_BACKOFF).await;
                 }
                 Err(error) => {
                     failing = true;
-                    self.note_failure(&error, asked);
-                    self.pause_after_failure(&mut backoff, begun).await;
+                    self.note_failure(&error, called_at);
+                    self.pause_after_failure(&mut backoff, started).await;
                 }
             }
         }
@@ -341,7 +343,7 @@
         if self.feed != Feed::Config {
             return listing.await;
         }
-        timeout(CONFIG_LIST_WAIT, listing)
+        timeout(CONFIG_LIST_TIMEOUT, listing)
             .await
             .unwrap_or_else(|_| {
                 Err(PlatformError::Lost {
@@ -352,32 +354,32 @@
 
     // Watches until the store refuses to resume from the revision or a hub takes over.
     async fn watch_from(&mut self, mut since: u64) {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let mut failing = false;
         loop {
-            let Some(duty) = self.duty_to_watch().await else {
+            let Some(mode) = self.mode_to_watch().await else {
                 return;
             };
             let query = WatchQuery {
                 kind: self.kind.clone(),
                 since,
                 wait: if failing {
-                    RETURN_WAIT
+                    RECOVERY_WATCH_WAIT
                 } else {
-                    duty.wait(self.feed, self.pace)
+                    mode.wait(self.feed, self.config_waits)
                 },
             };
             self.count("watch");
-            let (asked, begun) = (clock::mono_now(), Instant::now());
+            let (called_at, started) = (clock::mono_now(), Instant::now());
             match (self.ports.store.watch)(query).await {
                 Ok(ObjectBatch { revision, objects }) => {
-                    self.log_return(&mut failing, asked);
-                    backoff = FIRST_BACKOFF;
+                    self.log_recovery(&mut failing, called_at);
+                    backoff = INITIAL_BACKOFF;
                     since = revision.max(since);
-                    let gathers = !objects.is_empty() && self.feed != Feed::Config;
-                    self.tell(FeedNews::Changed(self.feed, objects), since, asked);
-                    if gathers {
-                        sleep(duty.gather_pause()).await;
+                    let batches = !objects.is_empty() && self.feed != Feed::Config;
+                    self.publish(FeedNews::Changed(self.feed, objects), since, called_at);
+                    if batches {
+                        sleep(mode.batch_pause()).await;
                     }
                 }
                 Err(PlatformError::Refused { reason }) => {
@@ -386,96 +388,98 @@
                 }
                 Err(error) => {
                     failing = true;
-                    self.note_failure(&error, asked);
-                    self.pause_after_failure(&mut backoff, begun).await;
+                    self.note_failure(&error, called_at);
+                    self.pause_after_failure(&mut backoff, started).await;
                 }
             }
         }
     }
 
     // Waits until this kind is to be watched; `None` if a hub relays it instead.
-    async fn duty_to_watch(&mut self) -> Option<WatchDuty> {
+    async fn mode_to_watch(&mut self) -> Option<WatchDuty> {
         let feed = self.feed;
-        let decided = |duty: &WatchDuty| duty.watches(feed) || *duty == WatchDuty::Fed;
+        let is_decided = |mode: &WatchDuty| mode.watches(feed) || *mode == WatchDuty::Fed;
         // The sender lives as long as the thread.
-        let duty = *self.duty.wait_for(decided).await.ok()?;
-        duty.watches(feed).then_some(duty)
+        let mode = *self.mode.wait_for(is_decided).await.ok()?;
+        mode.watches(feed).then_some(mode)
     }
 
     // In a fleet with hubs, a member polls only the configuration until the store answers. A
     // pause ends when the mode changes: the next hub is a member in a long pause, and until
     // it ended, nobody in its data centre would notice that the store is back.
-    async fn pause_after_failure(&mut self, backoff: &mut Duration, begun: Instant) {
-        let duty = *self.duty.borrow();
-        let is_member = matches!(duty, WatchDuty::WithoutHub | WatchDuty::BesideHub);
+    async fn pause_after_failure(&mut self, backoff: &mut Duration, started: Instant) {
+        let mode = *self.mode.borrow();
+        let is_member = matches!(mode, WatchDuty::WithoutHub | WatchDuty::BesideHub);
         let failed_at = clock::mono_now();
-        let mut duties = self.duty.clone();
-        let changed = duties.wait_for(|now| *now != duty);
+        let mut modes = self.mode.clone();
+        let changed = modes.wait_for(|now| *now != mode);
         if !is_member || self.feed == Feed::Config {
             tokio::select! {
-                () = pause_since(begun, backoff, duty.longest_backoff()) => {}
-                _ = changed => *backoff = FIRST_BACKOFF,
+                () = sleep_after_failure(started, backoff, mode.max_backoff()) => {}
+                _ = changed => *backoff = INITIAL_BACKOFF,
             }
             return;
         }
-        let returned = async {
-            self.pulse.heard_after(failed_at).await;
-            sleep(RETURN_PAUSE).await;
+        let store_returned = async {
+            self.pulse.answered_after(failed_at).await;
+            sleep(MEMBER_LISTING_DELAY).await;
         };
         tokio::select! {
-            () = returned => {}
-            () = sleep(LONGEST_MEMBER_BACKOFF) => {}
+            () = store_returned => {}
+            () = sleep(MAX_MEMBER_BACKOFF) => {}
             _ = changed => {}
         }
     }
 
     fn count(&self, call: &'static str) {
-        let duty = self.duty.borrow().as_str();
+        let mode = self.mode.borrow().as_str();
         let kind = self.feed.as_str();
-        metrics::counter!("pistachiowick_store_reads_total", "call" => call, "kind" => kind, "duty" => duty)
+        metrics::counter!("pistachiowick_store_reads_total", "call" => call, "kind" => kind, "duty" => mode)
             .increment(1);
     }
 
-    // Sends the store's answer to a call that was started at `asked`. The answer may have
+    // Sends the store's answer to a call that was started at `called_at`. The answer may have
     // been in transit for long, but was valid at the time of the call.
-    fn tell(&self, news: FeedNews, through: u64, asked: MonoTime) {
-        self.pulse.note(self.feed);
+    fn publish(&self, event: FeedNews, through: u64, called_at: MonoTime) {
+        self.pulse.note_answer(self.feed);
         // The loop that receives this ends only with the thread.
-        let _ = self.news.send(news);
+        let _ = self.events.send(event);
         let _ = match self.feed {
-            Feed::Config => self.news.send(FeedNews::Confirmed(asked)),
-            Feed::Targets => self.news.send(FeedNews::TargetsThrough(through)),
+            Feed::Config => self.events.send(FeedNews::Confirmed(called_at)),
+            Feed::Targets => self.events.send(FeedNews::TargetsThrough(through)),
             Feed::Daemons => Ok(()),
         };
     }
 
-    fn log_return(&self, failing: &mut bool, asked: MonoTime) {
+    fn log_recovery(&self, failing: &mut bool, called_at: MonoTime) {
         if std::mem::take(failing) {
-            let took_ms = millis(clock::mono_now().since(asked));
+            let took_ms = millis(clock::mono_now().since(called_at));
             log::info!(kind = self.kind.as_str(), took_ms = took_ms; "store answers again");
         }
     }
 
-    fn note_failure(&self, error: &PlatformError, asked: MonoTime) {
+    fn note_failure(&self, error: &PlatformError, called_at: MonoTime) {
         metrics::counter!("pistachiowick_store_failures_total").increment(1);
-        let took_ms = millis(clock::mono_now().since(asked));
+        let took_ms = millis(clock::mono_now().since(called_at));
         log::warn!(kind = self.kind.as_str(), took_ms = took_ms; "call to the store failed: {error}");
-        let _ = self.news.send(FeedNews::Failed(asked));
+        let _ = self.events.send(FeedNews::Failed(called_at));
     }
 }
 
-/// Waits like [`pause`], less the time that the failed call took: a call that hung already
+/// Waits like [`sleep_with_backoff`], less the time that the failed call took: a call that hung already
 /// was a pause.
-async fn pause_since(begun: Instant, backoff: &mut Duration, longest: Duration) {
-    let mut left = backoff.saturating_sub(begun.elapsed()).max(FIRST_BACKOFF);
-    pause(&mut left, longest).await;
-    *backoff = (*backoff * 2).min(longest);
+async fn sleep_after_failure(started: Instant, backoff: &mut Duration, max: Duration) {
+    let mut left = backoff
+        .saturating_sub(started.elapsed())
+        .max(INITIAL_BACKOFF);
+    sleep_with_backoff(&mut left, max).await;
+    *backoff = (*backoff * 2).min(max);
 }
 
-/// Waits with jitter and doubles the wait up to `longest`. The jitter keeps daemons from
+/// Waits with jitter and doubles the wait up to `max`. The jitter keeps daemons from
 /// retrying in the same instant.
-pub(super) async fn pause(backoff: &mut Duration, longest: Duration) {
+pub(super) async fn sleep_with_backoff(backoff: &mut Duration, max: Duration) {
     let part = rand::rng().random_range(0.5..1.0);
     sleep(backoff.mul_f64(part)).await;
-    *backoff = (*backoff * 2).min(longest);
+    *backoff = (*backoff * 2).min(max);
 }
