--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -219,15 +219,13 @@
         for note in notes {
             changed |= match note.value {
                 None => self.registry.take_end(&note.name, note.revision, now),
-                Some(value) => {
-                    self.apply_created_entry(&note.name, note.revision, value.into_vec())
-                }
+                Some(value) => self.apply_created(&note.name, note.revision, value.into_vec()),
             };
         }
         changed
     }
 
-    fn apply_created_entry(&mut self, name: &TargetId, revision: u64, value: Vec<u8>) -> bool {
+    fn apply_created(&mut self, name: &TargetId, revision: u64, value: Vec<u8>) -> bool {
         let object = StoredObject {
             object: ObjectName {
                 kind: String::new(),
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -382,7 +382,7 @@
     let running = spawn_local(task);
     spawn_local(async move {
         if let Err(error) = running.await {
-            eprintln!("task {task_name:?} ended unexpectedly ({error}); exiting to be restarted");
+            eprintln!("task {task_name} ended unexpectedly ({error}); exiting to be restarted");
             std::process::exit(EXIT_TASK_PANICKED);
         }
     });
