--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -282,7 +282,7 @@
             DaemonRecord::decode(&object.name, &value).is_ok_and(|r| r.life == record.life);
         if same_incarnation {
             let removed = (self.ports.remove)((object, stored.version)).await;
-            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removing the record of a daemon that is gone");
+            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removal of the record of a daemon that is gone");
         }
     }
 
