--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -17,15 +17,17 @@
 use crate::gateway::model::FleetConfig;
 use crate::gateway::peers::wire::FeedObjects;
 use crate::gateway::port::GatewayPorts;
-use crate::gateway::registry::{EntryContent, EntryNews, EntryNote, EntrySource, TargetRegistry};
+use crate::gateway::registry::{
+    EntryChange, EntryContent, EntrySource, EntryUpdate, TargetRegistry,
+};
 use crate::gateway::routes::RouteTable;
 use crate::gateway::store_follow::{
-    ConfigWatchWaits, Feed, FeedNews, INITIAL_BACKOFF, MAX_BACKOFF, StoreFollower, StorePulse,
-    WatchDuty, kind_of, sleep_with_backoff,
+    ConfigWatchWaits, Feed, INITIAL_BACKOFF, MAX_BACKOFF, StoreEvent, StoreFollower, StoreLiveness,
+    WatchMode, kind_of, sleep_with_backoff,
 };
 use crate::names::{DaemonId, MonoTime, TargetId, millis};
 use crate::ports::{ConditionalWrite, ObjectName, ObjectVersion, PlatformError, StoredObject};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Interval at which expired records of ended entries and incarnations are dropped.
@@ -37,11 +39,11 @@
 
 /// Messages to the control thread.
 #[derive(Debug)]
-pub enum ControlNews {
+pub enum ControlInput {
     /// A target is no longer at its address.
-    TargetDeparted(TargetLife),
+    TargetDeparted(TargetIncarnation),
     /// Another daemon reported entries that were created or removed.
-    EntryNotes(Vec<EntryNote>),
+    EntryNotes(Vec<EntryUpdate>),
     /// Another daemon sent a configuration.
     PeerConfig {
         /// Revision of the configuration object in the store.
@@ -52,7 +54,7 @@
     /// A hub relayed objects of the store.
     PeerObjects(FeedObjects),
     /// New mode in which this daemon follows the store.
-    Duty(WatchDuty),
+    Duty(WatchMode),
     /// This daemon is stopping.
     Stopping,
 }
@@ -64,11 +66,11 @@
     /// Cell that the fleet view is published in.
     pub cell: FleetCell,
     /// Records when the store last answered.
-    pub pulse: Arc<StorePulse>,
+    pub pulse: Arc<StoreLiveness>,
     /// This daemon's record.
     pub record: DaemonRecord,
     /// Initial mode of following the store.
-    pub mode: WatchDuty,
+    pub mode: WatchMode,
     /// Longest waits of the configuration watch.
     pub config_waits: ConfigWatchWaits,
 }
@@ -76,7 +78,7 @@
 /// Handle of the running control thread.
 pub struct ControlThread {
     /// Sends messages to the control thread.
-    pub messages: mpsc::UnboundedSender<ControlNews>,
+    pub messages: mpsc::UnboundedSender<ControlInput>,
     /// Objects that the control thread read from the store, for a hub to relay.
     pub relays: mpsc::UnboundedReceiver<FeedObjects>,
     /// The thread; it ends when all senders of messages are dropped.
@@ -116,14 +118,14 @@
     config_source: Option<(u64, Arc<[u8]>)>,
     targets_known: bool,
     own_record_seen: bool,
-    pulse: Arc<StorePulse>,
+    pulse: Arc<StoreLiveness>,
     // Revision of a configuration that could not be decoded and is not in force here.
     rejected_revision: Option<u64>,
 }
 
 async fn run(
     setup: ControlSetup,
-    mut inbox: mpsc::UnboundedReceiver<ControlNews>,
+    mut inbox: mpsc::UnboundedReceiver<ControlInput>,
     relay: mpsc::UnboundedSender<FeedObjects>,
 ) {
     let (mode_sender, mode) = watch::channel(setup.mode);
@@ -160,24 +162,24 @@
     loop {
         let changed = tokio::select! {
             message = inbox.recv() => match message {
-                Some(ControlNews::TargetDeparted(id)) => state.note_departed(&id),
-                Some(ControlNews::EntryNotes(notes)) => state.apply_entry_notes(notes),
-                Some(ControlNews::PeerConfig { revision, value }) => {
+                Some(ControlInput::TargetDeparted(id)) => state.note_departed(&id),
+                Some(ControlInput::EntryNotes(notes)) => state.apply_entry_notes(notes),
+                Some(ControlInput::PeerConfig { revision, value }) => {
                     state.apply_config_value(revision, &value)
                 }
-                Some(ControlNews::PeerObjects(objects)) => state.apply_relayed(objects),
-                Some(ControlNews::Duty(mode)) => {
+                Some(ControlInput::PeerObjects(objects)) => state.apply_relayed(objects),
+                Some(ControlInput::Duty(mode)) => {
                     mode_sender.send_replace(mode);
                     false
                 }
-                Some(ControlNews::Stopping) => {
+                Some(ControlInput::Stopping) => {
                     record_sender.send_modify(|record| record.leaving = true);
                     false
                 }
                 None => return,
             },
             event = events.recv() => {
-                if let Some(objects) = event.as_ref().and_then(FeedNews::relayed) {
+                if let Some(objects) = event.as_ref().and_then(StoreEvent::relayed) {
                     // The traffic thread ends only with the process.
                     let _ = relay.send(objects);
                 }
@@ -187,7 +189,7 @@
                 }
                 changed
             }
-            () = wait_until(state.registry.next_given_up()) => {
+            () = wait_until(state.registry.next_expiry()) => {
                 state.registry.expire(clock::mono_now())
             }
             _ = ticks.next() => state.registry.expire(clock::mono_now()),
@@ -204,7 +206,7 @@
 
 impl ControlState {
     // Every request that finds the target gone reports it, so only the first report counts.
-    fn note_departed(&mut self, id: &TargetLife) -> bool {
+    fn note_departed(&mut self, id: &TargetIncarnation) -> bool {
         if self.registry.has_departed(id) {
             return false;
         }
@@ -213,7 +215,7 @@
         true
     }
 
-    fn apply_entry_notes(&mut self, notes: Vec<EntryNote>) -> bool {
+    fn apply_entry_notes(&mut self, notes: Vec<EntryUpdate>) -> bool {
         let now = clock::mono_now();
         let mut changed = false;
         for note in notes {
@@ -282,9 +284,9 @@
             });
         let stored = stored.collect();
         let event = if whole {
-            FeedNews::Listed(feed, stored)
+            StoreEvent::Listed(feed, stored)
         } else {
-            FeedNews::Changed(feed, stored)
+            StoreEvent::Changed(feed, stored)
         };
         self.apply(event, EntrySource::Hub)
     }
@@ -298,14 +300,14 @@
     }
 
     // Returns whether the published view has to change.
-    fn apply(&mut self, event: FeedNews, source: EntrySource) -> bool {
+    fn apply(&mut self, event: StoreEvent, source: EntrySource) -> bool {
         let now = clock::mono_now();
-        let is_answer = matches!(event, FeedNews::Listed(..) | FeedNews::Changed(..));
+        let is_answer = matches!(event, StoreEvent::Listed(..) | StoreEvent::Changed(..));
         if is_answer && source == EntrySource::Store {
             self.registry.note_store_answer(now);
         }
         match event {
-            FeedNews::Confirmed(at) => {
+            StoreEvent::Confirmed(at) => {
                 // An answer that could not be decoded confirms nothing: keys that it
                 // revokes would stay in force.
                 if self.routes.is_some() && self.rejected_revision.is_none() {
@@ -313,33 +315,34 @@
                 }
                 false
             }
-            FeedNews::TargetsThrough(revision) => {
+            StoreEvent::TargetsThrough(revision) => {
                 self.registry.note_read_through(revision);
                 false
             }
-            FeedNews::Failed(called_at) => {
+            StoreEvent::Failed(called_at) => {
                 self.registry.note_store_failure(called_at, now);
                 false
             }
-            FeedNews::Listed(Feed::Targets, objects) => {
+            StoreEvent::Listed(Feed::Targets, objects) => {
                 let listing = objects.iter().map(|object| self.decode_target(object));
                 let listing = listing.collect();
                 self.registry.replace(listing, source, now);
                 self.targets_known = true;
                 true
             }
-            FeedNews::Listed(Feed::Daemons, objects) => {
+            StoreEvent::Listed(Feed::Daemons, objects) => {
                 self.members.clear();
                 self.apply_daemons(&objects)
             }
-            FeedNews::Changed(Feed::Targets, objects) => {
+            StoreEvent::Changed(Feed::Targets, objects) => {
                 for object in &objects {
                     self.apply_target(object, source);
                 }
                 !objects.is_empty()
             }
-            FeedNews::Changed(Feed::Daemons, objects) => self.apply_daemons(&objects),
-            FeedNews::Listed(Feed::Config, objects) | FeedNews::Changed(Feed::Config, objects) => {
+            StoreEvent::Changed(Feed::Daemons, objects) => self.apply_daemons(&objects),
+            StoreEvent::Listed(Feed::Config, objects)
+            | StoreEvent::Changed(Feed::Config, objects) => {
                 let mut changed = false;
                 for object in &objects {
                     changed |= self.apply_config_object(object);
@@ -349,7 +352,7 @@
         }
     }
 
-    fn decode_target(&self, object: &StoredObject) -> EntryNews {
+    fn decode_target(&self, object: &StoredObject) -> EntryChange {
         let name = &object.object.name;
         let decode = self.ports.schema.decode_target;
         let content = match &object.value {
@@ -359,7 +362,7 @@
                 Err(error) => EntryContent::Unreadable(error),
             },
         };
-        EntryNews {
+        EntryChange {
             name: TargetId::from(name.as_str()),
             revision: object.version.0,
             content,
@@ -419,7 +422,7 @@
     fn publish(&self) {
         let mut targets = self.registry.by_service();
         if let Some(routes) = &self.routes {
-            fleet::leave_out_strangers(&mut targets, routes);
+            fleet::remove_unconfigured(&mut targets, routes);
         }
         let view = FleetView {
             routes: self.routes.clone(),
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -18,33 +18,33 @@
 use tokio_tungstenite::tungstenite::Message;
 
 use crate::clock;
-use crate::crashes::book::CrashBook;
-use crate::gateway::budget::RepeatBudget;
-use crate::gateway::control::{self, ControlNews, ControlSetup, ControlThread};
+use crate::crashes::tracker::CrashTracker;
+use crate::gateway::budget::RetryLimiter;
+use crate::gateway::control::{self, ControlInput, ControlSetup, ControlThread};
 use crate::gateway::deciding::DecisionCore;
 use crate::gateway::deciding::load::WorkByTarget;
-use crate::gateway::duties::{self, DutyBook};
-use crate::gateway::entry::{self, PageKind};
+use crate::gateway::entry::{self, ListenerKind};
 use crate::gateway::fleet::{FleetCell, FleetView};
-use crate::gateway::held_work::{self, HeldDesk};
+use crate::gateway::fleet_tasks::{self, UsageMeter};
 use crate::gateway::members::DaemonRecord;
-use crate::gateway::peers::entry_turns::EntryTurns;
-use crate::gateway::peers::feeding::{FeedJoin, FeedStock};
-use crate::gateway::peers::hub::{HubBook, RelayedNews};
+use crate::gateway::peers::entry_broadcasts::EntryBroadcasts;
+use crate::gateway::peers::feeding::{FeedSubscription, StoreSnapshot};
+use crate::gateway::peers::freshness::FreshnessTracker;
+use crate::gateway::peers::hub::{HubSelector, RelayQueue};
 use crate::gateway::peers::link_queue::ChangeSenders;
-use crate::gateway::peers::placing::{PlacementLog, PlacingDesk};
-use crate::gateway::peers::proofs::ProofBook;
-use crate::gateway::peers::seen::SeenWork;
-use crate::gateway::peers::{self, PeerBook};
+use crate::gateway::peers::placing::{PlacementClient, PlacementOutbox};
+use crate::gateway::peers::seen::ObservedResults;
+use crate::gateway::peers::{self, PeerTable};
 use crate::gateway::pool::LinkPool;
 use crate::gateway::port::GatewayPorts;
+use crate::gateway::quarantine::{self, QuarantineStore};
 use crate::gateway::reload;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::stage_control;
-use crate::gateway::store_follow::{StorePulse, WatchDuty};
+use crate::gateway::store_follow::{StoreLiveness, WatchMode};
 use crate::names::{DaemonId, MonoTime};
 use crate::ports::ObjectName;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::telemetry;
 use crate::timer::TimerService;
 
@@ -63,53 +63,53 @@
     /// State that decisions are based on.
     pub core: RefCell<DecisionCore>,
     /// The other daemons.
-    pub peers: RefCell<PeerBook>,
+    pub peers: RefCell<PeerTable>,
     /// Time at which the configuration was last confirmed to be the newest one.
-    pub proofs: RefCell<ProofBook>,
+    pub proofs: RefCell<FreshnessTracker>,
     /// Usage counted locally and by peers, and true time.
-    pub duties: RefCell<DutyBook>,
+    pub duties: RefCell<UsageMeter>,
     /// Client for placement requests to hubs.
-    pub placing: RefCell<PlacingDesk>,
+    pub placing: RefCell<PlacementClient>,
     /// Placements that this daemon has made as a hub.
-    pub placements: RefCell<PlacementLog>,
+    pub placements: RefCell<PlacementOutbox>,
     /// Wakes up the task that reports new placements to the other hubs.
     pub placed: Notify,
     /// Hubs that placements are reported to.
     pub other_hubs: RefCell<Vec<DaemonId>>,
     /// Which daemons are hubs, and of which members.
-    pub hubs: RefCell<HubBook>,
+    pub hubs: RefCell<HubSelector>,
     /// Whether this daemon relies on a hub for the store's objects, and on which.
-    pub joins: RefCell<FeedJoin>,
+    pub feed_subscription: RefCell<FeedSubscription>,
     /// Newly cached prompt parts that a hub relays, and their broadcast schedule.
-    pub relayed: RefCell<RelayedNews>,
+    pub relayed: RefCell<RelayQueue>,
     /// Broadcast schedule of entry changes.
-    pub entry_turns: RefCell<EntryTurns>,
+    pub entry_broadcasts: RefCell<EntryBroadcasts>,
     /// Work observed by local sends, to be reported to the hub.
-    pub seen: RefCell<SeenWork>,
+    pub seen: RefCell<ObservedResults>,
     /// Local work as last sent to other daemons.
-    pub last_hint_work: RefCell<WorkByTarget>,
+    pub last_sent_work: RefCell<WorkByTarget>,
     /// Objects of the store as last read, for a hub to relay.
-    pub stock: RefCell<FeedStock>,
+    pub stock: RefCell<StoreSnapshot>,
     /// Senders of the store's changes to the links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
-    pub duty: Cell<WatchDuty>,
+    pub duty: Cell<WatchMode>,
     /// When this daemon started.
     pub started: MonoTime,
     /// When the store last answered.
-    pub pulse: Arc<StorePulse>,
+    pub pulse: Arc<StoreLiveness>,
     /// Identifies this run of the daemon among all runs under its name.
     pub life: u64,
     /// Engines whose stage this daemon is changing.
-    pub own_changing: RefCell<Vec<TargetLife>>,
+    pub local_stage_changes: RefCell<Vec<TargetIncarnation>>,
     /// Work that crashed targets.
-    pub crashes: RefCell<CrashBook>,
+    pub crashes: RefCell<CrashTracker>,
     /// Quarantined work as recorded in the store.
-    pub held: RefCell<HeldDesk>,
+    pub held: RefCell<QuarantineStore>,
     /// Wakes up requests that wait for a target when work is newly quarantined.
-    pub newly_held: Notify,
+    pub newly_quarantined: Notify,
     /// Budget of retries.
-    pub budget: RefCell<RepeatBudget>,
+    pub budget: RefCell<RetryLimiter>,
     /// Random number generator.
     pub rng: RefCell<SmallRng>,
     /// Whether the process is stopping.
@@ -117,7 +117,7 @@
     /// Number of open connections from callers.
     pub serving: Cell<usize>,
     /// Sends messages to the control thread.
-    pub news: mpsc::UnboundedSender<ControlNews>,
+    pub news: mpsc::UnboundedSender<ControlInput>,
 }
 
 impl Gateway {
@@ -140,9 +140,9 @@
     }
 
     /// Notifies the control thread that a target is no longer at its address.
-    pub fn tell_departed(&self, target: &TargetLife) {
+    pub fn notify_departed(&self, target: &TargetIncarnation) {
         // The control thread ends only with the process.
-        let _ = self.news.send(ControlNews::TargetDeparted(target.clone()));
+        let _ = self.news.send(ControlInput::TargetDeparted(target.clone()));
     }
 
     /// Returns the number of daemons that share the fleet's budgets, this one included.
@@ -154,7 +154,7 @@
 
 /// Error that kept a daemon from starting.
 #[derive(Debug, Error)]
-pub enum DaemonFault {
+pub enum DaemonError {
     /// A socket or a thread could not be created.
     #[error("cannot start {what}: {error}; free the address or raise the limit")]
     Start {
@@ -193,11 +193,11 @@
         ports: GatewayPorts,
         fleet: FleetCell,
         life: u64,
-        news: mpsc::UnboundedSender<ControlNews>,
+        news: mpsc::UnboundedSender<ControlInput>,
     ) -> Self {
         let window = settings.duties.map(|duties| duties.usage_window());
-        let budget = RepeatBudget::new(settings.budget_rule());
-        let duty = WatchDuty::at_start(settings.first_start);
+        let budget = RetryLimiter::new(settings.budget_rule());
+        let duty = WatchMode::at_start(settings.first_start);
         Self {
             daemon: settings.daemon.clone(),
             core: RefCell::new(DecisionCore::new(settings.placement)),
@@ -207,27 +207,27 @@
             pool: Rc::default(),
             peers: RefCell::default(),
             proofs: RefCell::default(),
-            duties: RefCell::new(DutyBook::new(window.unwrap_or_default())),
+            duties: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
             placing: RefCell::default(),
             placements: RefCell::default(),
             placed: Notify::new(),
             other_hubs: RefCell::default(),
             hubs: RefCell::default(),
-            joins: RefCell::default(),
+            feed_subscription: RefCell::default(),
             relayed: RefCell::default(),
-            entry_turns: RefCell::default(),
+            entry_broadcasts: RefCell::default(),
             seen: RefCell::default(),
-            last_hint_work: RefCell::default(),
+            last_sent_work: RefCell::default(),
             stock: RefCell::default(),
             feed_changes: ChangeSenders::default(),
             duty: Cell::new(duty),
             started: clock::mono_now(),
             pulse: Arc::default(),
             life,
-            own_changing: RefCell::default(),
+            local_stage_changes: RefCell::default(),
             crashes: RefCell::default(),
             held: RefCell::default(),
-            newly_held: Notify::new(),
+            newly_quarantined: Notify::new(),
             budget: RefCell::new(budget),
             rng: RefCell::new(SmallRng::from_os_rng()),
             stopping: Cell::new(false),
@@ -262,7 +262,7 @@
             return;
         }
         let view = self.view();
-        let unreachable = self.peers.borrow().long_silent(clock::mono_now());
+        let unreachable = self.peers.borrow().unreachable_daemons(clock::mono_now());
         let stale = view.daemons.iter().filter(|d| unreachable.contains(&d.id));
         for record in stale {
             self.remove_record(record).await;
@@ -293,7 +293,7 @@
         }
         self.pool.borrow_mut().sweep(tokio::time::Instant::now());
         self.crashes.borrow_mut().sweep(now);
-        self.refute_by_entries(now);
+        self.refute_registered_targets(now);
         let view = self.view();
         let mut core = self.core.borrow_mut();
         core.sweep(|target| view.holds(target), now);
@@ -326,7 +326,7 @@
     settings: GatewaySettings,
     ports: GatewayPorts,
     signals: DaemonSignals<impl Future<Output = ()>>,
-) -> Result<(), DaemonFault> {
+) -> Result<(), DaemonError> {
     let metrics = telemetry::install_prometheus()?;
     let fleet: FleetCell = Arc::new(ArcSwap::from_pointee(FleetView::default()));
     let centre = settings.centre.clone();
@@ -335,8 +335,8 @@
     let peer_listener = listen("peers", settings.peer_address()).await?;
     let life = rand::rng().random();
     let record = build_record(&settings, &listeners, &peer_listener, life);
-    let pulse = Arc::new(StorePulse::default());
-    let duty = WatchDuty::at_start(settings.first_start);
+    let pulse = Arc::new(StoreLiveness::default());
+    let duty = WatchMode::at_start(settings.first_start);
     let setup = ControlSetup {
         ports: ports.clone(),
         cell: fleet.clone(),
@@ -361,7 +361,7 @@
     }
     let peer_links = peers::run(gateway.clone(), peer_listener, control.relays);
     supervise("peers", peer_links);
-    supervise("quarantined work", held_work::run(gateway.clone()));
+    supervise("quarantined work", quarantine::run(gateway.clone()));
     supervise("stages", stage_control::run(gateway.clone()));
     if let Some(duties) = gateway.settings().duties {
         supervise("duties", duties::run(gateway.clone(), duties));
@@ -395,7 +395,7 @@
     log::info!(grace_ms = grace.as_millis() as u64; "stopping after running requests have ended");
     gateway.stopping.set(true);
     // The control thread ends only with the process.
-    let _ = gateway.news.send(ControlNews::Stopping);
+    let _ = gateway.news.send(ControlInput::Stopping);
     let latest = began + grace.saturating_sub(EXIT_MARGIN);
     tokio::time::sleep_until((began + ACCEPT_AFTER_STOP).min(latest)).await;
     close.send_replace(true);
@@ -406,8 +406,8 @@
     log::info!(unfinished = unfinished, took_ms = began.elapsed().as_millis() as u64; "stopped");
 }
 
-fn start_control(setup: ControlSetup) -> Result<ControlThread, DaemonFault> {
-    control::start(setup).map_err(|error| DaemonFault::Start {
+fn start_control(setup: ControlSetup) -> Result<ControlThread, DaemonError> {
+    control::start(setup).map_err(|error| DaemonError::Start {
         what: "the control thread".to_owned(),
         error,
     })
@@ -422,7 +422,7 @@
     let bound = |listener: &TcpListener| listener.local_addr().ok();
     let callers = listeners
         .iter()
-        .find(|open| matches!(open.kind, PageKind::Callers));
+        .find(|open| matches!(open.kind, ListenerKind::Callers));
     let callers = callers.and_then(|open| bound(&open.listener));
     let peers = bound(peers).unwrap_or_else(|| settings.peer_address());
     DaemonRecord {
@@ -438,18 +438,18 @@
 
 struct PageListener {
     listener: TcpListener,
-    kind: PageKind,
+    kind: ListenerKind,
 }
 
 async fn open_listeners(
     settings: &GatewaySettings,
     metrics: &PrometheusHandle,
-) -> Result<Vec<PageListener>, DaemonFault> {
+) -> Result<Vec<PageListener>, DaemonError> {
     let addresses = &settings.listen;
-    let pages = || PageKind::Pages(metrics.clone());
+    let pages = || ListenerKind::Pages(metrics.clone());
     let configured = [
         ("metrics", Some(settings.metrics_address()), pages()),
-        ("callers", addresses.callers, PageKind::Callers),
+        ("callers", addresses.callers, ListenerKind::Callers),
         ("readiness", addresses.readiness, pages()),
         ("directory", addresses.directory, pages()),
     ];
@@ -463,8 +463,8 @@
     Ok(listeners)
 }
 
-async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonFault> {
-    let start_error = |error| DaemonFault::Start {
+async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
+    let start_error = |error| DaemonError::Start {
         what: format!("the listener on {address}"),
         error,
     };
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -25,13 +25,13 @@
     pub leaving: bool,
     /// Capacity of its instance; 0 where not stated.
     #[serde(default)]
-    pub strength: InstanceStrength,
+    pub strength: InstanceCapacity,
 }
 
 /// Capacity of an instance, ordered by what a hub needs most: CPU time, then network
 /// bandwidth, then memory.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct InstanceStrength {
+pub struct InstanceCapacity {
     /// CPU, in thousandths of a core.
     pub core_thousandths: u32,
     /// Network bandwidth, in megabits per second.
--- a/src/gateway/peers/book.rs
+++ b/src/gateway/peers/book.rs
@@ -7,9 +7,9 @@
 use crate::gateway::deciding::stage_plan::WorkRate;
 use crate::gateway::members::DaemonRecord;
 use crate::gateway::model::PromptPart;
-use crate::gateway::peers::wire::{HeldNote, MemberNote, PeerHint};
+use crate::gateway::peers::wire::{CachedPartsUpdate, MemberStatus, PeerHint};
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Silence after which a daemon is taken to be away. In large fleets word of it
 /// comes over two hubs, and a hub that goes is replaced within this time.
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct HeardState {
     at: MonoTime,
-    changing: Vec<TargetLife>,
+    changing: Vec<TargetIncarnation>,
     rate: WorkRate,
     leaving: bool,
     config_version: u64,
@@ -53,18 +53,18 @@
 
 /// What is heard of the other daemons.
 #[derive(Debug, Default)]
-pub struct PeerBook {
+pub struct PeerTable {
     heard: IndexMap<DaemonId, HeardState>,
     // Since when a daemon's record is known.
     known_since: IndexMap<DaemonId, MonoTime>,
-    pending: Vec<HeldNote>,
+    pending: Vec<CachedPartsUpdate>,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Keeps what an engine holds, or was asked to read, for the next hint. The part
     /// of a single request is told too: it takes the place of shared ones.
-    pub fn note_held(&mut self, engine: &TargetLife, parts: &[PromptPart], ready: bool) {
-        self.pending.push(HeldNote {
+    pub fn note_cached(&mut self, engine: &TargetIncarnation, parts: &[PromptPart], ready: bool) {
+        self.pending.push(CachedPartsUpdate {
             engine: engine.clone(),
             parts: parts.iter().map(|part| (part.key, part.tokens)).collect(),
             ready,
@@ -104,7 +104,7 @@
 
     /// Daemons with a record that were not heard for long.
     #[must_use]
-    pub fn long_silent(&self, now: MonoTime) -> Vec<DaemonId> {
+    pub fn unreachable_daemons(&self, now: MonoTime) -> Vec<DaemonId> {
         let known = self.known_since.iter();
         let silent = known.filter(|(id, since)| {
             let last = self.heard.get(*id).map_or(**since, |state| state.at);
@@ -114,7 +114,7 @@
     }
 
     /// Engines that other daemons are changing.
-    pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetLife> {
+    pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetIncarnation> {
         let alive = self.heard.values();
         let alive = alive.filter(move |state| state.is_fresh(now));
         alive.flat_map(|state| &state.changing)
@@ -151,7 +151,7 @@
     }
 
     /// Takes what a hub told of a daemon, unless more is known here.
-    pub fn note_member(&mut self, note: &MemberNote, rate: WorkRate, now: MonoTime) {
+    pub fn note_member(&mut self, note: &MemberStatus, rate: WorkRate, now: MonoTime) {
         let at = MonoTime(now.0.saturating_sub(u64::from(note.age_ms)));
         let known = self.heard.get(&note.id);
         if known.is_some_and(|state| state.at >= at || (!state.relayed && state.is_fresh(now))) {
@@ -172,7 +172,7 @@
     }
 
     /// Takes what a hub told of itself over its own link.
-    pub fn note_hub(&mut self, note: &MemberNote, rate: WorkRate, now: MonoTime) {
+    pub fn note_hub(&mut self, note: &MemberStatus, rate: WorkRate, now: MonoTime) {
         let state = HeardState {
             at: now,
             changing: note.changing.clone(),
@@ -190,7 +190,7 @@
     /// Daemons that report to this one, as a hub tells of them. Other hubs do not:
     /// passing their sums on would count them again and again.
     #[must_use]
-    pub fn direct_notes(&self, now: MonoTime) -> Vec<MemberNote> {
+    pub fn direct_notes(&self, now: MonoTime) -> Vec<MemberStatus> {
         let direct = self.heard.iter();
         let reports = |state: &HeardState| !state.relayed && !state.is_hub && state.is_fresh(now);
         let direct = direct.filter(|(_, state)| reports(state));
@@ -198,7 +198,7 @@
     }
 
     /// All daemons heard, as a hub tells its members.
-    pub fn all_notes(&self, now: MonoTime) -> Vec<MemberNote> {
+    pub fn all_notes(&self, now: MonoTime) -> Vec<MemberStatus> {
         let fresh = self.heard.iter().filter(|(_, state)| state.is_fresh(now));
         fresh.map(|(id, state)| note_of(id, state, now)).collect()
     }
@@ -222,14 +222,14 @@
         })
     }
 
-    pub(super) fn take_held(&mut self) -> Vec<HeldNote> {
+    pub(super) fn take_held(&mut self) -> Vec<CachedPartsUpdate> {
         std::mem::take(&mut self.pending)
     }
 }
 
-fn note_of(id: &DaemonId, state: &HeardState, now: MonoTime) -> MemberNote {
+fn note_of(id: &DaemonId, state: &HeardState, now: MonoTime) -> MemberStatus {
     let age = now.since(state.at).as_millis();
-    MemberNote {
+    MemberStatus {
         id: id.clone(),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         leaving: state.leaving,
--- a/src/gateway/peers/entry_turns.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::registry::{EntryNote, KeptNote};
+use crate::gateway::registry::{EntryUpdate, RecentUpdate};
 use crate::names::MonoTime;
 
 /// How long a note is told: longer than a daemon that does not hear of the change otherwise
@@ -21,20 +21,20 @@
 
 /// What the words before contained.
 #[derive(Debug, Default)]
-pub struct EntryTurns {
+pub struct EntryBroadcasts {
     told_all_at: Option<MonoTime>,
     // Place of the next begin among those that are told.
     next_begin: usize,
 }
 
-impl EntryTurns {
+impl EntryBroadcasts {
     /// Returns what goes into a word now, of all notes kept.
-    pub fn pick(&mut self, notes: &[KeptNote], now: MonoTime) -> Vec<EntryNote> {
+    pub fn pick(&mut self, notes: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
         let told = |at: MonoTime| now.since(at) < ALL_EVERY;
         let tells_all = !self.told_all_at.is_some_and(told);
         let longest = if tells_all { TOLD_TIME } else { NEWS_TIME };
         let fresh = notes.iter().filter(|kept| now.since(kept.at) < longest);
-        let (mut due, begins): (Vec<&KeptNote>, Vec<&KeptNote>) =
+        let (mut due, begins): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
             fresh.partition(|kept| kept.note.value.is_none());
         if tells_all {
             self.told_all_at = Some(now);
@@ -43,7 +43,7 @@
         due.into_iter().map(|kept| kept.note.clone()).collect()
     }
 
-    fn turn_of<'a>(&mut self, begins: &[&'a KeptNote]) -> Vec<&'a KeptNote> {
+    fn turn_of<'a>(&mut self, begins: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
         let count = begins.len().min(MOST_BEGINS);
         let from = self.next_begin;
         self.next_begin = (from + count) % begins.len().max(1);
--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -16,13 +16,13 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::gateway::control::ControlNews;
+use crate::gateway::control::ControlInput;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::peers::hub::PeerRole;
 use crate::gateway::peers::wire::{
-    FeedObjects, PeerMessage, StockAnswer, StockQuestion, StoredObjectNote,
+    FeedObjects, ObjectUpdate, PeerMessage, SnapshotRequest, SnapshotResponse,
 };
-use crate::gateway::store_follow::{Feed, WatchDuty};
+use crate::gateway::store_follow::{Feed, WatchMode};
 use crate::names::{DaemonId, MonoTime};
 
 /// Time after its start for which a member waits for a hub before it follows the store
@@ -46,7 +46,7 @@
     pub hub_heard: bool,
     /// What a daemon does that has just started, while it is not known who follows the
     /// store for whom.
-    pub starting: Option<WatchDuty>,
+    pub starting: Option<WatchMode>,
 }
 
 /// Decides how a daemon of a role follows the store.
@@ -56,16 +56,16 @@
 /// it follow the store itself: each hub that goes would otherwise cost a listing of
 /// everything by each of its members, 350 calls in a data centre of 40 daemons.
 #[must_use]
-pub fn watch_duty(role: &PeerRole, state: FeedState) -> WatchDuty {
+pub fn choose_watch_mode(role: &PeerRole, state: FeedState) -> WatchMode {
     match role {
-        PeerRole::Mesh => state.starting.unwrap_or(WatchDuty::Alone),
-        PeerRole::Hub | PeerRole::Member(_) if state.joined || state.current => WatchDuty::Fed,
+        PeerRole::Mesh => state.starting.unwrap_or(WatchMode::Alone),
+        PeerRole::Hub | PeerRole::Member(_) if state.joined || state.current => WatchMode::Fed,
         // In its first moments a daemon may be the only one it knows of its data centre.
-        PeerRole::Hub => state.starting.unwrap_or(WatchDuty::ForOthers),
+        PeerRole::Hub => state.starting.unwrap_or(WatchMode::ForOthers),
         PeerRole::Member(_) => state.starting.unwrap_or(if state.hub_heard {
-            WatchDuty::BesideHub
+            WatchMode::BesideHub
         } else {
-            WatchDuty::WithoutHub
+            WatchMode::WithoutHub
         }),
     }
 }
@@ -80,7 +80,7 @@
 /// departure in that time would get work until it ends. So the member asks, and relies
 /// on the hub from the answer to its newest question on.
 #[derive(Debug, Default)]
-pub struct FeedJoin {
+pub struct FeedSubscription {
     joined: Option<DaemonId>,
     asked: Option<(DaemonId, MonoTime)>,
     last_number: u64,
@@ -88,7 +88,7 @@
     heard_through: Option<MonoTime>,
 }
 
-impl FeedJoin {
+impl FeedSubscription {
     /// Takes the hub that could feed this daemon now, if one could; returns the number
     /// of a question to send to it.
     pub fn rely_on(&mut self, hub: Option<&DaemonId>, now: MonoTime) -> Option<u64> {
@@ -163,11 +163,11 @@
 
 /// Objects of the store as this daemon last read them, for members that link up.
 #[derive(Debug, Default)]
-pub struct FeedStock {
+pub struct StoreSnapshot {
     feeds: IndexMap<Feed, IndexMap<String, (u64, Vec<u8>)>>,
 }
 
-impl FeedStock {
+impl StoreSnapshot {
     /// Takes objects that were read; returns what others lack that had what this had.
     ///
     /// A listing that only adds to what is known goes on as the objects that changed: in
@@ -187,13 +187,13 @@
     }
 
     // The objects of a listing that are new; `None` where all of it has to go on.
-    fn news_in(&self, read: &FeedObjects) -> Option<Vec<StoredObjectNote>> {
+    fn news_in(&self, read: &FeedObjects) -> Option<Vec<ObjectUpdate>> {
         let known = self.feeds.get(&read.feed).filter(|_| read.whole)?;
         let listed = |name: &String| read.objects.iter().any(|(listed, ..)| listed == name);
         if !known.keys().all(listed) {
             return None;
         }
-        let is_new = |(name, version, _): &&StoredObjectNote| {
+        let is_new = |(name, version, _): &&ObjectUpdate| {
             known.get(name).is_none_or(|(known, _)| known != version)
         };
         Some(read.objects.iter().filter(is_new).cloned().collect())
@@ -309,25 +309,25 @@
         let hubs = self.hubs.borrow();
         let feeding = feeder.filter(|hub| hubs.is_fed_by(hub, silence, now));
         self.rely_on(feeding.as_ref(), now);
-        let mut joins = self.joins.borrow_mut();
-        joins.note_heard(feeding.and_then(|hub| hubs.store_heard(&hub)));
+        let mut feed_subscription = self.feed_subscription.borrow_mut();
+        feed_subscription.note_heard(feeding.and_then(|hub| hubs.store_heard(&hub)));
         let state = FeedState {
-            joined: joins.is_joined(),
-            current: joins.is_current(silence, now),
+            joined: feed_subscription.is_joined(),
+            current: feed_subscription.is_current(silence, now),
             hub_heard,
             starting: self.starting(role, view.daemons.is_empty(), now),
         };
-        let duty = watch_duty(role, state);
+        let duty = choose_watch_mode(role, state);
         if self.duty.replace(duty) != duty {
             log::info!(duty = format!("{duty:?}"), role = role.as_str(); "way of following the store changed");
             // The control thread ends only with the process.
-            let _ = self.news.send(ControlNews::Duty(duty));
+            let _ = self.news.send(ControlInput::Duty(duty));
         }
     }
 
     // What a daemon does in its first seconds. Before any record is known, it is not known
     // either whether the fleet has hubs.
-    fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchDuty> {
+    fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchMode> {
         let first = self.settings().first_start;
         let patience = match role {
             PeerRole::Member(_) => HUB_PATIENCE,
@@ -335,15 +335,15 @@
             _ => Duration::ZERO,
         };
         let waits = now.since(self.started) < patience;
-        waits.then(|| WatchDuty::at_start(first))
+        waits.then(|| WatchMode::at_start(first))
     }
 
     // Other hubs rely only on one that hears the store itself; members on any that knows
     // when it was heard.
     pub(super) fn store_age_ms(&self, whole: bool, now: MonoTime) -> u32 {
         let age = match self.duty.get() {
-            WatchDuty::ForOthers => self.pulse.age(now),
-            WatchDuty::Fed if whole => self.joins.borrow().heard_age(now),
+            WatchMode::ForOthers => self.pulse.age(now),
+            WatchMode::Fed if whole => self.feed_subscription.borrow().heard_age(now),
             _ => Duration::MAX,
         };
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
@@ -359,11 +359,11 @@
     }
 
     fn rely_on(&self, hub: Option<&DaemonId>, now: MonoTime) {
-        let number = self.joins.borrow_mut().rely_on(hub, now);
+        let number = self.feed_subscription.borrow_mut().rely_on(hub, now);
         let (Some(hub), Some(number)) = (hub, number) else {
             return;
         };
-        let question = PeerMessage::WantStock(StockQuestion {
+        let question = PeerMessage::WantStock(SnapshotRequest {
             from: self.daemon.clone(),
             life: self.life,
             number,
@@ -373,7 +373,7 @@
         self.placing.borrow().send(hub, &question);
     }
 
-    pub(super) fn answer_stock(&self, question: &StockQuestion) {
+    pub(super) fn answer_stock(&self, question: &SnapshotRequest) {
         let view = self.view();
         let asker = (&question.from, question.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == asker) {
@@ -383,7 +383,7 @@
             // The asker asks again in a second.
             return;
         }
-        let answer = PeerMessage::Stock(StockAnswer {
+        let answer = PeerMessage::Stock(SnapshotResponse {
             from: self.daemon.clone(),
             number: question.number,
             feeds: self.stock.borrow().missing(&question.known),
@@ -392,19 +392,25 @@
         self.placing.borrow().send(&question.from, &answer);
     }
 
-    pub(super) fn take_stock(&self, answer: StockAnswer) {
-        if !self.joins.borrow().awaits(&answer.from, answer.number) {
+    pub(super) fn take_stock(&self, answer: SnapshotResponse) {
+        if !self
+            .feed_subscription
+            .borrow()
+            .awaits(&answer.from, answer.number)
+        {
             return;
         }
         for objects in answer.feeds {
             self.pass_on(objects);
         }
         let complete = self.stock.borrow().is_complete();
-        self.joins.borrow_mut().take_stock(&answer.from, complete);
+        self.feed_subscription
+            .borrow_mut()
+            .take_stock(&answer.from, complete);
     }
 
     pub(super) fn take_objects(&self, objects: FeedObjects) {
-        if self.joins.borrow().is_joined() {
+        if self.feed_subscription.borrow().is_joined() {
             self.pass_on(objects);
         }
     }
@@ -412,6 +418,6 @@
     fn pass_on(&self, objects: FeedObjects) {
         self.stock_objects(objects.clone());
         // The control thread ends only with the process.
-        let _ = self.news.send(ControlNews::PeerObjects(objects));
+        let _ = self.news.send(ControlInput::PeerObjects(objects));
     }
 }
--- a/src/gateway/peers/proofs.rs
+++ b/src/gateway/peers/freshness.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::peers::wire::{PeerMessage, ProofWord};
+use crate::gateway::peers::wire::{FreshnessUpdate, PeerMessage};
 use crate::names::{DaemonId, MonoTime, millis};
 
 /// A daemon's clock as another one heard it last.
@@ -25,7 +25,7 @@
 
 /// What a daemon tells of the age of its configuration.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct ProofNote {
+pub struct ConfigFreshness {
     /// The teller's clock.
     pub clock: MonoTime,
     /// Version that it runs.
@@ -38,12 +38,12 @@
 
 /// What is known of the age of the own configuration by the words of others.
 #[derive(Debug, Default)]
-pub struct ProofBook {
+pub struct FreshnessTracker {
     heard: IndexMap<DaemonId, (u64, MonoTime)>,
     confirmed_at: Option<MonoTime>,
 }
 
-impl ProofBook {
+impl FreshnessTracker {
     /// Notes the clock that a daemon told.
     pub fn note_clock(&mut self, daemon: &DaemonId, life: u64, clock: MonoTime) {
         self.heard.insert(daemon.clone(), (life, clock));
@@ -68,7 +68,7 @@
     /// Takes a note, where `own_version` is run by the daemon `own` in its life.
     ///
     /// A note on a version that is not here yet proves nothing of the one that is.
-    pub fn take(&mut self, note: &ProofNote, own: (&DaemonId, u64), own_version: u64) {
+    pub fn take(&mut self, note: &ConfigFreshness, own: (&DaemonId, u64), own_version: u64) {
         let Some(age_ms) = note.age_ms.filter(|_| note.version <= own_version) else {
             return;
         };
@@ -103,7 +103,7 @@
     /// bound on that, counted from the last moment at which it was certainly up to date.
     #[must_use]
     pub fn confirms_keys(&self, now: MonoTime) -> bool {
-        let Some(limit) = self.settings().key_trust() else {
+        let Some(limit) = self.settings().key_validity() else {
             return true;
         };
         let confirmed = self.confirmed_at();
@@ -117,11 +117,11 @@
         // Before the version: a newer one may come between, an older one never.
         let confirmed = self.confirmed_at();
         let view = self.view();
-        let routes = view.routes.as_ref().filter(|r| r.asks_for_keys())?;
-        Some(PeerMessage::Proof(ProofWord {
+        let routes = view.routes.as_ref().filter(|r| r.requires_keys())?;
+        Some(PeerMessage::Proof(FreshnessUpdate {
             from: self.daemon.clone(),
             life: self.life,
-            proof: ProofNote {
+            proof: ConfigFreshness {
                 clock: now,
                 version: routes.version,
                 age_ms: confirmed.map(|at| millis(now.since(at))),
@@ -130,7 +130,7 @@
         }))
     }
 
-    pub(super) fn take_proof(&self, word: &ProofWord) {
+    pub(super) fn take_proof(&self, word: &FreshnessUpdate) {
         let view = self.view();
         let sender = (&word.from, word.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -17,10 +17,10 @@
 use indexmap::IndexMap;
 
 use crate::gateway::deciding::load::WorkByTarget;
-use crate::gateway::members::{DaemonRecord, InstanceStrength};
-use crate::gateway::peers::book::PeerBook;
-use crate::gateway::peers::note_turns::NoteTurns;
-use crate::gateway::peers::wire::{HeldNote, MemberNote, PeerHint};
+use crate::gateway::members::{DaemonRecord, InstanceCapacity};
+use crate::gateway::peers::book::PeerTable;
+use crate::gateway::peers::member_broadcasts::MemberBroadcasts;
+use crate::gateway::peers::wire::{CachedPartsUpdate, MemberStatus, PeerHint};
 use crate::names::{CentreName, DaemonId, MonoTime};
 
 /// Largest fleet without hubs: below it, links to all cost less than the delay of
@@ -71,7 +71,7 @@
 
 /// What a daemon keeps to know its hub.
 #[derive(Debug, Default)]
-pub struct HubBook {
+pub struct HubSelector {
     role: Option<PeerRole>,
     hub_since: Option<(DaemonId, MonoTime)>,
     passed_over: IndexMap<DaemonId, MonoTime>,
@@ -80,7 +80,7 @@
     store_heard: IndexMap<DaemonId, MonoTime>,
 }
 
-impl HubBook {
+impl HubSelector {
     /// Notes a hint: whoever sends one to a daemon of a large fleet takes it for a hub.
     pub fn note_hint(&mut self, from: &DaemonId, now: MonoTime) {
         self.last_hints.insert(from.clone(), now);
@@ -118,7 +118,7 @@
         &mut self,
         own: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> PeerRole {
         let role = self.decide(own, daemons, peers, now);
@@ -130,7 +130,7 @@
         &mut self,
         own: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> PeerRole {
         let known = |id: &DaemonId| daemons.iter().any(|d| d.id == *id);
@@ -155,7 +155,7 @@
         }
     }
 
-    fn pass_over_silent(&mut self, peers: &PeerBook, now: MonoTime) {
+    fn pass_over_silent(&mut self, peers: &PeerTable, now: MonoTime) {
         let Some((hub, since)) = &self.hub_since else {
             return;
         };
@@ -185,7 +185,7 @@
         &self,
         own: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> Option<DaemonId> {
         let hubs = self.links(&PeerRole::Hub, own, daemons).into_iter();
@@ -199,11 +199,11 @@
     /// Returns the place of this daemon among those that hear the whole fleet: all where
     /// there are no hubs, else the hubs; `None` for a member.
     #[must_use]
-    pub fn speaker_rank(
+    pub fn full_view_rank(
         &self,
         own: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> Option<usize> {
         let role = self.role.as_ref()?;
@@ -262,7 +262,7 @@
 
 /// The order in which daemons are taken for hubs: those on the strongest instances first,
 /// which carry the words of a whole data centre, then by name.
-fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceStrength>, &DaemonId) {
+fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceCapacity>, &DaemonId) {
     (Reverse(daemon.strength), &daemon.id)
 }
 
@@ -273,31 +273,31 @@
 
 /// What passes through a hub on its way from some daemons to others.
 #[derive(Debug, Default)]
-pub struct RelayedNews {
+pub struct RelayQueue {
     // What engines came to hold: told by members, for other hubs and members.
-    members_held: Vec<HeldNote>,
+    members_held: Vec<CachedPartsUpdate>,
     // Told by other hubs, for members.
-    hubs_held: Vec<HeldNote>,
-    hub_turns: NoteTurns,
-    member_turns: NoteTurns,
+    hubs_held: Vec<CachedPartsUpdate>,
+    hub_turns: MemberBroadcasts,
+    member_turns: MemberBroadcasts,
 }
 
 /// Most notes that wait for the next word; a daemon that is no hub passes none on.
 const MOST_RELAYED: usize = 4_096;
 
-impl RelayedNews {
+impl RelayQueue {
     /// Keeps notes of a member.
-    pub fn keep_member(&mut self, notes: &[HeldNote]) {
+    pub fn keep_member(&mut self, notes: &[CachedPartsUpdate]) {
         keep(&mut self.members_held, notes);
     }
 
     /// Keeps notes of another hub.
-    pub fn keep_hub(&mut self, notes: &[HeldNote]) {
+    pub fn keep_hub(&mut self, notes: &[CachedPartsUpdate]) {
         keep(&mut self.hubs_held, notes);
     }
 
     /// Returns what members and what other hubs told since the last word.
-    pub fn take_held(&mut self) -> (Vec<HeldNote>, Vec<HeldNote>) {
+    pub fn take_held(&mut self) -> (Vec<CachedPartsUpdate>, Vec<CachedPartsUpdate>) {
         (
             std::mem::take(&mut self.members_held),
             std::mem::take(&mut self.hubs_held),
@@ -306,7 +306,7 @@
 
     /// Returns the turns of notes for members, who are told of the `whole` fleet, or for
     /// other hubs.
-    pub fn turns(&mut self, whole: bool) -> &mut NoteTurns {
+    pub fn turns(&mut self, whole: bool) -> &mut MemberBroadcasts {
         if whole {
             &mut self.member_turns
         } else {
@@ -315,7 +315,7 @@
     }
 }
 
-fn keep(kept: &mut Vec<HeldNote>, notes: &[HeldNote]) {
+fn keep(kept: &mut Vec<CachedPartsUpdate>, notes: &[CachedPartsUpdate]) {
     if kept.len() >= MOST_RELAYED {
         kept.clear();
     }
@@ -324,8 +324,8 @@
 
 /// What a hub tells of itself.
 #[must_use]
-pub fn own_note(hint: &PeerHint) -> MemberNote {
-    MemberNote {
+pub fn own_note(hint: &PeerHint) -> MemberStatus {
+    MemberStatus {
         id: hint.from.clone(),
         age_ms: 0,
         leaving: hint.leaving,
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -21,7 +21,7 @@
 use crate::gateway::peers::hub::{LinkKind, PeerRole};
 use crate::gateway::peers::link_queue::{LinkQueue, LinkTask};
 use crate::gateway::peers::wire::PeerMessage;
-use crate::gateway::store_follow::WatchDuty;
+use crate::gateway::store_follow::WatchMode;
 use crate::names::DaemonId;
 
 /// Time to open a link and to send one message.
@@ -87,7 +87,7 @@
 
 async fn dial(address: SocketAddr) -> Option<Link> {
     let stream = TcpStream::connect(address).await.ok()?;
-    crate::gateway::client::set_options(&stream).ok()?;
+    crate::gateway::client::set_socket_options(&stream).ok()?;
     let url = format!("ws://{address}/");
     let opened = client_async_with_config(url, stream, Some(config())).await;
     opened.ok().map(|(link, _)| link)
@@ -124,7 +124,7 @@
     loop {
         let task = queue.next().await;
         // Hubs rely on one that follows the store itself only.
-        let feeds = kind != LinkKind::OtherHub || gateway.duty.get() == WatchDuty::ForOthers;
+        let feeds = kind != LinkKind::OtherHub || gateway.duty.get() == WatchMode::ForOthers;
         let sent = match task {
             LinkTask::Word => {
                 let message = queue.word().for_link(kind).cloned();
--- a/src/gateway/peers/note_turns.rs
+++ b/src/gateway/peers/member_broadcasts.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::gateway::peers::wire::MemberNote;
+use crate::gateway::peers::wire::MemberStatus;
 use crate::names::DaemonId;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Words in which each daemon is told of once. Words go out every 200 ms and daemons count
 /// as away after 2.6 s: over two hubs a note is then at most 1.4 s old, which leaves a hub
@@ -21,11 +21,11 @@
 struct ToldState {
     leaving: bool,
     confirms_keys: bool,
-    changing: Vec<TargetLife>,
+    changing: Vec<TargetIncarnation>,
 }
 
-impl From<&MemberNote> for ToldState {
-    fn from(note: &MemberNote) -> Self {
+impl From<&MemberStatus> for ToldState {
+    fn from(note: &MemberStatus) -> Self {
         Self {
             leaving: note.leaving,
             confirms_keys: note.confirms_keys,
@@ -36,15 +36,15 @@
 
 /// What readers of one kind were told.
 #[derive(Debug, Default)]
-pub struct NoteTurns {
+pub struct MemberBroadcasts {
     told: IndexMap<DaemonId, ToldState>,
     word: u64,
 }
 
-impl NoteTurns {
+impl MemberBroadcasts {
     /// Returns the notes that go out with the next word: those that are new and those
     /// whose turn it is. A reader that missed a word learns of a change at its turn.
-    pub fn pick(&mut self, mut notes: Vec<MemberNote>) -> Vec<MemberNote> {
+    pub fn pick(&mut self, mut notes: Vec<MemberStatus>) -> Vec<MemberStatus> {
         self.word += 1;
         let word = self.word;
         let before = std::mem::take(&mut self.told);
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -10,14 +10,14 @@
 //! talk to it only, and hubs talk to each other.
 
 pub mod book;
-pub mod entry_turns;
+pub mod entry_broadcasts;
 pub mod feeding;
+pub mod freshness;
 pub mod hub;
 pub mod link_queue;
 mod links;
-pub mod note_turns;
+pub mod member_broadcasts;
 pub mod placing;
-pub mod proofs;
 pub mod seen;
 mod usage;
 pub mod wire;
@@ -31,20 +31,20 @@
 use tokio::task::spawn_local;
 use tokio_tungstenite::tungstenite::Message;
 
-pub use crate::gateway::peers::book::PeerBook;
+pub use crate::gateway::peers::book::PeerTable;
 
 use crate::clock;
-use crate::gateway::control::ControlNews;
+use crate::gateway::control::ControlInput;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::load::WorkByTarget;
 use crate::gateway::deciding::stage_plan::WorkRate;
 use crate::gateway::members::DaemonRecord;
 use crate::gateway::model::PromptPart;
 use crate::gateway::peers::hub::{LinkKind, PeerRole};
-use crate::gateway::peers::wire::{HeldNote, PeerHint, PeerMessage, PeerSummary};
-use crate::gateway::registry::EntryNote;
+use crate::gateway::peers::wire::{CachedPartsUpdate, PeerHint, PeerMessage, PeerSummary};
+use crate::gateway::registry::EntryUpdate;
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Time between two looks at the own role, and between two hints that tell nothing new.
@@ -133,15 +133,15 @@
 
     /// Place of this daemon among those that hear the whole fleet; `None` where it does not.
     #[must_use]
-    pub fn speaker_rank(&self, now: MonoTime) -> Option<usize> {
+    pub fn full_view_rank(&self, now: MonoTime) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.borrow();
         let hubs = self.hubs.borrow();
-        hubs.speaker_rank(&self.daemon, &view.daemons, &peers, now)
+        hubs.full_view_rank(&self.daemon, &view.daemons, &peers, now)
     }
 
     fn has_new_work(&self) -> bool {
-        *self.core.borrow().load.own() != *self.last_hint_work.borrow()
+        *self.core.borrow().load.own() != *self.last_sent_work.borrow()
     }
 
     fn hint(&self, role: &PeerRole) -> PeerHint {
@@ -160,7 +160,7 @@
             departed: view.departed.clone(),
             entries: self.entry_notes(role),
             works: self.crashes.borrow_mut().pick(clock::mono_now()),
-            changing: self.own_changing.borrow().clone(),
+            changing: self.local_stage_changes.borrow().clone(),
             rate,
             placed_through: self.placing.borrow().taken_through(),
             seen: self.seen.take(),
@@ -172,9 +172,9 @@
     }
 
     // In a fleet with hubs the entries themselves reach each daemon; only ends are told.
-    fn entry_notes(&self, role: &PeerRole) -> Vec<EntryNote> {
+    fn entry_notes(&self, role: &PeerRole) -> Vec<EntryUpdate> {
         let view = self.view();
-        let mut turns = self.entry_turns.borrow_mut();
+        let mut turns = self.entry_broadcasts.borrow_mut();
         let mut notes = turns.pick(&view.entry_notes, clock::mono_now());
         if *role != PeerRole::Mesh {
             notes.retain(|note| note.value.is_none());
@@ -199,7 +199,7 @@
             }
             PeerRole::Mesh | PeerRole::Member(_) => (None, None),
         };
-        *self.last_hint_work.borrow_mut() = hint.work.iter().cloned().collect();
+        *self.last_sent_work.borrow_mut() = hint.work.iter().cloned().collect();
         OutgoingWord {
             hint: PeerMessage::Hint(hint).encode(),
             centre: centre.map(|summary| PeerMessage::Summary(summary).encode()),
@@ -207,7 +207,7 @@
         }
     }
 
-    fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<HeldNote>) -> PeerSummary {
+    fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<CachedPartsUpdate>) -> PeerSummary {
         let now = clock::mono_now();
         let peers = self.peers.borrow();
         let notes = if whole {
@@ -285,7 +285,9 @@
             PeerMessage::Hint(hint) => self.take_hint(hint),
             PeerMessage::Summary(summary) => self.take_summary(summary),
             PeerMessage::Objects(objects) => self.take_objects(objects),
-            PeerMessage::NewLink { from } => self.joins.borrow_mut().note_new_link(&from),
+            PeerMessage::NewLink { from } => {
+                self.feed_subscription.borrow_mut().note_new_link(&from)
+            }
             PeerMessage::WantStock(question) => self.answer_stock(&question),
             PeerMessage::Stock(answer) => self.take_stock(answer),
             PeerMessage::Place(question) => self.answer_place(&question),
@@ -294,7 +296,7 @@
             PeerMessage::Proof(word) => self.take_proof(&word),
             PeerMessage::Config { revision, value } => {
                 // The control thread ends only with the process.
-                let _ = self.news.send(ControlNews::PeerConfig { revision, value });
+                let _ = self.news.send(ControlInput::PeerConfig { revision, value });
             }
         }
     }
@@ -322,15 +324,15 @@
         self.relayed.borrow_mut().keep_member(&hint.held);
         self.take_departed(&hint.departed);
         self.take_entry_notes(hint.entries);
-        self.take_work_notes(&hint.works);
+        self.apply_crash_reports(&hint.works);
         self.take_seen(&hint.seen);
         let work = hint.work.into_iter().collect();
         let load = &mut self.core.borrow_mut().load;
-        load.settle_promises(&hint.from, hint.placed_through);
-        load.set_other(hint.from, work, now);
+        load.release_reservations(&hint.from, hint.placed_through);
+        load.set_peer_work(hint.from, work, now);
     }
 
-    fn take_held_notes(&self, notes: &[HeldNote]) {
+    fn take_held_notes(&self, notes: &[CachedPartsUpdate]) {
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
         for note in notes {
@@ -346,20 +348,20 @@
         }
     }
 
-    fn take_departed(&self, departed: &[TargetLife]) {
+    fn take_departed(&self, departed: &[TargetIncarnation]) {
         let view = self.view();
         for target in departed.iter().filter(|target| view.holds(target)) {
-            self.tell_departed(target);
+            self.notify_departed(target);
         }
     }
 
-    fn take_entry_notes(&self, mut notes: Vec<EntryNote>) {
+    fn take_entry_notes(&self, mut notes: Vec<EntryUpdate>) {
         let view = self.view();
-        let is_kept = |note: &EntryNote| view.entry_notes.iter().any(|kept| kept.note == *note);
+        let is_kept = |note: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.note == *note);
         notes.retain(|note| !is_kept(note));
         if !notes.is_empty() {
             // The control thread ends only with the process.
-            let _ = self.news.send(ControlNews::EntryNotes(notes));
+            let _ = self.news.send(ControlInput::EntryNotes(notes));
         }
     }
 
@@ -397,15 +399,15 @@
         }
         self.take_departed(&summary.departed);
         self.take_entry_notes(summary.entries);
-        self.take_work_notes(&summary.works);
+        self.apply_crash_reports(&summary.works);
         let mut work: WorkByTarget = summary.work.into_iter().collect();
         if summary.whole {
-            hub::subtract(&mut work, &self.last_hint_work.borrow());
+            hub::subtract(&mut work, &self.last_sent_work.borrow());
         }
         let load = &mut self.core.borrow_mut().load;
         if !summary.whole {
-            load.settle_promises(&summary.from, summary.placed_through);
+            load.release_reservations(&summary.from, summary.placed_through);
         }
-        load.set_other(summary.from, work, now);
+        load.set_peer_work(summary.from, work, now);
     }
 }
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -16,16 +16,17 @@
 use tokio_tungstenite::tungstenite::Message;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail};
+use crate::gateway::call::{RoutedRequest, SendHistory};
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::engine_choice::EnginePlace;
-use crate::gateway::deciding::{EngineChoices, PlaceOrder};
+use crate::gateway::deciding::engine_choice::EnginePlacement;
+use crate::gateway::deciding::{EngineCandidates, PlacementQuery};
 use crate::gateway::model::{PromptPart, PromptShape, TargetRecord};
 use crate::gateway::peers::wire::{
-    PeerMessage, PlaceAnswer, PlaceQuestion, PlacedEngines, PlacementNote, PlacementNotes,
+    PeerMessage, PlacedEngines, PlacementBatch, PlacementRecord, PlacementRequest,
+    PlacementResponse,
 };
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Longest wait for an answer: a round trip takes 1 to 3 ms, and waiting longer than
 /// a choice without the others' knowledge costs, 100 ms and more, buys nothing.
@@ -45,19 +46,19 @@
 
 /// What a hub has placed and has not told the other hubs.
 #[derive(Debug, Default)]
-pub struct PlacementLog {
-    pending: Vec<PlacementNote>,
+pub struct PlacementOutbox {
+    pending: Vec<PlacementRecord>,
     last_number: u64,
 }
 
-impl PlacementLog {
-    fn note(&mut self, note: PlacementNote) {
+impl PlacementOutbox {
+    fn note(&mut self, note: PlacementRecord) {
         if self.pending.len() < MOST_NOTES {
             self.pending.push(note);
         }
     }
 
-    fn take(&mut self) -> Option<(u64, Vec<PlacementNote>)> {
+    fn take(&mut self) -> Option<(u64, Vec<PlacementRecord>)> {
         if self.pending.is_empty() {
             return None;
         }
@@ -68,7 +69,7 @@
 
 /// What a daemon keeps to ask another one for places.
 #[derive(Debug, Default)]
-pub struct PlacingDesk {
+pub struct PlacementClient {
     // Whom to ask; `None` where this daemon places by itself.
     placer: Option<DaemonId>,
     links: IndexMap<DaemonId, mpsc::UnboundedSender<Message>>,
@@ -78,7 +79,7 @@
     not_before: Option<MonoTime>,
 }
 
-impl PlacingDesk {
+impl PlacementClient {
     /// Sets whom to ask.
     pub fn set_placer(&mut self, placer: Option<DaemonId>) {
         if self.placer != placer {
@@ -123,13 +124,13 @@
 
     /// Sends a question and returns its number and where the answer will come; `None`
     /// where nobody is to be asked, or nobody can be now.
-    pub fn ask(&mut self, question: PlaceQuestion, now: MonoTime) -> Option<(u64, PlaceWait)> {
+    pub fn ask(&mut self, question: PlacementRequest, now: MonoTime) -> Option<(u64, PlaceWait)> {
         let placer = self.placer.clone()?;
         if self.not_before.is_some_and(|until| now < until) {
             return None;
         }
         let number = self.last_number + 1;
-        let question = PlaceQuestion { number, ..question };
+        let question = PlacementRequest { number, ..question };
         if !self.send(&placer, &PeerMessage::Place(question)) {
             return None;
         }
@@ -140,7 +141,7 @@
     }
 
     /// Hands an answer to the request that waits for it.
-    pub fn take_answer(&mut self, answer: PlaceAnswer) {
+    pub fn take_answer(&mut self, answer: PlacementResponse) {
         if let Some(waiting) = self.waiting.swap_remove(&answer.number) {
             // Who asked may have given up meanwhile.
             let _ = waiting.send(answer.engines);
@@ -162,18 +163,18 @@
 impl Gateway {
     /// Chooses the engines of a request: the daemon that places for this one is asked,
     /// and this one chooses where it does not answer or knows other engines.
-    pub async fn place_by_fleet(
+    pub async fn place_request(
         &self,
-        call: &RoutedCall,
-        trail: &SendTrail,
-    ) -> Option<EnginePlace> {
+        call: &RoutedRequest,
+        trail: &SendHistory,
+    ) -> Option<EnginePlacement> {
         match self.ask_placer(call, trail).await {
             Some(place) => Some(place),
             None => self.place_alone(call, trail),
         }
     }
 
-    fn place_alone(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    fn place_alone(&self, call: &RoutedRequest, trail: &SendHistory) -> Option<EnginePlacement> {
         let place = self.place(call, trail)?;
         if let Some(prompt) = &call.caller.prompt {
             self.note_placement(prompt, &place);
@@ -181,7 +182,11 @@
         Some(place)
     }
 
-    async fn ask_placer(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    async fn ask_placer(
+        &self,
+        call: &RoutedRequest,
+        trail: &SendHistory,
+    ) -> Option<EnginePlacement> {
         let now = clock::mono_now();
         let question = self.question(call, trail);
         let (number, answer) = self.placing.borrow_mut().ask(question, now)?;
@@ -199,13 +204,13 @@
         self.resolve(call, &engines?)
     }
 
-    fn question(&self, call: &RoutedCall, trail: &SendTrail) -> PlaceQuestion {
+    fn question(&self, call: &RoutedRequest, trail: &SendHistory) -> PlacementRequest {
         let prompt = call.caller.prompt.clone().unwrap_or_default();
         let now = clock::mono_now();
         let core = self.core.borrow();
-        let engines = call.view.of_service(&call.service.name).iter();
+        let engines = call.view.service_targets(&call.service.name).iter();
         let avoided = engines.filter(|e| trail.has(&e.id) || core.health.view(&e.id, now).avoided);
-        PlaceQuestion {
+        PlacementRequest {
             from: self.daemon.clone(),
             life: self.life,
             number: 0,
@@ -221,10 +226,10 @@
 
     // The answer counts only with engines that this daemon knows for the request's own
     // route, whatever configuration the other one runs.
-    fn resolve(&self, call: &RoutedCall, engines: &PlacedEngines) -> Option<EnginePlace> {
+    fn resolve(&self, call: &RoutedRequest, engines: &PlacedEngines) -> Option<EnginePlacement> {
         let newest = self.view();
-        let known = call.view.of_service(&call.service.name);
-        let find = |id: &TargetLife| -> Option<Arc<TargetRecord>> {
+        let known = call.view.service_targets(&call.service.name);
+        let find = |id: &TargetIncarnation| -> Option<Arc<TargetRecord>> {
             let found = known.iter().find(|engine| engine.id == *id)?;
             newest.holds(id).then(|| found.clone())
         };
@@ -232,7 +237,7 @@
             Some(id) => Some(find(id)?),
             None => None,
         };
-        Some(EnginePlace {
+        Some(EnginePlacement {
             reader,
             writer: find(&engines.writer)?,
             fetch_from: engines.fetch_from.as_ref().and_then(find),
@@ -247,7 +252,7 @@
     }
 
     /// Answers a daemon that asks for a place.
-    pub fn answer_place(&self, question: &PlaceQuestion) {
+    pub fn answer_place(&self, question: &PlacementRequest) {
         let view = self.view();
         let asker = (&question.from, question.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == asker) {
@@ -259,9 +264,9 @@
             output_tokens: question.output_tokens,
             parts: parts_of(&question.parts),
         };
-        let order = PlaceOrder {
-            choices: EngineChoices {
-                engines: view.of_service(&question.service),
+        let order = PlacementQuery {
+            choices: EngineCandidates {
+                engines: view.service_targets(&question.service),
                 changing: &self.changing(),
                 excluded: &question.avoided,
             },
@@ -274,7 +279,7 @@
             self.count_place(question, &prompt, place);
             self.note_placement(&prompt, place);
         }
-        let answer = PeerMessage::Placed(PlaceAnswer {
+        let answer = PeerMessage::Placed(PlacementResponse {
             number: question.number,
             engines: place.map(|place| PlacedEngines::from(&place)),
         });
@@ -283,13 +288,13 @@
     }
 
     /// Notes what this daemon has placed as a hub, for the other hubs.
-    pub fn note_placement(&self, prompt: &PromptShape, place: &EnginePlace) {
+    pub fn note_placement(&self, prompt: &PromptShape, place: &EnginePlacement) {
         if !self.hubs.borrow().is_hub() {
             return;
         }
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let writer = place.reader.as_ref().map(|_| place.writer.id.clone());
-        self.placements.borrow_mut().note(PlacementNote {
+        self.placements.borrow_mut().note(PlacementRecord {
             reader: reader.id.clone(),
             writer,
             rank: place.rank,
@@ -304,7 +309,7 @@
     pub fn tell_placements(&self) -> u64 {
         let mut log = self.placements.borrow_mut();
         if let Some((number, placed)) = log.take() {
-            let notes = PeerMessage::Placements(PlacementNotes {
+            let notes = PeerMessage::Placements(PlacementBatch {
                 from: self.daemon.clone(),
                 life: self.life,
                 number,
@@ -317,7 +322,7 @@
     }
 
     /// Takes what another hub has placed.
-    pub fn take_placements(&self, notes: &PlacementNotes) {
+    pub fn take_placements(&self, notes: &PlacementBatch) {
         let view = self.view();
         let sender = (&notes.from, notes.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
@@ -337,7 +342,12 @@
     }
 
     // The next choice has to know of this one before the asker's hint tells of it.
-    fn count_place(&self, question: &PlaceQuestion, prompt: &PromptShape, place: &EnginePlace) {
+    fn count_place(
+        &self,
+        question: &PlacementRequest,
+        prompt: &PromptShape,
+        place: &EnginePlacement,
+    ) {
         let now = clock::mono_now();
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let mut core = self.core.borrow_mut();
@@ -352,7 +362,7 @@
     }
 
     /// Hands an answer to the request that waits for it.
-    pub fn take_place(&self, answer: PlaceAnswer) {
+    pub fn take_place(&self, answer: PlacementResponse) {
         self.placing.borrow_mut().take_answer(answer);
     }
 }
@@ -375,8 +385,8 @@
     parts.collect()
 }
 
-impl From<&EnginePlace> for PlacedEngines {
-    fn from(place: &EnginePlace) -> Self {
+impl From<&EnginePlacement> for PlacedEngines {
+    fn from(place: &EnginePlacement) -> Self {
         Self {
             reader: place.reader.as_ref().map(|reader| reader.id.clone()),
             writer: place.writer.id.clone(),
--- a/src/gateway/peers/seen.rs
+++ b/src/gateway/peers/seen.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::SendResult;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Most notes in a hint; what is beyond is left out. At 450 requests a second
 /// a daemon of a fleet of 195 has one or two to tell, so this leaves room for rushes.
@@ -24,25 +24,25 @@
 
 /// What became of a send.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ResultNote {
+pub struct ObservedResult {
     /// The target.
-    pub target: TargetLife,
+    pub target: TargetIncarnation,
     /// What became of it.
     pub result: SendResult,
 }
 
 /// What a daemon saw of its sends since its last hint.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct SeenWork {
+pub struct ObservedResults {
     /// What became of sends.
-    pub results: Vec<ResultNote>,
+    pub results: Vec<ObservedResult>,
 }
 
-impl SeenWork {
+impl ObservedResults {
     /// Keeps what became of a send.
-    pub fn note_result(&mut self, target: &TargetLife, result: SendResult) {
+    pub fn note_result(&mut self, target: &TargetIncarnation, result: SendResult) {
         if self.results.len() < MOST_NOTES {
-            self.results.push(ResultNote {
+            self.results.push(ObservedResult {
                 target: target.clone(),
                 result,
             });
@@ -52,16 +52,16 @@
     /// Returns the results that say something of their targets. Several silent ones at
     /// once say that the daemon itself is cut off, and one that is silent to a daemon
     /// twice between two hints is silent once.
-    pub fn telling_results(&self) -> impl Iterator<Item = &ResultNote> {
-        let silent = |note: &&ResultNote| note.result == SendResult::Silent;
-        let silences: IndexSet<&TargetLife> = self
+    pub fn telling_results(&self) -> impl Iterator<Item = &ObservedResult> {
+        let silent = |note: &&ObservedResult| note.result == SendResult::Silent;
+        let silences: IndexSet<&TargetIncarnation> = self
             .results
             .iter()
             .filter(silent)
             .map(|note| &note.target)
             .collect();
         let cut_off = silences.len() >= CUT_OFF_SILENCES;
-        let mut told: IndexSet<&TargetLife> = IndexSet::new();
+        let mut told: IndexSet<&TargetIncarnation> = IndexSet::new();
         self.results.iter().filter(move |note| match note.result {
             SendResult::Silent => !cut_off && told.insert(&note.target),
             SendResult::Answered | SendResult::Failed => true,
@@ -71,12 +71,12 @@
 
 impl Gateway {
     /// Whether a hub places this daemon's requests and is to know what came of them.
-    pub fn is_placed_for(&self) -> bool {
+    pub fn uses_remote_placement(&self) -> bool {
         self.placing.borrow().has_placer()
     }
 
     /// Takes what a member saw, as if this daemon had seen it.
-    pub(super) fn take_seen(&self, seen: &SeenWork) {
+    pub(super) fn take_seen(&self, seen: &ObservedResults) {
         let view = self.view();
         for note in seen.telling_results() {
             if let Some(target) = view.find(&note.target) {
--- a/src/gateway/peers/wire.rs
+++ b/src/gateway/peers/wire.rs
@@ -8,22 +8,22 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use tokio_tungstenite::tungstenite::Message;
 
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
 use crate::gateway::deciding::load::TargetWork;
 use crate::gateway::deciding::stage_plan::WorkRate;
-use crate::gateway::duties::usage_book::{DaemonUsage, UsageCell};
-use crate::gateway::peers::proofs::ProofNote;
-use crate::gateway::peers::seen::SeenWork;
-use crate::gateway::registry::EntryNote;
+use crate::gateway::fleet_tasks::usage_counts::{DaemonUsage, UsageCount};
+use crate::gateway::peers::freshness::ConfigFreshness;
+use crate::gateway::peers::seen::ObservedResults;
+use crate::gateway::registry::EntryUpdate;
 use crate::gateway::store_follow::Feed;
 use crate::names::{DaemonId, MonoTime, ServiceName, UnixTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Parts of a prompt that an engine holds, or was asked to read.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
-pub struct HeldNote {
+pub struct CachedPartsUpdate {
     /// The engine.
-    pub engine: TargetLife,
+    pub engine: TargetIncarnation,
     /// Keys and tokens of the parts, in the prompt's order.
     pub parts: Vec<(u64, u32)>,
     /// Whether it holds them already.
@@ -42,25 +42,25 @@
     /// Version of the configuration that it runs.
     pub config_version: u64,
     /// Its work at targets.
-    pub work: Vec<(TargetLife, TargetWork)>,
+    pub work: Vec<(TargetIncarnation, TargetWork)>,
     /// What engines came to hold by its requests since the last hint.
-    pub held: Vec<HeldNote>,
+    pub held: Vec<CachedPartsUpdate>,
     /// Targets that it knows to be leaving.
-    pub departed: Vec<TargetLife>,
-    /// Targets' entries that began or ended, by turns ([`super::entry_turns`]).
+    pub departed: Vec<TargetIncarnation>,
+    /// Targets' entries that began or ended, by turns ([`super::entry_broadcasts`]).
     #[serde(default)]
-    pub entries: Vec<EntryNote>,
-    /// Work that ended targets, by turns ([`crate::crashes::news`]).
+    pub entries: Vec<EntryUpdate>,
+    /// Work that ended targets, by turns ([`crate::crashes::broadcasts`]).
     #[serde(default)]
-    pub works: Vec<WorkNote>,
+    pub works: Vec<CrashReport>,
     /// Engines that it is ordering to change their stage.
-    pub changing: Vec<TargetLife>,
+    pub changing: Vec<TargetIncarnation>,
     /// Work that it places on engines, in a second.
     pub rate: WorkRate,
     /// Last question for a place whose work this hint contains.
     pub placed_through: u64,
     /// What it saw of its sends, where a hub places its requests.
-    pub seen: SeenWork,
+    pub seen: ObservedResults,
     /// Its clock.
     pub clock: MonoTime,
     /// Whether it knows which keys are in force.
@@ -68,7 +68,7 @@
     /// Its wall clock.
     pub wall: UnixTime,
     /// Requests that began here, by window and workspace, as far as they are news.
-    pub usage: Vec<UsageCell>,
+    pub usage: Vec<UsageCount>,
 }
 
 /// A message between daemons.
@@ -94,37 +94,37 @@
         from: DaemonId,
     },
     /// A member's question for what its hub has of the store.
-    WantStock(StockQuestion),
+    WantStock(SnapshotRequest),
     /// The answer to it.
-    Stock(StockAnswer),
+    Stock(SnapshotResponse),
     /// A question for the engines of a request.
-    Place(PlaceQuestion),
+    Place(PlacementRequest),
     /// The answer to such a question.
-    Placed(PlaceAnswer),
+    Placed(PlacementResponse),
     /// What a hub has placed since it told so last.
-    Placements(PlacementNotes),
+    Placements(PlacementBatch),
     /// As of when a hub's configuration is the newest one, for one reader.
-    Proof(ProofWord),
+    Proof(FreshnessUpdate),
 }
 
 /// As of when a hub's configuration is the newest one, for one reader.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ProofWord {
+pub struct FreshnessUpdate {
     /// The hub.
     pub from: DaemonId,
     /// Its life, as its record in the store names it.
     pub life: u64,
     /// What it tells.
-    pub proof: ProofNote,
+    pub proof: ConfigFreshness,
 }
 
 /// A request that a hub has placed.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
-pub struct PlacementNote {
+pub struct PlacementRecord {
     /// Engine that reads the prompt.
-    pub reader: TargetLife,
+    pub reader: TargetIncarnation,
     /// Engine that makes the tokens, where it is another one.
-    pub writer: Option<TargetLife>,
+    pub writer: Option<TargetIncarnation>,
     /// Rank at the engines.
     pub rank: u8,
     /// Tokens that the reading engine still has to read.
@@ -135,7 +135,7 @@
 
 /// What a hub has placed since it told so last.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct PlacementNotes {
+pub struct PlacementBatch {
     /// The hub.
     pub from: DaemonId,
     /// Its life, as its record in the store names it.
@@ -143,12 +143,12 @@
     /// Number of these notes in that life.
     pub number: u64,
     /// The requests.
-    pub placed: Vec<PlacementNote>,
+    pub placed: Vec<PlacementRecord>,
 }
 
 /// A question for what a hub has of the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct StockQuestion {
+pub struct SnapshotRequest {
     /// Who asks.
     pub from: DaemonId,
     /// Its life, as its record in the store names it.
@@ -161,7 +161,7 @@
 
 /// What a hub has of the store and the asker has not.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct StockAnswer {
+pub struct SnapshotResponse {
     /// The hub.
     pub from: DaemonId,
     /// Number of the question.
@@ -172,7 +172,7 @@
 
 /// A question for the engines of a request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct PlaceQuestion {
+pub struct PlacementRequest {
     /// Who asks.
     pub from: DaemonId,
     /// Its life, as its record in the store names it.
@@ -182,7 +182,7 @@
     /// Service that the request is for.
     pub service: ServiceName,
     /// Engines that the asker does not want.
-    pub avoided: Vec<TargetLife>,
+    pub avoided: Vec<TargetIncarnation>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
     /// Most tokens to generate.
@@ -199,11 +199,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlacedEngines {
     /// Engine that reads the prompt for the other.
-    pub reader: Option<TargetLife>,
+    pub reader: Option<TargetIncarnation>,
     /// Engine that makes the tokens.
-    pub writer: TargetLife,
+    pub writer: TargetIncarnation,
     /// Engine that the reading one copies shared parts from.
-    pub fetch_from: Option<TargetLife>,
+    pub fetch_from: Option<TargetIncarnation>,
     /// Rank that it was chosen for.
     pub rank: u8,
     /// Expected time to the first token, in milliseconds.
@@ -222,7 +222,7 @@
 
 /// The answer to a question for engines.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct PlaceAnswer {
+pub struct PlacementResponse {
     /// Number of the question.
     pub number: u64,
     /// The engines, where there are any.
@@ -231,7 +231,7 @@
 
 /// What a hub tells of one daemon.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
-pub struct MemberNote {
+pub struct MemberStatus {
     /// The daemon.
     pub id: DaemonId,
     /// Milliseconds since it was heard.
@@ -241,7 +241,7 @@
     /// Version of the configuration that it runs.
     pub config_version: u64,
     /// Engines that it is ordering to change their stage.
-    pub changing: Vec<TargetLife>,
+    pub changing: Vec<TargetIncarnation>,
     /// Whether it knows which keys are in force.
     pub confirms_keys: bool,
 }
@@ -255,20 +255,20 @@
     pub life: u64,
     /// Whether this tells of the whole fleet.
     pub whole: bool,
-    /// Daemons that it tells of in this word ([`super::note_turns`]).
-    pub members: Vec<MemberNote>,
+    /// Daemons that it tells of in this word ([`super::member_broadcasts`]).
+    pub members: Vec<MemberStatus>,
     /// Their work at targets, summed.
-    pub work: Vec<(TargetLife, TargetWork)>,
+    pub work: Vec<(TargetIncarnation, TargetWork)>,
     /// What engines came to hold since the last summary.
-    pub held: Vec<HeldNote>,
+    pub held: Vec<CachedPartsUpdate>,
     /// Targets known to be leaving.
-    pub departed: Vec<TargetLife>,
+    pub departed: Vec<TargetIncarnation>,
     /// Targets' entries that ended, by turns.
     #[serde(default)]
-    pub entries: Vec<EntryNote>,
+    pub entries: Vec<EntryUpdate>,
     /// Work that ended targets, by turns.
     #[serde(default)]
-    pub works: Vec<WorkNote>,
+    pub works: Vec<CrashReport>,
     /// Work that they place on engines, in a second.
     pub rate: WorkRate,
     /// Milliseconds since the hub heard the store.
@@ -290,11 +290,11 @@
     pub whole: bool,
     /// Name, version and value of each; without a value it was deleted. Kept as bytes:
     /// as a list of numbers a value takes nearly twice the room on the link.
-    pub objects: Vec<StoredObjectNote>,
+    pub objects: Vec<ObjectUpdate>,
 }
 
 /// Name, version and value of an object.
-pub type StoredObjectNote = (String, u64, Option<ByteBuf>);
+pub type ObjectUpdate = (String, u64, Option<ByteBuf>);
 
 impl PeerMessage {
     /// Encodes the message.
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -10,16 +10,16 @@
 use http::{HeaderMap, Method, StatusCode, Uri};
 use thiserror::Error;
 
-use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
+use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
 use crate::gateway::model::{CallerAccess, CallerRequest, EngineStage, FleetConfig, TargetRecord};
 use crate::names::{CentreName, DaemonId, FenceNumber, ServiceName, TargetId, UnixTime};
 use crate::ports::{ObjectName, ObjectVersion, PlatformError, PlatformPort, PortCall};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// A value on the wire that cannot be decoded.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{field}: found {found:?}; expected {expected}")]
-pub struct WireFault {
+pub struct WireError {
     /// Name of the field or header.
     pub field: &'static str,
     /// Value found, truncated.
@@ -28,7 +28,7 @@
     pub expected: &'static str,
 }
 
-impl WireFault {
+impl WireError {
     /// Creates an error; keeps the first 80 characters of the value found.
     #[must_use]
     pub fn new(field: &'static str, found: &str, expected: &'static str) -> Self {
@@ -43,7 +43,7 @@
 
 /// KV cache of a prompt that one engine has prefilled and keeps for another engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CacheHandle {
+pub struct KvCacheHandle {
     /// Address of the engine that keeps it.
     pub holder: SocketAddr,
     /// Name that the holder gave it.
@@ -58,14 +58,14 @@
     /// Prefill the prompt only and keep its KV cache.
     ReadPrompt,
     /// Generate from the KV cache of a prompt that was prefilled on another engine.
-    TakeOver(CacheHandle),
+    TakeOver(KvCacheHandle),
 }
 
 /// One send of a caller's request to a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SendOrder {
     /// Intended target; another one at its address refuses the request.
-    pub target: TargetLife,
+    pub target: TargetIncarnation,
     /// Time the target may spend.
     pub time_left: Duration,
     /// How to process it.
@@ -82,7 +82,7 @@
 
 /// Metadata in the head of a target's answer, beside the status.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerMarks {
+pub struct AnswerMetadata {
     /// Attempt that it answers, if stated.
     pub request_id: Option<String>,
     /// Whether the target states that it has not run the request.
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineOrder {
     /// Intended engine.
-    pub target: TargetLife,
+    pub target: TargetIncarnation,
     /// New stage of the engine.
     pub stage: EngineStage,
     /// Daemon that sends the order.
@@ -121,7 +121,7 @@
     /// Fencing token of the holder's lease.
     pub fence: FenceNumber,
     /// Number of orders that the engine must have accepted before; otherwise it refuses.
-    pub orders_taken: u64,
+    pub orders_accepted: u64,
 }
 
 /// Outcome of an order that was answered.
@@ -143,14 +143,14 @@
     /// Whether an order is in progress.
     pub busy: bool,
     /// Number of orders accepted since its start.
-    pub orders_taken: u64,
+    pub orders_accepted: u64,
     /// Start time on its own clock, if reported.
     pub born: Option<UnixTime>,
 }
 
 /// A caller's query for the addresses to use.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// Data centre of the caller, or an empty name.
     pub centre: CentreName,
 }
@@ -159,15 +159,15 @@
 #[derive(Clone)]
 pub struct WirePort {
     /// Decodes the headers of a caller's request.
-    pub decode_caller: fn(&HeaderMap) -> Result<CallerRequest, WireFault>,
+    pub decode_caller: fn(&HeaderMap) -> Result<CallerRequest, WireError>,
     /// Builds the headers of a send from the caller's headers.
     pub encode_send: fn(&HeaderMap, &SendOrder) -> HeaderMap,
     /// Decodes the head of a target's answer.
-    pub decode_answer: fn(StatusCode, &HeaderMap) -> AnswerMarks,
+    pub decode_answer: fn(StatusCode, &HeaderMap) -> AnswerMetadata,
     /// Decodes the name of the kept KV cache from the answer to [`SendMode::ReadPrompt`].
-    pub decode_read: fn(&[u8]) -> Result<String, WireFault>,
+    pub decode_read: fn(&[u8]) -> Result<String, WireError>,
     /// Builds the call that frees a kept KV cache.
-    pub free_handle: fn(&str) -> TargetQuery,
+    pub release_handle: fn(&str) -> TargetQuery,
     /// Builds the call that carries an order.
     pub encode_order: fn(&EngineOrder) -> TargetQuery,
     /// Decodes the answer to an order.
@@ -175,11 +175,11 @@
     /// Builds the call that requests an engine's report.
     pub report_query: fn() -> TargetQuery,
     /// Decodes an engine's report.
-    pub decode_report: fn(&[u8]) -> Result<EngineReport, WireFault>,
+    pub decode_report: fn(&[u8]) -> Result<EngineReport, WireError>,
     /// Decodes a directory query; `None` when the path is a different one.
-    pub directory_question: fn(&Uri) -> Option<DirectoryQuestion>,
+    pub decode_directory_query: fn(&Uri) -> Option<DirectoryQuery>,
     /// Encodes the directory's answer from addresses and the time to cache them.
-    pub directory_answer: fn(&[SocketAddr], Duration) -> Bytes,
+    pub encode_directory_answer: fn(&[SocketAddr], Duration) -> Bytes,
     /// Returns whether a path is that of the readiness check.
     pub is_ready_path: fn(&str) -> bool,
 }
@@ -198,14 +198,14 @@
     /// Kind of the records of quarantined work, which only the gateway uses.
     pub held_kind: String,
     /// Decodes a configuration.
-    pub decode_config: fn(&[u8]) -> Result<FleetConfig, WireFault>,
+    pub decode_config: fn(&[u8]) -> Result<FleetConfig, WireError>,
     /// Decodes a target's entry from its name and value.
-    pub decode_target: fn(&str, &[u8]) -> Result<TargetRecord, WireFault>,
+    pub decode_target: fn(&str, &[u8]) -> Result<TargetRecord, WireError>,
 }
 
 /// Daemon that performs a fleet task, and its authority.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DutyCaller {
+pub struct FleetTaskHolder {
     /// The daemon.
     pub holder: DaemonId,
     /// Fencing token of its lease.
@@ -236,7 +236,7 @@
 
 /// Outcome of an order for servers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderAnswer {
+pub enum ServerOrderOutcome {
     /// The platform carries it out.
     Taken,
     /// No servers of the kind are available at present.
@@ -245,11 +245,12 @@
 
 /// Calls to the platform that only one daemon may make at a time.
 #[derive(Clone)]
-pub struct DutyPort {
+pub struct FleetTaskPort {
     /// Reports the usage of a window; an identical retry is accepted as well.
-    pub report_usage: PortCall<(DutyCaller, UsageReport), Result<(), PlatformError>>,
+    pub report_usage: PortCall<(FleetTaskHolder, UsageReport), Result<(), PlatformError>>,
     /// Orders servers.
-    pub order_servers: PortCall<(DutyCaller, ServerOrder), Result<OrderAnswer, PlatformError>>,
+    pub order_servers:
+        PortCall<(FleetTaskHolder, ServerOrder), Result<ServerOrderOutcome, PlatformError>>,
 }
 
 /// All ports that the gateway needs from its adapter.
@@ -264,5 +265,5 @@
     /// Deletes an object of the store if it has the given version.
     pub remove: PortCall<(ObjectName, ObjectVersion), Result<(), PlatformError>>,
     /// Tasks that one daemon performs for the fleet, if the platform requires any.
-    pub duties: Option<DutyPort>,
+    pub duties: Option<FleetTaskPort>,
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -8,13 +8,13 @@
 
 use crate::gateway::budget::BudgetRule;
 use crate::gateway::deciding::engine_choice::PlacementWeights;
-use crate::gateway::members::InstanceStrength;
+use crate::gateway::members::InstanceCapacity;
 use crate::gateway::store_follow::ConfigWatchWaits;
 use crate::names::{CentreName, DaemonId};
 
 /// Error in the settings of a gateway process.
 #[derive(Debug, Error)]
-pub enum SettingsFault {
+pub enum GatewaySettingsError {
     /// The file cannot be read.
     #[error("settings {path:?} cannot be read ({reason}); name a readable file")]
     Unreadable {
@@ -137,9 +137,9 @@
 impl InstanceLimits {
     /// Returns the capacity as announced to other daemons.
     #[must_use]
-    pub fn strength(&self) -> InstanceStrength {
+    pub fn strength(&self) -> InstanceCapacity {
         // Casts of negative numbers saturate at zero.
-        InstanceStrength {
+        InstanceCapacity {
             core_thousandths: (self.cpu_share * self.core_speed * 1_000.0) as u32,
             link_mbps: self.link_mbps as u32,
             memory_mb: self.memory_mb as u32,
@@ -150,7 +150,7 @@
 /// Settings of the tasks that one daemon performs for the fleet. Each name ends with the
 /// unit of its time.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-pub struct DutySettings {
+pub struct FleetTaskSettings {
     /// Address of the platform.
     pub address: SocketAddr,
     /// Length of a usage window.
@@ -176,7 +176,7 @@
     3_000.0
 }
 
-impl DutySettings {
+impl FleetTaskSettings {
     /// Returns the length of a usage window.
     #[must_use]
     pub fn usage_window(&self) -> Duration {
@@ -195,7 +195,7 @@
         Duration::from_secs_f64(self.turn_ms / 1_000.0)
     }
 
-    fn validate(&self) -> Result<(), SettingsFault> {
+    fn validate(&self) -> Result<(), GatewaySettingsError> {
         positive("duties.usage_window_s", self.usage_window_s)?;
         positive("duties.usage_due_s", self.usage_due_s)?;
         positive("duties.turn_ms", self.turn_ms)
@@ -221,7 +221,7 @@
     pub bounds: BoundSettings,
     /// Tasks that one daemon performs for the fleet, if the platform requires any.
     #[serde(default)]
-    pub duties: Option<DutySettings>,
+    pub duties: Option<FleetTaskSettings>,
     /// Capacity of the instance.
     #[serde(default)]
     pub limits: InstanceLimits,
@@ -255,11 +255,12 @@
     /// # Errors
     ///
     /// Returns an error that names the file or the field at fault.
-    pub fn load(path: &str) -> Result<Self, SettingsFault> {
-        let text = std::fs::read_to_string(path).map_err(|error| SettingsFault::Unreadable {
-            path: path.to_owned(),
-            reason: error.to_string(),
-        })?;
+    pub fn load(path: &str) -> Result<Self, GatewaySettingsError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|error| GatewaySettingsError::Unreadable {
+                path: path.to_owned(),
+                reason: error.to_string(),
+            })?;
         Self::parse(&text)
     }
 
@@ -268,13 +269,13 @@
     /// # Errors
     ///
     /// Returns an error that names the field at fault.
-    pub fn parse(text: &str) -> Result<Self, SettingsFault> {
+    pub fn parse(text: &str) -> Result<Self, GatewaySettingsError> {
         let settings: Self = serde_json::from_str(text)?;
         settings.validate()?;
         Ok(settings)
     }
 
-    fn validate(&self) -> Result<(), SettingsFault> {
+    fn validate(&self) -> Result<(), GatewaySettingsError> {
         let bounds = &self.bounds;
         positive("bounds.stop_grace_s", bounds.stop_grace_s)?;
         positive("bounds.repeat_window_s", bounds.repeat_window_s)?;
@@ -364,7 +365,7 @@
     /// Returns how long a key is accepted after its configuration was last confirmed to be
     /// the newest one; `None` if that is not bounded.
     #[must_use]
-    pub fn key_trust(&self) -> Option<Duration> {
+    pub fn key_validity(&self) -> Option<Duration> {
         let revoked = self.bounds.revoked_within_ms?;
         Some(Duration::from_secs_f64(
             revoked * KEY_VALIDITY_FRACTION / 1_000.0,
@@ -385,22 +386,22 @@
     }
 }
 
-fn positive(field: &'static str, value: f64) -> Result<(), SettingsFault> {
+fn positive(field: &'static str, value: f64) -> Result<(), GatewaySettingsError> {
     if value > 0.0 && value.is_finite() {
         return Ok(());
     }
     Err(out_of_range(field, &value.to_string(), "a number above 0"))
 }
 
-fn not_negative(field: &'static str, value: f64) -> Result<(), SettingsFault> {
+fn not_negative(field: &'static str, value: f64) -> Result<(), GatewaySettingsError> {
     if value >= 0.0 && value.is_finite() {
         return Ok(());
     }
     Err(out_of_range(field, &value.to_string(), "0 or more"))
 }
 
-fn out_of_range(field: &'static str, found: &str, expected: &'static str) -> SettingsFault {
-    SettingsFault::Range {
+fn out_of_range(field: &'static str, found: &str, expected: &'static str) -> GatewaySettingsError {
+    GatewaySettingsError::Range {
         field,
         found: found.to_owned(),
         expected,
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -17,15 +17,15 @@
 
 use crate::authority::lease_state::LeaseTimes;
 use crate::clock;
-use crate::gateway::client::{self, HttpLink, SendFault};
+use crate::gateway::client::{self, HttpConnection, SendError};
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::stage_plan::{self, StageWish};
-use crate::gateway::lease_upkeep::{LeaseAnswer, LeaseUpkeep};
+use crate::gateway::deciding::stage_plan::{self, StageChangePlan};
+use crate::gateway::lease_upkeep::{LeaseCallResult, LeaseManager};
 use crate::gateway::model::{EngineStage, TargetRecord};
 use crate::gateway::port::{EngineOrder, EngineReport, OrderOutcome, TargetQuery};
 use crate::gateway::sending::query_request;
 use crate::names::{FenceNumber, MonoTime, ServiceName};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Group of the lease: it covers all engines, so that there is one holder.
@@ -67,16 +67,20 @@
 
 struct StageController {
     gateway: Rc<Gateway>,
-    lease: LeaseUpkeep,
+    lease: LeaseManager,
     authority_since: Option<MonoTime>,
     planned_since: Option<MonoTime>,
-    changes: IndexMap<TargetLife, StageChange>,
+    changes: IndexMap<TargetIncarnation, StageChange>,
     event_sender: mpsc::UnboundedSender<StageEvent>,
 }
 
 enum StageEvent {
-    Lease(LeaseAnswer),
-    Ordered(TargetLife, EngineStage, Result<OrderOutcome, SendFault>),
+    Lease(LeaseCallResult),
+    Ordered(
+        TargetIncarnation,
+        EngineStage,
+        Result<OrderOutcome, SendError>,
+    ),
 }
 
 /// Runs until the process ends.
@@ -88,7 +92,7 @@
         order_flight: MAX_ORDER_FLIGHT,
     };
     let mut controller = StageController {
-        lease: LeaseUpkeep::new(gateway.clone(), LEASE_GROUP, times),
+        lease: LeaseManager::new(gateway.clone(), LEASE_GROUP, times),
         gateway,
         authority_since: None,
         planned_since: None,
@@ -148,9 +152,9 @@
 
     fn note_ordered(
         &mut self,
-        id: &TargetLife,
+        id: &TargetIncarnation,
         stage: EngineStage,
-        result: &Result<OrderOutcome, SendFault>,
+        result: &Result<OrderOutcome, SendError>,
         now: MonoTime,
     ) {
         log::info!(target_id = id.as_str(), stage = format!("{stage:?}"), outcome = format!("{result:?}"); "ordered an engine to change its stage");
@@ -162,10 +166,10 @@
         match result {
             // An order without an answer may still be carried out, so the engine counts as
             // changing until its entry shows its stage.
-            Ok(OrderOutcome::Accepted) | Err(SendFault::Unclear(_) | SendFault::Cut(_)) => {
+            Ok(OrderOutcome::Accepted) | Err(SendError::Unclear(_) | SendError::Cut(_)) => {
                 change.ordered_at = Some(now);
             }
-            Ok(OrderOutcome::Holds | OrderOutcome::Refused(_)) | Err(SendFault::NotSent(_)) => {
+            Ok(OrderOutcome::Holds | OrderOutcome::Refused(_)) | Err(SendError::NotSent(_)) => {
                 self.changes.swap_remove(id);
             }
         }
@@ -180,7 +184,7 @@
             .collect()
     }
 
-    fn planned_changes(&self) -> Vec<StageWish> {
+    fn planned_changes(&self) -> Vec<StageChangePlan> {
         let mut planned_changes = Vec::new();
         let share = self.gateway.settings().prefill_share;
         let idle = self.gateway.is_idle();
@@ -188,13 +192,13 @@
         for (_, engines) in self.engines() {
             let after: Vec<Arc<TargetRecord>> =
                 engines.iter().map(|e| self.with_new_stage(e)).collect();
-            let prefill_count = stage_plan::wanted_readers(engines.len(), share);
+            let prefill_count = stage_plan::prefill_engine_count(engines.len(), share);
             let at_once = if idle {
                 engines.len()
             } else {
                 MAX_CONCURRENT_CHANGES.saturating_sub(self.changes.len())
             };
-            let running = |id: &TargetLife| core.load.total(id).running;
+            let running = |id: &TargetIncarnation| core.load.total(id).running;
             planned_changes.extend(stage_plan::wishes(&after, running, prefill_count, at_once));
         }
         planned_changes
@@ -211,7 +215,7 @@
         }
     }
 
-    fn start_changes(&mut self, planned_changes: Vec<StageWish>, now: MonoTime) {
+    fn start_changes(&mut self, planned_changes: Vec<StageChangePlan>, now: MonoTime) {
         let settled = self
             .authority_since
             .is_some_and(|since| now.since(since) >= SETTLE_TIME);
@@ -283,7 +287,7 @@
 
     fn publish(&self) {
         let changing = self.changes.keys().cloned().collect();
-        *self.gateway.own_changing.borrow_mut() = changing;
+        *self.gateway.local_stage_changes.borrow_mut() = changing;
     }
 }
 
@@ -300,50 +304,50 @@
         stage: EngineStage,
         fence: FenceNumber,
         until: MonoTime,
-    ) -> Result<OrderOutcome, SendFault> {
+    ) -> Result<OrderOutcome, SendError> {
         let report = self.fetch_report(engine).await?;
         if report.born.is_some() && report.born != engine.id.born() {
             // The entry is stale: the incarnation that was to be changed has ended.
-            self.tell_departed(&engine.id);
-            return Err(SendFault::NotSent("the engine has restarted".to_owned()));
+            self.notify_departed(&engine.id);
+            return Err(SendError::NotSent("the engine has restarted".to_owned()));
         }
         if report.stage == Some(stage) {
             return Ok(OrderOutcome::Holds);
         }
         if report.busy {
-            return Err(SendFault::NotSent(
+            return Err(SendError::NotSent(
                 "another order is in progress".to_owned(),
             ));
         }
         if clock::mono_now().plus(CALL_TIMEOUT) >= until {
-            return Err(SendFault::NotSent("the lease is about to end".to_owned()));
+            return Err(SendError::NotSent("the lease is about to end".to_owned()));
         }
         let order = EngineOrder {
             target: engine.id.clone(),
             stage,
             holder: self.daemon.clone(),
             fence,
-            orders_taken: report.orders_taken,
+            orders_accepted: report.orders_accepted,
         };
         let query = (self.ports.wire.encode_order)(&order);
         let (head, body) = self.call_target(engine, query).await?;
         Ok((self.ports.wire.decode_order)(head.status, &body))
     }
 
-    async fn fetch_report(&self, engine: &TargetRecord) -> Result<EngineReport, SendFault> {
+    async fn fetch_report(&self, engine: &TargetRecord) -> Result<EngineReport, SendError> {
         let query = (self.ports.wire.report_query)();
         let (_, body) = self.call_target(engine, query).await?;
-        (self.ports.wire.decode_report)(&body).map_err(|e| SendFault::NotSent(e.to_string()))
+        (self.ports.wire.decode_report)(&body).map_err(|e| SendError::NotSent(e.to_string()))
     }
 
     async fn call_target(
         &self,
         engine: &TargetRecord,
         query: TargetQuery,
-    ) -> Result<(http::response::Parts, bytes::Bytes), SendFault> {
+    ) -> Result<(http::response::Parts, bytes::Bytes), SendError> {
         let until = Instant::now() + CALL_TIMEOUT;
         let request = query_request(engine, query);
-        let mut link = HttpLink::open(engine.address, until).await?;
+        let mut link = HttpConnection::open(engine.address, until).await?;
         client::call(&mut link, &request, MAX_REPORT_BYTES, until).await
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -10,7 +10,7 @@
 
 /// Time within which entries of live targets reappear after the store's return: about two
 /// seconds, as stated by the users, less the time in which a send reaches its target.
-pub const REAPPEAR_TIME: Duration = Duration::from_millis(1_900);
+pub const ENTRY_RETURN_TIME: Duration = Duration::from_millis(1_900);
 /// Time after its last failure for which the store counts as just returned. It is the only
 /// bound while no call of this daemon has been answered since that failure.
 pub const RETURN_WINDOW: Duration = Duration::from_millis(2_500);
@@ -25,12 +25,12 @@
 
 /// Tracks outages of the store by the results of calls to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreContact {
+pub struct StoreOutageTracker {
     answered_at: Option<MonoTime>,
     outage: Option<StoreOutage>,
 }
 
-impl StoreContact {
+impl StoreOutageTracker {
     /// Records that a call that was started at `called_at` has failed.
     ///
     /// A call that hung while others were answered indicates a lost connection, not an
@@ -58,12 +58,12 @@
     /// Returns the time until which an entry that vanishes now may reappear; `None` if it is
     /// not expected to.
     #[must_use]
-    pub fn reappears_until(&self, now: MonoTime) -> Option<MonoTime> {
+    pub fn entry_return_deadline(&self, now: MonoTime) -> Option<MonoTime> {
         let StoreOutage {
             failed_at,
             returned_at,
         } = self.outage?;
-        let return_bound = returned_at.unwrap_or(now).plus(REAPPEAR_TIME);
+        let return_bound = returned_at.unwrap_or(now).plus(ENTRY_RETURN_TIME);
         let until = return_bound.min(failed_at.plus(RETURN_WINDOW));
         (now < until).then_some(until)
     }
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -74,7 +74,7 @@
 
 /// Events from following the store.
 #[derive(Debug)]
-pub enum FeedNews {
+pub enum StoreEvent {
     /// All objects of a kind.
     Listed(Feed, Vec<StoredObject>),
     /// Objects that changed.
@@ -87,7 +87,7 @@
     TargetsThrough(u64),
 }
 
-impl FeedNews {
+impl StoreEvent {
     /// Returns the objects that a hub relays to its members, if any.
     #[must_use]
     pub fn relayed(&self) -> Option<FeedObjects> {
@@ -116,7 +116,7 @@
 
 /// Mode in which a daemon follows the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WatchDuty {
+pub enum WatchMode {
     /// Follows only the daemons' records until the hubs are known: the whole fleet is
     /// starting, and all daemons would request each listing at once.
     Gathering,
@@ -136,7 +136,7 @@
     Fed,
 }
 
-impl WatchDuty {
+impl WatchMode {
     /// Returns the mode of a daemon that starts.
     #[must_use]
     pub fn at_start(first_start: bool) -> Self {
@@ -222,14 +222,14 @@
 
 /// Records when the store last answered and when the configuration was last confirmed.
 #[derive(Debug)]
-pub struct StorePulse {
+pub struct StoreLiveness {
     listed: [AtomicBool; 3],
     config_answered: watch::Sender<Option<MonoTime>>,
     // Milliseconds on the local clock plus one; 0 means never.
     confirmed: AtomicU64,
 }
 
-impl Default for StorePulse {
+impl Default for StoreLiveness {
     fn default() -> Self {
         Self {
             listed: Default::default(),
@@ -239,7 +239,7 @@
     }
 }
 
-impl StorePulse {
+impl StoreLiveness {
     fn note_answer(&self, feed: Feed) {
         self.listed[feed as usize].store(true, Ordering::Relaxed);
         if feed == Feed::Config {
@@ -300,11 +300,11 @@
     /// Name of that kind in the store.
     pub kind: String,
     /// Receives the events.
-    pub events: mpsc::UnboundedSender<FeedNews>,
+    pub events: mpsc::UnboundedSender<StoreEvent>,
     /// Current mode of following the store.
-    pub mode: watch::Receiver<WatchDuty>,
+    pub mode: watch::Receiver<WatchMode>,
     /// Records when the store last answered.
-    pub pulse: Arc<StorePulse>,
+    pub pulse: Arc<StoreLiveness>,
     /// Longest waits of the configuration watch.
     pub config_waits: ConfigWatchWaits,
 }
@@ -324,7 +324,7 @@
                 Ok(batch) => {
                     backoff = INITIAL_BACKOFF;
                     self.log_recovery(&mut failing, called_at);
-                    let event = FeedNews::Listed(self.feed, batch.objects);
+                    let event = StoreEvent::Listed(self.feed, batch.objects);
                     self.publish(event, batch.revision, called_at);
                     self.watch_from(batch.revision).await;
                     sleep_with_backoff(&mut backoff, MAX_BACKOFF).await;
@@ -377,7 +377,7 @@
                     backoff = INITIAL_BACKOFF;
                     since = revision.max(since);
                     let batches = !objects.is_empty() && self.feed != Feed::Config;
-                    self.publish(FeedNews::Changed(self.feed, objects), since, called_at);
+                    self.publish(StoreEvent::Changed(self.feed, objects), since, called_at);
                     if batches {
                         sleep(mode.batch_pause()).await;
                     }
@@ -396,9 +396,9 @@
     }
 
     // Waits until this kind is to be watched; `None` if a hub relays it instead.
-    async fn mode_to_watch(&mut self) -> Option<WatchDuty> {
+    async fn mode_to_watch(&mut self) -> Option<WatchMode> {
         let feed = self.feed;
-        let is_decided = |mode: &WatchDuty| mode.watches(feed) || *mode == WatchDuty::Fed;
+        let is_decided = |mode: &WatchMode| mode.watches(feed) || *mode == WatchMode::Fed;
         // The sender lives as long as the thread.
         let mode = *self.mode.wait_for(is_decided).await.ok()?;
         mode.watches(feed).then_some(mode)
@@ -409,7 +409,7 @@
     // it ended, nobody in its data centre would notice that the store is back.
     async fn pause_after_failure(&mut self, backoff: &mut Duration, started: Instant) {
         let mode = *self.mode.borrow();
-        let is_member = matches!(mode, WatchDuty::WithoutHub | WatchDuty::BesideHub);
+        let is_member = matches!(mode, WatchMode::WithoutHub | WatchMode::BesideHub);
         let failed_at = clock::mono_now();
         let mut modes = self.mode.clone();
         let changed = modes.wait_for(|now| *now != mode);
@@ -440,13 +440,13 @@
 
     // Sends the store's answer to a call that was started at `called_at`. The answer may have
     // been in transit for long, but was valid at the time of the call.
-    fn publish(&self, event: FeedNews, through: u64, called_at: MonoTime) {
+    fn publish(&self, event: StoreEvent, through: u64, called_at: MonoTime) {
         self.pulse.note_answer(self.feed);
         // The loop that receives this ends only with the thread.
         let _ = self.events.send(event);
         let _ = match self.feed {
-            Feed::Config => self.events.send(FeedNews::Confirmed(called_at)),
-            Feed::Targets => self.events.send(FeedNews::TargetsThrough(through)),
+            Feed::Config => self.events.send(StoreEvent::Confirmed(called_at)),
+            Feed::Targets => self.events.send(StoreEvent::TargetsThrough(through)),
             Feed::Daemons => Ok(()),
         };
     }
@@ -462,7 +462,7 @@
         metrics::counter!("pistachiowick_store_failures_total").increment(1);
         let took_ms = millis(clock::mono_now().since(called_at));
         log::warn!(kind = self.kind.as_str(), took_ms = took_ms; "call to the store failed: {error}");
-        let _ = self.events.send(FeedNews::Failed(called_at));
+        let _ = self.events.send(StoreEvent::Failed(called_at));
     }
 }
 
--- a/tests/gateway_feeding.rs
+++ b/tests/gateway_feeding.rs
@@ -2,11 +2,13 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::peers::feeding::{FeedJoin, FeedState, FeedStock, watch_duty};
+use pistachiowick::gateway::peers::feeding::{
+    FeedState, FeedSubscription, StoreSnapshot, choose_watch_mode,
+};
 use pistachiowick::gateway::peers::hub::PeerRole;
 use pistachiowick::gateway::peers::wire::FeedObjects;
 use pistachiowick::gateway::settings::GatewaySettings;
-use pistachiowick::gateway::store_follow::{Feed, WatchDuty};
+use pistachiowick::gateway::store_follow::{Feed, WatchMode};
 use pistachiowick::names::{DaemonId, MonoTime};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
@@ -21,8 +23,8 @@
     joined: bool,
     current: bool,
     hub_heard: bool,
-    starting: Option<WatchDuty>,
-    duty: WatchDuty,
+    starting: Option<WatchMode>,
+    duty: WatchMode,
 }
 
 // A hub of 39 members is replaced, and each member lists everything: 350 calls to the
@@ -30,16 +32,16 @@
 // was told until a change could be overdue, and so does a hub; one that starts waits for
 // its hub first.
 #[rstest]
-#[case::small_fleet(DutyCase { role: || PeerRole::Mesh, joined: false, current: false, hub_heard: false, starting: None, duty: WatchDuty::Alone })]
-#[case::first_start(DutyCase { role: || PeerRole::Mesh, joined: false, current: false, hub_heard: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
-#[case::fed(DutyCase { role: member, joined: true, current: true, hub_heard: false, starting: None, duty: WatchDuty::Fed })]
-#[case::hub_just_gone(DutyCase { role: member, joined: false, current: true, hub_heard: false, starting: None, duty: WatchDuty::Fed })]
-#[case::hub_gone(DutyCase { role: member, joined: false, current: false, hub_heard: false, starting: None, duty: WatchDuty::WithoutHub })]
-#[case::hub_unfed(DutyCase { role: member, joined: false, current: false, hub_heard: true, starting: None, duty: WatchDuty::BesideHub })]
-#[case::restarted(DutyCase { role: member, joined: false, current: false, hub_heard: false, starting: Some(WatchDuty::Starting), duty: WatchDuty::Starting })]
-#[case::first_hub(DutyCase { role: || PeerRole::Hub, joined: false, current: false, hub_heard: false, starting: None, duty: WatchDuty::ForOthers })]
-#[case::other_hub(DutyCase { role: || PeerRole::Hub, joined: true, current: true, hub_heard: false, starting: None, duty: WatchDuty::Fed })]
-#[case::alone_so_far(DutyCase { role: || PeerRole::Hub, joined: false, current: false, hub_heard: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
+#[case::small_fleet(DutyCase { role: || PeerRole::Mesh, joined: false, current: false, hub_heard: false, starting: None, duty: WatchMode::Alone })]
+#[case::first_start(DutyCase { role: || PeerRole::Mesh, joined: false, current: false, hub_heard: false, starting: Some(WatchMode::Gathering), duty: WatchMode::Gathering })]
+#[case::fed(DutyCase { role: member, joined: true, current: true, hub_heard: false, starting: None, duty: WatchMode::Fed })]
+#[case::hub_just_gone(DutyCase { role: member, joined: false, current: true, hub_heard: false, starting: None, duty: WatchMode::Fed })]
+#[case::hub_gone(DutyCase { role: member, joined: false, current: false, hub_heard: false, starting: None, duty: WatchMode::WithoutHub })]
+#[case::hub_unfed(DutyCase { role: member, joined: false, current: false, hub_heard: true, starting: None, duty: WatchMode::BesideHub })]
+#[case::restarted(DutyCase { role: member, joined: false, current: false, hub_heard: false, starting: Some(WatchMode::Starting), duty: WatchMode::Starting })]
+#[case::first_hub(DutyCase { role: || PeerRole::Hub, joined: false, current: false, hub_heard: false, starting: None, duty: WatchMode::ForOthers })]
+#[case::other_hub(DutyCase { role: || PeerRole::Hub, joined: true, current: true, hub_heard: false, starting: None, duty: WatchMode::Fed })]
+#[case::alone_so_far(DutyCase { role: || PeerRole::Hub, joined: false, current: false, hub_heard: false, starting: Some(WatchMode::Gathering), duty: WatchMode::Gathering })]
 fn who_follows_the_store(#[case] case: DutyCase) {
     let state = FeedState {
         joined: case.joined,
@@ -47,11 +49,11 @@
         hub_heard: case.hub_heard,
         starting: case.starting,
     };
-    assert_eq!(watch_duty(&(case.role)(), state), case.duty);
+    assert_eq!(choose_watch_mode(&(case.role)(), state), case.duty);
 }
 
 struct ReadCase {
-    duty: WatchDuty,
+    duty: WatchMode,
     lists: &'static [Feed],
     watches: &'static [Feed],
 }
@@ -60,13 +62,13 @@
 
 // A whole fleet starts: what all list at once, all have to wait for.
 #[rstest]
-#[case::first_start(ReadCase { duty: WatchDuty::Gathering, lists: &[Feed::Daemons], watches: &[Feed::Daemons] })]
-#[case::restart(ReadCase { duty: WatchDuty::Starting, lists: ALL, watches: &[Feed::Daemons] })]
-#[case::alone(ReadCase { duty: WatchDuty::Alone, lists: ALL, watches: ALL })]
-#[case::without_hub(ReadCase { duty: WatchDuty::WithoutHub, lists: ALL, watches: ALL })]
-#[case::beside_hub(ReadCase { duty: WatchDuty::BesideHub, lists: ALL, watches: ALL })]
-#[case::for_others(ReadCase { duty: WatchDuty::ForOthers, lists: ALL, watches: ALL })]
-#[case::fed(ReadCase { duty: WatchDuty::Fed, lists: &[], watches: &[] })]
+#[case::first_start(ReadCase { duty: WatchMode::Gathering, lists: &[Feed::Daemons], watches: &[Feed::Daemons] })]
+#[case::restart(ReadCase { duty: WatchMode::Starting, lists: ALL, watches: &[Feed::Daemons] })]
+#[case::alone(ReadCase { duty: WatchMode::Alone, lists: ALL, watches: ALL })]
+#[case::without_hub(ReadCase { duty: WatchMode::WithoutHub, lists: ALL, watches: ALL })]
+#[case::beside_hub(ReadCase { duty: WatchMode::BesideHub, lists: ALL, watches: ALL })]
+#[case::for_others(ReadCase { duty: WatchMode::ForOthers, lists: ALL, watches: ALL })]
+#[case::fed(ReadCase { duty: WatchMode::Fed, lists: &[], watches: &[] })]
 fn what_a_duty_reads(#[case] case: ReadCase) {
     let listed: Vec<Feed> = ALL
         .iter()
@@ -88,7 +90,7 @@
 fn what_a_hub_passed_on_stays_current_for_a_while() {
     let hub = DaemonId::from("hub");
     let within = Duration::from_millis(1_700);
-    let mut join = FeedJoin::default();
+    let mut join = FeedSubscription::default();
     join.note_heard(Some(MonoTime(1_000)));
     assert!(
         !join.is_current(within, MonoTime(1_000)),
@@ -132,7 +134,7 @@
             .map(|(name, version)| ((*name).to_owned(), *version, Some(ByteBuf::from("{}"))))
             .collect(),
     };
-    let mut stock = FeedStock::default();
+    let mut stock = StoreSnapshot::default();
     if let Some(before) = case.before {
         stock.take(objects(before, true));
     }
@@ -186,8 +188,8 @@
 #[test]
 fn a_hub_that_has_not_all_kinds_is_not_relied_on() {
     let hub = DaemonId::from("hub");
-    let mut stock = FeedStock::default();
-    let mut join = FeedJoin::default();
+    let mut stock = StoreSnapshot::default();
+    let mut join = FeedSubscription::default();
     for (number, feed) in [Feed::Daemons, Feed::Targets, Feed::Config]
         .into_iter()
         .enumerate()
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -3,17 +3,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pistachiowick::gateway::deciding::load::LoadBook;
+use pistachiowick::gateway::deciding::load::LoadTracker;
 use pistachiowick::gateway::deciding::stage_plan::WorkRate;
-use pistachiowick::gateway::members::{DaemonRecord, InstanceStrength};
-use pistachiowick::gateway::peers::PeerBook;
-use pistachiowick::gateway::peers::feeding::{FeedJoin, FeedStock};
-use pistachiowick::gateway::peers::hub::{HubBook, LinkKind, PeerRole, subtract};
-use pistachiowick::gateway::peers::seen::SeenWork;
-use pistachiowick::gateway::peers::wire::{FeedObjects, MemberNote, PeerHint, PeerMessage};
+use pistachiowick::gateway::members::{DaemonRecord, InstanceCapacity};
+use pistachiowick::gateway::peers::PeerTable;
+use pistachiowick::gateway::peers::feeding::{FeedSubscription, StoreSnapshot};
+use pistachiowick::gateway::peers::hub::{HubSelector, LinkKind, PeerRole, subtract};
+use pistachiowick::gateway::peers::seen::ObservedResults;
+use pistachiowick::gateway::peers::wire::{FeedObjects, MemberStatus, PeerHint, PeerMessage};
 use pistachiowick::gateway::store_follow::Feed;
 use pistachiowick::names::{CentreName, DaemonId, MonoTime, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
@@ -29,7 +29,7 @@
         peers: address,
         centre: CentreName::from(centre),
         leaving: false,
-        strength: InstanceStrength::default(),
+        strength: InstanceCapacity::default(),
     }
 }
 
@@ -55,7 +55,7 @@
         changing: Vec::new(),
         rate: WorkRate::default(),
         placed_through: 0,
-        seen: SeenWork::default(),
+        seen: ObservedResults::default(),
         clock: MonoTime(0),
         confirms_keys: true,
         wall: UnixTime(0),
@@ -63,8 +63,8 @@
     }
 }
 
-fn note(id: &str, age_ms: u32) -> MemberNote {
-    MemberNote {
+fn note(id: &str, age_ms: u32) -> MemberStatus {
+    MemberStatus {
         id: DaemonId::from(id),
         age_ms,
         leaving: false,
@@ -89,8 +89,8 @@
 fn who_speaks_for_whom(#[case] case: RoleCase) {
     let daemons = fleet(case.each);
     let own = DaemonId::from(case.own);
-    let mut hubs = HubBook::default();
-    let role = hubs.role(&own, &daemons, &PeerBook::default(), MonoTime(0));
+    let mut hubs = HubSelector::default();
+    let role = hubs.role(&own, &daemons, &PeerTable::default(), MonoTime(0));
     assert_eq!(role, (case.role)());
     assert_eq!(hubs.links(&role, &own, &daemons).len(), case.links);
 }
@@ -102,17 +102,17 @@
 fn a_silent_hub_is_replaced() {
     let daemons = fleet(10);
     let (member, next) = (DaemonId::from("a-03"), DaemonId::from("a-02"));
-    let mut hubs = HubBook::default();
-    let mut peers = PeerBook::default();
+    let mut hubs = HubSelector::default();
+    let mut peers = PeerTable::default();
     let first = PeerRole::Member(DaemonId::from("a-01"));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(0)), first);
     peers.note_hub(&note("a-01", 0), WorkRate::default(), MonoTime(2_000));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(3_000)), first);
     let replaced = hubs.role(&member, &daemons, &peers, MonoTime(3_300));
     assert_eq!(replaced, PeerRole::Member(next.clone()));
-    let mut of_next = HubBook::default();
+    let mut of_next = HubSelector::default();
     of_next.note_hint(&member, MonoTime(3_400));
-    let role = of_next.role(&next, &daemons, &PeerBook::default(), MonoTime(3_500));
+    let role = of_next.role(&next, &daemons, &PeerTable::default(), MonoTime(3_500));
     assert_eq!(role, PeerRole::Hub);
     let links = of_next.links(&role, &next, &daemons);
     let to_member = links.iter().find(|(d, _)| d.id == member);
@@ -126,7 +126,7 @@
 #[test]
 fn a_hub_that_hears_nothing_of_the_store_feeds_nobody() {
     let hub = DaemonId::from("a-01");
-    let mut hubs = HubBook::default();
+    let mut hubs = HubSelector::default();
     assert!(!hubs.is_fed_by(&hub, SILENCE, MonoTime(0)));
     hubs.note_store(&hub, Duration::from_millis(900), MonoTime(5_000));
     assert!(hubs.is_fed_by(&hub, SILENCE, MonoTime(5_700)));
@@ -142,7 +142,7 @@
 #[test]
 fn a_hub_does_not_pass_on_other_hubs() {
     let now = MonoTime(1_000);
-    let mut peers = PeerBook::default();
+    let mut peers = PeerTable::default();
     peers.note_hint(&hint("a-02"), 1, now);
     peers.note_hub(&note("b-01", 0), WorkRate::default(), now);
     peers.note_member(&note("b-02", 100), WorkRate::default(), now);
@@ -154,7 +154,7 @@
 #[test]
 fn own_hearing_goes_before_what_a_hub_tells() {
     let daemons = fleet(10);
-    let mut peers = PeerBook::default();
+    let mut peers = PeerTable::default();
     let own = DaemonId::from("a-01");
     peers.set_known(&own, &daemons, MonoTime(0));
     let heard = DaemonId::from("a-02");
@@ -171,17 +171,17 @@
 
 #[test]
 fn a_member_takes_its_own_work_out_of_the_sum() {
-    let target = TargetLife::from("e");
-    let mut own = LoadBook::default();
+    let target = TargetIncarnation::from("e");
+    let mut own = LoadTracker::default();
     own.begin(&target, 1, 300);
-    let mut all = LoadBook::default();
+    let mut all = LoadTracker::default();
     all.begin(&target, 1, 300);
     all.begin(&target, 1, 500);
     let mut sum = all.summed(|_| true);
     subtract(&mut sum, own.own());
-    own.set_other(DaemonId::from("hub"), sum, MonoTime(0));
+    own.set_peer_work(DaemonId::from("hub"), sum, MonoTime(0));
     assert_eq!(own.total(&target).running, 2);
-    assert_eq!(own.total(&target).unread_before(1), 800);
+    assert_eq!(own.total(&target).prefill_tokens_before(1), 800);
 }
 
 #[test]
@@ -200,7 +200,7 @@
             })
             .collect(),
     };
-    let mut stock = FeedStock::default();
+    let mut stock = StoreSnapshot::default();
     stock.take(objects(true, &[("gone", Some(b"1")), ("old", Some(b"2"))]));
     stock.take(objects(true, &[("a", Some(b"1")), ("b", Some(b"2"))]));
     stock.take(objects(false, &[("b", None), ("c", Some(b"3"))]));
@@ -232,7 +232,7 @@
     let stock = |objects: &[(&str, u64)]| {
         let objects = objects.iter();
         let value = || Some(ByteBuf::from(b"1".to_vec()));
-        let mut stock = FeedStock::default();
+        let mut stock = StoreSnapshot::default();
         stock.take(FeedObjects {
             feed: Feed::Targets,
             whole: true,
@@ -283,7 +283,7 @@
 #[case::other_hub(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("hub", 1)], joined: false })]
 #[case::other_hub_answered(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("next", 2)], joined: true })]
 fn a_hub_is_relied_on_from_its_answer_on(#[case] case: JoinCase) {
-    let mut join = FeedJoin::default();
+    let mut join = FeedSubscription::default();
     for (second, hub) in case.feeding.iter().enumerate() {
         let now = MonoTime(10_000 + 1_000 * second as u64);
         join.rely_on(hub.map(DaemonId::from).as_ref(), now);
@@ -300,7 +300,7 @@
 #[test]
 fn a_hub_that_cannot_feed_is_relied_on_no_longer() {
     let hub = DaemonId::from("hub");
-    let mut join = FeedJoin::default();
+    let mut join = FeedSubscription::default();
     assert_eq!(join.rely_on(Some(&hub), MonoTime(1_000)), Some(1));
     assert_eq!(join.rely_on(Some(&hub), MonoTime(1_200)), None);
     assert!(join.awaits(&hub, 1));
@@ -334,7 +334,7 @@
     record.expect("it is there").strength.core_thousandths = 500;
     let role = |own: &str, daemons: &[DaemonRecord]| {
         let own = DaemonId::from(own);
-        HubBook::default().role(&own, daemons, &PeerBook::default(), MonoTime(0))
+        HubSelector::default().role(&own, daemons, &PeerTable::default(), MonoTime(0))
     };
     assert_eq!(role("a-01", &daemons), PeerRole::Member(strong.clone()));
     assert_eq!(role("a-07", &daemons), PeerRole::Hub);
@@ -362,11 +362,11 @@
 fn one_hub_follows_the_store(#[case] case: StoreHubCase) {
     let daemons = fleet(10);
     let own = DaemonId::from(case.own);
-    let mut peers = PeerBook::default();
+    let mut peers = PeerTable::default();
     for (hub, at) in case.heard {
         peers.note_hub(&note(hub, 0), WorkRate::default(), MonoTime(*at));
     }
-    let mut hubs = HubBook::default();
+    let mut hubs = HubSelector::default();
     hubs.role(&own, &daemons, &peers, MonoTime(5_000));
     let follows = hubs.store_hub(&own, &daemons, &peers, MonoTime(5_000));
     assert_eq!(follows, case.follows.map(DaemonId::from));
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::deciding::load::LoadBook;
-use pistachiowick::gateway::peers::placing::PlacingDesk;
-use pistachiowick::gateway::peers::wire::{PlaceAnswer, PlaceQuestion, PlacedEngines};
+use pistachiowick::gateway::deciding::load::LoadTracker;
+use pistachiowick::gateway::peers::placing::PlacementClient;
+use pistachiowick::gateway::peers::wire::{PlacedEngines, PlacementRequest, PlacementResponse};
 use pistachiowick::names::{DaemonId, MonoTime, ServiceName};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 const NOW: MonoTime = MonoTime(10_000);
@@ -15,8 +15,8 @@
     NOW.plus(Duration::from_millis(ms))
 }
 
-fn question() -> PlaceQuestion {
-    PlaceQuestion {
+fn question() -> PlacementRequest {
+    PlacementRequest {
         from: DaemonId::from("member"),
         life: 1,
         number: 0,
@@ -33,7 +33,7 @@
 fn engines(writer: &str) -> PlacedEngines {
     PlacedEngines {
         reader: None,
-        writer: TargetLife::from(writer),
+        writer: TargetIncarnation::from(writer),
         fetch_from: None,
         rank: 1,
         expected_ms: 100.0,
@@ -64,19 +64,21 @@
 #[case::told_and_read(PromiseCase { told: Some(5), told_tokens: 0, wait_ms: 100, unread: 0 })]
 #[case::member_is_gone(PromiseCase { told: None, told_tokens: 0, wait_ms: 1_000, unread: 0 })]
 fn a_place_counts_once(#[case] case: PromiseCase) {
-    let (member, engine) = (DaemonId::from("member"), TargetLife::from("e1"));
-    let mut load = LoadBook::default();
+    let (member, engine) = (DaemonId::from("member"), TargetIncarnation::from("e1"));
+    let mut load = LoadTracker::default();
     load.promise((&member, 4), &engine, (1, 1_000), NOW);
     if let Some(through) = case.told {
-        let mut own = LoadBook::default();
+        let mut own = LoadTracker::default();
         own.begin(&engine, 1, case.told_tokens);
-        load.settle_promises(&member, through);
-        load.set_other(member, own.own().clone(), after(50));
+        load.release_reservations(&member, through);
+        load.set_peer_work(member, own.own().clone(), after(50));
     }
     load.expire(after(case.wait_ms));
-    assert_eq!(load.total(&engine).unread_before(1), case.unread);
+    assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
     let summed = load.summed(|_| true);
-    let summed = summed.get(&engine).map_or(0, |work| work.unread_before(1));
+    let summed = summed
+        .get(&engine)
+        .map_or(0, |work| work.prefill_tokens_before(1));
     assert_eq!(summed, case.unread);
 }
 
@@ -94,22 +96,22 @@
 #[case::newer(LateNoteCase { through: 4, number: 5, unread: 1_500 })]
 #[case::of_the_next_life(LateNoteCase { through: 0, number: 1, unread: 1_500 })]
 fn a_note_after_its_sum_does_not_count_twice(#[case] case: LateNoteCase) {
-    let (hub, engine) = (DaemonId::from("hub"), TargetLife::from("e1"));
-    let mut load = LoadBook::default();
-    load.settle_promises(&hub, 90);
-    load.settle_promises(&hub, case.through);
-    let mut told = LoadBook::default();
+    let (hub, engine) = (DaemonId::from("hub"), TargetIncarnation::from("e1"));
+    let mut load = LoadTracker::default();
+    load.release_reservations(&hub, 90);
+    load.release_reservations(&hub, case.through);
+    let mut told = LoadTracker::default();
     told.begin(&engine, 1, 500);
-    load.set_other(hub.clone(), told.own().clone(), NOW);
+    load.set_peer_work(hub.clone(), told.own().clone(), NOW);
     load.promise((&hub, case.number), &engine, (1, 1_000), NOW);
     load.expire(after(50));
-    assert_eq!(load.total(&engine).unread_before(1), case.unread);
+    assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
 }
 
 #[test]
 fn an_answer_reaches_its_own_question() {
     let hub = DaemonId::from("hub");
-    let mut desk = PlacingDesk::default();
+    let mut desk = PlacementClient::default();
     let mut queue = desk.open_link(&hub);
     assert!(desk.ask(question(), NOW).is_none(), "nobody to ask");
     desk.set_placer(Some(hub));
@@ -123,19 +125,19 @@
         (99, "stray"),
     ] {
         let engines = Some(engines(writer));
-        desk.take_answer(PlaceAnswer { number, engines });
+        desk.take_answer(PlacementResponse { number, engines });
     }
     let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.writer);
     let first = first_wait.try_recv().expect("an answer");
     let second = second_wait.try_recv().expect("an answer");
-    assert_eq!(writer(first), Some(TargetLife::from("e1")));
-    assert_eq!(writer(second), Some(TargetLife::from("e2")));
+    assert_eq!(writer(first), Some(TargetIncarnation::from("e1")));
+    assert_eq!(writer(second), Some(TargetIncarnation::from("e2")));
 }
 
 // The hub stands still. One request waits for it, the others do not.
 #[test]
 fn a_silent_placer_is_not_asked_for_a_while() {
-    let mut desk = PlacingDesk::default();
+    let mut desk = PlacementClient::default();
     let _queue = desk.open_link(&DaemonId::from("hub"));
     desk.set_placer(Some(DaemonId::from("hub")));
     let (number, _wait) = desk.ask(question(), NOW).expect("a question");
@@ -151,7 +153,7 @@
 #[test]
 fn a_link_that_ended_is_not_asked_over() {
     let hub = DaemonId::from("hub");
-    let mut desk = PlacingDesk::default();
+    let mut desk = PlacementClient::default();
     desk.set_placer(Some(hub.clone()));
     assert!(desk.ask(question(), NOW).is_none(), "no link yet");
     drop(desk.open_link(&hub));
--- a/tests/gateway_proofs.rs
+++ b/tests/gateway_proofs.rs
@@ -1,6 +1,6 @@
 //! As of when a daemon's configuration is known to be the newest one.
 
-use pistachiowick::gateway::peers::proofs::{ClockEcho, ProofBook, ProofNote};
+use pistachiowick::gateway::peers::freshness::{ClockEcho, ConfigFreshness, FreshnessTracker};
 use pistachiowick::names::{DaemonId, MonoTime};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -29,7 +29,7 @@
 #[case::older_than_this_life(ProofCase { version: 20, age_ms: Some(9_000), heard: ("own", 7, 5_000), confirmed: Some(0) })]
 fn what_a_note_proves(#[case] case: ProofCase) {
     let (daemon, life, clock) = case.heard;
-    let note = ProofNote {
+    let note = ConfigFreshness {
         clock: MonoTime(1),
         version: case.version,
         age_ms: case.age_ms,
@@ -39,7 +39,7 @@
             clock: MonoTime(clock),
         }),
     };
-    let mut book = ProofBook::default();
+    let mut book = FreshnessTracker::default();
     book.take(&note, (&DaemonId::from("own"), OWN_LIFE), OWN_VERSION);
     assert_eq!(book.confirmed_at(), case.confirmed.map(MonoTime));
 }
@@ -79,17 +79,17 @@
         own_ahead in 0..50_000_u64,
     ) {
         let own = DaemonId::from("own");
-        let mut book = ProofBook::default();
+        let mut book = FreshnessTracker::default();
         for word in &words {
             let by = word.sent;
             // What the hub knows when it sends its word, in true time.
             let asked = answers.iter().filter(|a| a.sent + a.held <= by).map(|a| a.sent).max();
             let heard = hints.iter().filter(|h| h.sent + h.held <= by).map(|h| h.sent).max();
-            let mut hub = ProofBook::default();
+            let mut hub = FreshnessTracker::default();
             if let Some(heard) = heard {
                 hub.note_clock(&own, OWN_LIFE, MonoTime(heard + own_ahead));
             }
-            let note = ProofNote {
+            let note = ConfigFreshness {
                 clock: MonoTime(by + hub_ahead),
                 version: OWN_VERSION,
                 age_ms: asked.map(|asked| by - asked),
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -5,11 +5,11 @@
 
 use pistachiowick::gateway::deciding::engine_model::EngineWork;
 use pistachiowick::gateway::deciding::health::SendResult;
-use pistachiowick::gateway::deciding::{DecisionCore, EngineChoices, PlaceOrder, TimedWork};
+use pistachiowick::gateway::deciding::{DecisionCore, EngineCandidates, PlacementQuery, TimedWork};
 use pistachiowick::gateway::model::{EngineStage, PromptShape, TargetRecord};
-use pistachiowick::gateway::peers::seen::SeenWork;
+use pistachiowick::gateway::peers::seen::ObservedResults;
 use pistachiowick::names::MonoTime;
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 mod gateway_samples;
@@ -30,9 +30,9 @@
 #[case::silent_twice(TellingCase { results: &[("a", SendResult::Silent), ("a", SendResult::Silent)], telling: &[("a", SendResult::Silent)] })]
 #[case::cut_off(TellingCase { results: &[("a", SendResult::Silent), ("b", SendResult::Silent), ("c", SendResult::Silent), ("d", SendResult::Answered)], telling: &[("d", SendResult::Answered)] })]
 fn a_member_that_is_cut_off_says_nothing_of_engines(#[case] case: TellingCase) {
-    let mut seen = SeenWork::default();
+    let mut seen = ObservedResults::default();
     for (target, result) in case.results {
-        seen.note_result(&TargetLife::from(*target), *result);
+        seen.note_result(&TargetIncarnation::from(*target), *result);
     }
     let told: Vec<(&str, SendResult)> = seen
         .telling_results()
@@ -41,14 +41,14 @@
     assert_eq!(told, case.telling);
 }
 
-fn chosen(core: &DecisionCore, engines: &[Arc<TargetRecord>], now: MonoTime) -> TargetLife {
+fn chosen(core: &DecisionCore, engines: &[Arc<TargetRecord>], now: MonoTime) -> TargetIncarnation {
     let prompt = PromptShape {
         prompt_tokens: 1_460,
         output_tokens: 25,
         ..PromptShape::default()
     };
-    let order = PlaceOrder {
-        choices: EngineChoices {
+    let order = PlacementQuery {
+        choices: EngineCandidates {
             engines,
             changing: &[],
             excluded: &[],
@@ -84,7 +84,7 @@
     let first = chosen(&core, &engines, now);
     let troubled = engines.iter().find(|e| e.id == first).expect("one of them");
     for _member in 0..2 {
-        let mut seen = SeenWork::default();
+        let mut seen = ObservedResults::default();
         if let Some(result) = case.told {
             seen.note_result(&troubled.id, result);
         }
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -3,10 +3,10 @@
 use indexmap::IndexSet;
 use pistachiowick::gateway::deciding::load::TargetWork;
 use pistachiowick::gateway::deciding::stage_plan::WorkRate;
-use pistachiowick::gateway::peers::note_turns::NoteTurns;
-use pistachiowick::gateway::peers::wire::{MemberNote, PeerMessage, PeerSummary};
+use pistachiowick::gateway::peers::member_broadcasts::MemberBroadcasts;
+use pistachiowick::gateway::peers::wire::{MemberStatus, PeerMessage, PeerSummary};
 use pistachiowick::names::{DaemonId, TargetId, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 /// Daemons of a large fleet, in three data centres.
@@ -17,8 +17,8 @@
 /// words a second to each, and half of the link is for callers.
 const MOST_BYTES: usize = 25_000;
 
-fn note(index: usize) -> MemberNote {
-    MemberNote {
+fn note(index: usize) -> MemberStatus {
+    MemberStatus {
         id: DaemonId::from(format!("gateway-{index:03}").as_str()),
         age_ms: 180,
         leaving: false,
@@ -28,13 +28,13 @@
     }
 }
 
-fn fleet(count: usize) -> Vec<MemberNote> {
+fn fleet(count: usize) -> Vec<MemberStatus> {
     (0..count).map(note).collect()
 }
 
-fn work(index: usize) -> (TargetLife, TargetWork) {
+fn work(index: usize) -> (TargetIncarnation, TargetWork) {
     let born = UnixTime(1_790_000_000_000 + index as u64);
-    let life = TargetLife::new(
+    let life = TargetIncarnation::new(
         TargetId::from(format!("llm-pool-{index:04}").as_str()),
         Some(born),
     );
@@ -47,7 +47,7 @@
     (life, work)
 }
 
-fn word(turns: &mut NoteTurns) -> PeerMessage {
+fn word(turns: &mut MemberBroadcasts) -> PeerMessage {
     let mut members = turns.pick(fleet(DAEMONS - 1));
     members.push(note(DAEMONS));
     PeerMessage::Summary(PeerSummary {
@@ -73,7 +73,7 @@
 // configuration then wait behind words, and callers wait behind both.
 #[test]
 fn a_word_of_a_large_fleet_leaves_half_of_the_hubs_link() {
-    let mut turns = NoteTurns::default();
+    let mut turns = MemberBroadcasts::default();
     // Whoever links up first is told of all; from then on it goes by turns.
     let _ = word(&mut turns);
     for _ in 0..4 {
@@ -84,7 +84,7 @@
 
 #[test]
 fn each_daemon_is_told_of_within_two_words() {
-    let mut turns = NoteTurns::default();
+    let mut turns = MemberBroadcasts::default();
     let _ = turns.pick(fleet(DAEMONS));
     for _ in 0..3 {
         let words = [turns.pick(fleet(DAEMONS)), turns.pick(fleet(DAEMONS))];
@@ -94,7 +94,7 @@
 }
 
 struct ChangeCase {
-    change: fn(&mut MemberNote),
+    change: fn(&mut MemberStatus),
     at_once: bool,
 }
 
@@ -104,11 +104,11 @@
 #[rstest]
 #[case::leaving(ChangeCase { change: |note| note.leaving = true, at_once: true })]
 #[case::keys_not_confirmed(ChangeCase { change: |note| note.confirms_keys = false, at_once: true })]
-#[case::ordering(ChangeCase { change: |note| note.changing = vec![TargetLife::from("engine")], at_once: true })]
+#[case::ordering(ChangeCase { change: |note| note.changing = vec![TargetIncarnation::from("engine")], at_once: true })]
 #[case::heard_again(ChangeCase { change: |note| note.age_ms = 20, at_once: false })]
 fn what_is_told_at_once(#[case] case: ChangeCase) {
     for words in 0..2 {
-        let mut turns = NoteTurns::default();
+        let mut turns = MemberBroadcasts::default();
         for _ in 0..=words {
             let _ = turns.pick(fleet(DAEMONS));
         }
@@ -122,7 +122,7 @@
 #[test]
 fn a_daemon_that_comes_back_is_told_of_at_once() {
     for words in 0..2 {
-        let mut turns = NoteTurns::default();
+        let mut turns = MemberBroadcasts::default();
         for _ in 0..=words {
             let _ = turns.pick(fleet(DAEMONS));
         }
