--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -336,13 +336,13 @@
     let life = rand::rng().random();
     let record = build_record(&settings, &listeners, &peer_listener, life);
     let pulse = Arc::new(StoreLiveness::default());
-    let duty = WatchMode::at_start(settings.first_start);
+    let mode = WatchMode::at_start(settings.first_start);
     let setup = ControlSetup {
         ports: ports.clone(),
         cell: fleet.clone(),
         pulse: pulse.clone(),
         record,
-        duty,
+        mode,
         config_waits: settings.follow_pace(),
     };
     let control = start_control(setup)?;
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -286,7 +286,7 @@
             PeerMessage::Summary(summary) => self.take_summary(summary),
             PeerMessage::Objects(objects) => self.take_objects(objects),
             PeerMessage::NewLink { from } => {
-                self.feed_subscription.borrow_mut().note_new_link(&from)
+                self.feed_subscription.borrow_mut().note_new_link(&from);
             }
             PeerMessage::WantStock(question) => self.answer_stock(&question),
             PeerMessage::Stock(answer) => self.take_stock(answer),
