--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -83,7 +83,7 @@
 
     /// Logs one send with what decided it.
     pub fn log_send(&self, target: &TargetRecord, step: &str, outcome: &str, sent: Instant) {
-        if let Some(missing) = self.view.missing.get(&target.id) {
+        if let Some(missing) = self.view.missing_entries.get(&target.id) {
             log::info!(
                 request = self.caller.id.as_str(),
                 target_id = target.id.as_str(),
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -54,7 +54,7 @@
     /// A hub relayed objects of the store.
     PeerObjects(FeedObjects),
     /// New mode in which this daemon follows the store.
-    Duty(WatchMode),
+    WatchMode(WatchMode),
     /// This daemon is stopping.
     Stopping,
 }
@@ -66,11 +66,11 @@
     /// Cell that the fleet view is published in.
     pub cell: FleetCell,
     /// Records when the store last answered.
-    pub pulse: Arc<StoreLiveness>,
+    pub store_liveness: Arc<StoreLiveness>,
     /// This daemon's record.
     pub record: DaemonRecord,
     /// Initial mode of following the store.
-    pub mode: WatchMode,
+    pub watch_mode: WatchMode,
     /// Longest waits of the configuration watch.
     pub config_waits: ConfigWatchWaits,
 }
@@ -118,7 +118,7 @@
     config_source: Option<(u64, Arc<[u8]>)>,
     targets_known: bool,
     own_record_seen: bool,
-    pulse: Arc<StoreLiveness>,
+    store_liveness: Arc<StoreLiveness>,
     // Revision of a configuration that could not be decoded and is not in force here.
     rejected_revision: Option<u64>,
 }
@@ -128,7 +128,7 @@
     mut inbox: mpsc::UnboundedReceiver<ControlInput>,
     relay: mpsc::UnboundedSender<FeedObjects>,
 ) {
-    let (mode_sender, mode) = watch::channel(setup.mode);
+    let (mode_sender, watch_mode) = watch::channel(setup.watch_mode);
     let (event_sender, mut events) = mpsc::unbounded_channel();
     let (record_sender, record) = watch::channel(setup.record);
     for feed in [Feed::Config, Feed::Targets, Feed::Daemons] {
@@ -137,8 +137,8 @@
             feed,
             kind: kind_of(&setup.ports, feed),
             events: event_sender.clone(),
-            mode: mode.clone(),
-            pulse: setup.pulse.clone(),
+            watch_mode: watch_mode.clone(),
+            store_liveness: setup.store_liveness.clone(),
             config_waits: setup.config_waits,
         };
         spawn_local(follower.run());
@@ -153,7 +153,7 @@
         config_source: None,
         targets_known: false,
         own_record_seen: false,
-        pulse: setup.pulse,
+        store_liveness: setup.store_liveness,
         rejected_revision: None,
     };
     let timer = TimerService::start();
@@ -168,8 +168,8 @@
                     state.apply_config_value(revision, &value)
                 }
                 Some(ControlInput::PeerObjects(objects)) => state.apply_relayed(objects),
-                Some(ControlInput::Duty(mode)) => {
-                    mode_sender.send_replace(mode);
+                Some(ControlInput::WatchMode(watch_mode)) => {
+                    mode_sender.send_replace(watch_mode);
                     false
                 }
                 Some(ControlInput::Stopping) => {
@@ -260,7 +260,7 @@
         if !missing.is_empty() {
             log::info!(
                 targets = missing.join(" "),
-                store_heard_ms = millis(self.pulse.age(now));
+                store_heard_ms = millis(self.store_liveness.age(now));
                 "targets get work without an entry in the store"
             );
         }
@@ -311,7 +311,7 @@
                 // An answer that could not be decoded confirms nothing: keys that it
                 // revokes would stay in force.
                 if self.routes.is_some() && self.rejected_revision.is_none() {
-                    self.pulse.note_confirmed(at);
+                    self.store_liveness.note_confirmed(at);
                 }
                 false
             }
@@ -431,7 +431,7 @@
             config_source: self.config_source.clone(),
             departed: self.registry.departed().cloned().collect(),
             entry_notes: self.registry.notes().cloned().collect(),
-            missing: self
+            missing_entries: self
                 .registry
                 .missing()
                 .map(|(id, entry)| (id.clone(), entry))
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -67,7 +67,7 @@
     /// Time at which the configuration was last confirmed to be the newest one.
     pub proofs: RefCell<FreshnessTracker>,
     /// Usage counted locally and by peers, and true time.
-    pub duties: RefCell<UsageMeter>,
+    pub fleet_tasks: RefCell<UsageMeter>,
     /// Client for placement requests to hubs.
     pub placing: RefCell<PlacementClient>,
     /// Placements that this daemon has made as a hub.
@@ -93,19 +93,19 @@
     /// Senders of the store's changes to the links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
-    pub duty: Cell<WatchMode>,
+    pub watch_mode: Cell<WatchMode>,
     /// When this daemon started.
     pub started: MonoTime,
     /// When the store last answered.
-    pub pulse: Arc<StoreLiveness>,
+    pub store_liveness: Arc<StoreLiveness>,
     /// Identifies this run of the daemon among all runs under its name.
-    pub life: u64,
+    pub incarnation: u64,
     /// Engines whose stage this daemon is changing.
     pub local_stage_changes: RefCell<Vec<TargetIncarnation>>,
     /// Work that crashed targets.
     pub crashes: RefCell<CrashTracker>,
     /// Quarantined work as recorded in the store.
-    pub held: RefCell<QuarantineStore>,
+    pub quarantine: RefCell<QuarantineStore>,
     /// Wakes up requests that wait for a target when work is newly quarantined.
     pub newly_quarantined: Notify,
     /// Budget of retries.
@@ -115,9 +115,9 @@
     /// Whether the process is stopping.
     pub stopping: Cell<bool>,
     /// Number of open connections from callers.
-    pub serving: Cell<usize>,
+    pub open_connections: Cell<usize>,
     /// Sends messages to the control thread.
-    pub news: mpsc::UnboundedSender<ControlInput>,
+    pub control_inputs: mpsc::UnboundedSender<ControlInput>,
 }
 
 impl Gateway {
@@ -142,7 +142,9 @@
     /// Notifies the control thread that a target is no longer at its address.
     pub fn notify_departed(&self, target: &TargetIncarnation) {
         // The control thread ends only with the process.
-        let _ = self.news.send(ControlInput::TargetDeparted(target.clone()));
+        let _ = self
+            .control_inputs
+            .send(ControlInput::TargetDeparted(target.clone()));
     }
 
     /// Returns the number of daemons that share the fleet's budgets, this one included.
@@ -192,12 +194,12 @@
         settings: GatewaySettings,
         ports: GatewayPorts,
         fleet: FleetCell,
-        life: u64,
-        news: mpsc::UnboundedSender<ControlInput>,
+        incarnation: u64,
+        control_inputs: mpsc::UnboundedSender<ControlInput>,
     ) -> Self {
         let window = settings.duties.map(|duties| duties.usage_window());
         let budget = RetryLimiter::new(settings.budget_rule());
-        let duty = WatchMode::at_start(settings.first_start);
+        let watch_mode = WatchMode::initial(settings.first_start);
         Self {
             daemon: settings.daemon.clone(),
             core: RefCell::new(DecisionCore::new(settings.placement)),
@@ -207,7 +209,7 @@
             pool: Rc::default(),
             peers: RefCell::default(),
             proofs: RefCell::default(),
-            duties: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
+            fleet_tasks: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
             placing: RefCell::default(),
             placements: RefCell::default(),
             placed: Notify::new(),
@@ -220,19 +222,19 @@
             last_sent_work: RefCell::default(),
             stock: RefCell::default(),
             feed_changes: ChangeSenders::default(),
-            duty: Cell::new(duty),
+            watch_mode: Cell::new(watch_mode),
             started: clock::mono_now(),
-            pulse: Arc::default(),
-            life,
+            store_liveness: Arc::default(),
+            incarnation,
             local_stage_changes: RefCell::default(),
             crashes: RefCell::default(),
-            held: RefCell::default(),
+            quarantine: RefCell::default(),
             newly_quarantined: Notify::new(),
             budget: RefCell::new(budget),
             rng: RefCell::new(SmallRng::from_os_rng()),
             stopping: Cell::new(false),
-            serving: Cell::new(0),
-            news,
+            open_connections: Cell::new(0),
+            control_inputs,
         }
     }
 
@@ -278,8 +280,8 @@
             return;
         };
         let value = stored.value.unwrap_or_default();
-        let same_incarnation =
-            DaemonRecord::decode(&object.name, &value).is_ok_and(|r| r.life == record.life);
+        let same_incarnation = DaemonRecord::decode(&object.name, &value)
+            .is_ok_and(|r| r.incarnation == record.incarnation);
         if same_incarnation {
             let removed = (self.ports.remove)((object, stored.version)).await;
             log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removal of the record of a daemon that is gone");
@@ -296,7 +298,7 @@
         self.refute_registered_targets(now);
         let view = self.view();
         let mut core = self.core.borrow_mut();
-        core.sweep(|target| view.holds(target), now);
+        core.sweep(|target| view.has_target(target), now);
         let engines = view.routes.iter().flat_map(|routes| routes.services());
         let tokens = engines
             .filter_map(|s| s.engine.as_ref())
@@ -333,21 +335,21 @@
     let grace = Duration::from_secs_f64(settings.bounds.stop_grace_s);
     let listeners = open_listeners(&settings, &metrics).await?;
     let peer_listener = listen("peers", settings.peer_address()).await?;
-    let life = rand::rng().random();
-    let record = build_record(&settings, &listeners, &peer_listener, life);
-    let pulse = Arc::new(StoreLiveness::default());
-    let mode = WatchMode::at_start(settings.first_start);
+    let incarnation = rand::rng().random();
+    let record = build_record(&settings, &listeners, &peer_listener, incarnation);
+    let store_liveness = Arc::new(StoreLiveness::default());
+    let watch_mode = WatchMode::initial(settings.first_start);
     let setup = ControlSetup {
         ports: ports.clone(),
         cell: fleet.clone(),
-        pulse: pulse.clone(),
+        store_liveness: store_liveness.clone(),
         record,
-        mode,
-        config_waits: settings.follow_pace(),
+        watch_mode,
+        config_waits: settings.config_watch_waits(),
     };
     let control = start_control(setup)?;
-    let mut gateway = Gateway::new(settings, ports, fleet, life, control.messages);
-    gateway.pulse = pulse;
+    let mut gateway = Gateway::new(settings, ports, fleet, incarnation, control.messages);
+    gateway.store_liveness = store_liveness;
     let gateway = Rc::new(gateway);
     let (close, closing) = watch::channel(false);
     for open in listeners {
@@ -395,14 +397,14 @@
     log::info!(grace_ms = grace.as_millis() as u64; "stopping after running requests have ended");
     gateway.stopping.set(true);
     // The control thread ends only with the process.
-    let _ = gateway.news.send(ControlInput::Stopping);
+    let _ = gateway.control_inputs.send(ControlInput::Stopping);
     let latest = began + grace.saturating_sub(EXIT_MARGIN);
     tokio::time::sleep_until((began + ACCEPT_AFTER_STOP).min(latest)).await;
     close.send_replace(true);
-    while gateway.serving.get() > 0 && tokio::time::Instant::now() < latest {
+    while gateway.open_connections.get() > 0 && tokio::time::Instant::now() < latest {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    let unfinished = gateway.serving.get();
+    let unfinished = gateway.open_connections.get();
     log::info!(unfinished = unfinished, took_ms = began.elapsed().as_millis() as u64; "stopped");
 }
 
@@ -417,7 +419,7 @@
     settings: &GatewaySettings,
     listeners: &[PageListener],
     peers: &TcpListener,
-    life: u64,
+    incarnation: u64,
 ) -> DaemonRecord {
     let bound = |listener: &TcpListener| listener.local_addr().ok();
     let callers = listeners
@@ -427,12 +429,12 @@
     let peers = bound(peers).unwrap_or_else(|| settings.peer_address());
     DaemonRecord {
         id: settings.daemon.clone(),
-        life,
+        incarnation,
         callers: callers.unwrap_or(peers),
         peers,
         centre: settings.centre.clone(),
         leaving: false,
-        strength: settings.limits.strength(),
+        capacity: settings.limits.capacity(),
     }
 }
 
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -154,14 +154,18 @@
 
 impl OpenCount {
     fn begin(gateway: &Rc<Gateway>) -> Self {
-        gateway.serving.set(gateway.serving.get() + 1);
+        gateway
+            .open_connections
+            .set(gateway.open_connections.get() + 1);
         Self(gateway.clone())
     }
 }
 
 impl Drop for OpenCount {
     fn drop(&mut self) {
-        self.0.serving.set(self.0.serving.get() - 1);
+        self.0
+            .open_connections
+            .set(self.0.open_connections.get() - 1);
     }
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -31,7 +31,7 @@
     /// Entries of targets that were recently created or are recently known to be gone.
     pub entry_notes: Vec<RecentUpdate>,
     /// Targets without an entry that still get work.
-    pub missing: IndexMap<TargetIncarnation, MissingEntry>,
+    pub missing_entries: IndexMap<TargetIncarnation, MissingEntry>,
     /// Daemons with a record in the store, this one included.
     pub daemons: Vec<DaemonRecord>,
 }
@@ -51,7 +51,7 @@
 
     /// Returns whether a target may still get work.
     #[must_use]
-    pub fn holds(&self, target: &TargetIncarnation) -> bool {
+    pub fn has_target(&self, target: &TargetIncarnation) -> bool {
         self.find(target).is_some()
     }
 
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -102,7 +102,7 @@
 struct DutyDesk {
     gateway: Rc<Gateway>,
     lease: LeaseManager,
-    turn_time: Duration,
+    exclusion_period: Duration,
     held: Option<(FenceNumber, MonoTime)>,
     usage: UsageDesk,
     servers: ServerDesk,
@@ -112,15 +112,15 @@
 /// Runs until the process ends.
 pub async fn run(gateway: Rc<Gateway>, settings: FleetTaskSettings) {
     let (results, mut inbox) = mpsc::unbounded_channel();
-    let turn_time = settings.turn_time();
+    let exclusion_period = settings.exclusion_period();
     let times = LeaseTimes {
-        duration: turn_time,
-        guard: turn_time.mul_f64(GUARD_PART),
-        order_flight: turn_time.mul_f64(FLIGHT_PART),
+        duration: exclusion_period,
+        guard: exclusion_period.mul_f64(GUARD_PART),
+        order_flight: exclusion_period.mul_f64(FLIGHT_PART),
     };
     let mut desk = DutyDesk {
         lease: LeaseManager::new(gateway.clone(), GROUP, times),
-        turn_time,
+        exclusion_period,
         held: None,
         usage: UsageDesk::new(&settings),
         servers: ServerDesk::default(),
@@ -139,7 +139,7 @@
 
 impl DutyDesk {
     fn look(&mut self, now: MonoTime) {
-        self.gateway.duties.borrow_mut().settle(now);
+        self.gateway.fleet_tasks.borrow_mut().settle(now);
         self.update_lease(now);
         self.servers.watch(&self.gateway.view(), now);
         let Some(turn) = self.turn(now) else {
@@ -181,7 +181,7 @@
         }
         let (_, since) = self.held?;
         let first = fence == FIRST_FENCE;
-        if !first && now.since(since) < self.turn_time + LOOK_EVERY {
+        if !first && now.since(since) < self.exclusion_period + LOOK_EVERY {
             return None;
         }
         let caller = FleetTaskHolder {
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -339,7 +339,7 @@
         reclaimable: subject.reclaimable,
     };
     spawn_local(async move {
-        let answer = match ports.duties.filter(|_| turn.lasts()) {
+        let answer = match ports.fleet_tasks.filter(|_| turn.lasts()) {
             Some(duties) => (duties.order_servers)((turn.caller, wanted)).await,
             None => Err(PlatformError::Unavailable {
                 reason: "the right to order ended".to_owned(),
--- a/src/gateway/fleet_tasks/usage_reporter.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -80,7 +80,7 @@
             });
             return;
         };
-        let book = gateway.duties.borrow();
+        let book = gateway.fleet_tasks.borrow();
         let Some(current) = book.usage.window_of(&book.clock, now) else {
             return;
         };
@@ -186,7 +186,7 @@
 ) {
     let (ports, turn) = (gateway.ports.clone(), turn.clone());
     spawn_local(async move {
-        let sent = match ports.duties.filter(|_| turn.lasts()) {
+        let sent = match ports.fleet_tasks.filter(|_| turn.lasts()) {
             Some(duties) => {
                 let report = UsageReport { window, counts };
                 (duties.report_usage)((turn.caller, report)).await
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -285,7 +285,7 @@
         let untried = view
             .service_targets(service)
             .iter()
-            .filter(|t| !trail.has(&t.id) && newest.holds(&t.id));
+            .filter(|t| !trail.has(&t.id) && newest.has_target(&t.id));
         let core = self.core.borrow();
         core.plain_target(untried, || rng.random(), clock::mono_now())
     }
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -248,7 +248,7 @@
         sent: Instant,
     ) -> SendOutcome {
         let step = match mode {
-            SendMode::TakeOver(_) => "take_over",
+            SendMode::DecodeFrom(_) => "take_over",
             _ => "run",
         };
         let resume_after = call.caller.resume_after;
--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -32,7 +32,7 @@
     /// Creates the manager of a group's lease.
     #[must_use]
     pub fn new(gateway: Rc<Gateway>, group: &str, times: LeaseTimes) -> Self {
-        let incarnation = ProcessIncarnation(gateway.life);
+        let incarnation = ProcessIncarnation(gateway.incarnation);
         Self {
             table: LeaseTable::new(gateway.daemon.clone(), incarnation, times),
             group: GroupName::from(group),
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -14,7 +14,8 @@
     /// Name of the daemon; one record per name.
     pub id: DaemonId,
     /// Identifies this run of the daemon among all runs under its name.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Address that callers connect to.
     pub callers: SocketAddr,
     /// Address that other daemons connect to.
@@ -24,8 +25,8 @@
     /// Whether it is stopping.
     pub leaving: bool,
     /// Capacity of its instance; 0 where not stated.
-    #[serde(default)]
-    pub strength: InstanceCapacity,
+    #[serde(default, rename = "strength")]
+    pub capacity: InstanceCapacity,
 }
 
 /// Capacity of an instance, ordered by what a hub needs most: CPU time, then network
--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -288,10 +288,10 @@
     /// Decides from whom this daemon hears of the store, and tells the control thread.
     pub(super) fn update_duty(&self, role: &PeerRole, now: MonoTime) {
         let view = self.view();
-        let bounds = self.settings().relay_bounds();
+        let bounds = self.settings().relay_timeouts();
         let (feeder, silence) = match role {
             PeerRole::Mesh => (None, Duration::ZERO),
-            PeerRole::Member(hub) => (Some(hub.clone()), bounds.member_silence),
+            PeerRole::Member(hub) => (Some(hub.clone()), bounds.member_timeout),
             PeerRole::Hub => {
                 let feeder = self.hubs.borrow().store_hub(
                     &self.daemon,
@@ -299,7 +299,7 @@
                     &self.peers.borrow(),
                     now,
                 );
-                (feeder, bounds.hub_silence)
+                (feeder, bounds.hub_timeout)
             }
         };
         let hub_heard = match role {
@@ -318,10 +318,10 @@
             starting: self.starting(role, view.daemons.is_empty(), now),
         };
         let duty = choose_watch_mode(role, state);
-        if self.duty.replace(duty) != duty {
+        if self.watch_mode.replace(duty) != duty {
             log::info!(duty = format!("{duty:?}"), role = role.as_str(); "way of following the store changed");
             // The control thread ends only with the process.
-            let _ = self.news.send(ControlInput::Duty(duty));
+            let _ = self.control_inputs.send(ControlInput::WatchMode(duty));
         }
     }
 
@@ -335,14 +335,14 @@
             _ => Duration::ZERO,
         };
         let waits = now.since(self.started) < patience;
-        waits.then(|| WatchMode::at_start(first))
+        waits.then(|| WatchMode::initial(first))
     }
 
     // Other hubs rely only on one that hears the store itself; members on any that knows
     // when it was heard.
     pub(super) fn store_age_ms(&self, whole: bool, now: MonoTime) -> u32 {
-        let age = match self.duty.get() {
-            WatchMode::ForOthers => self.pulse.age(now),
+        let age = match self.watch_mode.get() {
+            WatchMode::ForOthers => self.store_liveness.age(now),
             WatchMode::Fed if whole => self.feed_subscription.borrow().heard_age(now),
             _ => Duration::MAX,
         };
@@ -365,7 +365,7 @@
         };
         let question = PeerMessage::WantStock(SnapshotRequest {
             from: self.daemon.clone(),
-            life: self.life,
+            life: self.incarnation,
             number,
             known: self.stock.borrow().digests(),
         });
@@ -376,7 +376,7 @@
     pub(super) fn answer_stock(&self, question: &SnapshotRequest) {
         let view = self.view();
         let asker = (&question.from, question.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.life) == asker) {
+        if !view.daemons.iter().any(|d| (&d.id, d.incarnation) == asker) {
             return;
         }
         if !self.stock.borrow().is_complete() {
@@ -418,6 +418,6 @@
     fn pass_on(&self, objects: FeedObjects) {
         self.stock_objects(objects.clone());
         // The control thread ends only with the process.
-        let _ = self.news.send(ControlInput::PeerObjects(objects));
+        let _ = self.control_inputs.send(ControlInput::PeerObjects(objects));
     }
 }
--- a/src/gateway/peers/freshness.rs
+++ b/src/gateway/peers/freshness.rs
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
         let told = self.proofs.borrow().confirmed_at();
-        self.pulse.confirmed_at().max(told)
+        self.store_liveness.confirmed_at().max(told)
     }
 
     /// Whether a key that the configuration holds may be taken for one in force.
@@ -120,7 +120,7 @@
         let routes = view.routes.as_ref().filter(|r| r.requires_keys())?;
         Some(PeerMessage::Proof(FreshnessUpdate {
             from: self.daemon.clone(),
-            life: self.life,
+            life: self.incarnation,
             proof: ConfigFreshness {
                 clock: now,
                 version: routes.version,
@@ -133,12 +133,16 @@
     pub(super) fn take_proof(&self, word: &FreshnessUpdate) {
         let view = self.view();
         let sender = (&word.from, word.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
+        if !view
+            .daemons
+            .iter()
+            .any(|d| (&d.id, d.incarnation) == sender)
+        {
             return;
         }
         let version = view.routes.as_ref().map_or(0, |r| r.version);
         let mut proofs = self.proofs.borrow_mut();
         proofs.note_clock(&word.from, word.life, word.proof.clock);
-        proofs.take(&word.proof, (&self.daemon, self.life), version);
+        proofs.take(&word.proof, (&self.daemon, self.incarnation), version);
     }
 }
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -263,7 +263,7 @@
 /// The order in which daemons are taken for hubs: those on the strongest instances first,
 /// which carry the words of a whole data centre, then by name.
 fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceCapacity>, &DaemonId) {
-    (Reverse(daemon.strength), &daemon.id)
+    (Reverse(daemon.capacity), &daemon.id)
 }
 
 fn first_in_order<'a>(daemons: impl Iterator<Item = &'a DaemonRecord>) -> Option<DaemonId> {
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -124,7 +124,7 @@
     loop {
         let task = queue.next().await;
         // Hubs rely on one that follows the store itself only.
-        let feeds = kind != LinkKind::OtherHub || gateway.duty.get() == WatchMode::ForOthers;
+        let feeds = kind != LinkKind::OtherHub || gateway.watch_mode.get() == WatchMode::ForOthers;
         let sent = match task {
             LinkTask::Word => {
                 let message = queue.word().for_link(kind).cloned();
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -152,7 +152,7 @@
         let mut peers = self.peers.borrow_mut();
         PeerHint {
             from: self.daemon.clone(),
-            life: self.life,
+            life: self.incarnation,
             leaving: self.stopping.get(),
             config_version: view.routes.as_ref().map_or(0, |routes| routes.version),
             work: work.collect(),
@@ -235,7 +235,7 @@
             rate: if whole { self.work_rate() } else { hint.rate },
             placed_through,
             members,
-            true_time: self.duties.borrow().clock.at(now),
+            true_time: self.fleet_tasks.borrow().clock.at(now),
             usage: Vec::new(),
         }
     }
@@ -296,7 +296,9 @@
             PeerMessage::Proof(word) => self.take_proof(&word),
             PeerMessage::Config { revision, value } => {
                 // The control thread ends only with the process.
-                let _ = self.news.send(ControlInput::PeerConfig { revision, value });
+                let _ = self
+                    .control_inputs
+                    .send(ControlInput::PeerConfig { revision, value });
             }
         }
     }
@@ -308,7 +310,7 @@
         let known = view
             .daemons
             .iter()
-            .any(|d| d.id == hint.from && d.life == hint.life);
+            .any(|d| d.id == hint.from && d.incarnation == hint.life);
         if !known {
             return;
         }
@@ -350,7 +352,7 @@
 
     fn take_departed(&self, departed: &[TargetIncarnation]) {
         let view = self.view();
-        for target in departed.iter().filter(|target| view.holds(target)) {
+        for target in departed.iter().filter(|target| view.has_target(target)) {
             self.notify_departed(target);
         }
     }
@@ -361,14 +363,17 @@
         notes.retain(|note| !is_kept(note));
         if !notes.is_empty() {
             // The control thread ends only with the process.
-            let _ = self.news.send(ControlInput::EntryNotes(notes));
+            let _ = self.control_inputs.send(ControlInput::EntryNotes(notes));
         }
     }
 
     fn take_summary(&self, summary: PeerSummary) {
         let view = self.view();
         let sender = (&summary.from, summary.life);
-        let known = view.daemons.iter().any(|d| (&d.id, d.life) == sender);
+        let known = view
+            .daemons
+            .iter()
+            .any(|d| (&d.id, d.incarnation) == sender);
         let is_hub = self.hubs.borrow().is_hub();
         // A hub adds up its members itself: the sum for members would count twice.
         if !known || (summary.whole && is_hub) {
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -212,7 +212,7 @@
         let avoided = engines.filter(|e| trail.has(&e.id) || core.health.view(&e.id, now).avoided);
         PlacementRequest {
             from: self.daemon.clone(),
-            life: self.life,
+            life: self.incarnation,
             number: 0,
             service: call.service.name.clone(),
             avoided: avoided.map(|engine| engine.id.clone()).collect(),
@@ -231,7 +231,7 @@
         let known = call.view.service_targets(&call.service.name);
         let find = |id: &TargetIncarnation| -> Option<Arc<TargetRecord>> {
             let found = known.iter().find(|engine| engine.id == *id)?;
-            newest.holds(id).then(|| found.clone())
+            newest.has_target(id).then(|| found.clone())
         };
         let reader = match &engines.reader {
             Some(id) => Some(find(id)?),
@@ -255,7 +255,7 @@
     pub fn answer_place(&self, question: &PlacementRequest) {
         let view = self.view();
         let asker = (&question.from, question.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.life) == asker) {
+        if !view.daemons.iter().any(|d| (&d.id, d.incarnation) == asker) {
             return;
         }
         let prompt = PromptShape {
@@ -311,7 +311,7 @@
         if let Some((number, placed)) = log.take() {
             let notes = PeerMessage::Placements(PlacementBatch {
                 from: self.daemon.clone(),
-                life: self.life,
+                life: self.incarnation,
                 number,
                 placed,
             });
@@ -325,7 +325,11 @@
     pub fn take_placements(&self, notes: &PlacementBatch) {
         let view = self.view();
         let sender = (&notes.from, notes.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
+        if !view
+            .daemons
+            .iter()
+            .any(|d| (&d.id, d.incarnation) == sender)
+        {
             return;
         }
         let now = clock::mono_now();
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -11,23 +11,23 @@
     /// Counts a request that began to run at a target.
     pub fn note_begun(&self, access: &CallerAccess) {
         if let CallerAccess::Workspace { name, .. } = access
-            && self.ports.duties.is_some()
+            && self.ports.fleet_tasks.is_some()
         {
-            let mut book = self.duties.borrow_mut();
+            let mut book = self.fleet_tasks.borrow_mut();
             book.usage.note_begun(name, clock::mono_now());
         }
     }
 
     pub(super) fn take_usage_news(&self) -> Vec<UsageCount> {
         let now = clock::mono_now();
-        let mut book = self.duties.borrow_mut();
+        let mut book = self.fleet_tasks.borrow_mut();
         book.settle(now);
         book.usage.take_news(now)
     }
 
     // What goes to other hubs: what the members told, and the own counts of this word.
     pub(super) fn take_centre_usage(&self, hint: &PeerHint) -> Vec<DaemonUsage> {
-        let mut usage = self.duties.borrow_mut().usage.take_relayed();
+        let mut usage = self.fleet_tasks.borrow_mut().usage.take_relayed();
         if !hint.usage.is_empty() {
             usage.push(usage_of(hint));
         }
@@ -35,14 +35,14 @@
     }
 
     pub(super) fn take_member_usage(&self, hint: &PeerHint, now: MonoTime) {
-        let mut book = self.duties.borrow_mut();
+        let mut book = self.fleet_tasks.borrow_mut();
         book.clock.add_sample(&hint.from, hint.wall, now);
         book.usage.note_heard(usage_of(hint), true);
     }
 
     // What a hub tells its members is agreed on; hubs take each other's for one clock more.
     pub(super) fn take_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
-        let mut book = self.duties.borrow_mut();
+        let mut book = self.fleet_tasks.borrow_mut();
         if let Some(time) = summary.true_time {
             if summary.whole {
                 book.clock.adopt_time(time, now);
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -56,9 +56,9 @@
     /// Run it from its beginning.
     Run,
     /// Prefill the prompt only and keep its KV cache.
-    ReadPrompt,
+    Prefill,
     /// Generate from the KV cache of a prompt that was prefilled on another engine.
-    TakeOver(KvCacheHandle),
+    DecodeFrom(KvCacheHandle),
 }
 
 /// One send of a caller's request to a target.
@@ -145,7 +145,7 @@
     /// Number of orders accepted since its start.
     pub orders_accepted: u64,
     /// Start time on its own clock, if reported.
-    pub born: Option<UnixTime>,
+    pub started_at: Option<UnixTime>,
 }
 
 /// A caller's query for the addresses to use.
@@ -164,8 +164,8 @@
     pub encode_send: fn(&HeaderMap, &SendOrder) -> HeaderMap,
     /// Decodes the head of a target's answer.
     pub decode_answer: fn(StatusCode, &HeaderMap) -> AnswerMetadata,
-    /// Decodes the name of the kept KV cache from the answer to [`SendMode::ReadPrompt`].
-    pub decode_read: fn(&[u8]) -> Result<String, WireError>,
+    /// Decodes the name of the kept KV cache from the answer to [`SendMode::Prefill`].
+    pub decode_prefill: fn(&[u8]) -> Result<String, WireError>,
     /// Builds the call that frees a kept KV cache.
     pub release_handle: fn(&str) -> TargetQuery,
     /// Builds the call that carries an order.
@@ -196,7 +196,7 @@
     /// Kind of the daemons' records, which only the gateway uses.
     pub daemon_kind: String,
     /// Kind of the records of quarantined work, which only the gateway uses.
-    pub held_kind: String,
+    pub quarantine_kind: String,
     /// Decodes a configuration.
     pub decode_config: fn(&[u8]) -> Result<FleetConfig, WireError>,
     /// Decodes a target's entry from its name and value.
@@ -265,5 +265,5 @@
     /// Deletes an object of the store if it has the given version.
     pub remove: PortCall<(ObjectName, ObjectVersion), Result<(), PlatformError>>,
     /// Tasks that one daemon performs for the fleet, if the platform requires any.
-    pub duties: Option<FleetTaskPort>,
+    pub fleet_tasks: Option<FleetTaskPort>,
 }
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -67,7 +67,7 @@
     let mut ticks = timer.every(KEEP_EVERY);
     let mut loaded = false;
     while ticks.next().await.is_some() {
-        let reads = !loaded && gateway.duty.get().watches(Feed::Targets);
+        let reads = !loaded && gateway.watch_mode.get().watches(Feed::Targets);
         let kept = if reads {
             gateway.load_held().await
         } else {
@@ -198,15 +198,19 @@
             held_at: clock::mono_now(),
             ends: 0,
         };
-        self.held.borrow_mut().kept.entry(work).or_insert(kept);
+        self.quarantine
+            .borrow_mut()
+            .kept
+            .entry(work)
+            .or_insert(kept);
         self.newly_quarantined.notify_waiters();
     }
 
     /// Drops suspicions of targets whose entries show that they live.
     pub(in crate::gateway) fn refute_registered_targets(&self, now: MonoTime) {
-        let heard = self.pulse.age(now) < STORE_SILENCE;
+        let heard = self.store_liveness.age(now) < STORE_SILENCE;
         let heard_since = {
-            let mut desk = self.held.borrow_mut();
+            let mut desk = self.quarantine.borrow_mut();
             let since = desk.heard_since.filter(|_| heard);
             desk.heard_since = since.or(heard.then_some(now));
             desk.heard_since
@@ -215,8 +219,9 @@
             return;
         };
         let view = self.view();
-        let has_entry =
-            |target: &TargetIncarnation| view.holds(target) && !view.missing.contains_key(target);
+        let has_entry = |target: &TargetIncarnation| {
+            view.has_target(target) && !view.missing_entries.contains_key(target)
+        };
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
         crashes.note_entries(has_entry, lapse_time, heard_since, now);
@@ -224,13 +229,13 @@
 
     fn held_name(&self, work: WorkDigest) -> ObjectName {
         ObjectName {
-            kind: self.ports.schema.held_kind.clone(),
+            kind: self.ports.schema.quarantine_kind.clone(),
             name: work.to_string(),
         }
     }
 
     async fn load_held(&self) -> Result<(), PlatformError> {
-        let kind = self.ports.schema.held_kind.clone();
+        let kind = self.ports.schema.quarantine_kind.clone();
         let objects = match (self.ports.store.list)(kind).await {
             Ok(batch) => batch.objects,
             Err(PlatformError::Refused { reason }) => {
@@ -242,7 +247,7 @@
         for object in &objects {
             self.take_held_object(object);
         }
-        let mut held = self.held.borrow_mut();
+        let mut held = self.quarantine.borrow_mut();
         held.looked_at = Some(clock::mono_now());
         // What the store lost is written again.
         let names: Vec<&str> = objects.iter().map(|o| o.object.name.as_str()).collect();
@@ -267,7 +272,7 @@
                 }
                 let count = note.ends.len();
                 self.take_work_note(&note, true, "", "store");
-                if let Some(kept) = self.held.borrow_mut().kept.get_mut(&note.work) {
+                if let Some(kept) = self.quarantine.borrow_mut().kept.get_mut(&note.work) {
                     kept.ends = kept.ends.max(count);
                 }
             }
@@ -279,7 +284,7 @@
         let held: Vec<WorkDigest> = self.crashes.borrow().held().collect();
         metrics::gauge!("pistachiowick_works_held").set(held.len() as f64);
         let (now, rank) = (clock::mono_now(), self.full_view_rank(clock::mono_now()));
-        self.held
+        self.quarantine
             .borrow_mut()
             .kept
             .retain(|work, _| held.contains(work));
@@ -292,7 +297,7 @@
                 self.write_held(work).await?;
             }
         }
-        let looked_at = self.held.borrow().looked_at;
+        let looked_at = self.quarantine.borrow().looked_at;
         if rank == 0 && looked_at.is_none_or(|at| now.since(at) >= RELEASE_EVERY) {
             self.load_held().await?;
         }
@@ -301,7 +306,7 @@
 
     fn is_unkept(&self, work: WorkDigest, wait: Duration, now: MonoTime) -> bool {
         let count = self.crashes.borrow().ends(work).len();
-        let desk = self.held.borrow();
+        let desk = self.quarantine.borrow();
         let kept = desk.kept.get(&work);
         kept.is_some_and(|kept| kept.ends < count && now.since(kept.held_at) >= wait)
     }
@@ -331,14 +336,14 @@
             };
             log::info!(work = work.to_string(), ends = ends.len(); "held work is kept in the store");
         }
-        if let Some(kept) = self.held.borrow_mut().kept.get_mut(&work) {
+        if let Some(kept) = self.quarantine.borrow_mut().kept.get_mut(&work) {
             kept.ends = ends.len();
         }
         Ok(())
     }
 
     fn kept_route(&self, work: WorkDigest) -> String {
-        let desk = self.held.borrow();
+        let desk = self.quarantine.borrow();
         let kept = desk.kept.get(&work);
         kept.map(|kept| kept.route.clone()).unwrap_or_default()
     }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -97,7 +97,7 @@
         let order = self.order(
             call,
             reader,
-            SendMode::ReadPrompt,
+            SendMode::Prefill,
             None,
             fetch_from,
             place.rank,
@@ -146,7 +146,7 @@
                 return Reading::Failed(fault.to_string());
             }
         };
-        let name = match (self.ports.wire.decode_read)(&body) {
+        let name = match (self.ports.wire.decode_prefill)(&body) {
             Ok(name) => name,
             Err(fault) => {
                 self.note_result(reader, SendResult::Failed);
@@ -203,7 +203,7 @@
     #[must_use]
     pub fn mode(&self) -> SendMode {
         let handle = self.handle.clone();
-        handle.map_or(SendMode::Run, SendMode::TakeOver)
+        handle.map_or(SendMode::Run, SendMode::DecodeFrom)
     }
 
     /// Leaves the prompt to the engine that took it, or that found it gone.
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -381,7 +381,7 @@
         }
         entry.missing = Some(MissingEntry { since: now, until });
         metrics::counter!("pistachiowick_entries_missing_total").increment(1);
-        let failed_for = self.contact.failed_for(now).unwrap_or_default();
+        let failed_for = self.contact.since_last_failure(now).unwrap_or_default();
         log::info!(
             target_id = name.as_str(),
             source = source.as_str(),
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -151,7 +151,7 @@
         plan: SendPlan<'_>,
         order: &SendOrder,
     ) -> SendOutcome {
-        if !self.view().holds(&target.id) {
+        if !self.view().has_target(&target.id) {
             // It may have announced its departure since it was chosen.
             return SendOutcome::NotSent(format!("{} has left", target.id));
         }
@@ -263,7 +263,7 @@
             return SendOutcome::Refused(format!("{} said {}", target.id, head.status));
         }
         // The answer to a reading is for this daemon alone; callers get signed ones only.
-        let is_run = order.mode != SendMode::ReadPrompt;
+        let is_run = order.mode != SendMode::Prefill;
         if is_run && head.status.is_success() && !marks.signed {
             return SendOutcome::Unclear(format!("{} did not sign its answer", target.id));
         }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -105,9 +105,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RelayTimeouts {
     /// Time without contact to the store after which a member follows the store itself.
-    pub member_silence: Duration,
+    pub member_timeout: Duration,
     /// Time without contact to the store after which a hub follows the store itself.
-    pub hub_silence: Duration,
+    pub hub_timeout: Duration,
 }
 
 /// Fraction of the revocation time for which a key is accepted after its configuration was
@@ -137,7 +137,7 @@
 impl InstanceLimits {
     /// Returns the capacity as announced to other daemons.
     #[must_use]
-    pub fn strength(&self) -> InstanceCapacity {
+    pub fn capacity(&self) -> InstanceCapacity {
         // Casts of negative numbers saturate at zero.
         InstanceCapacity {
             core_thousandths: (self.cpu_share * self.core_speed * 1_000.0) as u32,
@@ -191,7 +191,7 @@
 
     /// Returns the time within which no two daemons may act one after the other.
     #[must_use]
-    pub fn turn_time(&self) -> Duration {
+    pub fn exclusion_period(&self) -> Duration {
         Duration::from_secs_f64(self.turn_ms / 1_000.0)
     }
 
@@ -330,13 +330,13 @@
 
     /// Returns the times for which daemons rely on each other for changes of the store.
     #[must_use]
-    pub fn relay_bounds(&self) -> RelayTimeouts {
+    pub fn relay_timeouts(&self) -> RelayTimeouts {
         let bounds = &self.bounds;
         let within = bounds.config_within_ms.min(bounds.departure_within_ms);
         let scaled = |fraction: f64| Duration::from_secs_f64(within * fraction / 1_000.0);
         RelayTimeouts {
-            member_silence: scaled(MEMBER_TIMEOUT_FRACTION),
-            hub_silence: scaled(HUB_TIMEOUT_FRACTION),
+            member_timeout: scaled(MEMBER_TIMEOUT_FRACTION),
+            hub_timeout: scaled(HUB_TIMEOUT_FRACTION),
         }
     }
 
@@ -349,15 +349,13 @@
 
     /// Returns the longest waits of the configuration watch.
     #[must_use]
-    pub fn follow_pace(&self) -> ConfigWatchWaits {
+    pub fn config_watch_waits(&self) -> ConfigWatchWaits {
         let bounds = &self.bounds;
         let within = bounds.config_within_ms.min(bounds.departure_within_ms);
         let revoked = bounds.revoked_within_ms.unwrap_or(f64::INFINITY);
         let wait = |ms: f64| Duration::from_secs_f64(ms.min(MAX_CONFIG_WAIT_MS) / 1_000.0);
         ConfigWatchWaits {
-            heartbeat: wait(
-                (within * HUB_WATCH_FRACTION).min(revoked * HUB_CONFIRM_WATCH_FRACTION),
-            ),
+            hub_wait: wait((within * HUB_WATCH_FRACTION).min(revoked * HUB_CONFIRM_WATCH_FRACTION)),
             standalone_wait: wait(revoked * CONFIRM_WATCH_FRACTION),
         }
     }
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -306,7 +306,7 @@
         until: MonoTime,
     ) -> Result<OrderOutcome, SendError> {
         let report = self.fetch_report(engine).await?;
-        if report.born.is_some() && report.born != engine.id.born() {
+        if report.started_at.is_some() && report.started_at != engine.id.born() {
             // The entry is stale: the incarnation that was to be changed has ended.
             self.notify_departed(&engine.id);
             return Err(SendError::NotSent("the engine has restarted".to_owned()));
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -70,7 +70,7 @@
 
     /// Returns the time since the last failed call that indicated an outage.
     #[must_use]
-    pub fn failed_for(&self, now: MonoTime) -> Option<Duration> {
+    pub fn since_last_failure(&self, now: MonoTime) -> Option<Duration> {
         self.outage.map(|outage| now.since(outage.failed_at))
     }
 }
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -139,7 +139,7 @@
 impl WatchMode {
     /// Returns the mode of a daemon that starts.
     #[must_use]
-    pub fn at_start(first_start: bool) -> Self {
+    pub fn initial(first_start: bool) -> Self {
         if first_start {
             Self::Gathering
         } else {
@@ -187,7 +187,7 @@
     // contact to the store. So does a daemon that has to confirm keys.
     fn wait(self, feed: Feed, config_waits: ConfigWatchWaits) -> Duration {
         match (self, feed) {
-            (Self::ForOthers, Feed::Config) => config_waits.heartbeat,
+            (Self::ForOthers, Feed::Config) => config_waits.hub_wait,
             (_, Feed::Config) => config_waits.standalone_wait.min(MAX_WATCH_WAIT),
             _ => MAX_WATCH_WAIT,
         }
@@ -215,7 +215,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ConfigWatchWaits {
     /// Longest wait for a hub, for whose members it serves as a heartbeat of the store.
-    pub heartbeat: Duration,
+    pub hub_wait: Duration,
     /// Longest wait for a daemon that follows the store for itself.
     pub standalone_wait: Duration,
 }
@@ -302,9 +302,9 @@
     /// Receives the events.
     pub events: mpsc::UnboundedSender<StoreEvent>,
     /// Current mode of following the store.
-    pub mode: watch::Receiver<WatchMode>,
+    pub watch_mode: watch::Receiver<WatchMode>,
     /// Records when the store last answered.
-    pub pulse: Arc<StoreLiveness>,
+    pub store_liveness: Arc<StoreLiveness>,
     /// Longest waits of the configuration watch.
     pub config_waits: ConfigWatchWaits,
 }
@@ -317,7 +317,10 @@
         loop {
             let feed = self.feed;
             // The sender lives as long as the thread.
-            let _ = self.mode.wait_for(|mode| mode.lists(feed)).await;
+            let _ = self
+                .watch_mode
+                .wait_for(|watch_mode| watch_mode.lists(feed))
+                .await;
             self.count("list");
             let (called_at, started) = (clock::mono_now(), Instant::now());
             match self.list().await {
@@ -357,7 +360,7 @@
         let mut backoff = INITIAL_BACKOFF;
         let mut failing = false;
         loop {
-            let Some(mode) = self.mode_to_watch().await else {
+            let Some(watch_mode) = self.mode_to_watch().await else {
                 return;
             };
             let query = WatchQuery {
@@ -366,7 +369,7 @@
                 wait: if failing {
                     RECOVERY_WATCH_WAIT
                 } else {
-                    mode.wait(self.feed, self.config_waits)
+                    watch_mode.wait(self.feed, self.config_waits)
                 },
             };
             self.count("watch");
@@ -379,7 +382,7 @@
                     let batches = !objects.is_empty() && self.feed != Feed::Config;
                     self.publish(StoreEvent::Changed(self.feed, objects), since, called_at);
                     if batches {
-                        sleep(mode.batch_pause()).await;
+                        sleep(watch_mode.batch_pause()).await;
                     }
                 }
                 Err(PlatformError::Refused { reason }) => {
@@ -398,30 +401,31 @@
     // Waits until this kind is to be watched; `None` if a hub relays it instead.
     async fn mode_to_watch(&mut self) -> Option<WatchMode> {
         let feed = self.feed;
-        let is_decided = |mode: &WatchMode| mode.watches(feed) || *mode == WatchMode::Fed;
+        let is_decided =
+            |watch_mode: &WatchMode| watch_mode.watches(feed) || *watch_mode == WatchMode::Fed;
         // The sender lives as long as the thread.
-        let mode = *self.mode.wait_for(is_decided).await.ok()?;
-        mode.watches(feed).then_some(mode)
+        let watch_mode = *self.watch_mode.wait_for(is_decided).await.ok()?;
+        watch_mode.watches(feed).then_some(watch_mode)
     }
 
     // In a fleet with hubs, a member polls only the configuration until the store answers. A
     // pause ends when the mode changes: the next hub is a member in a long pause, and until
     // it ended, nobody in its data centre would notice that the store is back.
     async fn pause_after_failure(&mut self, backoff: &mut Duration, started: Instant) {
-        let mode = *self.mode.borrow();
-        let is_member = matches!(mode, WatchMode::WithoutHub | WatchMode::BesideHub);
+        let watch_mode = *self.watch_mode.borrow();
+        let is_member = matches!(watch_mode, WatchMode::WithoutHub | WatchMode::BesideHub);
         let failed_at = clock::mono_now();
-        let mut modes = self.mode.clone();
-        let changed = modes.wait_for(|now| *now != mode);
+        let mut modes = self.watch_mode.clone();
+        let changed = modes.wait_for(|now| *now != watch_mode);
         if !is_member || self.feed == Feed::Config {
             tokio::select! {
-                () = sleep_after_failure(started, backoff, mode.max_backoff()) => {}
+                () = sleep_after_failure(started, backoff, watch_mode.max_backoff()) => {}
                 _ = changed => *backoff = INITIAL_BACKOFF,
             }
             return;
         }
         let store_returned = async {
-            self.pulse.answered_after(failed_at).await;
+            self.store_liveness.answered_after(failed_at).await;
             sleep(MEMBER_LISTING_DELAY).await;
         };
         tokio::select! {
@@ -432,16 +436,16 @@
     }
 
     fn count(&self, call: &'static str) {
-        let mode = self.mode.borrow().as_str();
+        let watch_mode = self.watch_mode.borrow().as_str();
         let kind = self.feed.as_str();
-        metrics::counter!("pistachiowick_store_reads_total", "call" => call, "kind" => kind, "duty" => mode)
+        metrics::counter!("pistachiowick_store_reads_total", "call" => call, "kind" => kind, "duty" => watch_mode)
             .increment(1);
     }
 
     // Sends the store's answer to a call that was started at `called_at`. The answer may have
     // been in transit for long, but was valid at the time of the call.
     fn publish(&self, event: StoreEvent, through: u64, called_at: MonoTime) {
-        self.pulse.note_answer(self.feed);
+        self.store_liveness.note_answer(self.feed);
         // The loop that receives this ends only with the thread.
         let _ = self.events.send(event);
         let _ = match self.feed {
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -244,12 +244,12 @@
 fn daemon(id: &str, centre: &str, port: u16) -> DaemonRecord {
     DaemonRecord {
         id: DaemonId::from(id),
-        life: 1,
+        incarnation: 1,
         callers: ([127, 0, 0, 1], port).into(),
         peers: ([127, 0, 0, 1], port).into(),
         centre: CentreName::from(centre),
         leaving: false,
-        strength: InstanceCapacity::default(),
+        capacity: InstanceCapacity::default(),
     }
 }
 
--- a/tests/gateway_feeding.rs
+++ b/tests/gateway_feeding.rs
@@ -174,10 +174,10 @@
         }
     });
     let settings = GatewaySettings::parse(&settings.to_string()).expect("usable settings");
-    let bounds = settings.relay_bounds();
-    assert_eq!(bounds.member_silence.as_millis(), case.member_ms);
-    assert_eq!(bounds.hub_silence.as_millis(), case.hub_ms);
-    let heartbeat = settings.follow_pace().heartbeat;
+    let bounds = settings.relay_timeouts();
+    assert_eq!(bounds.member_timeout.as_millis(), case.member_ms);
+    assert_eq!(bounds.hub_timeout.as_millis(), case.hub_ms);
+    let heartbeat = settings.config_watch_waits().hub_wait;
     assert_eq!(heartbeat.as_millis(), case.heartbeat_ms);
 }
 
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -24,12 +24,12 @@
     let address: SocketAddr = ([127, 0, 0, 1], 1_000).into();
     DaemonRecord {
         id: DaemonId::from(format!("{centre}-{number:02}")),
-        life: 1,
+        incarnation: 1,
         callers: address,
         peers: address,
         centre: CentreName::from(centre),
         leaving: false,
-        strength: InstanceCapacity::default(),
+        capacity: InstanceCapacity::default(),
     }
 }
 
@@ -331,7 +331,7 @@
     let mut daemons = fleet(10);
     let strong = DaemonId::from("a-07");
     let record = daemons.iter_mut().find(|d| d.id == strong);
-    record.expect("it is there").strength.core_thousandths = 500;
+    record.expect("it is there").capacity.core_thousandths = 500;
     let role = |own: &str, daemons: &[DaemonRecord]| {
         let own = DaemonId::from(own);
         HubSelector::default().role(&own, daemons, &PeerTable::default(), MonoTime(0))
