--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -194,7 +194,7 @@
     pub fn note_prefilled(&mut self) {
         let mut core = self.gateway.core.borrow_mut();
         core.load
-            .note_read(&self.target, self.rank, self.pending_prefill_tokens);
+            .note_prefilled(&self.target, self.rank, self.pending_prefill_tokens);
         self.pending_prefill_tokens = 0;
     }
 }
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -1,7 +1,7 @@
-//! Which targets answer, learned from the requests sent to them.
+//! Health of targets, learned from the outcomes of the requests sent to them.
 //!
-//! Health checks cost calls and say little: targets fail requests while their
-//! check is good. What counts is what came of real sends.
+//! Health checks cost requests and say little: targets may fail requests while their
+//! check passes. So only the results of real requests count.
 
 use std::time::Duration;
 
@@ -11,84 +11,85 @@
 use crate::names::MonoTime;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Sends without any answer in a row after which a target is avoided.
-const SILENT_SENDS: u32 = 2;
-/// First time to avoid a silent target; doubles up to [`LONGEST_AVOIDED`].
-const FIRST_AVOIDED: Duration = Duration::from_millis(1_000);
-/// Longest time to avoid a target before it is tried again.
-const LONGEST_AVOIDED: Duration = Duration::from_millis(6_000);
-/// Weight of the newest result in the rate of failures.
-const NEW_WEIGHT: f64 = 0.12;
-/// Weight of the newest time in the mean time to an answer.
-const TIME_WEIGHT: f64 = 0.15;
-/// Pace of a target that was not measured yet.
-const FIRST_PACE: f64 = 1.0;
-/// Bounds of a pace: one slow answer must not rule a target out for good.
-const PACE_RANGE: (f64, f64) = (0.2, 12.0);
+/// Consecutive sends without an answer after which a target is avoided.
+const SILENT_SENDS_TO_AVOID: u32 = 2;
+/// Time that a target is avoided at first; doubles up to [`MAX_AVOID_TIME`].
+const MIN_AVOID_TIME: Duration = Duration::from_millis(1_000);
+/// Longest time that a target is avoided before it is tried again.
+const MAX_AVOID_TIME: Duration = Duration::from_millis(6_000);
+/// Weight of the newest result in the moving failure rate.
+const FAILURE_WEIGHT: f64 = 0.12;
+/// Weight of the newest ratio in the moving mean of the slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.15;
+/// Slowdown of a target without measurements.
+const INITIAL_SLOWDOWN: f64 = 1.0;
+/// Bounds of a measured ratio, so that one slow answer does not exclude a target for long.
+const SLOWDOWN_RANGE: (f64, f64) = (0.2, 12.0);
 
-/// What came of a send.
+/// Result of a send.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SendResult {
-    /// A whole answer of the target's own.
+    /// The target returned a complete answer.
     Answered,
-    /// An answer that says the work failed, or that ended early.
+    /// The answer reported a failure or was cut off.
     Failed,
-    /// No answer: refused connection, reset, silence.
+    /// No answer: connection refused, connection reset or time-out.
     Silent,
 }
 
-/// A change of what choices do with a target.
+/// A change in whether a target is avoided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HealthChange {
-    /// It is avoided from now on.
+    /// The target is avoided from now on.
     Avoided,
-    /// It was avoided, and answers.
-    Proved,
+    /// The target was avoided and has answered again.
+    Recovered,
 }
 
-/// One target's record.
+/// Health record of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetHealth {
-    silent_in_row: u32,
+    consecutive_silent: u32,
     avoided_until: Option<MonoTime>,
-    avoid_next: Duration,
+    next_avoid_time: Duration,
     failure_rate: f64,
-    pace: f64,
+    slowdown: f64,
 }
 
 impl Default for TargetHealth {
     fn default() -> Self {
         Self {
-            silent_in_row: 0,
+            consecutive_silent: 0,
             avoided_until: None,
-            avoid_next: FIRST_AVOIDED,
+            next_avoid_time: MIN_AVOID_TIME,
             failure_rate: 0.0,
-            pace: FIRST_PACE,
+            slowdown: INITIAL_SLOWDOWN,
         }
     }
 }
 
-/// How a target looks to a choice.
+/// Health of a target as used for a choice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthView {
-    /// Not to be used while another one can be.
+    /// Whether to use it only if no other target is available.
     pub avoided: bool,
-    /// Avoided before and not proved since.
-    pub unproved: bool,
-    /// Share of sends that failed lately.
+    /// Whether it was avoided and has not answered since.
+    pub unverified: bool,
+    /// Share of recent sends that failed.
     pub failure_rate: f64,
-    /// Time taken against the time expected.
-    pub pace: f64,
+    /// Moving mean of the measured time divided by the expected time.
+    pub slowdown: f64,
 }
 
-/// Records of all targets that got sends.
+/// Health of all targets that requests were sent to.
 #[derive(Clone, Debug, Default)]
 pub struct HealthTracker {
     targets: IndexMap<TargetIncarnation, TargetHealth>,
 }
 
 impl HealthTracker {
-    /// Notes what came of a send; returns what it changed for choices.
+    /// Records the result of a send; returns whether the target is now avoided or has
+    /// recovered.
     pub fn note(
         &mut self,
         target: &TargetIncarnation,
@@ -97,51 +98,51 @@
     ) -> Option<HealthChange> {
         let health = self.targets.entry(target.clone()).or_default();
         let failed = f64::from(u8::from(result != SendResult::Answered));
-        health.failure_rate += NEW_WEIGHT * (failed - health.failure_rate);
+        health.failure_rate += FAILURE_WEIGHT * (failed - health.failure_rate);
         match result {
-            SendResult::Silent => health.note_silence(now),
+            SendResult::Silent => health.record_silence(now),
             SendResult::Answered | SendResult::Failed => {
-                health.silent_in_row = 0;
-                health.avoid_next = FIRST_AVOIDED;
-                health.avoided_until.take().map(|_| HealthChange::Proved)
+                health.consecutive_silent = 0;
+                health.next_avoid_time = MIN_AVOID_TIME;
+                health.avoided_until.take().map(|_| HealthChange::Recovered)
             }
         }
     }
 
-    /// Notes the time an answer took against what is expected of engines like it.
+    /// Records the time of an answer and the time expected of engines of its kind.
     pub fn note_time(&mut self, target: &TargetIncarnation, taken_ms: f64, expected_ms: f64) {
         let health = self.targets.entry(target.clone()).or_default();
-        let ratio = (taken_ms / expected_ms.max(1.0)).clamp(PACE_RANGE.0, PACE_RANGE.1);
-        health.pace += TIME_WEIGHT * (ratio - health.pace);
+        let ratio = (taken_ms / expected_ms.max(1.0)).clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
+        health.slowdown += SLOWDOWN_WEIGHT * (ratio - health.slowdown);
     }
 
-    /// Shows a target to a choice.
+    /// Returns a target's health for a choice.
     #[must_use]
     pub fn view(&self, target: &TargetIncarnation, now: MonoTime) -> HealthView {
-        let fresh = TargetHealth::default();
-        let health = self.targets.get(target).unwrap_or(&fresh);
+        let unknown = TargetHealth::default();
+        let health = self.targets.get(target).unwrap_or(&unknown);
         HealthView {
             avoided: health.avoided_until.is_some_and(|until| now < until),
-            unproved: health.avoided_until.is_some(),
+            unverified: health.avoided_until.is_some(),
             failure_rate: health.failure_rate,
-            pace: health.pace,
+            slowdown: health.slowdown,
         }
     }
 
-    /// Forgets targets for which `keep` is false.
+    /// Removes targets for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&TargetIncarnation) -> bool) {
         self.targets.retain(|target, _| keep(target));
     }
 }
 
 impl TargetHealth {
-    fn note_silence(&mut self, now: MonoTime) -> Option<HealthChange> {
-        self.silent_in_row += 1;
-        if self.silent_in_row < SILENT_SENDS {
+    fn record_silence(&mut self, now: MonoTime) -> Option<HealthChange> {
+        self.consecutive_silent += 1;
+        if self.consecutive_silent < SILENT_SENDS_TO_AVOID {
             return None;
         }
-        self.avoided_until = Some(now.plus(self.avoid_next));
-        self.avoid_next = (self.avoid_next * 2).min(LONGEST_AVOIDED);
+        self.avoided_until = Some(now.plus(self.next_avoid_time));
+        self.next_avoid_time = (self.next_avoid_time * 2).min(MAX_AVOID_TIME);
         Some(HealthChange::Avoided)
     }
 }
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -1,4 +1,4 @@
-//! How many engines read prompts and how many generate: a pure plan.
+//! Plans how many engines of a service prefill and how many decode, free of side effects.
 
 use std::sync::Arc;
 
@@ -9,76 +9,78 @@
 use crate::names::CentreName;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Engines that always stay able to generate: prompts can also be read there, but
-/// nothing can be generated on a prefill engine.
-const FEWEST_WRITERS: usize = 2;
-/// Work offered to the engines of a service, in a second.
+/// Fewest decode engines to keep: they can also prefill, while a prefill engine cannot
+/// generate.
+const MIN_DECODE_ENGINES: usize = 2;
+/// Work placed on the engines of a service, per second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WorkRate {
-    /// Prompt tokens that had to be read.
-    pub read_tokens: f64,
-    /// Tokens generated.
-    pub written_tokens: f64,
+    /// Prompt tokens to prefill.
+    #[serde(rename = "read_tokens")]
+    pub prefill_tokens: f64,
+    /// Tokens to generate.
+    #[serde(rename = "written_tokens")]
+    pub decode_tokens: f64,
 }
 
-/// An order that the plan wants.
+/// A planned change of an engine's stage.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StageChangePlan {
     /// Engine to change.
     pub engine: Arc<TargetRecord>,
-    /// Stage that it is to have.
+    /// Stage that it is to change to.
     pub stage: EngineStage,
 }
 
-/// Returns how many of `engines` should read prompts, for a share of them.
+/// Returns how many of `engines` should be prefill engines, for a given share of them.
 #[must_use]
 pub fn prefill_engine_count(engines: usize, share: f64) -> usize {
-    let most = engines.saturating_sub(FEWEST_WRITERS);
-    let wanted = (share * engines as f64).round() as usize;
-    let fewest = usize::from(most > 0);
-    wanted.clamp(fewest, most)
+    let max = engines.saturating_sub(MIN_DECODE_ENGINES);
+    let desired = (share * engines as f64).round() as usize;
+    let min = usize::from(max > 0);
+    desired.clamp(min, max)
 }
 
-/// Returns changes that bring the readers among `engines` to `wanted`, at most
-/// `at_once` of them: the least busy engines first, spread over data centres.
+/// Returns up to `at_once` changes that bring the number of prefill engines among
+/// `engines` to `desired`: the least busy engines first, spread over data centres.
 #[must_use]
-pub fn wishes(
+pub fn plan_changes(
     engines: &[Arc<TargetRecord>],
     running: impl Fn(&TargetIncarnation) -> u32,
-    wanted: usize,
+    desired: usize,
     at_once: usize,
 ) -> Vec<StageChangePlan> {
-    let readers = engines.iter().filter(|e| is_reader(e)).count();
-    let (stage, count) = if readers < wanted {
-        (EngineStage::Prefill, wanted - readers)
+    let prefill_engines = engines.iter().filter(|e| is_prefill_engine(e)).count();
+    let (stage, count) = if prefill_engines < desired {
+        (EngineStage::Prefill, desired - prefill_engines)
     } else {
-        (EngineStage::Decode, readers - wanted)
+        (EngineStage::Decode, prefill_engines - desired)
     };
-    let mut left: Vec<&Arc<TargetRecord>> =
+    let mut candidates: Vec<&Arc<TargetRecord>> =
         engines.iter().filter(|e| e.stage != Some(stage)).collect();
     let mut in_centre: IndexMap<CentreName, usize> = IndexMap::new();
     for engine in engines.iter().filter(|e| e.stage == Some(stage)) {
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
     }
-    let mut wishes = Vec::new();
-    while wishes.len() < count.min(at_once) && !left.is_empty() {
+    let mut planned_changes = Vec::new();
+    while planned_changes.len() < count.min(at_once) && !candidates.is_empty() {
         let key = |e: &&Arc<TargetRecord>| {
-            let there = in_centre.get(&e.centre).copied().unwrap_or(0);
-            (there, running(&e.id), e.id.clone())
+            let same_stage = in_centre.get(&e.centre).copied().unwrap_or(0);
+            (same_stage, running(&e.id), e.id.clone())
         };
-        let Some(at) = (0..left.len()).min_by_key(|at| key(&left[*at])) else {
+        let Some(at) = (0..candidates.len()).min_by_key(|at| key(&candidates[*at])) else {
             break;
         };
-        let engine = left.swap_remove(at);
+        let engine = candidates.swap_remove(at);
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
-        wishes.push(StageChangePlan {
+        planned_changes.push(StageChangePlan {
             engine: engine.clone(),
             stage,
         });
     }
-    wishes
+    planned_changes
 }
 
-fn is_reader(engine: &TargetRecord) -> bool {
+fn is_prefill_engine(engine: &TargetRecord) -> bool {
     engine.stage == Some(EngineStage::Prefill)
 }
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -83,7 +83,7 @@
     let view = gateway.view();
     let limits = view.routes.as_ref().map(|routes| routes.limits);
     let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.head_bytes);
+    let head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
     let header_timeout = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout);
     let timer = Rc::new(HeaderTimer::default());
     let (connection_gateway, connection_timer) = (gateway.clone(), timer.clone());
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -199,7 +199,12 @@
                 MAX_CONCURRENT_CHANGES.saturating_sub(self.changes.len())
             };
             let running = |id: &TargetIncarnation| core.load.total(id).running;
-            planned_changes.extend(stage_plan::wishes(&after, running, prefill_count, at_once));
+            planned_changes.extend(stage_plan::plan_changes(
+                &after,
+                running,
+                prefill_count,
+                at_once,
+            ));
         }
         planned_changes
     }
@@ -306,7 +311,7 @@
         until: MonoTime,
     ) -> Result<OrderOutcome, SendError> {
         let report = self.fetch_report(engine).await?;
-        if report.started_at.is_some() && report.started_at != engine.id.born() {
+        if report.started_at.is_some() && report.started_at != engine.id.started_at() {
             // The entry is stale: the incarnation that was to be changed has ended.
             self.notify_departed(&engine.id);
             return Err(SendError::NotSent("the engine has restarted".to_owned()));
