--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: follows the store and publishes what traffic reads.
+//! The control thread: follows the store and publishes the fleet view for the traffic thread.
 
 use std::future::pending;
 use std::io;
@@ -13,7 +13,7 @@
 
 use crate::clock;
 use crate::gateway::fleet::{self, FleetCell, FleetView};
-use crate::gateway::members::{DaemonRecord, MemberBook};
+use crate::gateway::members::{DaemonRecord, DaemonTable};
 use crate::gateway::model::FleetConfig;
 use crate::gateway::peers::wire::FeedObjects;
 use crate::gateway::port::GatewayPorts;
@@ -22,66 +22,66 @@
 };
 use crate::gateway::routes::RouteTable;
 use crate::gateway::store_follow::{
-    ConfigWatchWaits, FIRST_BACKOFF, Feed, Follower, LONGEST_BACKOFF, StoreEvent, StoreLiveness,
-    WatchMode, kind_of, pause,
+    ConfigWatchWaits, Feed, INITIAL_BACKOFF, MAX_BACKOFF, StoreEvent, StoreFollower, StoreLiveness,
+    WatchMode, kind_of, sleep_with_backoff,
 };
 use crate::names::{DaemonId, MonoTime, TargetId, millis};
 use crate::ports::{ConditionalWrite, ObjectName, ObjectVersion, PlatformError, StoredObject};
 use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
-/// How often what is remembered of ended entries and lives is cleared.
-const TICK: Duration = Duration::from_millis(200);
-/// How often targets without an entry that still get work are told of.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// Attempts to write the own record before it is left to the next change.
-const RECORD_ATTEMPTS: u32 = 8;
+/// Interval at which expired records of ended entries and incarnations are dropped.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which targets that get work without an entry are reported.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Attempts to write this daemon's record; after that it is written with its next change.
+const MAX_RECORD_ATTEMPTS: u32 = 8;
 
-/// What others tell the control thread.
+/// Messages to the control thread.
 #[derive(Debug)]
 pub enum ControlInput {
-    /// A target was not at its address any more.
+    /// A target is no longer at its address.
     TargetDeparted(TargetIncarnation),
-    /// Another daemon told of entries that began or ended.
+    /// Another daemon reported entries that were created or removed.
     EntryNotes(Vec<EntryUpdate>),
     /// Another daemon sent a configuration.
     PeerConfig {
-        /// Revision of the store's object.
+        /// Revision of the configuration object in the store.
         revision: u64,
-        /// Its value.
+        /// Value of that object.
         value: Vec<u8>,
     },
-    /// A hub passed on objects of the store.
+    /// A hub relayed objects of the store.
     PeerObjects(FeedObjects),
-    /// How this daemon is to follow the store.
-    Duty(WatchMode),
+    /// New mode in which this daemon follows the store.
+    WatchMode(WatchMode),
     /// This daemon is stopping.
     Stopping,
 }
 
-/// What the control thread is started with.
+/// Arguments of [`start`].
 pub struct ControlSetup {
-    /// Adapter.
+    /// Ports of the adapter.
     pub ports: GatewayPorts,
-    /// Where to publish.
+    /// Cell that the fleet view is published in.
     pub cell: FleetCell,
-    /// Where to note that the store was heard.
-    pub pulse: Arc<StoreLiveness>,
+    /// Records when the store last answered.
+    pub store_liveness: Arc<StoreLiveness>,
     /// This daemon's record.
     pub record: DaemonRecord,
-    /// How the store is followed at first.
-    pub duty: WatchMode,
-    /// How often the configuration is asked for while nothing changes.
-    pub pace: ConfigWatchWaits,
+    /// Initial mode of following the store.
+    pub watch_mode: WatchMode,
+    /// Longest waits of the configuration watch.
+    pub config_waits: ConfigWatchWaits,
 }
 
-/// Handle of the control thread.
-pub struct ControlLink {
-    /// Where traffic tells it something.
-    pub news: mpsc::UnboundedSender<ControlInput>,
-    /// What it reads of the store, for hubs to pass on.
+/// Handle of the running control thread.
+pub struct ControlThread {
+    /// Sends messages to the control thread.
+    pub messages: mpsc::UnboundedSender<ControlInput>,
+    /// Objects that the control thread read from the store, for a hub to relay.
     pub relays: mpsc::UnboundedReceiver<FeedObjects>,
-    /// The thread; it ends when all senders of news are gone.
+    /// The thread; it ends when all senders of messages are dropped.
     pub thread: JoinHandle<()>,
 }
 
@@ -89,9 +89,9 @@
 ///
 /// # Errors
 ///
-/// Returns an error when no thread or no runtime can be had.
-pub fn start(setup: ControlSetup) -> io::Result<ControlLink> {
-    let (news, inbox) = mpsc::unbounded_channel();
+/// Returns an error when the thread or its runtime cannot be created.
+pub fn start(setup: ControlSetup) -> io::Result<ControlThread> {
+    let (messages, inbox) = mpsc::unbounded_channel();
     let (relay, relays) = mpsc::unbounded_channel();
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
@@ -102,8 +102,8 @@
             let local = LocalSet::new();
             local.block_on(&runtime, run(setup, inbox, relay));
         })?;
-    Ok(ControlLink {
-        news,
+    Ok(ControlThread {
+        messages,
         relays,
         thread,
     })
@@ -113,14 +113,14 @@
     ports: GatewayPorts,
     cell: FleetCell,
     registry: TargetRegistry,
-    members: MemberBook,
+    members: DaemonTable,
     routes: Option<Arc<RouteTable>>,
     config_source: Option<(u64, Arc<[u8]>)>,
     targets_known: bool,
     own_record_seen: bool,
-    pulse: Arc<StoreLiveness>,
-    // Revision of a configuration that could not be read and is not in force here.
-    unread_config: Option<u64>,
+    store_liveness: Arc<StoreLiveness>,
+    // Revision of a configuration that could not be decoded and is not in force here.
+    rejected_revision: Option<u64>,
 }
 
 async fn run(
@@ -128,48 +128,48 @@
     mut inbox: mpsc::UnboundedReceiver<ControlInput>,
     relay: mpsc::UnboundedSender<FeedObjects>,
 ) {
-    let (duty_sender, duty) = watch::channel(setup.duty);
-    let (feed_sender, mut feeds) = mpsc::unbounded_channel();
+    let (mode_sender, watch_mode) = watch::channel(setup.watch_mode);
+    let (event_sender, mut events) = mpsc::unbounded_channel();
     let (record_sender, record) = watch::channel(setup.record);
     for feed in [Feed::Config, Feed::Targets, Feed::Daemons] {
-        let follower = Follower {
+        let follower = StoreFollower {
             ports: setup.ports.clone(),
             feed,
             kind: kind_of(&setup.ports, feed),
-            news: feed_sender.clone(),
-            duty: duty.clone(),
-            pulse: setup.pulse.clone(),
-            pace: setup.pace,
+            events: event_sender.clone(),
+            watch_mode: watch_mode.clone(),
+            store_liveness: setup.store_liveness.clone(),
+            config_waits: setup.config_waits,
         };
         spawn_local(follower.run());
     }
-    spawn_local(keep_record(setup.ports.clone(), record));
+    spawn_local(maintain_record(setup.ports.clone(), record));
     let mut state = ControlState {
         ports: setup.ports,
         cell: setup.cell,
         registry: TargetRegistry::default(),
-        members: MemberBook::default(),
+        members: DaemonTable::default(),
         routes: None,
         config_source: None,
         targets_known: false,
         own_record_seen: false,
-        pulse: setup.pulse,
-        unread_config: None,
+        store_liveness: setup.store_liveness,
+        rejected_revision: None,
     };
     let timer = TimerService::start();
-    let mut ticks = timer.every(TICK);
-    let mut reports = timer.every(REPORT_EVERY);
+    let mut ticks = timer.every(EXPIRY_INTERVAL);
+    let mut reports = timer.every(REPORT_INTERVAL);
     loop {
         let changed = tokio::select! {
-            news = inbox.recv() => match news {
+            message = inbox.recv() => match message {
                 Some(ControlInput::TargetDeparted(id)) => state.note_departed(&id),
-                Some(ControlInput::EntryNotes(notes)) => state.take_notes(notes),
+                Some(ControlInput::EntryNotes(notes)) => state.apply_entry_notes(notes),
                 Some(ControlInput::PeerConfig { revision, value }) => {
-                    state.take_value(revision, &value)
+                    state.apply_config_value(revision, &value)
                 }
-                Some(ControlInput::PeerObjects(objects)) => state.take_relayed(objects),
-                Some(ControlInput::Duty(duty)) => {
-                    duty_sender.send_replace(duty);
+                Some(ControlInput::PeerObjects(objects)) => state.apply_relayed(objects),
+                Some(ControlInput::WatchMode(watch_mode)) => {
+                    mode_sender.send_replace(watch_mode);
                     false
                 }
                 Some(ControlInput::Stopping) => {
@@ -178,13 +178,13 @@
                 }
                 None => return,
             },
-            news = feeds.recv() => {
-                if let Some(objects) = news.as_ref().and_then(StoreEvent::relayed) {
+            event = events.recv() => {
+                if let Some(objects) = event.as_ref().and_then(StoreEvent::relayed) {
                     // The traffic thread ends only with the process.
                     let _ = relay.send(objects);
                 }
-                let changed = news.is_some_and(|news| state.take(news, EntrySource::Store));
-                if state.lost_own_record(&record_sender.borrow().id) {
+                let changed = event.is_some_and(|event| state.apply(event, EntrySource::Store));
+                if state.has_lost_own_record(&record_sender.borrow().id) {
                     record_sender.send_modify(|_| {});
                 }
                 changed
@@ -205,29 +205,29 @@
 }
 
 impl ControlState {
-    // Each request that meets the target tells of it.
+    // Every request that finds the target gone reports it, so only the first report counts.
     fn note_departed(&mut self, id: &TargetIncarnation) -> bool {
         if self.registry.has_departed(id) {
             return false;
         }
-        log::info!(target_id = id.as_str(); "target is not at its address any more");
+        log::info!(target_id = id.as_str(); "target is no longer at its address");
         self.registry.mark_departed(id, clock::mono_now());
         true
     }
 
-    fn take_notes(&mut self, notes: Vec<EntryUpdate>) -> bool {
+    fn apply_entry_notes(&mut self, notes: Vec<EntryUpdate>) -> bool {
         let now = clock::mono_now();
         let mut changed = false;
         for note in notes {
             changed |= match note.value {
                 None => self.registry.apply_removal(&note.name, note.revision, now),
-                Some(value) => self.take_begun(&note.name, note.revision, value.into_vec()),
+                Some(value) => self.apply_created(&note.name, note.revision, value.into_vec()),
             };
         }
         changed
     }
 
-    fn take_begun(&mut self, name: &TargetId, revision: u64, value: Vec<u8>) -> bool {
+    fn apply_created(&mut self, name: &TargetId, revision: u64, value: Vec<u8>) -> bool {
         let object = StoredObject {
             object: ObjectName {
                 kind: String::new(),
@@ -236,22 +236,22 @@
             version: ObjectVersion(revision),
             value: Some(value),
         };
-        self.take_target(&object, EntrySource::Peer)
+        self.apply_target(&object, EntrySource::Peer)
     }
 
-    // Whether a target's life began with the change.
-    fn take_target(&mut self, object: &StoredObject, source: EntrySource) -> bool {
+    // Returns whether the change is the start of a new incarnation of the target.
+    fn apply_target(&mut self, object: &StoredObject, source: EntrySource) -> bool {
         let now = clock::mono_now();
-        let news = self.decode_target(object);
-        let name = news.name.clone();
-        let begins = self.registry.apply(news, source, now);
+        let change = self.decode_target(object);
+        let name = change.name.clone();
+        let begins = self.registry.apply(change, source, now);
         if let Some(value) = object.value.as_ref().filter(|_| begins) {
             self.registry.note_added(&name, value, now);
         }
         begins
     }
 
-    // Told again and again: what is kept of a busy daemon's log may be its last seconds.
+    // Logged repeatedly: only the last seconds of a busy daemon's log may be kept.
     fn report_missing(&self) {
         let now = clock::mono_now();
         let missing = self.registry.missing_entries();
@@ -260,13 +260,13 @@
         if !missing.is_empty() {
             log::info!(
                 targets = missing.join(" "),
-                store_heard_ms = millis(self.pulse.age(now));
-                "targets without an entry get work"
+                store_heard_ms = millis(self.store_liveness.age(now));
+                "targets get work without an entry in the store"
             );
         }
     }
 
-    fn take_relayed(&mut self, relayed: FeedObjects) -> bool {
+    fn apply_relayed(&mut self, relayed: FeedObjects) -> bool {
         let FeedObjects {
             feed,
             whole,
@@ -283,35 +283,35 @@
                 value: value.map(serde_bytes::ByteBuf::into_vec),
             });
         let stored = stored.collect();
-        let news = if whole {
+        let event = if whole {
             StoreEvent::Listed(feed, stored)
         } else {
             StoreEvent::Changed(feed, stored)
         };
-        self.take(news, EntrySource::Hub)
+        self.apply(event, EntrySource::Hub)
     }
 
-    // Whether the daemons were listed and the own record, seen before, is not there.
-    fn lost_own_record(&mut self, own: &DaemonId) -> bool {
-        let holds = self.members.holds(own);
-        let lost = self.own_record_seen && !holds;
-        self.own_record_seen = holds;
+    // Returns whether this daemon's record was seen before and is now missing.
+    fn has_lost_own_record(&mut self, own: &DaemonId) -> bool {
+        let present = self.members.contains(own);
+        let lost = self.own_record_seen && !present;
+        self.own_record_seen = present;
         lost
     }
 
-    // Whether something changed that traffic has to see.
-    fn take(&mut self, news: StoreEvent, source: EntrySource) -> bool {
+    // Returns whether the published view has to change.
+    fn apply(&mut self, event: StoreEvent, source: EntrySource) -> bool {
         let now = clock::mono_now();
-        let answered = matches!(news, StoreEvent::Listed(..) | StoreEvent::Changed(..));
-        if answered && source == EntrySource::Store {
+        let is_answer = matches!(event, StoreEvent::Listed(..) | StoreEvent::Changed(..));
+        if is_answer && source == EntrySource::Store {
             self.registry.note_store_answer(now);
         }
-        match news {
+        match event {
             StoreEvent::Confirmed(at) => {
-                // Nothing is confirmed by an answer that could not be read: keys that it
-                // takes away would stay in force.
-                if self.routes.is_some() && self.unread_config.is_none() {
-                    self.pulse.note_confirmed(at);
+                // An answer that could not be decoded confirms nothing: keys that it
+                // revokes would stay in force.
+                if self.routes.is_some() && self.rejected_revision.is_none() {
+                    self.store_liveness.note_confirmed(at);
                 }
                 false
             }
@@ -319,8 +319,8 @@
                 self.registry.note_read_through(revision);
                 false
             }
-            StoreEvent::Failed(asked) => {
-                self.registry.note_store_failure(asked, now);
+            StoreEvent::Failed(called_at) => {
+                self.registry.note_store_failure(called_at, now);
                 false
             }
             StoreEvent::Listed(Feed::Targets, objects) => {
@@ -332,20 +332,20 @@
             }
             StoreEvent::Listed(Feed::Daemons, objects) => {
                 self.members.clear();
-                self.take_daemons(&objects)
+                self.apply_daemons(&objects)
             }
             StoreEvent::Changed(Feed::Targets, objects) => {
                 for object in &objects {
-                    self.take_target(object, source);
+                    self.apply_target(object, source);
                 }
                 !objects.is_empty()
             }
-            StoreEvent::Changed(Feed::Daemons, objects) => self.take_daemons(&objects),
+            StoreEvent::Changed(Feed::Daemons, objects) => self.apply_daemons(&objects),
             StoreEvent::Listed(Feed::Config, objects)
             | StoreEvent::Changed(Feed::Config, objects) => {
                 let mut changed = false;
                 for object in &objects {
-                    changed |= self.take_config(object);
+                    changed |= self.apply_config_object(object);
                 }
                 changed
             }
@@ -359,7 +359,7 @@
             None => EntryContent::Gone,
             Some(value) => match decode(name, value) {
                 Ok(record) => EntryContent::Named(record),
-                Err(fault) => EntryContent::Unreadable(fault),
+                Err(error) => EntryContent::Unreadable(error),
             },
         };
         EntryChange {
@@ -369,12 +369,12 @@
         }
     }
 
-    fn take_daemons(&mut self, objects: &[StoredObject]) -> bool {
+    fn apply_daemons(&mut self, objects: &[StoredObject]) -> bool {
         for object in objects {
             let name = &object.object.name;
             let record = object.value.as_ref().and_then(|value| {
                 DaemonRecord::decode(name, value)
-                    .map_err(|fault| log::warn!("{fault}"))
+                    .map_err(|error| log::warn!("{error}"))
                     .ok()
             });
             self.members.set(name, record);
@@ -382,26 +382,28 @@
         true
     }
 
-    // An object beside the operator's one is somebody else's.
-    fn take_config(&mut self, object: &StoredObject) -> bool {
+    // Other objects of the same kind are not the operator's configuration.
+    fn apply_config_object(&mut self, object: &StoredObject) -> bool {
         let named = object.object.name == self.ports.schema.config_name;
         let value = object.value.as_ref().filter(|_| named);
-        value.is_some_and(|value| self.take_value(object.version.0, value))
+        value.is_some_and(|value| self.apply_config_value(object.version.0, value))
     }
 
-    fn take_value(&mut self, revision: u64, value: &[u8]) -> bool {
+    fn apply_config_value(&mut self, revision: u64, value: &[u8]) -> bool {
         match (self.ports.schema.decode_config)(value) {
             Ok(config) => {
-                self.unread_config = self.unread_config.filter(|unread| *unread > revision);
+                self.rejected_revision = self
+                    .rejected_revision
+                    .filter(|rejected| *rejected > revision);
                 let applied = self.apply_config(config, revision);
                 if applied {
                     self.config_source = Some((revision, Arc::from(value)));
                 }
                 applied
             }
-            Err(fault) => {
-                self.unread_config = self.unread_config.max(Some(revision));
-                log::error!(revision = revision; "configuration left out, the one before stays: {fault}");
+            Err(error) => {
+                self.rejected_revision = self.rejected_revision.max(Some(revision));
+                log::error!(revision = revision; "configuration rejected, keeping the previous one: {error}");
                 false
             }
         }
@@ -429,7 +431,7 @@
             config_source: self.config_source.clone(),
             departed: self.registry.departed().cloned().collect(),
             entry_notes: self.registry.recent_updates().cloned().collect(),
-            missing: self
+            missing_entries: self
                 .registry
                 .missing_entries()
                 .map(|(id, entry)| (id.clone(), entry))
@@ -447,16 +449,16 @@
     }
 }
 
-// Keeps the own record in the store as it is wanted.
-async fn keep_record(ports: GatewayPorts, mut wanted: watch::Receiver<DaemonRecord>) {
+// Writes this daemon's record to the store, and again with each change.
+async fn maintain_record(ports: GatewayPorts, mut desired: watch::Receiver<DaemonRecord>) {
     let object = ObjectName {
         kind: ports.schema.daemon_kind.clone(),
-        name: wanted.borrow().id.to_string(),
+        name: desired.borrow().id.to_string(),
     };
     loop {
-        let record = wanted.borrow_and_update().clone();
+        let record = desired.borrow_and_update().clone();
         write_record(&ports, &object, &record).await;
-        if wanted.changed().await.is_err() {
+        if desired.changed().await.is_err() {
             return;
         }
     }
@@ -464,8 +466,8 @@
 
 async fn write_record(ports: &GatewayPorts, object: &ObjectName, record: &DaemonRecord) {
     let mut expected = ObjectVersion(0);
-    let mut backoff = FIRST_BACKOFF;
-    for _ in 0..RECORD_ATTEMPTS {
+    let mut backoff = INITIAL_BACKOFF;
+    for _ in 0..MAX_RECORD_ATTEMPTS {
         let write = ConditionalWrite {
             object: object.clone(),
             expected,
@@ -473,13 +475,13 @@
         };
         match (ports.store.write)(write).await {
             Ok(_) => return,
-            // The record of an earlier life; only this daemon writes under its name.
+            // A record of an earlier incarnation; only this daemon writes under its name.
             Err(PlatformError::Conflict { current }) => expected = current,
             Err(error) => {
-                log::warn!("own record not written: {error}");
-                pause(&mut backoff, LONGEST_BACKOFF).await;
+                log::warn!("could not write this daemon's record to the store: {error}");
+                sleep_with_backoff(&mut backoff, MAX_BACKOFF).await;
             }
         }
     }
-    log::error!(attempts = RECORD_ATTEMPTS; "own record not written; others learn of this daemon late");
+    log::error!(attempts = MAX_RECORD_ATTEMPTS; "gave up writing this daemon's record until its next change; other daemons will discover this daemon late");
 }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Takes changed settings while the process runs.
+//! Reloads settings while the process runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,54 +9,60 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::timer::TimerService;
 
-/// How often the file is looked at: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the file is checked: it may change without a signal.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the settings file until the process ends; each message asks for a look
-/// at once.
-pub async fn run(gateway: Rc<Gateway>, path: String, mut asked: mpsc::UnboundedReceiver<()>) {
+/// Watches the settings file until the process ends; each message requests an immediate
+/// reload.
+pub async fn run(
+    gateway: Rc<Gateway>,
+    path: String,
+    mut reload_requests: mpsc::UnboundedReceiver<()>,
+) {
     let timer = TimerService::start();
-    let mut ticks = timer.every(LOOK_EVERY);
-    let mut known = std::fs::read_to_string(&path).unwrap_or_default();
+    let mut ticks = timer.every(CHECK_INTERVAL);
+    let mut current_text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
-        let by_signal = tokio::select! {
+        let is_requested = tokio::select! {
             _ = ticks.next() => false,
-            signal = asked.recv() => signal.is_some(),
+            signal = reload_requests.recv() => signal.is_some(),
         };
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) => {
-                log::warn!(path = path.as_str(); "settings cannot be read ({error}); those before stay");
+                log::warn!(path = path.as_str(); "settings file cannot be read ({error}); keeping the current settings");
                 continue;
             }
         };
-        if text == known && !by_signal {
+        if text == current_text && !is_requested {
             continue;
         }
-        known = text;
-        gateway.take_settings(&known);
+        current_text = text;
+        gateway.apply_settings(&current_text);
     }
 }
 
 impl Gateway {
-    /// Takes settings that may change while the process runs; a faulty text and
-    /// changes that need a new start are logged and left.
-    pub fn take_settings(&self, text: &str) {
-        let fresh = match GatewaySettings::parse(text) {
-            Ok(fresh) => fresh,
-            Err(fault) => {
-                log::error!("settings cannot be used, those before stay: {fault}");
+    /// Applies settings that may change while the process runs. Invalid settings and
+    /// changes that require a restart are logged and ignored.
+    pub fn apply_settings(&self, text: &str) {
+        let updated = match GatewaySettings::parse(text) {
+            Ok(updated) => updated,
+            Err(error) => {
+                log::error!("settings rejected, keeping the current ones: {error}");
                 return;
             }
         };
-        let before = self.settings();
-        if !fresh.same_place(&before) {
-            log::warn!("name, addresses and store of a daemon change with its next start only");
+        let current = self.settings();
+        if !updated.same_identity(&current) {
+            log::warn!(
+                "changed settings ignored: a daemon's name, addresses and store change only with a restart"
+            );
             return;
         }
-        let changed = fresh != *before;
-        self.budget.borrow_mut().set_rule(fresh.budget_rule());
-        self.set_settings(fresh);
+        let changed = updated != *current;
+        self.budget.borrow_mut().set_rule(updated.budget_rule());
+        self.set_settings(updated);
         log::info!(changed = changed; "settings read again");
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -1,75 +1,76 @@
-//! Whether the store was away, as far as this daemon's own calls tell.
+//! Detects outages of the store from the results of this daemon's own calls.
 //!
-//! Entries lapse while the store is away, and are back soon after its return. The return is
-//! the first answer to any call after failures, not the first answer that shows the entries:
-//! that one may come seconds later, on a connection that hung.
+//! Entries lapse during an outage and reappear soon after the store's return. The return is
+//! the first answer to any call after failures, not the first answer that shows the entries,
+//! which may come seconds later, on a connection that hung.
 
 use std::time::Duration;
 
 use crate::names::MonoTime;
 
-/// Time in which entries of living targets are back after the store's return: about two
-/// seconds, as the users state it, less the time in which a send reaches its target.
+/// Time within which entries of live targets reappear after the store's return: about two
+/// seconds, as stated by the users, less the time in which a send reaches its target.
 pub const ENTRY_RETURN_TIME: Duration = Duration::from_millis(1_900);
-/// How long after its last failure the store counts as just returned. Where no call of this
-/// daemon is answered after the failure, it bounds the time from the return.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_500);
-/// Silence of the store that is too short for an entry to lapse.
-const SHORTEST_ABSENCE: Duration = Duration::from_millis(2_000);
+/// Time after its last failure for which the store counts as just returned. It is the only
+/// bound while no call of this daemon has been answered since that failure.
+pub const RETURN_WINDOW: Duration = Duration::from_millis(2_500);
+/// Shortest outage in which an entry can lapse.
+const MIN_OUTAGE: Duration = Duration::from_millis(2_000);
 
 #[derive(Clone, Copy, Debug)]
-struct StoreAbsence {
+struct StoreOutage {
     failed_at: MonoTime,
     returned_at: Option<MonoTime>,
 }
 
-/// What the calls to the store tell of it.
+/// Tracks outages of the store by the results of calls to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutageTracker {
-    heard_at: Option<MonoTime>,
-    absence: Option<StoreAbsence>,
+    answered_at: Option<MonoTime>,
+    outage: Option<StoreOutage>,
 }
 
 impl StoreOutageTracker {
-    /// Notes that a call that was begun at `asked` has failed.
+    /// Records that a call that was started at `called_at` has failed.
     ///
-    /// A call that hung while others were answered shows a lost connection, not a store
-    /// that is away.
-    pub fn note_failure(&mut self, asked: MonoTime, now: MonoTime) {
-        let heard_since = self
-            .heard_at
-            .is_some_and(|heard| asked <= heard && now.since(heard) < SHORTEST_ABSENCE);
-        if !heard_since {
-            self.absence = Some(StoreAbsence {
+    /// A call that hung while others were answered indicates a lost connection, not an
+    /// outage of the store.
+    pub fn note_failure(&mut self, called_at: MonoTime, now: MonoTime) {
+        let answered_since = self
+            .answered_at
+            .is_some_and(|answered| called_at <= answered && now.since(answered) < MIN_OUTAGE);
+        if !answered_since {
+            self.outage = Some(StoreOutage {
                 failed_at: now,
                 returned_at: None,
             });
         }
     }
 
-    /// Notes an answer of the store.
+    /// Records an answer of the store.
     pub fn note_answer(&mut self, now: MonoTime) {
-        if let Some(absence) = &mut self.absence {
-            absence.returned_at.get_or_insert(now);
+        if let Some(outage) = &mut self.outage {
+            outage.returned_at.get_or_insert(now);
         }
-        self.heard_at = Some(now);
+        self.answered_at = Some(now);
     }
 
-    /// Returns until when an entry that vanishes now may be back; `None` where it will not be.
+    /// Returns the time until which an entry that vanishes now may reappear; `None` if it is
+    /// not expected to.
     #[must_use]
     pub fn entry_return_deadline(&self, now: MonoTime) -> Option<MonoTime> {
-        let StoreAbsence {
+        let StoreOutage {
             failed_at,
             returned_at,
-        } = self.absence?;
-        let returned = returned_at.unwrap_or(now).plus(ENTRY_RETURN_TIME);
-        let until = returned.min(failed_at.plus(RETURN_TIME));
+        } = self.outage?;
+        let return_bound = returned_at.unwrap_or(now).plus(ENTRY_RETURN_TIME);
+        let until = return_bound.min(failed_at.plus(RETURN_WINDOW));
         (now < until).then_some(until)
     }
 
-    /// Returns the time since a call last showed the store away.
+    /// Returns the time since the last failed call that indicated an outage.
     #[must_use]
-    pub fn failed_for(&self, now: MonoTime) -> Option<Duration> {
-        self.absence.map(|absence| now.since(absence.failed_at))
+    pub fn since_last_failure(&self, now: MonoTime) -> Option<Duration> {
+        self.outage.map(|outage| now.since(outage.failed_at))
     }
 }
