--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -30,8 +30,10 @@
 use crate::requests::journal::{DecisionJournal, DecisionKind};
 use crate::roles::mix::MixForecast;
 use crate::roles::plan::{PlanDecision, RolePlanner};
-use crate::roles::plan_book::{PlanBook, wishes_of};
-use crate::roles::plan_inputs::{has, model_needs, plan_engines, want_planned};
+use crate::roles::plan_inputs::{
+    has_planned_state, model_needs, plan_engines, request_planned_changes,
+};
+use crate::roles::plan_store::{PlanStore, planned_changes_of};
 use crate::settings::DaemonSettings;
 use crate::targets::wire::{EngineState, OrderBody};
 
@@ -71,7 +73,7 @@
     next_count_at: IndexMap<CentreName, MonoTime>,
     leases: LeaseTable,
     managers: IndexMap<GroupName, OrderManager>,
-    plan: Option<PlanBook>,
+    plan: Option<PlanStore>,
     planner: RolePlanner,
     next_plan_at: MonoTime,
     planned_at: IndexMap<TargetId, MonoTime>,
@@ -267,8 +269,8 @@
             };
             let fence = authority.fence;
             if group == plan {
-                if self.plan.as_ref().map(PlanBook::fence) != Some(fence) {
-                    self.plan = Some(PlanBook::new(fence));
+                if self.plan.as_ref().map(PlanStore::fence) != Some(fence) {
+                    self.plan = Some(PlanStore::new(fence));
                 }
             } else if self.managers.get(&group).map(OrderManager::fence) != Some(fence) {
                 let manager = OrderManager::new(group.clone(), fence, self.times);
@@ -293,9 +295,9 @@
                 .get(target)
                 .map_or(Duration::ZERO, |at| now.since(*at));
             let engine = engines.iter().find(|engine| engine.id == *target);
-            age < MAX_CHANGE_AGE && engine.is_some_and(|e| !has(e, change))
+            age < MAX_CHANGE_AGE && engine.is_some_and(|e| !has_planned_state(e, change))
         });
-        let changing = plan.wanted().len();
+        let changing = plan.planned_changes().len();
         let decisions = self.planner.plan(
             &engines,
             &model_needs(inputs.config),
@@ -310,21 +312,21 @@
                     self.journal
                         .record(DecisionKind::Role, target.as_str(), reason);
                     self.planned_at.insert(target.clone(), now);
-                    plan.want(target, change);
+                    plan.add_change(target, change);
                 }
                 PlanDecision::Keep { models, reason } => {
                     self.journal.record(DecisionKind::Role, &models, reason);
                 }
             }
         }
-        let wanted = plan.wanted();
+        let planned_changes = plan.planned_changes();
         self.planned_at
-            .retain(|target, _| wanted.contains_key(target));
+            .retain(|target, _| planned_changes.contains_key(target));
     }
 
     fn plan_action(&mut self, now: MonoTime) -> Option<AuthorityAction> {
         let group = GroupName::from(PLAN_GROUP);
-        let fenced = self.plan.as_ref().and_then(PlanBook::fenced_by);
+        let fenced = self.plan.as_ref().and_then(PlanStore::fenced_by);
         if let Some(fence) = fenced {
             self.leases.give_up(&group, fence, now);
             self.plan = None;
@@ -338,7 +340,7 @@
         let plan = self
             .observed
             .get(PLAN_GROUP)
-            .map(|observed| wishes_of(&observed.record));
+            .map(|observed| planned_changes_of(&observed.record));
         let plan = plan.unwrap_or_default();
         let mut actions = Vec::new();
         let mut fenced = Vec::new();
@@ -350,7 +352,7 @@
             if self.leases.authority(group, now).is_none() {
                 continue;
             }
-            want_planned(manager, group, &self.groups, &plan, fleet);
+            request_planned_changes(manager, group, &self.groups, &plan, fleet);
             for action in manager.tick(now) {
                 actions.extend(order_action(group, action));
             }
--- a/src/decide/candidates.rs
+++ b/src/decide/candidates.rs
@@ -1,12 +1,12 @@
-//! Targets by pool, in the order that divides reading from writing.
+//! Targets by pool, in an order that splits each pool into a prefill and a decode side.
 //!
-//! Everything that admission and placement ask of a pool is worked out once per view
-//! of the fleet, so that neither walks the pool for each request.
+//! Everything that admission and placement query about a pool is computed once per view
+//! of the fleet, so that neither iterates over the pool for each request.
 
 use indexmap::{IndexMap, IndexSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::decide::placement::{ModelLabel, PoolKey, WorkSide};
+use crate::decide::placement::{ModelLabel, PoolKey, PoolSide};
 use crate::membership::fleet::{FleetView, LoadReport, TargetView, UseState};
 use crate::names::{ModelName, TargetId};
 use crate::store::wire::InstanceKind;
@@ -14,19 +14,19 @@
 
 /// Candidates by pool, rebuilt when the fleet's shape changes.
 ///
-/// A pool is in the same order on every daemon: engines that read best first, those
-/// that write best last. The first engines are the reading side, so that all daemons
-/// draw nearly the same line without talking to one another.
+/// A pool has the same order on every daemon: prefill engines first, decode engines
+/// last. The first engines form the prefill side, so all daemons split a pool at nearly
+/// the same position without coordination.
 #[derive(Clone, Debug, Default)]
 pub struct CandidateIndex {
     pools: IndexMap<PoolKey, TargetPool>,
 }
 
-/// Targets of one pool and what is asked of them together.
+/// Targets of one pool and what is known of the pool as a whole.
 #[derive(Clone, Debug, Default)]
 struct TargetPool {
     targets: IndexSet<TargetId>,
-    /// Number of live targets before each place, and in all.
+    /// Number of live targets before each position; the last entry is the total.
     live_before: Vec<usize>,
     roles: IndexSet<EngineRole>,
     usable: bool,
@@ -38,8 +38,8 @@
             self.live_before.push(0);
         }
         let live = self.live_before[self.targets.len()];
-        let counts = usize::from(target.state == UseState::Live);
-        self.live_before.push(live + counts);
+        let is_live = usize::from(target.state == UseState::Live);
+        self.live_before.push(live + is_live);
         self.targets.insert(target.id.clone());
         self.roles.extend(target.report.as_ref().map(|r| r.role));
         self.usable |= target.state <= UseState::Suspect;
@@ -61,35 +61,35 @@
         self.end - self.first
     }
 
-    /// Tells whether there is no target.
+    /// Returns whether there is no target.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the target at a place, which is below [`Self::len`].
+    /// Returns the target at a position below [`Self::len`]; `None` for any other.
     #[must_use]
-    pub fn get(&self, place: usize) -> Option<&'a TargetId> {
-        let place = self.first + place;
-        (place < self.end)
-            .then(|| self.pool.targets.get_index(place))
+    pub fn get(&self, position: usize) -> Option<&'a TargetId> {
+        let position = self.first + position;
+        (position < self.end)
+            .then(|| self.pool.targets.get_index(position))
             .flatten()
     }
 
-    /// Tells whether a target is on this side.
+    /// Returns whether a target is on this side.
     #[must_use]
     pub fn contains(&self, target: &TargetId) -> bool {
-        let place = self.pool.targets.get_index_of(target);
-        place.is_some_and(|at| (self.first..self.end).contains(&at))
+        let position = self.pool.targets.get_index_of(target);
+        position.is_some_and(|at| (self.first..self.end).contains(&at))
     }
 
     /// Returns the targets in the order of the pool.
     pub fn iter(&self) -> impl Iterator<Item = &'a TargetId> + use<'a> {
         let side = *self;
-        (0..side.len()).filter_map(move |place| side.get(place))
+        (0..side.len()).filter_map(move |position| side.get(position))
     }
 
-    /// Returns the number of targets in use.
+    /// Returns the number of live targets.
     #[must_use]
     pub fn live(&self) -> usize {
         let live = &self.pool.live_before;
@@ -106,7 +106,7 @@
     pub fn build(fleet: &FleetView) -> Self {
         let mut pools: IndexMap<PoolKey, TargetPool> = IndexMap::new();
         let mut targets: Vec<&TargetView> = fleet.targets.values().collect();
-        targets.sort_by_cached_key(|t| (reading_rank(t), xxh3_64(t.id.as_str().as_bytes())));
+        targets.sort_by_cached_key(|t| (prefill_rank(t), xxh3_64(t.id.as_str().as_bytes())));
         for target in targets {
             for pool in pools_of(target) {
                 pools.entry(pool).or_default().add(target);
@@ -115,7 +115,7 @@
         Self { pools }
     }
 
-    /// Tells whether a pool has a target that is in use or only suspected.
+    /// Returns whether a pool has a live or suspect target.
     #[must_use]
     pub fn is_usable(&self, pool: &PoolKey) -> bool {
         self.pools.get(pool).is_some_and(|p| p.usable)
@@ -127,36 +127,37 @@
         pool.into_iter().flat_map(|p| p.roles.iter().copied())
     }
 
-    /// Returns the targets of one side, where `reading_share` of the work is reading;
-    /// `None` for a pool that has none.
+    /// Returns the targets of one side, where `prefill_share` of the work belongs to the
+    /// prefill side; `None` for an unknown pool.
     ///
-    /// A side is never empty while its work exists, nor is a pool of one divided.
+    /// A side is never empty while there is work for it, and a pool of one target is not
+    /// split.
     #[must_use]
     pub fn side(
         &self,
         pool: &PoolKey,
-        side: WorkSide,
-        reading_share: f64,
+        side: PoolSide,
+        prefill_share: f64,
     ) -> Option<CandidateSide<'_>> {
         let pool = self.pools.get(pool)?;
         let count = pool.targets.len();
         let (mut first, mut end) = (0, count);
-        if count >= 2 && reading_share > 0.0 && reading_share < 1.0 {
-            let wanted = (reading_share * count as f64).round() as usize;
-            let line = wanted.clamp(1, count - 1);
+        if count >= 2 && prefill_share > 0.0 && prefill_share < 1.0 {
+            let prefill_count = (prefill_share * count as f64).round() as usize;
+            let split = prefill_count.clamp(1, count - 1);
             match side {
-                WorkSide::Reading => end = line,
-                WorkSide::Writing => first = line,
+                PoolSide::Prefill => end = split,
+                PoolSide::Decode => first = split,
             }
         }
         Some(CandidateSide { pool, first, end })
     }
 }
 
-/// Tells whether two views give the same index: the same targets in the same states,
+/// Returns whether two views give the same index: the same targets in the same states,
 /// roles and pools.
 #[must_use]
-pub fn has_same_shape(old: &FleetView, new: &FleetView) -> bool {
+pub fn has_same_candidates(old: &FleetView, new: &FleetView) -> bool {
     if old.version == new.version {
         return old.targets.len() == new.targets.len();
     }
@@ -170,17 +171,17 @@
         && old.state == new.state
         && old.kind == new.kind
         && old.service == new.service
-        && has_same_offer(old.report.as_ref(), new.report.as_ref())
+        && has_same_role_and_models(old.report.as_ref(), new.report.as_ref())
 }
 
-fn has_same_offer(old: Option<&LoadReport>, new: Option<&LoadReport>) -> bool {
+fn has_same_role_and_models(old: Option<&LoadReport>, new: Option<&LoadReport>) -> bool {
     match (old, new) {
         (Some(old), Some(new)) => old.role == new.role && old.models == new.models,
         (old, new) => old.is_none() && new.is_none(),
     }
 }
 
-fn reading_rank(target: &TargetView) -> u8 {
+fn prefill_rank(target: &TargetView) -> u8 {
     match target.report.as_ref().map(|r| r.role) {
         Some(EngineRole::Prefill) => 0,
         Some(EngineRole::Mixed) | None => 1,
--- a/src/decide/shares.rs
+++ b/src/decide/shares.rs
@@ -1,8 +1,9 @@
-//! Fleet-wide fair shares from the costs seen here and by peers.
+//! Fleet-wide fair shares, from the costs observed locally and those reported by peers.
 //!
-//! Each daemon shares its own part by weight. A workspace that is busy on every daemon
-//! then gets more than one busy on a single daemon, though their weights be equal. The
-//! local weight is corrected by how far a workspace is from its due across the fleet.
+//! Each daemon divides only its own capacity by weight. Of two workspaces with equal
+//! weights, one that is active on every daemon would then get more than one that is
+//! active on a single daemon. The local weights are therefore corrected by how far each
+//! workspace is from its fair share of the fleet.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
 
 use crate::names::{MonoTime, WorkspaceName};
 
-const MEMORY_S: f64 = 30.0;
-const MOST_CORRECTION: f64 = 8.0;
-const FORGET_RATE: f64 = 1e-4;
-const STEP: Duration = Duration::from_secs(1);
+const RATE_WINDOW_S: f64 = 30.0;
+const MAX_CORRECTION: f64 = 8.0;
+const MIN_RATE: f64 = 1e-4;
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Corrections of the weights on this daemon.
+/// Corrections of the workspaces' weights on this daemon.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ShareView {
-    /// Factor on a workspace's weight; those not listed have 1.
+pub struct WeightCorrections {
+    /// Factor on a workspace's weight; workspaces not listed have 1.
     pub factors: IndexMap<WorkspaceName, f64>,
 }
 
-impl ShareView {
+impl WeightCorrections {
     /// Returns the factor on a workspace's weight.
     #[must_use]
     pub fn factor(&self, workspace: &WorkspaceName) -> f64 {
@@ -30,54 +31,54 @@
     }
 }
 
-/// Rates of cost per workspace across the fleet.
+/// Tracks the rate of cost per workspace across the fleet.
 #[derive(Clone, Debug, Default)]
-pub struct ShareState {
+pub struct ShareTracker {
     pending: IndexMap<WorkspaceName, f64>,
     rates: IndexMap<WorkspaceName, f64>,
-    rolled_at: Option<MonoTime>,
+    updated_at: Option<MonoTime>,
 }
 
-impl ShareState {
-    /// Adds cost in engine-seconds, used here or told by a peer.
-    pub fn note(&mut self, workspace: &WorkspaceName, cost: f64) {
+impl ShareTracker {
+    /// Adds cost in engine-seconds, used locally or reported by a peer.
+    pub fn add_cost(&mut self, workspace: &WorkspaceName, cost: f64) {
         *self.pending.entry(workspace.clone()).or_default() += cost;
     }
 
-    /// Lets time pass; returns whether the rates moved.
+    /// Updates the rates once per interval; returns whether they were updated.
     pub fn tick(&mut self, now: MonoTime) -> bool {
-        let since = *self.rolled_at.get_or_insert(now);
-        let span = now.since(since);
-        if span < STEP {
+        let last_update = *self.updated_at.get_or_insert(now);
+        let elapsed = now.since(last_update);
+        if elapsed < UPDATE_INTERVAL {
             return false;
         }
-        self.rolled_at = Some(now);
-        let seconds = span.as_secs_f64();
-        let share = (seconds / MEMORY_S).min(1.0);
+        self.updated_at = Some(now);
+        let seconds = elapsed.as_secs_f64();
+        let new_weight = (seconds / RATE_WINDOW_S).min(1.0);
         for rate in self.rates.values_mut() {
-            *rate *= 1.0 - share;
+            *rate *= 1.0 - new_weight;
         }
         for (workspace, cost) in self.pending.drain(..) {
-            *self.rates.entry(workspace).or_default() += cost / seconds * share;
+            *self.rates.entry(workspace).or_default() += cost / seconds * new_weight;
         }
-        self.rates.retain(|_, rate| *rate >= FORGET_RATE);
+        self.rates.retain(|_, rate| *rate >= MIN_RATE);
         true
     }
 
-    /// Returns the corrections for the weights of the configuration.
+    /// Returns the corrections of the configured weights.
     #[must_use]
-    pub fn view(&self, weight: impl Fn(&WorkspaceName) -> u32) -> ShareView {
-        let used: f64 = self.rates.values().sum();
-        let weights: f64 = self.rates.keys().map(|w| f64::from(weight(w))).sum();
-        if used <= 0.0 || weights <= 0.0 {
-            return ShareView::default();
+    pub fn view(&self, weight: impl Fn(&WorkspaceName) -> u32) -> WeightCorrections {
+        let total_rate: f64 = self.rates.values().sum();
+        let total_weight: f64 = self.rates.keys().map(|w| f64::from(weight(w))).sum();
+        if total_rate <= 0.0 || total_weight <= 0.0 {
+            return WeightCorrections::default();
         }
         let factors = self.rates.iter().map(|(workspace, rate)| {
-            let due = used * f64::from(weight(workspace)) / weights;
-            let factor = (due / rate).clamp(1.0 / MOST_CORRECTION, MOST_CORRECTION);
+            let fair_rate = total_rate * f64::from(weight(workspace)) / total_weight;
+            let factor = (fair_rate / rate).clamp(1.0 / MAX_CORRECTION, MAX_CORRECTION);
             (workspace.clone(), factor)
         });
-        ShareView {
+        WeightCorrections {
             factors: factors.collect(),
         }
     }
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -113,7 +113,7 @@
 /// Performs fleet tasks until the process exits.
 pub async fn run(gateway: Rc<Gateway>, settings: FleetTaskSettings) {
     let (events_tx, mut events) = mpsc::unbounded_channel();
-    let lease_time = settings.turn_time();
+    let lease_time = settings.exclusion_period();
     let times = LeaseTimes {
         duration: lease_time,
         guard: lease_time.mul_f64(GUARD_FRACTION),
@@ -140,7 +140,7 @@
 
 impl FleetTasks {
     fn check(&mut self, now: MonoTime) {
-        self.gateway.duties.borrow_mut().refresh(now);
+        self.gateway.fleet_tasks.borrow_mut().refresh(now);
         self.update_lease(now);
         self.servers.observe(&self.gateway.view(), now);
         let Some(turn) = self.turn(now) else {
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -345,7 +345,7 @@
         reclaimable: key.reclaimable,
     };
     spawn_local(async move {
-        let answer = match ports.duties.filter(|_| turn.is_valid()) {
+        let answer = match ports.fleet_tasks.filter(|_| turn.is_valid()) {
             Some(duties) => (duties.order_servers)((turn.caller, desired)).await,
             None => Err(PlatformError::Unavailable {
                 reason: "the lease for ordering servers expired".to_owned(),
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -102,7 +102,7 @@
         let order = self.order(
             call,
             prefill_engine,
-            SendMode::ReadPrompt,
+            SendMode::Prefill,
             None,
             fetch_from,
             place.rank,
@@ -160,7 +160,7 @@
                 return PrefillResult::Failed(error.to_string());
             }
         };
-        let name = match (self.ports.wire.decode_read)(&body) {
+        let name = match (self.ports.wire.decode_prefill)(&body) {
             Ok(name) => name,
             Err(error) => {
                 self.note_result(prefill_engine, SendResult::Failed);
@@ -221,7 +221,7 @@
     #[must_use]
     pub fn mode(&self) -> SendMode {
         let handle = self.handle.clone();
-        handle.map_or(SendMode::Run, SendMode::TakeOver)
+        handle.map_or(SendMode::Run, SendMode::DecodeFrom)
     }
 
     /// Drops the handle without releasing it, after the decode engine took it or found it
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -1,9 +1,10 @@
-//! Plans which role each engine has, and which engines hold a model.
+//! Plans the role of each engine, and which engines have a model loaded.
 //!
-//! A change pays when what it gains within the horizon is worth more than the seconds
-//! it takes an engine out of service. Near the threshold the plan keeps what is: gains
-//! must show in the recent, the steady and the expected mix and within its error, exceed
-//! a least share, and an engine that changed rests for a horizon.
+//! A role change is worthwhile if it gains more within the horizon than the engine's time
+//! out of service costs. Several rules keep the plan stable near that threshold: the gain
+//! must exist for the recent, the steady and the expected mix and within the error of the
+//! steady mix, it must exceed a minimum share of the work served, and an engine that
+//! changed is not changed again within the horizon.
 
 use std::time::Duration;
 
@@ -13,69 +14,69 @@
 use crate::decide::cost::SpeedSettings;
 use crate::names::{ModelName, MonoTime, TargetId};
 use crate::roles::capacity::{RoleCounts, capacity, demand, served_share};
-use crate::roles::mix::{MixForecast, MixRates, WorkBins, tilted};
+use crate::roles::mix::{MixForecast, MixRates, WorkBins, shift_prefill_share};
 use crate::settings::{PolicySettings, RolePolicy};
 use crate::targets::wire::EngineRole;
 
 const ROLES: [EngineRole; 3] = [EngineRole::Prefill, EngineRole::Mixed, EngineRole::Decode];
-const LEAST_GAIN: f64 = 0.03;
-const BASELINE_GAIN: f64 = 0.001;
+const MIN_GAIN_SHARE: f64 = 0.03;
+const FOLLOW_MIX_MIN_GAIN: f64 = 0.001;
 const ERROR_MARGIN: f64 = 3.0;
-const KEPT_PAUSE: Duration = Duration::from_secs(30);
+const KEEP_REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// An engine as the plan sees it.
+/// An engine as the planner sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlanEngine {
-    /// Its name.
+    /// Identifier of the engine.
     pub id: TargetId,
-    /// Role in force.
+    /// Current role.
     pub role: EngineRole,
     /// Models loaded.
     pub models: Vec<String>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub usable: bool,
-    /// Work running and waiting.
+    /// Requests running and queued on it.
     pub in_flight: u32,
 }
 
-/// A decision of the plan with its reason.
+/// A decision of the planner with its reason.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PlanDecision {
-    /// Change an engine.
+    /// Change an engine's role or models.
     Change {
         /// Engine to change.
         target: TargetId,
-        /// State to have.
+        /// Planned role and models.
         change: PlannedChange,
     },
-    /// Keep what is although a change would gain a little.
+    /// Keep the roles although a change would gain a little.
     Keep {
-        /// Models concerned.
+        /// Models of the pool concerned.
         models: String,
-        /// Why.
+        /// Reason for the decision.
         reason: String,
     },
 }
 
-/// A model's need of engines.
+/// Number of engines that a model needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelNeed {
     /// Model.
     pub model: ModelName,
-    /// Fewest engines that hold it.
-    pub least_engines: usize,
+    /// Minimum number of engines that have it loaded.
+    pub min_engines: usize,
 }
 
-/// Plans roles for the whole fleet.
+/// Plans engine roles for the whole fleet.
 #[derive(Clone, Debug)]
 pub struct RolePlanner {
     policy: PolicySettings,
     changed_at: IndexMap<TargetId, MonoTime>,
-    kept_at: IndexMap<String, MonoTime>,
+    keep_reported_at: IndexMap<String, MonoTime>,
 }
 
 #[derive(Clone, Debug)]
-struct MoveOption {
+struct RoleChangeOption {
     from: EngineRole,
     to: EngineRole,
     gain: f64,
@@ -96,11 +97,11 @@
         Self {
             policy,
             changed_at: IndexMap::new(),
-            kept_at: IndexMap::new(),
+            keep_reported_at: IndexMap::new(),
         }
     }
 
-    /// Decides what to change now; `changing` engines are in change already.
+    /// Decides what to change now, while `changing` engines are already being changed.
     pub fn plan(
         &mut self,
         engines: &[PlanEngine],
@@ -109,9 +110,9 @@
         changing: usize,
         now: MonoTime,
     ) -> Vec<PlanDecision> {
-        self.forget(engines);
-        let room = self.policy.role_changes_at_once.saturating_sub(changing);
-        if room == 0 {
+        self.retain_known(engines);
+        let max_new_changes = self.policy.role_changes_at_once.saturating_sub(changing);
+        if max_new_changes == 0 {
             return Vec::new();
         }
         if let Some(decision) = self.place_model(engines, needs, now) {
@@ -122,41 +123,41 @@
         }
         let mut decisions = Vec::new();
         for pool in pools(engines, mix) {
-            if decisions.len() < room {
+            if decisions.len() < max_new_changes {
                 decisions.extend(self.plan_pool(&pool, now));
             }
         }
         decisions
     }
 
-    fn forget(&mut self, engines: &[PlanEngine]) {
+    fn retain_known(&mut self, engines: &[PlanEngine]) {
         self.changed_at
             .retain(|id, _| engines.iter().any(|engine| engine.id == *id));
-        self.kept_at.retain(|models, _| {
+        self.keep_reported_at.retain(|models, _| {
             let mut known = engines.iter().map(|engine| engine.models.join(","));
             known.any(|m| m == *models)
         });
     }
 
     fn plan_pool(&mut self, pool: &EnginePool<'_>, now: MonoTime) -> Option<PlanDecision> {
-        let best = self.best_move(pool)?;
+        let best = self.best_role_change(pool)?;
         let horizon = Duration::from_millis(self.policy.role_horizon_ms);
-        let least = match self.policy.roles {
+        let min_gain = match self.policy.roles {
             RolePolicy::FollowMix => 0.0,
-            _ => LEAST_GAIN * self.served(pool) * horizon.as_secs_f64(),
+            _ => MIN_GAIN_SHARE * self.served(pool) * horizon.as_secs_f64(),
         };
-        let wanted = best.cost.max(least);
-        if best.gain <= wanted {
-            return self.keep(pool, &best, wanted, now);
+        let required_gain = best.cost.max(min_gain);
+        if best.gain <= required_gain {
+            return self.report_keep(pool, &best, required_gain, now);
         }
-        let target = self.pick(pool, best.from, now)?;
+        let target = self.select_engine(pool, best.from, now)?;
         self.changed_at.insert(target.clone(), now);
         let reason = format!(
-            "{:?} -> {:?}: gains {:.1} of {:.1} engine-seconds needed within {:.0} s",
+            "{:?} -> {:?}: gains {:.1} engine-seconds within {:.0} s, {:.1} required",
             best.from,
             best.to,
             best.gain,
-            wanted,
+            required_gain,
             horizon.as_secs_f64()
         );
         let change = PlannedChange {
@@ -167,37 +168,38 @@
         Some(PlanDecision::Change { target, change })
     }
 
-    fn keep(
+    fn report_keep(
         &mut self,
         pool: &EnginePool<'_>,
-        best: &MoveOption,
-        wanted: f64,
+        best: &RoleChangeOption,
+        required_gain: f64,
         now: MonoTime,
     ) -> Option<PlanDecision> {
         let models = pool.models.join(",");
-        let told = self.kept_at.get(&models);
-        let quiet = told.is_some_and(|at| now.since(*at) < KEPT_PAUSE);
-        if best.gain <= 0.0 || quiet {
+        let reported = self.keep_reported_at.get(&models);
+        let is_recent = reported.is_some_and(|at| now.since(*at) < KEEP_REPORT_INTERVAL);
+        if best.gain <= 0.0 || is_recent {
             return None;
         }
-        self.kept_at.insert(models.clone(), now);
+        self.keep_reported_at.insert(models.clone(), now);
         let reason = format!(
-            "kept: {:?} -> {:?} would gain {:.1} of {wanted:.1} engine-seconds needed",
+            "roles kept: {:?} -> {:?} would gain only {:.1} of the {required_gain:.1} \
+             engine-seconds required",
             best.from, best.to, best.gain
         );
         Some(PlanDecision::Keep { models, reason })
     }
 
-    fn best_move(&self, pool: &EnginePool<'_>) -> Option<MoveOption> {
-        let mut best: Option<MoveOption> = None;
+    fn best_role_change(&self, pool: &EnginePool<'_>) -> Option<RoleChangeOption> {
+        let mut best: Option<RoleChangeOption> = None;
         for from in ROLES {
             for to in ROLES {
                 let during = pool.counts.moved(from, None);
-                if from == to || pool.counts.of(from) == 0 || !during.is_able() {
+                if from == to || pool.counts.of(from) == 0 || !during.can_serve_both() {
                     continue;
                 }
                 let after = pool.counts.moved(from, Some(to));
-                let option = self.weigh(pool, from, to, during, after);
+                let option = self.evaluate_move(pool, from, to, during, after);
                 let net = option.gain - option.cost;
                 if best.as_ref().is_none_or(|b| net > b.gain - b.cost) {
                     best = Some(option);
@@ -207,34 +209,34 @@
         best
     }
 
-    fn weigh(
+    fn evaluate_move(
         &self,
         pool: &EnginePool<'_>,
         from: EngineRole,
         to: EngineRole,
         during: RoleCounts,
         after: RoleCounts,
-    ) -> MoveOption {
+    ) -> RoleChangeOption {
         let rates = &pool.rates;
-        let follows = self.policy.roles == RolePolicy::FollowMix;
+        let follows_mix = self.policy.roles == RolePolicy::FollowMix;
         let margin = ERROR_MARGIN * rates.error;
         let (more, less) = (
-            tilted(&rates.steady, margin),
-            tilted(&rates.steady, -margin),
+            shift_prefill_share(&rates.steady, margin),
+            shift_prefill_share(&rates.steady, -margin),
         );
-        let mixes: &[&WorkBins] = if follows {
+        let mixes: &[&WorkBins] = if follows_mix {
             &[&rates.recent]
         } else {
             &[&rates.recent, &rates.steady, &rates.expected, &more, &less]
         };
         let gains = mixes.iter().map(|mix| self.gain(pool.counts, after, mix));
         let gain = gains.fold(f64::INFINITY, f64::min);
-        let cost = if follows {
+        let cost = if follows_mix {
             0.0
         } else {
             self.cost(pool.counts, during, &rates.recent)
         };
-        MoveOption {
+        RoleChangeOption {
             from,
             to,
             gain,
@@ -242,12 +244,12 @@
         }
     }
 
-    // Engine-seconds of work served in time that a move adds within the horizon.
+    // Engine-seconds of work served in time that a role change adds within the horizon.
     fn gain(&self, before: RoleCounts, after: RoleCounts, mix: &WorkBins) -> f64 {
         let speeds = &self.policy.speeds;
         let (old, new) = (capacity(before, mix, speeds), capacity(after, mix, speeds));
         if self.policy.roles == RolePolicy::FollowMix {
-            return if new > old * (1.0 + BASELINE_GAIN) {
+            return if new > old * (1.0 + FOLLOW_MIX_MIN_GAIN) {
                 new - old
             } else {
                 0.0
@@ -261,14 +263,14 @@
         (served_share(new) - served_share(old)) * demand(mix) * seconds
     }
 
-    // Measured against the work served, not the work offered: in deep overload even a
-    // large gain is a small part of what is asked for.
+    // The minimum gain is relative to the work served, not to the work offered: in heavy
+    // overload even a large gain is a small part of the offered work.
     fn served(&self, pool: &EnginePool<'_>) -> f64 {
         let mix = &pool.rates.recent;
         demand(mix) * served_share(capacity(pool.counts, mix, &self.policy.speeds))
     }
 
-    // Work not served while the engine is out, and the price of its idle seconds.
+    // Work not served while the engine changes, plus the price of its idle seconds.
     fn cost(&self, before: RoleCounts, during: RoleCounts, mix: &WorkBins) -> f64 {
         let speeds: &SpeedSettings = &self.policy.speeds;
         let seconds = self.policy.role_change_ms as f64 / 1_000.0;
@@ -278,26 +280,31 @@
         lost * demand(mix) * seconds + price * seconds
     }
 
-    fn pick(&self, pool: &EnginePool<'_>, from: EngineRole, now: MonoTime) -> Option<TargetId> {
-        let rested = pool
+    fn select_engine(
+        &self,
+        pool: &EnginePool<'_>,
+        from: EngineRole,
+        now: MonoTime,
+    ) -> Option<TargetId> {
+        let candidates = pool
             .engines
             .iter()
-            .filter(|engine| engine.role == from && engine.usable && self.is_rested(engine, now));
-        let quietest = rested.min_by_key(|engine| (engine.in_flight, engine.id.clone()))?;
-        Some(quietest.id.clone())
+            .filter(|engine| engine.role == from && engine.usable && self.may_change(engine, now));
+        let least_loaded = candidates.min_by_key(|engine| (engine.in_flight, engine.id.clone()))?;
+        Some(least_loaded.id.clone())
     }
 
-    fn is_rested(&self, engine: &PlanEngine, now: MonoTime) -> bool {
-        let rest = match self.policy.roles {
+    fn may_change(&self, engine: &PlanEngine, now: MonoTime) -> bool {
+        let min_interval = match self.policy.roles {
             RolePolicy::FollowMix => Duration::from_millis(self.policy.role_change_ms),
             _ => Duration::from_millis(self.policy.role_horizon_ms),
         };
         let changed_at = self.changed_at.get(&engine.id);
-        changed_at.is_none_or(|at| now.since(*at) >= rest)
+        changed_at.is_none_or(|at| now.since(*at) >= min_interval)
     }
 
-    // Puts a model that too few engines hold onto the quietest engine that can spare
-    // one of its own, or has the fewest.
+    // Loads a model that too few engines have on the least loaded engine that can unload
+    // one of its own models; failing that, on the engine with the fewest models.
     fn place_model(
         &mut self,
         engines: &[PlanEngine],
@@ -305,18 +312,18 @@
         now: MonoTime,
     ) -> Option<PlanDecision> {
         let holders = |model: &ModelName| {
-            let held = engines.iter().filter(|engine| holds(engine, model));
-            held.count()
+            let holding = engines.iter().filter(|engine| has_model(engine, model));
+            holding.count()
         };
         let short = needs
             .iter()
-            .find(|need| holders(&need.model) < need.least_engines)?;
-        let spare = |held: &String| {
-            let need = needs.iter().find(|need| names_model(held, &need.model));
-            need.is_none_or(|n| holders(&n.model) > n.least_engines.max(1))
+            .find(|need| holders(&need.model) < need.min_engines)?;
+        let spare = |label: &String| {
+            let need = needs.iter().find(|need| names_model(label, &need.model));
+            need.is_none_or(|n| holders(&n.model) > n.min_engines.max(1))
         };
         let candidates = engines.iter().filter(|engine| {
-            engine.usable && !holds(engine, &short.model) && self.is_rested(engine, now)
+            engine.usable && !has_model(engine, &short.model) && self.may_change(engine, now)
         });
         let engine = candidates.min_by_key(|engine| {
             let spares = engine.models.iter().any(spare);
@@ -334,10 +341,10 @@
         models.push(short.model.to_string());
         self.changed_at.insert(engine.id.clone(), now);
         let reason = format!(
-            "{} is held by {} of at least {} engines",
+            "{} is loaded on {} engines, at least {} required",
             short.model,
             holders(&short.model),
-            short.least_engines
+            short.min_engines
         );
         let change = PlannedChange {
             role: engine.role,
@@ -349,8 +356,8 @@
     }
 }
 
-// Engines with the same models form a pool; a model's work is split over its pools by
-// their engines.
+// Engines with the same models form a pool; a model's work is divided among its pools in
+// proportion to their numbers of engines.
 fn pools<'a>(engines: &'a [PlanEngine], mix: &MixForecast) -> Vec<EnginePool<'a>> {
     let mut pools: IndexMap<&[String], EnginePool<'a>> = IndexMap::new();
     for engine in engines.iter().filter(|engine| engine.usable) {
@@ -364,11 +371,11 @@
         pool.counts.add(engine.role);
     }
     for model in mix.models() {
-        let holders = engines.iter().filter(|e| e.usable && holds(e, model));
+        let holders = engines.iter().filter(|e| e.usable && has_model(e, model));
         let holders = holders.count().max(1) as f64;
         let rates = mix.rates(model);
         for pool in pools.values_mut() {
-            if pool.models.iter().any(|held| names_model(held, model)) {
+            if pool.models.iter().any(|label| names_model(label, model)) {
                 let share = pool.engines.len() as f64 / holders;
                 add_rates(&mut pool.rates, &rates, share);
             }
@@ -392,12 +399,12 @@
     }
 }
 
-fn holds(engine: &PlanEngine, model: &ModelName) -> bool {
-    engine.models.iter().any(|held| names_model(held, model))
+fn has_model(engine: &PlanEngine, model: &ModelName) -> bool {
+    engine.models.iter().any(|label| names_model(label, model))
 }
 
-// `MODEL`, `MODEL@VERSION` and `MODEL@VERSION+ADAPTER` all name the model.
-fn names_model(held: &str, model: &ModelName) -> bool {
-    let name = held.split(['@', '+']).next().unwrap_or(held);
+// Labels have the form `MODEL`, `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
+fn names_model(label: &str, model: &ModelName) -> bool {
+    let name = label.split(['@', '+']).next().unwrap_or(label);
     name == model.as_str()
 }
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -1,4 +1,4 @@
-//! Turns the fleet's view into what the plan of roles looks at.
+//! Converts the view of the fleet into the inputs of the role planner.
 
 use indexmap::IndexMap;
 
@@ -10,24 +10,24 @@
 use crate::roles::plan::{ModelNeed, PlanEngine};
 use crate::store::wire::InstanceKind;
 
-pub(crate) fn want_planned(
-    book: &mut OrderManager,
+pub(crate) fn request_planned_changes(
+    manager: &mut OrderManager,
     group: &GroupName,
     groups: &IndexMap<TargetId, GroupName>,
     plan: &IndexMap<TargetId, PlannedChange>,
     fleet: &FleetView,
 ) {
-    let mut own = IndexMap::new();
+    let mut group_changes = IndexMap::new();
     for (target, change) in plan {
         let engine = fleet.targets.get(target).and_then(plan_engine);
-        let open = engine.is_some_and(|e| !has(&e, change));
-        if open && groups.get(target) == Some(group) {
-            own.insert(target.clone(), change.clone());
+        let is_pending = engine.is_some_and(|e| !has_planned_state(&e, change));
+        if is_pending && groups.get(target) == Some(group) {
+            group_changes.insert(target.clone(), change.clone());
         }
     }
-    book.retain_changes(&own);
-    for (target, change) in own {
-        book.request_change(target, change);
+    manager.retain_changes(&group_changes);
+    for (target, change) in group_changes {
+        manager.request_change(target, change);
     }
 }
 
@@ -37,8 +37,8 @@
 
 pub(crate) fn plan_engine(target: &TargetView) -> Option<PlanEngine> {
     let report = target.report.as_ref()?;
-    let listed = target.kind == InstanceKind::Engine && target.state < UseState::Leaving;
-    listed.then(|| PlanEngine {
+    let is_plannable = target.kind == InstanceKind::Engine && target.state < UseState::Leaving;
+    is_plannable.then(|| PlanEngine {
         id: target.id.clone(),
         role: report.role,
         models: report.models.clone(),
@@ -47,7 +47,7 @@
     })
 }
 
-pub(crate) fn has(engine: &PlanEngine, change: &PlannedChange) -> bool {
+pub(crate) fn has_planned_state(engine: &PlanEngine, change: &PlannedChange) -> bool {
     engine.role == change.role && engine.models == change.models
 }
 
@@ -56,7 +56,7 @@
     models
         .map(|spec| ModelNeed {
             model: spec.name.clone(),
-            least_engines: spec.least_engines as usize,
+            min_engines: spec.least_engines as usize,
         })
         .collect()
 }
--- a/tests/scheduler_admission.rs
+++ b/tests/scheduler_admission.rs
@@ -1,4 +1,4 @@
-//! Admission, refusal and placement of one daemon's requests.
+//! Scheduler: admission, refusal and placement of one daemon's requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use pistachiowick::decide::fair_queue::JobNumber;
 use pistachiowick::decide::placement::PoolKey;
 use pistachiowick::decide::scheduler::{
-    JobGrant, JobMeasure, JobRefusal, JobSpec, ScheduleAction, Scheduler, SchedulerInputs,
+    JobGrant, JobMeasurement, JobRefusal, JobSpec, ScheduleAction, Scheduler, SchedulerInputs,
 };
 use pistachiowick::membership::fleet::{FleetView, UseState};
 use pistachiowick::names::{MonoTime, TargetId, WorkspaceName};
@@ -36,8 +36,8 @@
     fleet
 }
 
-/// A scheduler before engines that take one request each.
-fn narrow(engines: usize) -> Scheduler {
+/// A scheduler for engines that run one request each.
+fn single_slot_scheduler(engines: usize) -> Scheduler {
     let policy = PolicySettings {
         engine_in_flight: 1,
         ..PolicySettings::default()
@@ -54,19 +54,19 @@
 fn grants(actions: Vec<ScheduleAction>) -> Vec<JobGrant> {
     let grants = actions.into_iter().filter_map(|action| match action {
         ScheduleAction::Start(grant) => Some(grant),
-        ScheduleAction::GiveUp(..) => None,
+        ScheduleAction::Refuse(..) => None,
     });
     grants.collect()
 }
 
-fn whole() -> JobMeasure {
-    JobMeasure {
-        whole_tokens: Some(40),
-        ..JobMeasure::default()
+fn complete_answer() -> JobMeasurement {
+    JobMeasurement {
+        complete_answer_tokens: Some(40),
+        ..JobMeasurement::default()
     }
 }
 
-/// Serves for a while on engines that are always full; returns the cost each workspace got.
+/// Runs requests on engines that are always full; returns the cost served per workspace.
 fn serve(
     scheduler: &mut Scheduler,
     weights: &[u32],
@@ -77,7 +77,7 @@
     let mut now = NOW;
     for _ in 0..rounds {
         for (workspace, weight) in weights.iter().enumerate() {
-            // The first asks for long answers, the others for short ones.
+            // The first workspace requests long answers, the others short ones.
             let job = JobSpec {
                 weight: f64::from(*weight),
                 max_output_tokens: if workspace == 0 { 500 } else { 50 },
@@ -89,18 +89,18 @@
                 owners.insert(number, (name, cost));
             }
         }
-        for grant in grants(scheduler.pump(now)) {
+        for grant in grants(scheduler.schedule(now)) {
             let (workspace, cost) = &owners[&grant.number];
             *served.entry(workspace.clone()).or_default() += cost;
-            scheduler.finish(grant.number, JobMeasure::default(), now);
+            scheduler.finish(grant.number, JobMeasurement::default(), now);
         }
         now = now.plus(Duration::from_millis(1));
     }
     served
 }
 
-// Three workspaces ask for more than one engine gives. Each is served its due in
-// engine-seconds, also the one whose requests are ten times as dear.
+// Three workspaces request more than one engine can serve. Each gets its fair share in
+// engine-seconds, including the one whose answers are ten times as long.
 #[rstest]
 #[case::equal(&[1, 1, 1])]
 #[case::weighted(&[4, 2, 1])]
@@ -116,11 +116,11 @@
     let total: f64 = served.values().sum();
     for (workspace, weight) in weights.iter().enumerate() {
         let name = WorkspaceName::from(samples::workspace_name(workspace));
-        let due = f64::from(*weight) / f64::from(weights.iter().sum::<u32>());
+        let fair_share = f64::from(*weight) / f64::from(weights.iter().sum::<u32>());
         let share = served.get(&name).copied().unwrap_or(0.0) / total;
         assert!(
-            (share - due).abs() < 0.1 * due,
-            "{name} got {share:.3} of its due {due:.3}: {served:?}"
+            (share - fair_share).abs() < 0.1 * fair_share,
+            "{name} got a share of {share:.3} instead of {fair_share:.3}: {served:?}"
         );
     }
 }
@@ -128,16 +128,16 @@
 struct RoomCase {
     per_workspace: usize,
     length: usize,
-    asks: &'static [usize],
+    requests: &'static [usize],
     refused_at: usize,
 }
 
-// The queue is bounded, for one workspace and in all; a rival that fills its own part
+// The queue is bounded per workspace and in total: a workspace that reaches its own limit
 // leaves room for the others.
 #[rstest]
-#[case::workspace_full(RoomCase { per_workspace: 2, length: 9, asks: &[0, 0, 0], refused_at: 2 })]
-#[case::rival_has_room(RoomCase { per_workspace: 2, length: 9, asks: &[0, 0, 1, 1, 0], refused_at: 4 })]
-#[case::all_full(RoomCase { per_workspace: 2, length: 3, asks: &[0, 0, 1, 2], refused_at: 3 })]
+#[case::workspace_full(RoomCase { per_workspace: 2, length: 9, requests: &[0, 0, 0], refused_at: 2 })]
+#[case::other_workspace_has_room(RoomCase { per_workspace: 2, length: 9, requests: &[0, 0, 1, 1, 0], refused_at: 4 })]
+#[case::total_full(RoomCase { per_workspace: 2, length: 3, requests: &[0, 0, 1, 2], refused_at: 3 })]
 fn queue_is_bounded(#[case] case: RoomCase) {
     let limits = LimitSettings {
         queue_per_workspace: case.per_workspace,
@@ -150,9 +150,13 @@
     };
     let mut scheduler = scheduler(policy, limits);
     scheduler.update_fleet(Arc::new(idle_fleet(1, 1, NOW)), 1, NOW);
-    for (place, workspace) in case.asks.iter().enumerate() {
+    for (position, workspace) in case.requests.iter().enumerate() {
         let admitted = scheduler.admit(spec(*workspace), NOW);
-        assert_eq!(admitted.is_err(), place == case.refused_at, "ask {place}");
+        assert_eq!(
+            admitted.is_err(),
+            position == case.refused_at,
+            "request {position}"
+        );
         if let Err(refusal) = admitted {
             assert!(refusal.reason.contains("full"), "{}", refusal.reason);
             assert!(refusal.retry_after >= Duration::from_millis(100));
@@ -166,8 +170,8 @@
     admitted: bool,
 }
 
-// Without any engine that could serve it, a request is refused at once: waiting would
-// only use up its deadline. A suspected engine may come back within it.
+// A request without any engine that could serve it is refused immediately, since waiting
+// would only use up its deadline. A suspect engine may become live again in time.
 #[rstest]
 #[case::live(PoolCase { state: UseState::Live, admitted: true })]
 #[case::suspect(PoolCase { state: UseState::Suspect, admitted: true })]
@@ -179,52 +183,56 @@
     for target in fleet.targets.values_mut() {
         target.state = case.state;
     }
-    let mut scheduler = narrow(3);
+    let mut scheduler = single_slot_scheduler(3);
     fleet.version = 2;
     scheduler.update_fleet(Arc::new(fleet), 1, NOW);
     let admitted = scheduler.admit(spec(0), NOW);
     assert_eq!(admitted.is_ok(), case.admitted);
-    let placed = grants(scheduler.pump(NOW));
+    let placed = grants(scheduler.schedule(NOW));
     assert_eq!(!placed.is_empty(), case.state == UseState::Live);
     let refusal = admitted.err().map(|r| r.reason);
-    assert!(refusal.is_none_or(|reason| reason.contains("no engine in use holds model base")));
+    assert!(
+        refusal.is_none_or(|reason| reason.contains("no available engine has model base loaded"))
+    );
 }
 
 #[test]
 fn unknown_service_is_refused_at_once() {
     let mut job = spec(0);
     job.need.pool = PoolKey::Service("ledger".into());
-    let refusal = narrow(1).admit(job, NOW).expect_err("nobody offers it");
+    let refusal = single_slot_scheduler(1)
+        .admit(job, NOW)
+        .expect_err("no instance offers the service");
     assert!(refusal.reason.contains("no instance of service ledger"));
 }
 
-/// Fills one engine and its queue until a request is refused; returns how many were
-/// taken, and the refusal.
+/// Fills one engine and its queue until a request is refused; returns the number admitted
+/// and the refusal.
 fn flood(scheduler: &mut Scheduler, deadline_ms: u64) -> (usize, JobRefusal) {
-    for taken in 0..10_000 {
+    for admitted_count in 0..10_000 {
         let job = JobSpec {
             deadline: MonoTime(NOW.0 + deadline_ms),
             ..spec(0)
         };
         if let Err(refusal) = scheduler.admit(job, NOW) {
-            return (taken, refusal);
+            return (admitted_count, refusal);
         }
-        scheduler.pump(NOW);
+        scheduler.schedule(NOW);
     }
-    panic!("nothing was refused");
+    panic!("no request was refused");
 }
 
-// A flood of requests with a deadline. Those that cannot be in time are refused as they
-// come, before they have used any engine; the shorter the deadline, the earlier. Every
-// refusal says when to come back, within bounds.
+// Under a flood of requests, those that cannot meet their deadline are refused on
+// arrival, before they use any engine; the shorter the deadline, the sooner. Every
+// refusal has a retry time within bounds.
 #[test]
-fn hopeless_requests_are_refused_early() {
+fn unmeetable_deadlines_are_refused_early() {
     let limits = LimitSettings {
         queue_per_workspace: 10_000,
         queue_length: 10_000,
         ..LimitSettings::default()
     };
-    let mut taken_at = Vec::new();
+    let mut admitted_counts = Vec::new();
     for deadline_ms in [2_000, 8_000, 30_000] {
         let policy = PolicySettings {
             engine_in_flight: 1,
@@ -232,24 +240,28 @@
         };
         let mut scheduler = scheduler(policy, limits.clone());
         scheduler.update_fleet(Arc::new(idle_fleet(1, 1, NOW)), 1, NOW);
-        let (taken, refusal) = flood(&mut scheduler, deadline_ms);
+        let (admitted_count, refusal) = flood(&mut scheduler, deadline_ms);
         assert!(refusal.reason.contains("deadline cannot be met"));
         assert!(refusal.retry_after >= Duration::from_millis(100));
         assert!(refusal.retry_after <= Duration::from_secs(30));
-        assert_eq!(scheduler.counts().1, 1, "one runs, the others wait");
-        taken_at.push(taken);
+        assert_eq!(
+            scheduler.counts().1,
+            1,
+            "one request runs, the others are queued"
+        );
+        admitted_counts.push(admitted_count);
     }
     assert!(
-        taken_at.is_sorted() && taken_at[0] < taken_at[2],
-        "{taken_at:?}"
+        admitted_counts.is_sorted() && admitted_counts[0] < admitted_counts[2],
+        "{admitted_counts:?}"
     );
 }
 
-// A refused request leaves nothing behind that a later one would have to wait for.
+// A refused request leaves no state that would delay later ones.
 #[test]
-fn refusal_leaves_no_trace() {
-    let mut scheduler = narrow(1);
-    let (taken, _) = flood(&mut scheduler, 2_000);
+fn refusal_leaves_no_state() {
+    let mut scheduler = single_slot_scheduler(1);
+    let (admitted_count, _) = flood(&mut scheduler, 2_000);
     let before = scheduler.counts();
     for _ in 0..100 {
         let job = JobSpec {
@@ -259,52 +271,52 @@
         assert!(scheduler.admit(job, NOW).is_err());
     }
     assert_eq!(scheduler.counts(), before);
-    assert_eq!(before.0 + before.1, taken);
+    assert_eq!(before.0 + before.1, admitted_count);
 }
 
-// Requests wait behind a busy engine until their time is up. Each is given up once, and
-// none of them has been at an engine.
+// Requests wait for a busy engine until they can no longer meet their deadline. Each is
+// refused once, and none of them has been sent to an engine.
 #[test]
-fn overdue_requests_are_given_up_once() {
-    let mut scheduler = narrow(1);
+fn overdue_requests_are_refused_once() {
+    let mut scheduler = single_slot_scheduler(1);
     let mut waiting = Vec::new();
     for _ in 0..3 {
         let job = JobSpec {
             deadline: MonoTime(NOW.0 + 5_000),
             ..spec(0)
         };
-        waiting.push(scheduler.admit(job, NOW).expect("room"));
+        waiting.push(scheduler.admit(job, NOW).expect("the queue has room"));
     }
-    let running = grants(scheduler.pump(NOW));
+    let running = grants(scheduler.schedule(NOW));
     assert_eq!(running.len(), 1);
     let late = MonoTime(NOW.0 + 6_000);
-    let given_up: Vec<JobNumber> = scheduler
-        .pump(late)
+    let refused: Vec<JobNumber> = scheduler
+        .schedule(late)
         .into_iter()
         .map(|action| match action {
-            ScheduleAction::GiveUp(number, refusal) => {
+            ScheduleAction::Refuse(number, refusal) => {
                 assert!(refusal.retry_after >= Duration::from_millis(100));
                 number
             }
-            ScheduleAction::Start(grant) => panic!("{grant:?} came too late"),
+            ScheduleAction::Start(grant) => panic!("{grant:?} was started too late"),
         })
         .collect();
     waiting.retain(|number| *number != running[0].number);
-    assert_eq!(given_up, waiting);
-    assert!(scheduler.pump(late).is_empty());
-    assert!(!scheduler.withdraw(waiting[0]));
+    assert_eq!(refused, waiting);
+    assert!(scheduler.schedule(late).is_empty());
+    assert!(!scheduler.cancel(waiting[0]));
     assert_eq!(scheduler.counts(), (0, 1));
 }
 
-// An engine begins to leave while requests wait for it. Whatever becomes free there, it
-// receives nothing more; the requests go to the engine that stays.
+// An engine starts to leave while requests are queued. It receives no more requests, even
+// when it has free capacity; they go to the engine that stays.
 #[test]
-fn leaving_engine_receives_nothing_more() {
-    let mut scheduler = narrow(2);
+fn leaving_engine_gets_no_more_requests() {
+    let mut scheduler = single_slot_scheduler(2);
     for _ in 0..6 {
-        scheduler.admit(spec(0), NOW).expect("room");
+        scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
-    let running = grants(scheduler.pump(NOW));
+    let running = grants(scheduler.schedule(NOW));
     assert_eq!(running.len(), 2);
     let mut fleet = idle_fleet(2, 2, NOW);
     fleet.targets[0].state = UseState::Leaving;
@@ -313,32 +325,32 @@
     let mut running = running;
     for _ in 0..6 {
         for grant in running.drain(..) {
-            scheduler.finish(grant.number, whole(), NOW);
+            scheduler.finish(grant.number, complete_answer(), NOW);
         }
-        started.extend(grants(scheduler.pump(NOW)));
+        started.extend(grants(scheduler.schedule(NOW)));
         assert!(started.iter().all(|g| g.choice.target != leaving));
         running.append(&mut started);
     }
     assert_eq!(scheduler.counts(), (0, 0));
-    assert_eq!(scheduler.own_in_flight(&leaving), 0);
+    assert_eq!(scheduler.local_in_flight(&leaving), 0);
 }
 
-// An attempt failed. Tried again, the request keeps its place before those that came
-// later, and does not go back to the engine that failed it.
+// A retried request keeps its rank before those that arrived later, and is not sent to
+// the engine on which it failed.
 #[test]
 fn retried_request_keeps_its_rank_and_avoids_the_failed_engine() {
-    let mut scheduler = narrow(2);
-    let first = scheduler.admit(spec(0), NOW).expect("room");
-    let failed = grants(scheduler.pump(NOW)).remove(0).choice.target;
+    let mut scheduler = single_slot_scheduler(2);
+    let first = scheduler.admit(spec(0), NOW).expect("the queue has room");
+    let failed = grants(scheduler.schedule(NOW)).remove(0).choice.target;
     for _ in 0..3 {
-        scheduler.admit(spec(0), NOW).expect("room");
+        scheduler.admit(spec(0), NOW).expect("the queue has room");
     }
-    scheduler.pump(NOW);
+    scheduler.schedule(NOW);
     let mut need = spec(0).need;
     need.excluded.push(failed.clone());
     scheduler.retry(first, need);
-    assert_eq!(scheduler.own_in_flight(&failed), 0);
-    let other = scheduler.pump(NOW);
+    assert_eq!(scheduler.local_in_flight(&failed), 0);
+    let other = scheduler.schedule(NOW);
     assert!(
         grants(other).iter().all(|g| g.number != first),
         "the other engine is busy"
@@ -354,22 +366,22 @@
 #[case::waiting(0)]
 #[case::placed(1)]
 fn unknown_and_ended_numbers_change_nothing(#[case] engines: usize) {
-    let mut scheduler = narrow(1);
+    let mut scheduler = single_slot_scheduler(1);
     for _ in 0..engines {
-        scheduler.admit(spec(0), NOW).expect("room");
-        scheduler.pump(NOW);
+        scheduler.admit(spec(0), NOW).expect("the queue has room");
+        scheduler.schedule(NOW);
     }
     let before = scheduler.counts();
-    assert!(!scheduler.withdraw(JobNumber(999)));
-    scheduler.finish(JobNumber(999), whole(), NOW);
+    assert!(!scheduler.cancel(JobNumber(999)));
+    scheduler.finish(JobNumber(999), complete_answer(), NOW);
     scheduler.retry(JobNumber(999), spec(0).need);
     assert_eq!(scheduler.counts(), before);
 }
 
-// Requests whose shared rulebook an engine has read go there again; once it has dropped
-// the rulebook from its cache, its place is no better than another's.
+// Requests with a shared prefix go to the engine that has it cached; once that engine has
+// evicted it, the engine is no better than any other.
 #[test]
-fn cache_events_move_the_affinity() {
+fn cache_events_change_the_placement() {
     let policy = PolicySettings::default();
     let mut scheduler = scheduler(policy, LimitSettings::default());
     scheduler.update_fleet(Arc::new(idle_fleet(40, 1, NOW)), 1, NOW);
@@ -379,33 +391,35 @@
         prefix: "rules".to_owned(),
         tokens: 4_000,
     };
-    scheduler.note_cache_events(&holder, std::slice::from_ref(&cached));
+    scheduler.apply_cache_events(&holder, std::slice::from_ref(&cached));
     let mut job = spec(0);
     job.need.prompt_tokens = 4_100.0;
     job.need.shared_prefix = "rules".to_owned();
     job.need.shared_prefix_tokens = 4_000;
-    scheduler.admit(job.clone(), NOW).expect("room");
-    let first = grants(scheduler.pump(NOW)).remove(0);
+    scheduler
+        .admit(job.clone(), NOW)
+        .expect("the queue has room");
+    let first = grants(scheduler.schedule(NOW)).remove(0);
     assert_eq!(first.choice.target, holder);
     let expected = first.choice.first_token_s;
     assert!(expected < 0.1, "{expected}");
-    scheduler.finish(first.number, JobMeasure::default(), NOW);
+    scheduler.finish(first.number, JobMeasurement::default(), NOW);
     let evicted = CacheEvent {
         sequence: 2,
         tokens: 0,
         ..cached
     };
-    scheduler.note_cache_events(&holder, &[evicted]);
-    scheduler.admit(job, NOW).expect("room");
-    let second = grants(scheduler.pump(NOW)).remove(0);
+    scheduler.apply_cache_events(&holder, &[evicted]);
+    scheduler.admit(job, NOW).expect("the queue has room");
+    let second = grants(scheduler.schedule(NOW)).remove(0);
     assert!(second.choice.first_token_s > 0.3, "{second:?}");
 }
 
-// Every daemon sees its own part; the more daemons share the engines, the less work each
-// may take on before it refuses.
+// Each daemon uses only its part of the capacity: the more daemons share the engines, the
+// fewer requests each admits.
 #[test]
 fn capacity_is_divided_among_daemons() {
-    let mut taken = Vec::new();
+    let mut admitted_counts = Vec::new();
     for daemons in [1, 8] {
         let policy = PolicySettings {
             engine_in_flight: 1,
@@ -418,14 +432,17 @@
         };
         let mut scheduler = scheduler(policy, limits);
         scheduler.update_fleet(Arc::new(idle_fleet(8, 1, NOW)), daemons, NOW);
-        taken.push(flood(&mut scheduler, 5_000).0);
+        admitted_counts.push(flood(&mut scheduler, 5_000).0);
     }
-    assert!(taken[1] * 4 < taken[0], "{taken:?}");
+    assert!(
+        admitted_counts[1] * 4 < admitted_counts[0],
+        "{admitted_counts:?}"
+    );
 }
 
-// Long prompts go to one side of a pool, short ones to the other; both are served.
+// Long prompts go to one side of a pool and short ones to the other; both are served.
 #[test]
-fn long_prompts_keep_to_their_side() {
+fn long_prompts_stay_on_their_side() {
     let mut scheduler = scheduler(PolicySettings::default(), LimitSettings::default());
     scheduler.update_fleet(Arc::new(idle_fleet(10, 1, NOW)), 1, NOW);
     let mut sides: [Vec<TargetId>; 2] = Default::default();
@@ -433,13 +450,13 @@
         let long = round % 2 == 0;
         let tokens = if long { 9_000.0 } else { 100.0 };
         let job = samples::job_spec(0, tokens, NOW);
-        scheduler.admit(job, NOW).expect("room");
-        for grant in grants(scheduler.pump(NOW)) {
-            // The first requests come before the mix is known.
+        scheduler.admit(job, NOW).expect("the queue has room");
+        for grant in grants(scheduler.schedule(NOW)) {
+            // The mix is not yet known for the first requests.
             if round > 10 {
                 sides[usize::from(!long)].push(grant.choice.target.clone());
             }
-            scheduler.finish(grant.number, JobMeasure::default(), NOW);
+            scheduler.finish(grant.number, JobMeasurement::default(), NOW);
         }
     }
     assert!(!sides[0].is_empty() && !sides[1].is_empty());
@@ -447,27 +464,27 @@
 }
 
 #[test]
-fn role_of_an_engine_is_taken_from_its_report() {
+fn engine_role_comes_from_its_report() {
     let mut fleet = idle_fleet(2, 1, NOW);
     if let Some(report) = &mut fleet.targets[1].report {
         report.role = EngineRole::Prefill;
     }
-    let reader = fleet.targets[1].id.clone();
+    let prefill_engine = fleet.targets[1].id.clone();
     let mut scheduler = scheduler(PolicySettings::default(), LimitSettings::default());
     scheduler.update_fleet(Arc::new(fleet), 1, NOW);
     let mut job = samples::job_spec(0, 30_000.0, NOW);
     job.max_output_tokens = 5;
-    scheduler.admit(job, NOW).expect("room");
-    let grant = grants(scheduler.pump(NOW)).remove(0);
-    assert_eq!(grant.choice.target, reader);
+    scheduler.admit(job, NOW).expect("the queue has room");
+    let grant = grants(scheduler.schedule(NOW)).remove(0);
+    assert_eq!(grant.choice.target, prefill_engine);
 }
 
-/// A caller asks with a long rulebook that many others share, and is refused although
-/// every engine is nearly idle: each request is priced as if the rulebook were read anew,
-/// so a short queue looks too long for the deadline.
+/// Guards against refusals on nearly idle engines: if the cost of a request included a
+/// long shared prefix that is cached, even a short queue would look too long for the
+/// deadline.
 #[test]
-fn shared_part_of_a_prompt_is_not_priced() {
-    let scheduler = narrow(1);
+fn shared_prefix_adds_no_cost() {
+    let scheduler = single_slot_scheduler(1);
     let mut plain = spec(0);
     plain.need.prompt_tokens = 1_000.0;
     let mut shared = spec(0);
