--- a/src/gateway/peers/book.rs
+++ b/src/gateway/peers/book.rs
@@ -1,4 +1,4 @@
-//! What is heard of the other daemons.
+//! State of the other daemons, as last received.
 
 use std::time::Duration;
 
@@ -11,14 +11,15 @@
 use crate::names::{DaemonId, MonoTime};
 use crate::target_life::TargetLife;
 
-/// Silence after which a daemon is taken to be away. In large fleets word of it
-/// comes over two hubs, and a hub that goes is replaced within this time.
+/// Silence after which a daemon counts as unreachable.
 const SILENCE: Duration = Duration::from_millis(1_300);
+/// The same for a daemon whose state is relayed by hubs: its messages pass two hubs, and a
+/// hub that fails has to be replaced within this time.
 const RELAYED_SILENCE: Duration = Duration::from_millis(2_600);
-/// How long a daemon's version may stay behind before it is sent the
-/// configuration: the store has told most daemons by then.
+/// Time for which a daemon may run an older configuration before it is sent the newer
+/// one: most daemons have read it from the store by then.
 const CONFIG_PATIENCE: Duration = Duration::from_millis(500);
-/// What was last heard of a daemon.
+/// Last known state of a daemon.
 #[derive(Clone, Debug)]
 struct HeardState {
     at: MonoTime,
@@ -27,9 +28,9 @@
     leaving: bool,
     config_version: u64,
     behind_since: Option<MonoTime>,
-    // Whether it was heard over hubs.
+    // Whether it was received through a hub.
     relayed: bool,
-    // Whether it spoke for others too, as a hub.
+    // Whether the daemon reported for others too, as a hub.
     is_hub: bool,
     confirms_keys: bool,
 }
@@ -45,13 +46,14 @@
     }
 }
 
-/// Silence after which the record of a daemon is removed; partitions are shorter.
+/// Silence after which the record of a daemon is removed; network partitions are shorter.
 const LONG_SILENCE: Duration = Duration::from_secs(60);
-/// Time for a daemon that is new here to be heard. Links are opened both ways
-/// within it, unless the daemon is away and only its record was left behind.
+/// Time in which a daemon that is new here counts as reachable without having sent
+/// anything. Links are opened both ways within it, unless the daemon is gone and only its
+/// record remains.
 const FIRST_WORD: Duration = Duration::from_millis(2_500);
 
-/// What is heard of the other daemons.
+/// State of the other daemons, as last received.
 #[derive(Debug, Default)]
 pub struct PeerBook {
     heard: IndexMap<DaemonId, HeardState>,
@@ -61,8 +63,8 @@
 }
 
 impl PeerBook {
-    /// Keeps what an engine holds, or was asked to read, for the next hint. The part
-    /// of a single request is told too: it takes the place of shared ones.
+    /// Queues prompt parts that an engine has cached, or prefills, for the next hint. Parts
+    /// of a single request are included, as they evict shared ones from the engine's cache.
     pub fn note_held(&mut self, engine: &TargetLife, parts: &[PromptPart], ready: bool) {
         self.pending.push(HeldNote {
             engine: engine.clone(),
@@ -71,9 +73,9 @@
         });
     }
 
-    /// Whether callers may be sent to a daemon: one that was heard lately, or is new
-    /// here. Records of daemons that are gone stay in the store, and callers sent
-    /// to one lose a second on a connection that nobody answers.
+    /// Whether callers may be directed to a daemon: it was reachable recently or is new
+    /// here. Records of daemons that are gone stay in the store, and a caller directed
+    /// to one loses a second on a connection that is not answered.
     #[must_use]
     pub fn is_usable(&self, daemon: &DaemonId, now: MonoTime) -> bool {
         let is_new = |since: &MonoTime| now.since(*since) < FIRST_WORD;
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Whether a daemon knew which keys are in force when it was heard last; one that was
-    /// not heard yet is taken to.
+    /// Whether a daemon knew which keys are in force as of its last message; assumed of one
+    /// that has sent nothing yet.
     #[must_use]
     pub fn confirms_keys(&self, daemon: &DaemonId) -> bool {
         self.heard
@@ -92,7 +94,7 @@
             .is_none_or(|state| state.confirms_keys)
     }
 
-    /// Takes the daemons with a record beside the own one, in place of those known.
+    /// Replaces the set of known daemons by those with a record, apart from this one.
     pub fn set_known(&mut self, own: &DaemonId, daemons: &[DaemonRecord], now: MonoTime) {
         let known = |id: &DaemonId| daemons.iter().any(|daemon| daemon.id == *id);
         self.heard.retain(|id, _| known(id));
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Daemons with a record that were not heard for long.
+    /// Returns the daemons with a record that have been silent for longer than network
+    /// partitions last.
     #[must_use]
     pub fn long_silent(&self, now: MonoTime) -> Vec<DaemonId> {
         let known = self.known_since.iter();
@@ -113,14 +116,14 @@
         silent.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Engines that other daemons are changing.
+    /// Returns the engines whose stage other daemons are changing.
     pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetLife> {
         let alive = self.heard.values();
         let alive = alive.filter(move |state| state.is_fresh(now));
         alive.flat_map(|state| &state.changing)
     }
 
-    /// Work that the other daemons place on engines.
+    /// Returns the rate of work that the other reachable daemons place on engines.
     #[must_use]
     pub fn work_rate(&self, now: MonoTime) -> WorkRate {
         let alive = self.heard.values();
@@ -131,7 +134,7 @@
         })
     }
 
-    /// Takes what a daemon told; `own_version` is the configuration run here.
+    /// Applies a daemon's hint; `own_version` is the version of the configuration run here.
     pub fn note_hint(&mut self, hint: &PeerHint, own_version: u64, now: MonoTime) {
         let before = self.heard.get(&hint.from);
         let behind = hint.config_version < own_version;
@@ -150,7 +153,7 @@
         self.heard.insert(hint.from.clone(), state);
     }
 
-    /// Takes what a hub told of a daemon, unless more is known here.
+    /// Applies what a hub reported about a daemon, unless newer or direct state is known here.
     pub fn note_member(&mut self, note: &MemberNote, rate: WorkRate, now: MonoTime) {
         let at = MonoTime(now.0.saturating_sub(u64::from(note.age_ms)));
         let known = self.heard.get(&note.id);
@@ -171,7 +174,7 @@
         self.heard.insert(note.id.clone(), state);
     }
 
-    /// Takes what a hub told of itself over its own link.
+    /// Applies what a hub reported about itself over its own link.
     pub fn note_hub(&mut self, note: &MemberNote, rate: WorkRate, now: MonoTime) {
         let state = HeardState {
             at: now,
@@ -187,8 +190,8 @@
         self.heard.insert(note.id.clone(), state);
     }
 
-    /// Daemons that report to this one, as a hub tells of them. Other hubs do not:
-    /// passing their sums on would count them again and again.
+    /// Returns the status of the daemons that report to this one, for other hubs. Other
+    /// hubs are left out: if their sums were passed on, they would be counted repeatedly.
     #[must_use]
     pub fn direct_notes(&self, now: MonoTime) -> Vec<MemberNote> {
         let direct = self.heard.iter();
@@ -197,19 +200,19 @@
         direct.map(|(id, state)| note_of(id, state, now)).collect()
     }
 
-    /// All daemons heard, as a hub tells its members.
+    /// Returns the status of all reachable daemons, for the members of this hub.
     pub fn all_notes(&self, now: MonoTime) -> Vec<MemberNote> {
         let fresh = self.heard.iter().filter(|(_, state)| state.is_fresh(now));
         fresh.map(|(id, state)| note_of(id, state, now)).collect()
     }
 
-    /// Whether a daemon was heard over its own link within a time.
+    /// Whether a daemon sent something over its own link within a time.
     pub fn was_heard_within(&self, daemon: &DaemonId, time: Duration, now: MonoTime) -> bool {
         let state = self.heard.get(daemon);
         state.is_some_and(|state| !state.relayed && now.since(state.at) < time)
     }
 
-    /// Whether a daemon was heard over its own link lately.
+    /// Whether a daemon is reachable over its own link.
     pub fn is_heard_directly(&self, daemon: &DaemonId, now: MonoTime) -> bool {
         let state = self.heard.get(daemon);
         state.is_some_and(|state| !state.relayed && state.is_fresh(now))
--- a/src/gateway/peers/entry_turns.rs
+++ b/src/gateway/peers/entry_turns.rs
@@ -1,34 +1,34 @@
-//! Which notes on entries go into a word between daemons.
+//! Which changes of targets' entries go into a message between daemons.
 //!
-//! The end of an entry goes into each word for a while, so that it does not hang on one
-//! word. All go into one word a second, for whoever linked up or was cut off meanwhile.
-//! Begins bring values, many at once where a fleet starts; some go into that word by turns.
+//! The removal of an entry is repeated in each message for a while, so that no single lost
+//! message matters. Once a second, a message contains all recent removals, for daemons that
+//! connected or were cut off in the meantime. Additions contain values, many at once when a
+//! fleet starts; that message contains some of them, in rotation.
 
 use std::time::Duration;
 
 use crate::gateway::registry::{EntryNote, KeptNote};
 use crate::names::MonoTime;
 
-/// How long a note is told: longer than a daemon that does not hear of the change otherwise
-/// is usually cut off.
+/// How long a change is sent: longer than a daemon that depends on it is usually cut off.
 const TOLD_TIME: Duration = Duration::from_secs(30);
-/// How long an end goes into each word.
+/// How long a removal goes into each message.
 const NEWS_TIME: Duration = Duration::from_millis(600);
-/// Time between two words with all ends.
+/// Time between two messages with all recent removals.
 const ALL_EVERY: Duration = Duration::from_millis(1_000);
-/// Most begins in a word.
+/// Most additions in a message.
 const MOST_BEGINS: usize = 16;
 
-/// What the words before contained.
+/// Schedule of the changes that go into the next messages.
 #[derive(Debug, Default)]
 pub struct EntryTurns {
     told_all_at: Option<MonoTime>,
-    // Place of the next begin among those that are told.
+    // Index of the next addition to send.
     next_begin: usize,
 }
 
 impl EntryTurns {
-    /// Returns what goes into a word now, of all notes kept.
+    /// Returns the changes that go into a message now, out of all recorded ones.
     pub fn pick(&mut self, notes: &[KeptNote], now: MonoTime) -> Vec<EntryNote> {
         let told = |at: MonoTime| now.since(at) < ALL_EVERY;
         let tells_all = !self.told_all_at.is_some_and(told);
--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -1,12 +1,12 @@
 //! How the objects of the store reach a daemon: from the store, or from a hub that
-//! follows it.
+//! watches it.
 //!
-//! In a fleet with hubs one hub follows the store, the other hubs rely on it, and the
-//! members of a data centre on their hub. Whoever hears for a part of the time in which
-//! a change has to be in force that nobody before it has heard the store follows it
-//! itself. Calls to the store are shared by all daemons and priced: with 195 daemons a
-//! hub of each data centre and a start in which all listed everything made 290 calls a
-//! second on a day with failures.
+//! In a fleet with hubs one hub watches the store, the other hubs rely on it, and the
+//! members of a data centre rely on their hub. A daemon watches the store itself when the
+//! daemons that it relies on have not reached the store for a part of the time in which a
+//! change has to be in force. Calls to the store are priced, and all daemons share their
+//! quota: in a fleet of 195 daemons, a watching hub in each data centre and a start in
+//! which all daemons listed everything took 290 calls a second on a day with failures.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,42 +25,42 @@
 use crate::gateway::store_follow::{Feed, WatchDuty};
 use crate::names::{DaemonId, MonoTime};
 
-/// Time after its start for which a member waits for a hub before it follows the store
-/// itself. After all 195 daemons of a fleet had restarted, half of them were fed by a hub
-/// 1.4 s later, the last one 1.8 s later, by their logs.
+/// Time after its start for which a member waits for a hub before it watches the store
+/// itself. After a restart of all 195 daemons of a fleet, half of them received objects
+/// from a hub within 1.4 s, and the last one after 1.8 s.
 const HUB_PATIENCE: Duration = Duration::from_millis(2_500);
-/// Time after its start for which a daemon waits to see whether the fleet has hubs: the
-/// processes of 195 daemons started within 0.4 s of each other, and each writes its record.
+/// Time after its start for which a daemon waits to learn whether the fleet has hubs: the
+/// processes of 195 daemons start within 0.4 s of each other, and each writes its record.
 const GATHER_TIME: Duration = Duration::from_millis(1_500);
-/// Where the control thread hands on what it read of the store.
+/// Receives the objects that the control thread read from the store.
 pub type RelayInbox = mpsc::UnboundedReceiver<FeedObjects>;
 
-/// What decides how a daemon follows the store, beside its role.
+/// What a daemon's watch mode depends on besides its role.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FeedState {
-    /// Whether a hub passes on what it reads.
+    /// Whether a hub relays the objects that it reads.
     pub joined: bool,
-    /// Whether one did until so lately that no change can be overdue.
+    /// Whether a hub did so until recently enough that no change can be overdue.
     pub current: bool,
-    /// Whether the hub is heard, whatever it hears itself.
+    /// Whether the hub is reachable, even if it cannot reach the store.
     pub hub_heard: bool,
-    /// What a daemon does that has just started, while it is not known who follows the
-    /// store for whom.
+    /// Mode of a daemon that has just started, until it is known which daemons watch the
+    /// store for others.
     pub starting: Option<WatchDuty>,
 }
 
-/// Decides how a daemon of a role follows the store.
+/// Decides how a daemon of a role watches the store.
 ///
-/// A member whose hub goes has what the hub passed on until then, and the next hub asks
-/// for little more than a second to take over. Only when a change could be overdue does
-/// it follow the store itself: each hub that goes would otherwise cost a listing of
-/// everything by each of its members, 350 calls in a data centre of 40 daemons.
+/// A member whose hub fails has the objects that the hub relayed until then, and the next
+/// hub takes over within little more than a second. The member watches the store itself
+/// only when a change could be overdue: otherwise each failure of a hub would make each of
+/// its members list everything, which is 350 calls in a data centre of 40 daemons.
 #[must_use]
 pub fn watch_duty(role: &PeerRole, state: FeedState) -> WatchDuty {
     match role {
         PeerRole::Mesh => state.starting.unwrap_or(WatchDuty::Alone),
         PeerRole::Hub | PeerRole::Member(_) if state.joined || state.current => WatchDuty::Fed,
-        // In its first moments a daemon may be the only one it knows of its data centre.
+        // Right after its start, a daemon may know of no other one in its data centre.
         PeerRole::Hub => state.starting.unwrap_or(WatchDuty::ForOthers),
         PeerRole::Member(_) => state.starting.unwrap_or(if state.hub_heard {
             WatchDuty::BesideHub
@@ -70,27 +70,27 @@
     }
 }
 
-/// Time after which a hub that did not answer is asked for its stock again.
+/// Time after which the request for a hub's store snapshot is sent again.
 const ASK_AGAIN: Duration = Duration::from_millis(1_000);
 
-/// When a member may stop following the store itself.
+/// Decides when a member may stop watching the store itself.
 ///
-/// What a hub passed on before may have been lost or left out here, for instance while
-/// this daemon was cut off and followed the store itself: a target that announced its
-/// departure in that time would get work until it ends. So the member asks, and relies
-/// on the hub from the answer to its newest question on.
+/// Objects that a hub relayed earlier may have been lost or ignored here, for instance
+/// while this daemon was cut off and watched the store itself: a target that announced its
+/// departure in that time would get work until it exits. The member therefore requests the
+/// hub's snapshot, and relies on the hub from the response to its latest request on.
 #[derive(Debug, Default)]
 pub struct FeedJoin {
     joined: Option<DaemonId>,
     asked: Option<(DaemonId, MonoTime)>,
     last_number: u64,
-    // When the store had been heard by the hub that was relied on last.
+    // When the hub that was relied on last had its last response from the store.
     heard_through: Option<MonoTime>,
 }
 
 impl FeedJoin {
-    /// Takes the hub that could feed this daemon now, if one could; returns the number
-    /// of a question to send to it.
+    /// Sets the hub that could relay the store to this daemon now, if there is one; returns
+    /// the number of a snapshot request to send to it.
     pub fn rely_on(&mut self, hub: Option<&DaemonId>, now: MonoTime) -> Option<u64> {
         let Some(hub) = hub else {
             self.joined = None;
@@ -110,7 +110,7 @@
         Some(self.last_number)
     }
 
-    /// Notes that a hub opened a link anew: what it said on the one before may be lost.
+    /// Handles a new link from a hub: messages sent on the previous one may be lost.
     pub fn note_new_link(&mut self, from: &DaemonId) {
         if self.joined.as_ref() == Some(from) {
             self.joined = None;
@@ -118,60 +118,61 @@
         self.asked = self.asked.take().filter(|(hub, _)| hub != from);
     }
 
-    /// Whether an answer is the one that is waited for.
+    /// Whether a response is the one to the latest request.
     #[must_use]
     pub fn awaits(&self, from: &DaemonId, number: u64) -> bool {
         let asked = self.asked.as_ref().is_some_and(|(hub, _)| hub == from);
         asked && number == self.last_number
     }
 
-    /// Takes the answer that is waited for, with which this daemon has `complete` objects
-    /// of all kinds or not. A data centre whose hub relied on another one that had only
-    /// begun to list had no configuration, and refused all its callers until the next
-    /// change of it; it is asked again instead.
+    /// Applies the awaited response; `complete` tells whether this daemon then has objects
+    /// of all kinds. If not, the request is repeated: when a hub relied on another one that
+    /// had only begun to list, its data centre had no configuration and refused all callers
+    /// until the next change of the configuration.
     pub fn take_stock(&mut self, from: &DaemonId, complete: bool) {
         self.asked = None;
         self.joined = complete.then(|| from.clone());
     }
 
-    /// Notes when the hub that is relied on had heard the store.
+    /// Records when the hub that is relied on had its last response from the store.
     pub fn note_heard(&mut self, heard: Option<MonoTime>) {
         if self.joined.is_some() {
             self.heard_through = heard.max(self.heard_through);
         }
     }
 
-    /// Whether a hub passed on what it read until less than `within` ago.
+    /// Whether the objects relayed by a hub were up to date less than `within` ago.
     #[must_use]
     pub fn is_current(&self, within: Duration, now: MonoTime) -> bool {
         self.heard_age(now) < within
     }
 
-    /// Returns the time since the store was heard by the hub that is relied on.
+    /// Returns the time since the last response of the store to the hub that is relied on.
     #[must_use]
     pub fn heard_age(&self, now: MonoTime) -> Duration {
         let heard = self.heard_through;
         heard.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// Whether what a hub passes on counts.
+    /// Whether this daemon relies on a hub and applies the objects that it relays.
     #[must_use]
     pub fn is_joined(&self) -> bool {
         self.joined.is_some()
     }
 }
 
-/// Objects of the store as this daemon last read them, for members that link up.
+/// Objects of the store as this daemon last read them, for members that connect.
 #[derive(Debug, Default)]
 pub struct FeedStock {
     feeds: IndexMap<Feed, IndexMap<String, (u64, Vec<u8>)>>,
 }
 
 impl FeedStock {
-    /// Takes objects that were read; returns what others lack that had what this had.
+    /// Applies objects that were read; returns those to relay to daemons that had the same
+    /// objects before.
     ///
-    /// A listing that only adds to what is known goes on as the objects that changed: in
-    /// whole it fills a narrow link for a part of a second, once for each member.
+    /// A listing in which nothing is missing is relayed as the objects that changed: a
+    /// complete one fills a slow link for a part of a second, once for each member.
     pub fn take(&mut self, read: FeedObjects) -> Option<FeedObjects> {
         let news = self.news_in(&read);
         self.keep(&read);
@@ -186,7 +187,7 @@
         }
     }
 
-    // The objects of a listing that are new; `None` where all of it has to go on.
+    // Returns the objects of a listing that changed; `None` if all of it has to be relayed.
     fn news_in(&self, read: &FeedObjects) -> Option<Vec<StoredObjectNote>> {
         let known = self.feeds.get(&read.feed).filter(|_| read.whole)?;
         let listed = |name: &String| read.objects.iter().any(|(listed, ..)| listed == name);
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Whether all kinds of objects were read.
+    /// Whether objects of all kinds were read.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let all = [Feed::Config, Feed::Targets, Feed::Daemons];
@@ -232,9 +233,9 @@
             .collect()
     }
 
-    /// Returns the feeds that differ from those of these digests. Members mostly have
-    /// what a new hub has; sending all of it to all of them fills a narrow link for a
-    /// second, in which the hub's callers are not served and their leaving is not heard.
+    /// Returns the feeds that differ from those of these digests. Members mostly have the
+    /// same objects as a new hub; sending everything to all members fills a slow link for a
+    /// second, in which the hub serves no callers and does not notice their disconnects.
     #[must_use]
     pub fn missing(&self, known: &[(Feed, u64)]) -> Vec<FeedObjects> {
         let mut all = self.all();
@@ -246,7 +247,7 @@
         all
     }
 
-    /// Returns everything.
+    /// Returns all objects of all feeds.
     #[must_use]
     pub fn all(&self) -> Vec<FeedObjects> {
         let feeds = self.feeds.iter().map(|(feed, objects)| FeedObjects {
@@ -277,7 +278,7 @@
     hasher.digest()
 }
 
-/// Keeps what the control thread read of the store for members that link up.
+/// Stores the objects that the control thread reads, for members that connect.
 pub(super) async fn stock_up(gateway: Rc<Gateway>, mut relays: RelayInbox) {
     while let Some(objects) = relays.recv().await {
         gateway.stock_objects(objects);
@@ -285,7 +286,8 @@
 }
 
 impl Gateway {
-    /// Decides from whom this daemon hears of the store, and tells the control thread.
+    /// Decides from where this daemon gets the store's objects, and notifies the control
+    /// thread of a change.
     pub(super) fn update_duty(&self, role: &PeerRole, now: MonoTime) {
         let view = self.view();
         let bounds = self.settings().relay_bounds();
@@ -320,13 +322,13 @@
         let duty = watch_duty(role, state);
         if self.duty.replace(duty) != duty {
             log::info!(duty = format!("{duty:?}"), role = role.as_str(); "way of following the store changed");
-            // The control thread ends only with the process.
+            // The control thread runs until the process ends.
             let _ = self.news.send(ControlNews::Duty(duty));
         }
     }
 
-    // What a daemon does in its first seconds. Before any record is known, it is not known
-    // either whether the fleet has hubs.
+    // Returns the watch mode of the first seconds. As long as no record is known, it is not
+    // known either whether the fleet has hubs.
     fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchDuty> {
         let first = self.settings().first_start;
         let patience = match role {
@@ -338,8 +340,8 @@
         waits.then(|| WatchDuty::at_start(first))
     }
 
-    // Other hubs rely only on one that hears the store itself; members on any that knows
-    // when it was heard.
+    // Other hubs rely only on a hub that watches the store itself; members rely on any hub
+    // that knows when the store last responded.
     pub(super) fn store_age_ms(&self, whole: bool, now: MonoTime) -> u32 {
         let age = match self.duty.get() {
             WatchDuty::ForOthers => self.pulse.age(now),
@@ -349,7 +351,7 @@
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
     }
 
-    // Keeps objects for daemons that link up, and passes on what they lack that are linked.
+    // Stores objects for daemons that connect, and relays the changes to connected ones.
     fn stock_objects(&self, objects: FeedObjects) {
         if let Some(news) = self.stock.borrow_mut().take(objects) {
             let feed = news.feed;
@@ -369,7 +371,7 @@
             number,
             known: self.stock.borrow().digests(),
         });
-        // Without a link it is asked again in a second.
+        // Without a link, the request is sent again a second later.
         self.placing.borrow().send(hub, &question);
     }
 
@@ -380,7 +382,7 @@
             return;
         }
         if !self.stock.borrow().is_complete() {
-            // The asker asks again in a second.
+            // The requester asks again a second later.
             return;
         }
         let answer = PeerMessage::Stock(StockAnswer {
@@ -388,7 +390,7 @@
             number: question.number,
             feeds: self.stock.borrow().missing(&question.known),
         });
-        // An asker whose link is not up yet asks again.
+        // A requester whose link is not up yet asks again.
         self.placing.borrow().send(&question.from, &answer);
     }
 
@@ -411,7 +413,7 @@
 
     fn pass_on(&self, objects: FeedObjects) {
         self.stock_objects(objects.clone());
-        // The control thread ends only with the process.
+        // The control thread runs until the process ends.
         let _ = self.news.send(ControlNews::PeerObjects(objects));
     }
 }
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -1,13 +1,13 @@
-//! Links between gateway daemons: hints on work and caches, and the configuration
-//! for a daemon that the store does not serve.
+//! Links between gateway daemons: hints about load and KV caches, and the configuration
+//! for a daemon that cannot read it from the store.
 //!
-//! Each daemon opens one link to every other one and sends on it; what it hears
-//! comes over the links that the others open. So each direction is judged alone:
-//! a sender notices by the acknowledgements, a receiver by silence. No promise
-//! rests on what is heard; a daemon cut off decides by what it sees itself.
+//! Each daemon opens one link to every other daemon, on which it only sends; it receives
+//! over the links that the others open. The two directions therefore fail independently:
+//! a sender detects a failure by missing acknowledgements, a receiver by silence. No
+//! guarantee depends on these messages; a daemon that is cut off decides by local state.
 //!
 //! In large fleets one daemon of each data centre is its hub ([`hub`]): the others
-//! talk to it only, and hubs talk to each other.
+//! exchange messages with their hub only, and hubs with each other.
 
 pub mod book;
 pub mod entry_turns;
@@ -47,16 +47,16 @@
 use crate::target_life::TargetLife;
 use crate::timer::TimerService;
 
-/// Time between two looks at the own role, and between two hints that tell nothing new.
+/// Time between two updates of this daemon's role, and between two hints without changes.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Time between two hints of a daemon whose work at targets changed, where each daemon
-/// hears each other one. Engines read a prompt in 50 to 400 ms; with hints every 200 ms,
-/// one in ten that seemed free had 12,000 tokens waiting, read off a day's log, and
-/// daemons took the same one. It costs eight daemons 0.8% of a core each, measured on a
-/// calm day. Hubs tell each other of placements instead.
+/// Time between two hints of a daemon whose work at targets changed, in a fleet without
+/// hubs. Engines prefill a prompt in 50 to 400 ms; with hints every 200 ms, one in ten
+/// engines that seemed free had 12,000 tokens queued, as several daemons chose it at once.
+/// In a fleet of eight, this costs each daemon 0.8% of a core without load. Hubs announce
+/// their placements to each other instead.
 const HINT_EVERY: Duration = Duration::from_millis(40);
 
-/// What goes out at a tick, encoded once for all links.
+/// Messages of one broadcast interval, encoded once for all links.
 #[derive(Clone)]
 struct OutgoingWord {
     hint: Message,
@@ -103,7 +103,7 @@
 }
 
 impl Gateway {
-    /// Work that all daemons place on engines, as far as heard.
+    /// Returns the rate of work that all daemons place on engines, as far as known here.
     #[must_use]
     pub fn work_rate(&self) -> WorkRate {
         let now = clock::mono_now();
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Whether no daemon has work on engines, as far as heard.
+    /// Whether no daemon places work on engines, as far as known here.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let rate = self.work_rate();
         rate.read_tokens + rate.written_tokens < 1.0
     }
 
-    /// Place of this daemon in an order that all daemons share; 0 is the first.
+    /// Returns the rank of this daemon among those that are reachable, by name; 0 is the first.
     #[must_use]
     pub fn rank(&self) -> usize {
         let view = self.view();
@@ -131,7 +131,8 @@
         before.filter(|d| self.is_usable(&d.id)).count()
     }
 
-    /// Place of this daemon among those that hear the whole fleet; `None` where it does not.
+    /// Returns the rank of this daemon among those that receive the state of the whole
+    /// fleet; `None` if it does not.
     #[must_use]
     pub fn speaker_rank(&self, now: MonoTime) -> Option<usize> {
         let view = self.view();
@@ -171,7 +172,8 @@
         }
     }
 
-    // In a fleet with hubs the entries themselves reach each daemon; only ends are told.
+    // In a fleet with hubs the entries themselves are relayed to each daemon, so only
+    // removals are sent.
     fn entry_notes(&self, role: &PeerRole) -> Vec<EntryNote> {
         let view = self.view();
         let mut turns = self.entry_turns.borrow_mut();
@@ -182,8 +184,8 @@
         notes
     }
 
-    // The word of this tick. What engines came to hold goes out once, to whoever
-    // this daemon talks to.
+    // Builds the messages of this interval. Newly cached parts are sent once, to all daemons
+    // that this one has a link to.
     fn word(&self, role: &PeerRole) -> OutgoingWord {
         let hint = self.hint(role);
         let (centre, fleet) = match role {
@@ -219,7 +221,7 @@
         let mut members = self.relayed.borrow_mut().turns(whole).pick(notes);
         members.push(hub::own_note(hint));
         let counts = |id: &DaemonId| whole || *id == hint.from || direct.contains(id);
-        // What is placed from now on is told after this.
+        // Placements made from now on get a higher number than this summary contains.
         let placed_through = self.tell_placements();
         let work = self.core.borrow().load.summed(counts);
         PeerSummary {
@@ -293,14 +295,14 @@
             PeerMessage::Placements(notes) => self.take_placements(&notes),
             PeerMessage::Proof(word) => self.take_proof(&word),
             PeerMessage::Config { revision, value } => {
-                // The control thread ends only with the process.
+                // The control thread runs until the process ends.
                 let _ = self.news.send(ControlNews::PeerConfig { revision, value });
             }
         }
     }
 
-    // The life in a hint stands in the sender's record in the store, which only
-    // daemons read: a process that does not know it is not listened to.
+    // The incarnation in a hint has to match the sender's record in the store, which only
+    // daemons can read; messages of any other process are ignored.
     fn take_hint(&self, hint: PeerHint) {
         let view = self.view();
         let known = view
@@ -358,7 +360,7 @@
         let is_kept = |note: &EntryNote| view.entry_notes.iter().any(|kept| kept.note == *note);
         notes.retain(|note| !is_kept(note));
         if !notes.is_empty() {
-            // The control thread ends only with the process.
+            // The control thread runs until the process ends.
             let _ = self.news.send(ControlNews::EntryNotes(notes));
         }
     }
@@ -368,7 +370,7 @@
         let sender = (&summary.from, summary.life);
         let known = view.daemons.iter().any(|d| (&d.id, d.life) == sender);
         let is_hub = self.hubs.borrow().is_hub();
-        // A hub adds up its members itself: the sum for members would count twice.
+        // A hub sums up its members itself; a summary for members would count them twice.
         if !known || (summary.whole && is_hub) {
             return;
         }
--- a/src/gateway/peers/note_turns.rs
+++ b/src/gateway/peers/note_turns.rs
@@ -1,8 +1,9 @@
-//! Which daemons a hub tells of in a word.
+//! Which daemons' status a hub includes in a message.
 //!
-//! A word that tells each reader of each daemon grows with the square of the fleet: at 300
-//! daemons in three data centres it was 16 of the 22 MB that a hub sent in a second. What
-//! readers act on goes at once; that a daemon is still there goes by turns.
+//! With the status of each daemon in each message, the traffic of a hub grows with the
+//! square of the fleet: at 300 daemons in three data centres it was 16 of the 22 MB that a
+//! hub sent per second. Changes that receivers act on are sent at once; that a daemon is
+//! still reachable is sent in rotation.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,12 +12,12 @@
 use crate::names::DaemonId;
 use crate::target_life::TargetLife;
 
-/// Words in which each daemon is told of once. Words go out every 200 ms and daemons count
-/// as away after 2.6 s: over two hubs a note is then at most 1.4 s old, which leaves a hub
-/// that goes 1.2 s to be replaced.
+/// Number of messages in which each daemon is included once. Messages are sent every 200 ms
+/// and daemons count as unreachable after 2.6 s: through two hubs, a status is then at most
+/// 1.4 s old, which leaves 1.2 s to replace a hub that fails.
 const TURNS: u64 = 2;
 
-/// What readers act on at once.
+/// The part of a daemon's status that receivers act on at once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 struct ToldState {
     leaving: bool,
@@ -34,7 +35,7 @@
     }
 }
 
-/// What readers of one kind were told.
+/// The status last sent to one kind of receivers (members or hubs).
 #[derive(Debug, Default)]
 pub struct NoteTurns {
     told: IndexMap<DaemonId, ToldState>,
@@ -42,8 +43,9 @@
 }
 
 impl NoteTurns {
-    /// Returns the notes that go out with the next word: those that are new and those
-    /// whose turn it is. A reader that missed a word learns of a change at its turn.
+    /// Returns the status that goes into the next message: of daemons that changed and of
+    /// those that are next in the rotation. A receiver that missed a message learns of a
+    /// change by the rotation.
     pub fn pick(&mut self, mut notes: Vec<MemberNote>) -> Vec<MemberNote> {
         self.word += 1;
         let word = self.word;
