--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -1,15 +1,15 @@
-//! Hubs: in large fleets one daemon of each data centre speaks for it.
+//! Hubs: in large fleets one daemon of each data centre relays messages for the others.
 //!
-//! With links from each daemon to each other one, messages grow with the square of
-//! the fleet: 90 daemons would exchange 40,000 hints a second. With hubs a daemon
-//! has one link, and a hub one to each of its members and to each other hub. Only
-//! hubs watch the store and pass on what changes.
+//! In a full mesh, the number of messages grows with the square of the fleet: 90 daemons
+//! would exchange 40,000 hints a second. With hubs, a member has one link, and a hub has one
+//! to each of its members and to each other hub. Only hubs watch the store and relay its
+//! changes.
 //!
-//! One hub follows the store for the others, which take over when they do not hear of
-//! it for a part of the time in which a change has to be in force.
+//! One hub watches the store for the others. They take over when they receive nothing of
+//! the store from it for a part of the time in which a change has to be in force.
 //!
-//! Nothing is agreed on: each daemon takes the first of its data centre that it
-//! hears as its hub. One that others take for their hub acts as one.
+//! There is no consensus: each daemon selects the first reachable daemon of its data centre
+//! as its hub. A daemon that others have selected acts as a hub.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -23,26 +23,26 @@
 use crate::gateway::peers::wire::{HeldNote, MemberNote, PeerHint};
 use crate::names::{CentreName, DaemonId, MonoTime};
 
-/// Largest fleet without hubs: below it, links to all cost less than the delay of
-/// two further hops.
+/// Largest fleet without hubs: up to this size, a full mesh costs less than the delay of
+/// two more hops.
 const MOST_WITHOUT_HUBS: usize = 16;
-/// Silence after which another daemon is taken for the hub.
+/// Silence after which another daemon is selected as the hub.
 const HUB_SILENCE: Duration = Duration::from_millis(1_200);
-/// Time for a new hub to be heard.
+/// Time that a new hub has to send its first message.
 const HUB_START: Duration = Duration::from_millis(2_500);
-/// Time for which a silent hub is passed over.
+/// Time for which a silent hub is not selected again.
 const PASSED_OVER: Duration = Duration::from_secs(6);
-/// Time since a member's last hint for which a daemon acts as its hub.
+/// Time after the last hint of a member for which a daemon goes on acting as its hub.
 const ACTING_TIME: Duration = Duration::from_millis(1_500);
 
-/// What a daemon is among the others.
+/// Role of a daemon in the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PeerRole {
-    /// Links to all.
+    /// Has links to all other daemons.
     Mesh,
-    /// Speaks for its data centre.
+    /// Relays messages for its data centre.
     Hub,
-    /// Talks to this hub only.
+    /// Exchanges messages with this hub only.
     Member(DaemonId),
 }
 
@@ -58,49 +58,49 @@
     }
 }
 
-/// What is said on a link.
+/// Kind of the messages that are sent on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkKind {
-    /// Own hints.
+    /// Hints of this daemon.
     Hint,
-    /// The own data centre's summary.
+    /// Summaries of the local data centre, to another hub.
     OtherHub,
-    /// The fleet's summary and the store's objects.
+    /// Summaries of the fleet and objects of the store, to a member.
     Member,
 }
 
-/// What a daemon keeps to know its hub.
+/// Selects the hub of this daemon's data centre.
 #[derive(Debug, Default)]
 pub struct HubBook {
     role: Option<PeerRole>,
     hub_since: Option<(DaemonId, MonoTime)>,
     passed_over: IndexMap<DaemonId, MonoTime>,
     last_hints: IndexMap<DaemonId, MonoTime>,
-    // When hubs had heard the store.
+    // When hubs had their last response from the store.
     store_heard: IndexMap<DaemonId, MonoTime>,
 }
 
 impl HubBook {
-    /// Notes a hint: whoever sends one to a daemon of a large fleet takes it for a hub.
+    /// Records a hint: in a large fleet, daemons send hints only to the hub they selected.
     pub fn note_hint(&mut self, from: &DaemonId, now: MonoTime) {
         self.last_hints.insert(from.clone(), now);
     }
 
-    /// Notes how long ago a hub had heard the store.
+    /// Records how long ago a hub had its last response from the store.
     pub fn note_store(&mut self, hub: &DaemonId, age: Duration, now: MonoTime) {
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
         let heard = MonoTime(now.0.saturating_sub(age));
         self.store_heard.insert(hub.clone(), heard);
     }
 
-    /// Returns when a hub had heard the store, as far as it told.
+    /// Returns when a hub had its last response from the store, by its own report.
     #[must_use]
     pub fn store_heard(&self, hub: &DaemonId) -> Option<MonoTime> {
         self.store_heard.get(hub).copied()
     }
 
-    /// Whether a hub passes on a store that was heard within a time. A hub that is cut
-    /// from the store would otherwise keep its whole data centre on an old configuration.
+    /// Whether a hub had a response from the store within a time. Otherwise a hub that is
+    /// cut off from the store would keep its whole data centre on an old configuration.
     #[must_use]
     pub fn is_fed_by(&self, hub: &DaemonId, within: Duration, now: MonoTime) -> bool {
         let heard = self.store_heard(hub);
@@ -113,7 +113,7 @@
         self.role == Some(PeerRole::Hub)
     }
 
-    /// Decides what this daemon is now.
+    /// Decides the current role of this daemon.
     pub fn role(
         &mut self,
         own: &DaemonId,
@@ -161,7 +161,7 @@
         };
         let started = now.since(*since) > HUB_START;
         if started && !peers.was_heard_within(hub, HUB_SILENCE, now) {
-            log::warn!(hub = hub.as_str(); "hub is silent; the next daemon is taken");
+            log::warn!(hub = hub.as_str(); "hub does not respond; selecting the next daemon as hub");
             self.passed_over.insert(hub.clone(), now.plus(PASSED_OVER));
             self.hub_since = None;
         }
@@ -178,8 +178,8 @@
         first_in_order(there.filter(|d| sound(&d.id)))
     }
 
-    /// Returns the hub that follows the store for this one; `None` where this hub is the
-    /// first of those that it hears.
+    /// Returns the hub that watches the store for this one; `None` if this hub is the first
+    /// of those that are reachable.
     #[must_use]
     pub fn store_hub(
         &self,
@@ -196,8 +196,8 @@
         first_in_order(others.iter().chain(itself)).filter(|first| first != own)
     }
 
-    /// Returns the place of this daemon among those that hear the whole fleet: all where
-    /// there are no hubs, else the hubs; `None` for a member.
+    /// Returns the rank of this daemon among those that receive the state of the whole
+    /// fleet: all daemons of a fleet without hubs, else the hubs; `None` for a member.
     #[must_use]
     pub fn speaker_rank(
         &self,
@@ -218,7 +218,7 @@
         Some(heard.filter(|(d, _)| before(d)).count())
     }
 
-    /// Links that a role asks for.
+    /// Returns the links that a role needs.
     #[must_use]
     pub fn links(
         &self,
@@ -248,7 +248,7 @@
             if Some(&daemon.centre) != centre {
                 return is_hub.then_some(LinkKind::OtherHub);
             }
-            // The first of the own data centre learns what its stand-in knows.
+            // If another daemon acts as hub, the first of the data centre gets its summaries.
             Some(if is_hub {
                 LinkKind::OtherHub
             } else {
@@ -260,8 +260,8 @@
     }
 }
 
-/// The order in which daemons are taken for hubs: those on the strongest instances first,
-/// which carry the words of a whole data centre, then by name.
+/// Order in which daemons are selected as hubs: those on the strongest instances first, as a
+/// hub carries the messages of a whole data centre, then by name.
 fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceStrength>, &DaemonId) {
     (Reverse(daemon.strength), &daemon.id)
 }
@@ -271,32 +271,32 @@
     first.map(|daemon| daemon.id.clone())
 }
 
-/// What passes through a hub on its way from some daemons to others.
+/// Updates that a hub relays between its members and other hubs.
 #[derive(Debug, Default)]
 pub struct RelayedNews {
-    // What engines came to hold: told by members, for other hubs and members.
+    // Newly cached prompt parts reported by members, for other hubs and members.
     members_held: Vec<HeldNote>,
-    // Told by other hubs, for members.
+    // The same, reported by other hubs, for members.
     hubs_held: Vec<HeldNote>,
     hub_turns: NoteTurns,
     member_turns: NoteTurns,
 }
 
-/// Most notes that wait for the next word; a daemon that is no hub passes none on.
+/// Most updates that wait for the next message; a daemon that is no hub relays none.
 const MOST_RELAYED: usize = 4_096;
 
 impl RelayedNews {
-    /// Keeps notes of a member.
+    /// Queues updates from a member.
     pub fn keep_member(&mut self, notes: &[HeldNote]) {
         keep(&mut self.members_held, notes);
     }
 
-    /// Keeps notes of another hub.
+    /// Queues updates from another hub.
     pub fn keep_hub(&mut self, notes: &[HeldNote]) {
         keep(&mut self.hubs_held, notes);
     }
 
-    /// Returns what members and what other hubs told since the last word.
+    /// Takes the updates from members and those from other hubs since the last message.
     pub fn take_held(&mut self) -> (Vec<HeldNote>, Vec<HeldNote>) {
         (
             std::mem::take(&mut self.members_held),
@@ -304,8 +304,8 @@
         )
     }
 
-    /// Returns the turns of notes for members, who are told of the `whole` fleet, or for
-    /// other hubs.
+    /// Returns the broadcast schedule for members, which get the status of the `whole`
+    /// fleet, or the one for other hubs.
     pub fn turns(&mut self, whole: bool) -> &mut NoteTurns {
         if whole {
             &mut self.member_turns
@@ -322,7 +322,7 @@
     kept.extend_from_slice(notes);
 }
 
-/// What a hub tells of itself.
+/// Returns the status that a hub reports about itself.
 #[must_use]
 pub fn own_note(hint: &PeerHint) -> MemberNote {
     MemberNote {
@@ -335,7 +335,7 @@
     }
 }
 
-/// Takes a daemon's own work, as it told it last, out of a sum that contains it.
+/// Subtracts a daemon's own work, as it last reported it, from a sum that contains it.
 pub fn subtract(sum: &mut WorkByTarget, own: &WorkByTarget) {
     for (target, work) in own {
         if let Some(total) = sum.get_mut(target) {
--- a/src/gateway/peers/link_queue.rs
+++ b/src/gateway/peers/link_queue.rs
@@ -1,25 +1,24 @@
-//! What goes out next on a link to another daemon.
+//! Order in which messages are sent on a link to another daemon.
 //!
-//! A link may be slower than what is to be said on it: narrow, or one of a hundred that a
-//! busy hub serves. Words come anew every 200 ms and replace each other, so sent first
-//! they would be all that is ever sent; changes of the configuration would wait for as
-//! long as the link is busy, and daemons run with an old one.
+//! A link may be too slow for its messages: it has little bandwidth, or is one of a hundred
+//! that a busy hub serves. Status messages come every 200 ms, and each replaces the one
+//! before. If they were always sent first, nothing else would be sent on a busy link:
+//! changes of the configuration would wait, and daemons would run an old one.
 
 use tokio::sync::{broadcast, mpsc, watch};
 
 use crate::gateway::store_follow::Feed;
 
-/// Changes of objects that may wait for a slow link before it gets all objects anew: as
-/// many as a fleet of thousands of targets has objects, since until then the changes are
-/// the shorter message. By calculation, all objects of 4,500 targets are 1.3 MB for each
-/// reader; that a larger number serves callers better there is not measured.
+/// Changes of objects that may wait for a slow link before all objects are sent instead:
+/// about as many as a fleet of thousands of targets has objects, since up to there the
+/// changes take less bandwidth. All objects of 4,500 targets are 1.3 MB for each receiver.
 const MOST_CHANGES: usize = 4_096;
-/// Messages that go out between two words while more wait: 64 changes of 0.4 kB take as
-/// long as a word of a large fleet, so a full link is shared evenly.
+/// Most messages sent between two status messages while more wait: 64 changes of 0.4 kB
+/// take as long as a status message of a large fleet, so a full link is shared evenly.
 const MOST_BETWEEN_WORDS: usize = 64;
 
-/// Where changes of objects are handed to all links. The configuration goes apart, before
-/// changes of targets and daemons that wait.
+/// Broadcasts changes of objects to all links. The configuration has its own channel, which
+/// is sent before waiting changes of targets and daemons.
 #[derive(Debug)]
 pub struct ChangeSenders<M> {
     config: broadcast::Sender<M>,
@@ -36,7 +35,7 @@
 }
 
 impl<M: Clone> ChangeSenders<M> {
-    /// Hands a change to all links; nobody listens while this daemon is no hub.
+    /// Broadcasts a change to all links; there are no receivers while this daemon is no hub.
     pub fn send(&self, feed: Feed, message: M) {
         let sender = match feed {
             Feed::Config => &self.config,
@@ -45,7 +44,7 @@
         let _ = sender.send(message);
     }
 
-    /// Opens a queue for a link that is told of changes.
+    /// Creates the queue of a link on which changes of objects are sent.
     #[must_use]
     pub fn open<W>(
         &self,
@@ -62,22 +61,22 @@
     }
 }
 
-/// What a link does next.
+/// Next task of a link.
 #[derive(Debug, Eq, PartialEq)]
 pub enum LinkTask<M> {
-    /// Sends the newest word.
+    /// Sends the latest status message.
     Word,
-    /// Sends a message that was asked for or is an answer.
+    /// Sends a request or a response.
     Message(M),
     /// Sends a change of an object.
     Change(M),
-    /// Sends all objects: too many changes were waiting.
+    /// Sends all objects, as too many changes were waiting.
     AllObjects,
-    /// Ends: the daemon does.
+    /// Closes, as the daemon stops.
     End,
 }
 
-/// What waits to be sent on a link.
+/// Messages that wait to be sent on a link.
 #[derive(Debug)]
 pub struct LinkQueue<W, M> {
     word: watch::Receiver<W>,
@@ -87,7 +86,7 @@
 }
 
 impl<W, M: Clone> LinkQueue<W, M> {
-    /// Creates the queue of a link that is told of no changes.
+    /// Creates the queue of a link on which no changes of objects are sent.
     #[must_use]
     pub fn without_changes(word: watch::Receiver<W>, urgent: mpsc::UnboundedReceiver<M>) -> Self {
         Self {
@@ -98,12 +97,12 @@
         }
     }
 
-    /// Returns the newest word.
+    /// Returns the latest status message.
     pub fn word(&mut self) -> watch::Ref<'_, W> {
         self.word.borrow_and_update()
     }
 
-    /// Waits for what is to be done next.
+    /// Waits for the next task.
     pub async fn next(&mut self) -> LinkTask<M> {
         let changes = self.changes.as_mut();
         let task = if self.since_word < MOST_BETWEEN_WORDS {
@@ -135,9 +134,9 @@
     }
 }
 
-// What a member asked for goes before changes: made before one of them and sent after it,
-// the answer would leave it out, and the member, which takes changes from the answer on,
-// would go without it until the next.
+// Responses to a member are sent before changes. A snapshot that was taken before a change
+// and sent after it would lack this change, and the member, which applies changes only from
+// the snapshot on, would miss it until the object changes again.
 async fn next_message<M: Clone>(
     urgent: &mut mpsc::UnboundedReceiver<M>,
     changes: Option<&mut (broadcast::Receiver<M>, broadcast::Receiver<M>)>,
@@ -145,7 +144,7 @@
     let Some((config, records)) = changes else {
         return match urgent.recv().await {
             Some(message) => LinkTask::Message(message),
-            // The link is opened anew with another queue; this one has words left.
+            // The link was reopened with another queue; this one only sends status messages.
             None => std::future::pending().await,
         };
     };
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -1,4 +1,4 @@
-//! Links between daemons: opening, sending, receiving.
+//! Opens links between daemons, and sends and receives on them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,23 +24,23 @@
 use crate::gateway::store_follow::WatchDuty;
 use crate::names::DaemonId;
 
-/// Time to open a link and to send one message.
+/// Time limit for opening a link and for sending one message.
 const LINK_WAIT: Duration = Duration::from_millis(1_000);
-/// Pause before a lost link is opened again.
+/// Pause before a lost link is reopened.
 const DIAL_PAUSE: Duration = Duration::from_millis(300);
-/// Silence after which an incoming link is dropped.
+/// Silence after which an incoming link is closed.
 const LINK_SILENCE: Duration = Duration::from_secs(5);
 /// Largest message, in bytes: a configuration may take a megabyte.
 const MESSAGE_BYTES: usize = 4 << 20;
 
 type Link = WebSocketStream<TcpStream>;
 
-/// Links that this daemon sends on, with what each of them is for.
+/// Outgoing links of this daemon: peer address, kind and sending task of each.
 #[derive(Default)]
 pub(super) struct LinkSenders(IndexMap<DaemonId, (SocketAddr, LinkKind, JoinHandle<()>)>);
 
 impl LinkSenders {
-    // Opens the links that a role asks for and closes the others.
+    // Opens the links that a role needs and closes the others.
     pub(super) fn adjust(
         &mut self,
         gateway: &Rc<Gateway>,
@@ -79,7 +79,7 @@
         if let Ok(Some(link)) = timeout(LINK_WAIT, dial(daemon.peers)).await {
             log::info!(peer = daemon.id.as_str(), kind = format!("{kind:?}"); "link to another daemon is up");
             send_words(&gateway, &daemon, kind, link, word.clone()).await;
-            log::info!(peer = daemon.id.as_str(); "link to another daemon is lost");
+            log::info!(peer = daemon.id.as_str(); "link to another daemon is closed");
         }
         sleep(DIAL_PAUSE).await;
     }
@@ -123,7 +123,7 @@
     let mut sent_version = 0;
     loop {
         let task = queue.next().await;
-        // Hubs rely on one that follows the store itself only.
+        // Other hubs rely only on a hub that watches the store itself.
         let feeds = kind != LinkKind::OtherHub || gateway.duty.get() == WatchDuty::ForOthers;
         let sent = match task {
             LinkTask::Word => {
@@ -166,7 +166,7 @@
     let Some((version, message)) = gateway.config_for(&daemon.id, *sent_version) else {
         return true;
     };
-    log::info!(peer = daemon.id.as_str(), version = version; "configuration sent to a daemon that is behind");
+    log::info!(peer = daemon.id.as_str(), version = version; "configuration sent to a daemon that runs an older one");
     *sent_version = version;
     send(link, message.encode()).await
 }
@@ -200,7 +200,7 @@
     matches!(timeout(LINK_WAIT, link.send(message)).await, Ok(Ok(())))
 }
 
-/// Takes links that other daemons open, as long as the process runs.
+/// Accepts links from other daemons until the process ends.
 pub(super) async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -208,7 +208,7 @@
                 spawn_local(receive(gateway.clone(), stream));
             }
             Err(error) => {
-                log::warn!("no link accepted ({error}); trying again");
+                log::warn!("cannot accept a link of another daemon, trying again: {error}");
                 sleep(DIAL_PAUSE).await;
             }
         }
@@ -227,7 +227,7 @@
         match ciborium::from_reader::<PeerMessage, _>(&bytes[..]) {
             Ok(message) => gateway.take_message(message),
             Err(error) => {
-                log::warn!("message of another daemon cannot be read, link dropped: {error}");
+                log::warn!("cannot decode a message of another daemon, closing the link: {error}");
                 return;
             }
         }
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -1,10 +1,10 @@
-//! One daemon of a data centre places the requests of all its daemons.
+//! One daemon of a data centre chooses the engines for the requests of all its daemons.
 //!
-//! Daemons that each choose engines by hints choose alike: within the hundreds of
-//! milliseconds until they hear of each other's choices, they all take the engine
-//! that looked free. The hub sees every choice at once, because it makes them; a
-//! question costs one round trip inside the data centre. A daemon whose hub does not
-//! answer soon chooses by itself, so nothing but time to the first token hangs on it.
+//! Daemons that choose engines independently, by hints, make the same choice: in the
+//! hundreds of milliseconds until they learn of each other's choices, they all select the
+//! engine that looked free. The hub knows every choice at once, because it makes them; a
+//! placement request costs one round trip within the data centre. A daemon whose hub does
+//! not respond in time chooses by itself, so only the time to the first token depends on it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,23 +27,23 @@
 use crate::names::{DaemonId, MonoTime};
 use crate::target_life::TargetLife;
 
-/// Longest wait for an answer: a round trip takes 1 to 3 ms, and waiting longer than
-/// a choice without the others' knowledge costs, 100 ms and more, buys nothing.
+/// Time limit for a placement response. A round trip takes 1 to 3 ms; a choice without the
+/// hub costs a request 100 ms and more, and waiting longer than that gains nothing.
 const ANSWER_WAIT: Duration = Duration::from_millis(40);
-/// Time for which a daemon that did not answer is not asked.
+/// Time for which a daemon that did not respond gets no placement requests.
 const NOT_ASKED: Duration = Duration::from_millis(1_000);
 
-/// Where the answer to a question will come.
+/// Receives the response to a placement request.
 pub type PlaceWait = oneshot::Receiver<Option<PlacedEngines>>;
 
-/// Time between two messages of a hub to the others on what it placed. The sums of work
-/// that hubs exchange are some hundred milliseconds old when they count; requests take
-/// about as long to read.
+/// Delay within which a hub announces its placements to the other hubs. The sums of work
+/// that hubs exchange are some hundred milliseconds old when they are used, about as long
+/// as the prefill of a request takes.
 const NOTE_EVERY: Duration = Duration::from_millis(40);
-/// Most placements that wait to be told; a daemon without other hubs tells nobody.
+/// Most placements that wait to be announced; without other hubs there is no receiver.
 const MOST_NOTES: usize = 1_024;
 
-/// What a hub has placed and has not told the other hubs.
+/// Placements of a hub that it has not announced to the other hubs yet.
 #[derive(Debug, Default)]
 pub struct PlacementLog {
     pending: Vec<PlacementNote>,
@@ -66,10 +66,10 @@
     }
 }
 
-/// What a daemon keeps to ask another one for places.
+/// Sends placement requests to another daemon and matches the responses.
 #[derive(Debug, Default)]
 pub struct PlacingDesk {
-    // Whom to ask; `None` where this daemon places by itself.
+    // Daemon that chooses for this one; `None` if this one chooses by itself.
     placer: Option<DaemonId>,
     links: IndexMap<DaemonId, mpsc::UnboundedSender<Message>>,
     last_number: u64,
@@ -79,7 +79,7 @@
 }
 
 impl PlacingDesk {
-    /// Sets whom to ask.
+    /// Sets the daemon that placement requests are sent to.
     pub fn set_placer(&mut self, placer: Option<DaemonId>) {
         if self.placer != placer {
             self.placer = placer;
@@ -87,21 +87,21 @@
         }
     }
 
-    /// Whether another daemon is asked for places.
+    /// Whether placement requests are sent to another daemon.
     #[must_use]
     pub fn has_placer(&self) -> bool {
         self.placer.is_some()
     }
 
-    /// Opens a queue of messages that a link sends between its regular ones.
+    /// Opens a queue of messages that a link sends between its status messages.
     pub fn open_link(&mut self, daemon: &DaemonId) -> mpsc::UnboundedReceiver<Message> {
         let (sender, queue) = mpsc::unbounded_channel();
         self.links.insert(daemon.clone(), sender);
         queue
     }
 
-    /// Number of the last question whose answer was taken; the work that it brought
-    /// is in this daemon's hints from now on.
+    /// Returns the number of the last placement request whose response was used; the
+    /// resulting work is included in this daemon's hints from now on.
     #[must_use]
     pub fn taken_through(&self) -> u64 {
         self.taken_through
@@ -110,19 +110,19 @@
     fn send_to(&self, daemons: &[DaemonId], message: &PeerMessage) {
         let encoded = message.encode();
         for link in daemons.iter().filter_map(|daemon| self.links.get(daemon)) {
-            // A link that ended is opened again, with a queue of its own.
+            // A closed link is reopened with a new queue.
             let _ = link.send(encoded.clone());
         }
     }
 
-    /// Sends a message between the regular ones; false where no link is up.
+    /// Sends a message between the status messages; returns false if no link is up.
     pub fn send(&self, to: &DaemonId, message: &PeerMessage) -> bool {
         let link = self.links.get(to);
         link.is_some_and(|link| link.send(message.encode()).is_ok())
     }
 
-    /// Sends a question and returns its number and where the answer will come; `None`
-    /// where nobody is to be asked, or nobody can be now.
+    /// Sends a placement request and returns its number and the receiver of the response;
+    /// `None` if no other daemon chooses for this one, or it cannot be asked now.
     pub fn ask(&mut self, question: PlaceQuestion, now: MonoTime) -> Option<(u64, PlaceWait)> {
         let placer = self.placer.clone()?;
         if self.not_before.is_some_and(|until| now < until) {
@@ -139,20 +139,20 @@
         Some((number, waits))
     }
 
-    /// Hands an answer to the request that waits for it.
+    /// Passes a response to the request that waits for it.
     pub fn take_answer(&mut self, answer: PlaceAnswer) {
         if let Some(waiting) = self.waiting.swap_remove(&answer.number) {
-            // Who asked may have given up meanwhile.
+            // The request may have stopped waiting in the meantime.
             let _ = waiting.send(answer.engines);
         }
     }
 
-    /// Notes that a request goes by the answer to a question from now on.
+    /// Records that the response to a placement request was used.
     pub fn note_taken(&mut self, number: u64) {
         self.taken_through = self.taken_through.max(number);
     }
 
-    /// Notes that a question was not answered in time.
+    /// Records that a placement request had no response in time.
     pub fn note_silence(&mut self, number: u64, now: MonoTime) {
         self.waiting.swap_remove(&number);
         self.not_before = Some(now.plus(NOT_ASKED));
@@ -160,8 +160,8 @@
 }
 
 impl Gateway {
-    /// Chooses the engines of a request: the daemon that places for this one is asked,
-    /// and this one chooses where it does not answer or knows other engines.
+    /// Chooses the engines for a request: asks the hub, and chooses locally if it does not
+    /// respond or returns no engines that are known here.
     pub async fn place_by_fleet(
         &self,
         call: &RoutedCall,
@@ -219,8 +219,8 @@
         }
     }
 
-    // The answer counts only with engines that this daemon knows for the request's own
-    // route, whatever configuration the other one runs.
+    // A response is valid only with engines that this daemon knows for the request's own
+    // route, as the other daemon may run another configuration.
     fn resolve(&self, call: &RoutedCall, engines: &PlacedEngines) -> Option<EnginePlace> {
         let newest = self.view();
         let known = call.view.of_service(&call.service.name);
@@ -246,7 +246,7 @@
         })
     }
 
-    /// Answers a daemon that asks for a place.
+    /// Answers a placement request of another daemon.
     pub fn answer_place(&self, question: &PlaceQuestion) {
         let view = self.view();
         let asker = (&question.from, question.life);
@@ -278,11 +278,11 @@
             number: question.number,
             engines: place.map(|place| PlacedEngines::from(&place)),
         });
-        // An asker whose link is not up yet places by itself.
+        // A requester whose link is not up yet chooses by itself.
         self.placing.borrow().send(&question.from, &answer);
     }
 
-    /// Notes what this daemon has placed as a hub, for the other hubs.
+    /// Queues a placement of this daemon for the other hubs, if it is a hub.
     pub fn note_placement(&self, prompt: &PromptShape, place: &EnginePlace) {
         if !self.hubs.borrow().is_hub() {
             return;
@@ -299,8 +299,8 @@
         self.placed.notify_one();
     }
 
-    /// Tells the other hubs what this one has placed; returns the number of the last
-    /// notes that were sent.
+    /// Announces the queued placements to the other hubs; returns the number of the last
+    /// batch that was sent.
     pub fn tell_placements(&self) -> u64 {
         let mut log = self.placements.borrow_mut();
         if let Some((number, placed)) = log.take() {
@@ -316,7 +316,7 @@
         log.last_number
     }
 
-    /// Takes what another hub has placed.
+    /// Applies the placements of another hub.
     pub fn take_placements(&self, notes: &PlacementNotes) {
         let view = self.view();
         let sender = (&notes.from, notes.life);
@@ -336,7 +336,7 @@
         }
     }
 
-    // The next choice has to know of this one before the asker's hint tells of it.
+    // Counts a placement before the requester's hint reports it, for the choices until then.
     fn count_place(&self, question: &PlaceQuestion, prompt: &PromptShape, place: &EnginePlace) {
         let now = clock::mono_now();
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
@@ -351,14 +351,14 @@
         core.note_parts(&reader.id, &prompt.parts, false, now);
     }
 
-    /// Hands an answer to the request that waits for it.
+    /// Passes a response to the request that waits for it.
     pub fn take_place(&self, answer: PlaceAnswer) {
         self.placing.borrow_mut().take_answer(answer);
     }
 }
 
-/// Tells the other hubs of placements, as long as the process runs. Without any, it
-/// does not wake up.
+/// Announces placements to the other hubs until the process ends. Does not wake up while
+/// there are none.
 pub async fn tell_regularly(gateway: Rc<Gateway>) {
     loop {
         gateway.placed.notified().await;
--- a/src/gateway/peers/proofs.rs
+++ b/src/gateway/peers/proofs.rs
@@ -1,9 +1,10 @@
-//! As of when a daemon's configuration is known to be the newest one.
+//! Until when a daemon's configuration is confirmed to be the newest one.
 //!
-//! Only the store can say so, and it answers few daemons. Who it answers tells how old
-//! that answer is; the others count from a moment on their own clock that was certainly
-//! before: when they sent the word that the teller had heard last. So neither a message
-//! that was held up nor a clock that differs makes a confirmation look newer than it is.
+//! Only the store can confirm it, and only few daemons read the store. These report the age
+//! of the store's response. A receiver subtracts that age from a time on its own clock that
+//! is certainly not too late: when it sent the last message that the reporter had received.
+//! So neither a delayed message nor a different clock makes a confirmation look newer than
+//! it is.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -12,31 +13,31 @@
 use crate::gateway::peers::wire::{PeerMessage, ProofWord};
 use crate::names::{DaemonId, MonoTime, millis};
 
-/// A daemon's clock as another one heard it last.
+/// Clock of a daemon, as another daemon last received it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClockEcho {
     /// The daemon.
     pub daemon: DaemonId,
-    /// Its life; each has a clock of its own.
+    /// Its incarnation; each has its own clock.
     pub life: u64,
-    /// Its clock when it sent what was heard.
+    /// Its clock when it sent the message.
     pub clock: MonoTime,
 }
 
-/// What a daemon tells of the age of its configuration.
+/// Age of a daemon's configuration, as reported to another daemon.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ProofNote {
-    /// The teller's clock.
+    /// The sender's clock.
     pub clock: MonoTime,
-    /// Version that it runs.
+    /// Version that the sender runs.
     pub version: u64,
-    /// Milliseconds since that was the newest one; `None` while it does not know.
+    /// Milliseconds since this version was known to be the newest; `None` if unknown.
     pub age_ms: Option<u64>,
-    /// The reader's clock, where it was heard.
+    /// The receiver's clock as the sender last received it, if it did.
     pub echo: Option<ClockEcho>,
 }
 
-/// What is known of the age of the own configuration by the words of others.
+/// Tracks until when the local configuration is confirmed, by messages of other daemons.
 #[derive(Debug, Default)]
 pub struct ProofBook {
     heard: IndexMap<DaemonId, (u64, MonoTime)>,
@@ -44,17 +45,17 @@
 }
 
 impl ProofBook {
-    /// Notes the clock that a daemon told.
+    /// Records the clock of a daemon, as received from it.
     pub fn note_clock(&mut self, daemon: &DaemonId, life: u64, clock: MonoTime) {
         self.heard.insert(daemon.clone(), (life, clock));
     }
 
-    /// Forgets the clocks of daemons that are not `known`.
+    /// Removes the clocks of daemons that are not `known`.
     pub fn retain(&mut self, known: impl Fn(&DaemonId) -> bool) {
         self.heard.retain(|daemon, _| known(daemon));
     }
 
-    /// Returns the clock heard of a daemon.
+    /// Returns the clock last received from a daemon.
     #[must_use]
     pub fn echo(&self, daemon: &DaemonId) -> Option<ClockEcho> {
         let (life, clock) = self.heard.get(daemon)?;
@@ -65,9 +66,9 @@
         })
     }
 
-    /// Takes a note, where `own_version` is run by the daemon `own` in its life.
+    /// Applies a report to this daemon, `own` with its incarnation, which runs `own_version`.
     ///
-    /// A note on a version that is not here yet proves nothing of the one that is.
+    /// A report on a version newer than the local one confirms nothing about the local one.
     pub fn take(&mut self, note: &ProofNote, own: (&DaemonId, u64), own_version: u64) {
         let Some(age_ms) = note.age_ms.filter(|_| note.version <= own_version) else {
             return;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// When the own configuration was the newest one, as far as others proved it.
+    /// Returns until when other daemons confirmed the local configuration as the newest.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
         self.confirmed_at
@@ -87,20 +88,20 @@
 }
 
 impl Gateway {
-    /// When the configuration run here was certainly the newest one.
+    /// Returns until when the local configuration is confirmed as the newest one.
     ///
-    /// Read before the configuration itself, it holds for that one too.
+    /// If read before the configuration itself, the value holds for that configuration too.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
         let told = self.proofs.borrow().confirmed_at();
         self.pulse.confirmed_at().max(told)
     }
 
-    /// Whether a key that the configuration holds may be taken for one in force.
+    /// Whether the keys in the local configuration may be assumed to be still in force.
     ///
-    /// A daemon that is cut off goes on with the keys it knows, and so would serve a
-    /// caller whose key was taken away for as long as the cut lasts. It stops before the
-    /// bound on that, counted from the last moment at which it was certainly up to date.
+    /// A daemon that is cut off keeps the keys it knows, so it would serve callers whose key
+    /// has been revoked until it is connected again. It stops accepting keys before the
+    /// bound set for revocations has passed since its last confirmation.
     #[must_use]
     pub fn confirms_keys(&self, now: MonoTime) -> bool {
         let Some(limit) = self.settings().key_trust() else {
@@ -110,11 +111,11 @@
         confirmed.is_some_and(|at| now.since(at) < limit)
     }
 
-    // What a reader is told; nothing where no key has to be confirmed. Each reader gets its
-    // own clock back and no other: all clocks in all words grow with the square of a data
-    // centre, to 2.4 MB a second for a hub of 100 daemons.
+    // Returns the report for one receiver; nothing if no keys have to be confirmed. Each
+    // receiver gets only its own clock back: all clocks in all messages would grow with the
+    // square of a data centre, to 2.4 MB a second for a hub of 100 daemons.
     pub(super) fn proof_word(&self, reader: &DaemonId, now: MonoTime) -> Option<PeerMessage> {
-        // Before the version: a newer one may come between, an older one never.
+        // Read before the version: a newer one may be applied in between, never an older one.
         let confirmed = self.confirmed_at();
         let view = self.view();
         let routes = view.routes.as_ref().filter(|r| r.asks_for_keys())?;
--- a/src/gateway/peers/seen.rs
+++ b/src/gateway/peers/seen.rs
@@ -1,12 +1,12 @@
-//! What members saw of their sends, for the hub that places their requests.
+//! Results of members' sends, reported to the hub that chooses engines for their requests.
 //!
-//! A hub places the requests of 40 daemons and sends few of them itself. By its own sends
-//! it would see each of 120 engines once in a minute, and would go on placing work on a
-//! dark one that its members have long noticed.
+//! A hub chooses engines for the requests of 40 daemons and sends few of them itself. By its
+//! own sends alone it would observe each of 120 engines once a minute, and would go on
+//! choosing an unresponsive engine long after its members have noticed.
 //!
-//! Members tell no times of engines' work. With them a fleet of 61 daemons and 50 engines
-//! served 0.64 to 0.73 of its requests, without them 0.72 to 0.80; remembering them for
-//! longer, by engine or by kind of work, gave back less than half of that or nothing.
+//! Members do not report processing times of engines. With them a fleet of 61 daemons and 50
+//! engines served 0.64 to 0.73 of its requests, without them 0.72 to 0.80; keeping them for
+//! longer, by engine or by kind of work, recovered less than half of the loss or nothing.
 
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
@@ -15,31 +15,32 @@
 use crate::gateway::deciding::health::SendResult;
 use crate::target_life::TargetLife;
 
-/// Most notes in a hint; what is beyond is left out. At 450 requests a second
-/// a daemon of a fleet of 195 has one or two to tell, so this leaves room for rushes.
+/// Most results in a hint; the rest is dropped. At 450 requests a second a daemon in a
+/// fleet of 195 reports one or two, so this leaves room for bursts.
 const MOST_NOTES: usize = 128;
-/// Silent targets in one hint from which on its daemon is taken for cut off itself. Of
-/// engines that turn dark together a daemon meets one or two between two hints.
+/// Number of unresponsive targets in one hint from which on the sender itself counts as cut
+/// off. When several engines fail together, a daemon sends to one or two of them between
+/// two hints.
 const CUT_OFF_SILENCES: usize = 3;
 
-/// What became of a send.
+/// Result of a send.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ResultNote {
     /// The target.
     pub target: TargetLife,
-    /// What became of it.
+    /// The result.
     pub result: SendResult,
 }
 
-/// What a daemon saw of its sends since its last hint.
+/// Results of a daemon's sends since its last hint.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct SeenWork {
-    /// What became of sends.
+    /// One result per send, oldest first.
     pub results: Vec<ResultNote>,
 }
 
 impl SeenWork {
-    /// Keeps what became of a send.
+    /// Adds the result of a send.
     pub fn note_result(&mut self, target: &TargetLife, result: SendResult) {
         if self.results.len() < MOST_NOTES {
             self.results.push(ResultNote {
@@ -49,9 +50,9 @@
         }
     }
 
-    /// Returns the results that say something of their targets. Several silent ones at
-    /// once say that the daemon itself is cut off, and one that is silent to a daemon
-    /// twice between two hints is silent once.
+    /// Returns the results that say something about their targets. Several unresponsive
+    /// targets at once mean that the sender itself is cut off, and repeated silence of one
+    /// target between two hints counts once.
     pub fn telling_results(&self) -> impl Iterator<Item = &ResultNote> {
         let silent = |note: &&ResultNote| note.result == SendResult::Silent;
         let silences: IndexSet<&TargetLife> = self
@@ -70,12 +71,12 @@
 }
 
 impl Gateway {
-    /// Whether a hub places this daemon's requests and is to know what came of them.
+    /// Whether a hub chooses engines for this daemon's requests, and needs their results.
     pub fn is_placed_for(&self) -> bool {
         self.placing.borrow().has_placer()
     }
 
-    /// Takes what a member saw, as if this daemon had seen it.
+    /// Applies a member's results as if they were those of this daemon.
     pub(super) fn take_seen(&self, seen: &SeenWork) {
         let view = self.view();
         for note in seen.telling_results() {
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -1,4 +1,4 @@
-//! Usage and wall clocks on their way between daemons.
+//! Exchange of usage counts and wall clock times between daemons.
 
 use crate::clock;
 use crate::gateway::daemon::Gateway;
@@ -8,7 +8,7 @@
 use crate::names::MonoTime;
 
 impl Gateway {
-    /// Counts a request that began to run at a target.
+    /// Counts a request that started to run at a target.
     pub fn note_begun(&self, access: &CallerAccess) {
         if let CallerAccess::Workspace { name, .. } = access
             && self.ports.duties.is_some()
@@ -25,7 +25,7 @@
         book.usage.take_news(now)
     }
 
-    // What goes to other hubs: what the members told, and the own counts of this word.
+    // Returns the usage sent to other hubs: of the members, and of this daemon's hint.
     pub(super) fn take_centre_usage(&self, hint: &PeerHint) -> Vec<DaemonUsage> {
         let mut usage = self.duties.borrow_mut().usage.take_relayed();
         if !hint.usage.is_empty() {
@@ -40,7 +40,7 @@
         book.usage.note_heard(usage_of(hint), true);
     }
 
-    // What a hub tells its members is agreed on; hubs take each other's for one clock more.
+    // Members adopt the time of their hub; between hubs, it counts as one more sample.
     pub(super) fn take_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
         if let Some(time) = summary.true_time {
--- a/src/gateway/peers/wire.rs
+++ b/src/gateway/peers/wire.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons.
 //!
-//! What a word tells of each daemon, target or request goes as an array of its values:
-//! with the names of the fields a note on a daemon takes 78 bytes, without them 21.
+//! Records that a message contains once per daemon, target or request are encoded as arrays
+//! of values: with field names, the status of a daemon takes 78 bytes, without them 21.
 
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -19,64 +19,64 @@
 use crate::names::{DaemonId, MonoTime, ServiceName, UnixTime};
 use crate::target_life::TargetLife;
 
-/// Parts of a prompt that an engine holds, or was asked to read.
+/// Prompt parts that an engine has cached, or is prefilling.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
 pub struct HeldNote {
     /// The engine.
     pub engine: TargetLife,
     /// Keys and tokens of the parts, in the prompt's order.
     pub parts: Vec<(u64, u32)>,
-    /// Whether it holds them already.
+    /// Whether they are cached already.
     pub ready: bool,
 }
 
-/// What a daemon tells the others several times a second.
+/// State that a daemon sends to the others several times a second.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PeerHint {
-    /// Who tells it.
+    /// The sender.
     pub from: DaemonId,
-    /// Its life, as its record in the store names it.
+    /// Its incarnation, as in its record in the store.
     pub life: u64,
     /// Whether it is stopping.
     pub leaving: bool,
     /// Version of the configuration that it runs.
     pub config_version: u64,
-    /// Its work at targets.
+    /// Its running and queued work at targets.
     pub work: Vec<(TargetLife, TargetWork)>,
-    /// What engines came to hold by its requests since the last hint.
+    /// Prompt parts newly cached at engines by its requests since the last hint.
     pub held: Vec<HeldNote>,
-    /// Targets that it knows to be leaving.
+    /// Targets that it knows to be leaving the fleet.
     pub departed: Vec<TargetLife>,
-    /// Targets' entries that began or ended, by turns ([`super::entry_turns`]).
+    /// Added or removed entries of targets, as due ([`super::entry_turns`]).
     #[serde(default)]
     pub entries: Vec<EntryNote>,
-    /// Work that ended targets, by turns ([`crate::crashes::news`]).
+    /// Work that crashed targets, as due ([`crate::crashes::news`]).
     #[serde(default)]
     pub works: Vec<WorkNote>,
-    /// Engines that it is ordering to change their stage.
+    /// Engines whose stage it is changing.
     pub changing: Vec<TargetLife>,
-    /// Work that it places on engines, in a second.
+    /// Work that it places on engines per second.
     pub rate: WorkRate,
-    /// Last question for a place whose work this hint contains.
+    /// Number of the last placement request whose work this hint contains.
     pub placed_through: u64,
-    /// What it saw of its sends, where a hub places its requests.
+    /// Results of its sends, if a hub chooses engines for its requests.
     pub seen: SeenWork,
-    /// Its clock.
+    /// Its monotonic clock.
     pub clock: MonoTime,
     /// Whether it knows which keys are in force.
     pub confirms_keys: bool,
     /// Its wall clock.
     pub wall: UnixTime,
-    /// Requests that began here, by window and workspace, as far as they are news.
+    /// New counts of requests started here, by window and workspace.
     pub usage: Vec<UsageCell>,
 }
 
 /// A message between daemons.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum PeerMessage {
-    /// Hint.
+    /// State of the sender.
     Hint(PeerHint),
-    /// A configuration as the store holds it.
+    /// A configuration as it is in the store.
     Config {
         /// Revision of the store's object.
         revision: u64,
@@ -84,104 +84,104 @@
         #[serde(with = "serde_bytes")]
         value: Vec<u8>,
     },
-    /// What a hub knows.
+    /// State of several daemons, from a hub.
     Summary(PeerSummary),
-    /// Objects of the store, from a hub that watches it.
+    /// Objects of the store, relayed by a hub.
     Objects(FeedObjects),
     /// The first message of a hub on a new link to a member.
     NewLink {
         /// The hub.
         from: DaemonId,
     },
-    /// A member's question for what its hub has of the store.
+    /// A request for the store snapshot of a hub.
     WantStock(StockQuestion),
-    /// The answer to it.
+    /// The response to it.
     Stock(StockAnswer),
-    /// A question for the engines of a request.
+    /// A request to choose the engines for a caller's request.
     Place(PlaceQuestion),
-    /// The answer to such a question.
+    /// The response to it.
     Placed(PlaceAnswer),
-    /// What a hub has placed since it told so last.
+    /// Placements of a hub since its last announcement.
     Placements(PlacementNotes),
-    /// As of when a hub's configuration is the newest one, for one reader.
+    /// The age of a hub's configuration, for one receiver.
     Proof(ProofWord),
 }
 
-/// As of when a hub's configuration is the newest one, for one reader.
+/// Age of a hub's configuration, for one receiver.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ProofWord {
     /// The hub.
     pub from: DaemonId,
-    /// Its life, as its record in the store names it.
+    /// Its incarnation, as in its record in the store.
     pub life: u64,
-    /// What it tells.
+    /// The report.
     pub proof: ProofNote,
 }
 
-/// A request that a hub has placed.
+/// Engines that a hub has chosen for a request.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
 pub struct PlacementNote {
-    /// Engine that reads the prompt.
+    /// Engine that prefills the prompt.
     pub reader: TargetLife,
-    /// Engine that makes the tokens, where it is another one.
+    /// Engine that decodes, if it is another one.
     pub writer: Option<TargetLife>,
-    /// Rank at the engines.
+    /// Scheduling rank at the engines.
     pub rank: u8,
-    /// Tokens that the reading engine still has to read.
+    /// Tokens that the prefill engine still has to prefill.
     pub unread_tokens: u32,
     /// Keys and tokens of the prompt's parts, in order.
     pub parts: Vec<(u64, u32)>,
 }
 
-/// What a hub has placed since it told so last.
+/// Placements of a hub since its last announcement.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PlacementNotes {
     /// The hub.
     pub from: DaemonId,
-    /// Its life, as its record in the store names it.
+    /// Its incarnation, as in its record in the store.
     pub life: u64,
-    /// Number of these notes in that life.
+    /// Number of this batch within that incarnation.
     pub number: u64,
-    /// The requests.
+    /// The placements.
     pub placed: Vec<PlacementNote>,
 }
 
-/// A question for what a hub has of the store.
+/// A request for the store snapshot of a hub.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StockQuestion {
-    /// Who asks.
+    /// The requester.
     pub from: DaemonId,
-    /// Its life, as its record in the store names it.
+    /// Its incarnation, as in its record in the store.
     pub life: u64,
-    /// Number of the question in that life.
+    /// Number of the request within that incarnation.
     pub number: u64,
-    /// Digests of what the asker has.
+    /// Digests of the requester's own objects.
     pub known: Vec<(Feed, u64)>,
 }
 
-/// What a hub has of the store and the asker has not.
+/// The part of a hub's store snapshot that the requester lacks.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct StockAnswer {
     /// The hub.
     pub from: DaemonId,
-    /// Number of the question.
+    /// Number of the request.
     pub number: u64,
     /// All objects of the feeds that differ.
     pub feeds: Vec<FeedObjects>,
 }
 
-/// A question for the engines of a request.
+/// A request to choose the engines for a caller's request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PlaceQuestion {
-    /// Who asks.
+    /// The requester.
     pub from: DaemonId,
-    /// Its life, as its record in the store names it.
+    /// Its incarnation, as in its record in the store.
     pub life: u64,
-    /// Number of the question in that life.
+    /// Number of the request within that incarnation.
     pub number: u64,
     /// Service that the request is for.
     pub service: ServiceName,
-    /// Engines that the asker does not want.
+    /// Engines that the requester excludes.
     pub avoided: Vec<TargetLife>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
@@ -191,105 +191,105 @@
     pub parts: Vec<(u64, u32)>,
     /// Rank of the route; 0 is the most urgent.
     pub urgency: u8,
-    /// Milliseconds left for an answer of full worth.
+    /// Milliseconds left until the latency objective is missed.
     pub objective_left_ms: u32,
 }
 
 /// Engines chosen for a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlacedEngines {
-    /// Engine that reads the prompt for the other.
+    /// Engine that prefills the prompt for the other one, if any.
     pub reader: Option<TargetLife>,
-    /// Engine that makes the tokens.
+    /// Engine that decodes.
     pub writer: TargetLife,
-    /// Engine that the reading one copies shared parts from.
+    /// Engine that the prefill engine copies shared parts from.
     pub fetch_from: Option<TargetLife>,
-    /// Rank that it was chosen for.
+    /// Scheduling rank that they were chosen for.
     pub rank: u8,
     /// Expected time to the first token, in milliseconds.
     pub expected_ms: f64,
-    /// Part of it that the request's own reading takes.
+    /// Part of it that the request's own prefill takes.
     pub own_ms: f64,
-    /// Tokens that the reading engine still has to read.
+    /// Tokens that the prefill engine still has to prefill.
     pub unread_tokens: u32,
-    /// Tokens among them that requests share.
+    /// Tokens among them that belong to shared parts.
     pub reread_tokens: u32,
-    /// Tokens of other requests that it reads before.
+    /// Tokens of other requests that it prefills first.
     pub waiting_tokens: u32,
-    /// Whether the request gives way to all that can still be in time.
+    /// Whether the request is queued behind all that can still meet their objective.
     pub gives_way: bool,
 }
 
-/// The answer to a question for engines.
+/// The response to a placement request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PlaceAnswer {
-    /// Number of the question.
+    /// Number of the request.
     pub number: u64,
-    /// The engines, where there are any.
+    /// The engines, if there are any.
     pub engines: Option<PlacedEngines>,
 }
 
-/// What a hub tells of one daemon.
+/// Status of one daemon, as reported by a hub.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
 pub struct MemberNote {
     /// The daemon.
     pub id: DaemonId,
-    /// Milliseconds since it was heard.
+    /// Milliseconds since its last message.
     pub age_ms: u32,
     /// Whether it is stopping.
     pub leaving: bool,
     /// Version of the configuration that it runs.
     pub config_version: u64,
-    /// Engines that it is ordering to change their stage.
+    /// Engines whose stage it is changing.
     pub changing: Vec<TargetLife>,
     /// Whether it knows which keys are in force.
     pub confirms_keys: bool,
 }
 
-/// What a hub tells other hubs of its members, or its members of the whole fleet.
+/// State of a data centre, for other hubs, or of the whole fleet, for a hub's members.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PeerSummary {
     /// The hub.
     pub from: DaemonId,
-    /// Its life, as its record in the store names it.
+    /// Its incarnation, as in its record in the store.
     pub life: u64,
-    /// Whether this tells of the whole fleet.
+    /// Whether this covers the whole fleet.
     pub whole: bool,
-    /// Daemons that it tells of in this word ([`super::note_turns`]).
+    /// Status of the daemons that are due in this message ([`super::note_turns`]).
     pub members: Vec<MemberNote>,
-    /// Their work at targets, summed.
+    /// Work of all covered daemons at targets, summed.
     pub work: Vec<(TargetLife, TargetWork)>,
-    /// What engines came to hold since the last summary.
+    /// Prompt parts newly cached at engines since the last summary.
     pub held: Vec<HeldNote>,
-    /// Targets known to be leaving.
+    /// Targets known to be leaving the fleet.
     pub departed: Vec<TargetLife>,
-    /// Targets' entries that ended, by turns.
+    /// Removed entries of targets, as due.
     #[serde(default)]
     pub entries: Vec<EntryNote>,
-    /// Work that ended targets, by turns.
+    /// Work that crashed targets, as due.
     #[serde(default)]
     pub works: Vec<WorkNote>,
-    /// Work that they place on engines, in a second.
+    /// Work that the covered daemons place on engines per second.
     pub rate: WorkRate,
-    /// Milliseconds since the hub heard the store.
+    /// Milliseconds since the hub's last response from the store.
     pub store_age_ms: u32,
-    /// Last notes on placements whose work this contains.
+    /// Number of the last placement batch whose work this contains.
     pub placed_through: u64,
-    /// True time as this hub and its members agree on it.
+    /// Fleet time, as this hub and its members agree on it.
     pub true_time: Option<UnixTime>,
-    /// What its members and it counted of usage, for other hubs.
+    /// Usage counts of the hub and its members, for other hubs.
     pub usage: Vec<DaemonUsage>,
 }
 
-/// Objects of the store as a hub passes them on.
+/// Objects of the store, as a hub relays them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FeedObjects {
-    /// What they are.
+    /// Kind of the objects.
     pub feed: Feed,
-    /// Whether these are all there are.
+    /// Whether these are all objects of the kind.
     pub whole: bool,
-    /// Name, version and value of each; without a value it was deleted. Kept as bytes:
-    /// as a list of numbers a value takes nearly twice the room on the link.
+    /// Name, version and value of each; one without a value was deleted. Values are encoded
+    /// as bytes: as a list of numbers, they take nearly twice the bandwidth.
     pub objects: Vec<StoredObjectNote>,
 }
 
@@ -301,7 +301,7 @@
     #[must_use]
     pub fn encode(&self) -> Message {
         let mut bytes = Vec::new();
-        // Plain data always encodes into memory.
+        // Encoding plain data into memory cannot fail.
         let _ = ciborium::into_writer(self, &mut bytes);
         Message::binary(bytes)
     }
