--- a/src/gateway/peers/book.rs
+++ b/src/gateway/peers/book.rs
@@ -12,17 +12,17 @@
 use crate::target_life::TargetLife;
 
 /// Silence after which a daemon counts as unreachable.
-const SILENCE: Duration = Duration::from_millis(1_300);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// The same for a daemon whose state is relayed by hubs: its messages pass two hubs, and a
 /// hub that fails has to be replaced within this time.
-const RELAYED_SILENCE: Duration = Duration::from_millis(2_600);
+const RELAYED_PEER_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// Time for which a daemon may run an older configuration before it is sent the newer
 /// one: most daemons have read it from the store by then.
-const CONFIG_PATIENCE: Duration = Duration::from_millis(500);
+const CONFIG_DELAY: Duration = Duration::from_millis(500);
 /// Last known state of a daemon.
 #[derive(Clone, Debug)]
-struct HeardState {
-    at: MonoTime,
+struct PeerStatus {
+    last_contact: MonoTime,
     changing: Vec<TargetLife>,
     rate: WorkRate,
     leaving: bool,
@@ -35,28 +35,28 @@
     confirms_keys: bool,
 }
 
-impl HeardState {
+impl PeerStatus {
     fn is_fresh(&self, now: MonoTime) -> bool {
-        let silence = if self.relayed {
-            RELAYED_SILENCE
+        let timeout = if self.relayed {
+            RELAYED_PEER_TIMEOUT
         } else {
-            SILENCE
+            PEER_TIMEOUT
         };
-        now.since(self.at) < silence
+        now.since(self.last_contact) < timeout
     }
 }
 
 /// Silence after which the record of a daemon is removed; network partitions are shorter.
-const LONG_SILENCE: Duration = Duration::from_secs(60);
+const GONE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time in which a daemon that is new here counts as reachable without having sent
 /// anything. Links are opened both ways within it, unless the daemon is gone and only its
 /// record remains.
-const FIRST_WORD: Duration = Duration::from_millis(2_500);
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// State of the other daemons, as last received.
 #[derive(Debug, Default)]
 pub struct PeerBook {
-    heard: IndexMap<DaemonId, HeardState>,
+    statuses: IndexMap<DaemonId, PeerStatus>,
     // Since when a daemon's record is known.
     known_since: IndexMap<DaemonId, MonoTime>,
     pending: Vec<HeldNote>,
@@ -78,8 +78,8 @@
     /// to one loses a second on a connection that is not answered.
     #[must_use]
     pub fn is_usable(&self, daemon: &DaemonId, now: MonoTime) -> bool {
-        let is_new = |since: &MonoTime| now.since(*since) < FIRST_WORD;
-        match self.heard.get(daemon) {
+        let is_new = |since: &MonoTime| now.since(*since) < FIRST_MESSAGE_TIMEOUT;
+        match self.statuses.get(daemon) {
             Some(state) => !state.leaving && state.is_fresh(now),
             None => self.known_since.get(daemon).is_some_and(is_new),
         }
@@ -89,17 +89,17 @@
     /// that has sent nothing yet.
     #[must_use]
     pub fn confirms_keys(&self, daemon: &DaemonId) -> bool {
-        self.heard
+        self.statuses
             .get(daemon)
             .is_none_or(|state| state.confirms_keys)
     }
 
     /// Replaces the set of known daemons by those with a record, apart from this one.
-    pub fn set_known(&mut self, own: &DaemonId, daemons: &[DaemonRecord], now: MonoTime) {
+    pub fn set_known(&mut self, local: &DaemonId, daemons: &[DaemonRecord], now: MonoTime) {
         let known = |id: &DaemonId| daemons.iter().any(|daemon| daemon.id == *id);
-        self.heard.retain(|id, _| known(id));
+        self.statuses.retain(|id, _| known(id));
         self.known_since.retain(|id, _| known(id));
-        for daemon in daemons.iter().filter(|daemon| daemon.id != *own) {
+        for daemon in daemons.iter().filter(|daemon| daemon.id != *local) {
             self.known_since.entry(daemon.id.clone()).or_insert(now);
         }
     }
@@ -110,15 +110,18 @@
     pub fn long_silent(&self, now: MonoTime) -> Vec<DaemonId> {
         let known = self.known_since.iter();
         let silent = known.filter(|(id, since)| {
-            let last = self.heard.get(*id).map_or(**since, |state| state.at);
-            now.since(last) > LONG_SILENCE
+            let last = self
+                .statuses
+                .get(*id)
+                .map_or(**since, |state| state.last_contact);
+            now.since(last) > GONE_TIMEOUT
         });
         silent.map(|(id, _)| id.clone()).collect()
     }
 
     /// Returns the engines whose stage other daemons are changing.
     pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetLife> {
-        let alive = self.heard.values();
+        let alive = self.statuses.values();
         let alive = alive.filter(move |state| state.is_fresh(now));
         alive.flat_map(|state| &state.changing)
     }
@@ -126,7 +129,7 @@
     /// Returns the rate of work that the other reachable daemons place on engines.
     #[must_use]
     pub fn work_rate(&self, now: MonoTime) -> WorkRate {
-        let alive = self.heard.values();
+        let alive = self.statuses.values();
         let alive = alive.filter(|state| state.is_fresh(now));
         alive.fold(WorkRate::default(), |sum, state| WorkRate {
             read_tokens: sum.read_tokens + state.rate.read_tokens,
@@ -134,13 +137,13 @@
         })
     }
 
-    /// Applies a daemon's hint; `own_version` is the version of the configuration run here.
-    pub fn note_hint(&mut self, hint: &PeerHint, own_version: u64, now: MonoTime) {
-        let before = self.heard.get(&hint.from);
-        let behind = hint.config_version < own_version;
+    /// Applies a daemon's hint; `local_version` is the version of the configuration run here.
+    pub fn record_hint(&mut self, hint: &PeerHint, local_version: u64, now: MonoTime) {
+        let before = self.statuses.get(&hint.from);
+        let behind = hint.config_version < local_version;
         let behind_since = behind.then(|| before.and_then(|b| b.behind_since).unwrap_or(now));
-        let state = HeardState {
-            at: now,
+        let state = PeerStatus {
+            last_contact: now,
             changing: hint.changing.clone(),
             rate: hint.rate,
             leaving: hint.leaving,
@@ -150,88 +153,102 @@
             is_hub: false,
             confirms_keys: hint.confirms_keys,
         };
-        self.heard.insert(hint.from.clone(), state);
+        self.statuses.insert(hint.from.clone(), state);
     }
 
     /// Applies what a hub reported about a daemon, unless newer or direct state is known here.
-    pub fn note_member(&mut self, note: &MemberNote, rate: WorkRate, now: MonoTime) {
-        let at = MonoTime(now.0.saturating_sub(u64::from(note.age_ms)));
-        let known = self.heard.get(&note.id);
-        if known.is_some_and(|state| state.at >= at || (!state.relayed && state.is_fresh(now))) {
+    pub fn record_member(&mut self, status: &MemberNote, rate: WorkRate, now: MonoTime) {
+        let last_contact = MonoTime(now.0.saturating_sub(u64::from(status.age_ms)));
+        let known = self.statuses.get(&status.id);
+        if known.is_some_and(|state| {
+            state.last_contact >= last_contact || (!state.relayed && state.is_fresh(now))
+        }) {
             return;
         }
-        let state = HeardState {
-            at,
-            changing: note.changing.clone(),
+        let state = PeerStatus {
+            last_contact,
+            changing: status.changing.clone(),
             rate,
-            leaving: note.leaving,
-            config_version: note.config_version,
+            leaving: status.leaving,
+            config_version: status.config_version,
             behind_since: None,
             relayed: true,
             is_hub: false,
-            confirms_keys: note.confirms_keys,
+            confirms_keys: status.confirms_keys,
         };
-        self.heard.insert(note.id.clone(), state);
+        self.statuses.insert(status.id.clone(), state);
     }
 
     /// Applies what a hub reported about itself over its own link.
-    pub fn note_hub(&mut self, note: &MemberNote, rate: WorkRate, now: MonoTime) {
-        let state = HeardState {
-            at: now,
-            changing: note.changing.clone(),
+    pub fn record_hub(&mut self, status: &MemberNote, rate: WorkRate, now: MonoTime) {
+        let state = PeerStatus {
+            last_contact: now,
+            changing: status.changing.clone(),
             rate,
-            leaving: note.leaving,
-            config_version: note.config_version,
+            leaving: status.leaving,
+            config_version: status.config_version,
             behind_since: None,
             relayed: false,
             is_hub: true,
-            confirms_keys: note.confirms_keys,
+            confirms_keys: status.confirms_keys,
         };
-        self.heard.insert(note.id.clone(), state);
+        self.statuses.insert(status.id.clone(), state);
     }
 
     /// Returns the status of the daemons that report to this one, for other hubs. Other
     /// hubs are left out: if their sums were passed on, they would be counted repeatedly.
     #[must_use]
-    pub fn direct_notes(&self, now: MonoTime) -> Vec<MemberNote> {
-        let direct = self.heard.iter();
-        let reports = |state: &HeardState| !state.relayed && !state.is_hub && state.is_fresh(now);
+    pub fn direct_status(&self, now: MonoTime) -> Vec<MemberNote> {
+        let direct = self.statuses.iter();
+        let reports = |state: &PeerStatus| !state.relayed && !state.is_hub && state.is_fresh(now);
         let direct = direct.filter(|(_, state)| reports(state));
-        direct.map(|(id, state)| note_of(id, state, now)).collect()
+        direct
+            .map(|(id, state)| member_status(id, state, now))
+            .collect()
     }
 
     /// Returns the status of all reachable daemons, for the members of this hub.
-    pub fn all_notes(&self, now: MonoTime) -> Vec<MemberNote> {
-        let fresh = self.heard.iter().filter(|(_, state)| state.is_fresh(now));
-        fresh.map(|(id, state)| note_of(id, state, now)).collect()
+    pub fn all_status(&self, now: MonoTime) -> Vec<MemberNote> {
+        let fresh = self
+            .statuses
+            .iter()
+            .filter(|(_, state)| state.is_fresh(now));
+        fresh
+            .map(|(id, state)| member_status(id, state, now))
+            .collect()
     }
 
     /// Whether a daemon sent something over its own link within a time.
-    pub fn was_heard_within(&self, daemon: &DaemonId, time: Duration, now: MonoTime) -> bool {
-        let state = self.heard.get(daemon);
-        state.is_some_and(|state| !state.relayed && now.since(state.at) < time)
+    pub fn was_reachable_within(&self, daemon: &DaemonId, time: Duration, now: MonoTime) -> bool {
+        let state = self.statuses.get(daemon);
+        state.is_some_and(|state| !state.relayed && now.since(state.last_contact) < time)
     }
 
     /// Whether a daemon is reachable over its own link.
-    pub fn is_heard_directly(&self, daemon: &DaemonId, now: MonoTime) -> bool {
-        let state = self.heard.get(daemon);
+    pub fn is_directly_reachable(&self, daemon: &DaemonId, now: MonoTime) -> bool {
+        let state = self.statuses.get(daemon);
         state.is_some_and(|state| !state.relayed && state.is_fresh(now))
     }
 
-    pub(super) fn needs_config(&self, daemon: &DaemonId, own_version: u64, now: MonoTime) -> bool {
-        self.heard.get(daemon).is_some_and(|state| {
+    pub(super) fn needs_config(
+        &self,
+        daemon: &DaemonId,
+        local_version: u64,
+        now: MonoTime,
+    ) -> bool {
+        self.statuses.get(daemon).is_some_and(|state| {
             let waited = state.behind_since.map(|since| now.since(since));
-            state.config_version < own_version && waited.is_some_and(|w| w > CONFIG_PATIENCE)
+            state.config_version < local_version && waited.is_some_and(|w| w > CONFIG_DELAY)
         })
     }
 
-    pub(super) fn take_held(&mut self) -> Vec<HeldNote> {
+    pub(super) fn take_cached_updates(&mut self) -> Vec<HeldNote> {
         std::mem::take(&mut self.pending)
     }
 }
 
-fn note_of(id: &DaemonId, state: &HeardState, now: MonoTime) -> MemberNote {
-    let age = now.since(state.at).as_millis();
+fn member_status(id: &DaemonId, state: &PeerStatus, now: MonoTime) -> MemberNote {
+    let age = now.since(state.last_contact).as_millis();
     MemberNote {
         id: id.clone(),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/src/gateway/peers/entry_turns.rs
+++ b/src/gateway/peers/entry_turns.rs
@@ -11,43 +11,43 @@
 use crate::names::MonoTime;
 
 /// How long a change is sent: longer than a daemon that depends on it is usually cut off.
-const TOLD_TIME: Duration = Duration::from_secs(30);
+const RETENTION_TIME: Duration = Duration::from_secs(30);
 /// How long a removal goes into each message.
-const NEWS_TIME: Duration = Duration::from_millis(600);
+const REPEAT_TIME: Duration = Duration::from_millis(600);
 /// Time between two messages with all recent removals.
-const ALL_EVERY: Duration = Duration::from_millis(1_000);
+const FULL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Most additions in a message.
-const MOST_BEGINS: usize = 16;
+const MAX_ADDITIONS: usize = 16;
 
 /// Schedule of the changes that go into the next messages.
 #[derive(Debug, Default)]
 pub struct EntryTurns {
-    told_all_at: Option<MonoTime>,
+    last_full_at: Option<MonoTime>,
     // Index of the next addition to send.
-    next_begin: usize,
+    next_addition: usize,
 }
 
 impl EntryTurns {
     /// Returns the changes that go into a message now, out of all recorded ones.
     pub fn pick(&mut self, notes: &[KeptNote], now: MonoTime) -> Vec<EntryNote> {
-        let told = |at: MonoTime| now.since(at) < ALL_EVERY;
-        let tells_all = !self.told_all_at.is_some_and(told);
-        let longest = if tells_all { TOLD_TIME } else { NEWS_TIME };
+        let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
+        let is_full = !self.last_full_at.is_some_and(is_recent);
+        let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
         let fresh = notes.iter().filter(|kept| now.since(kept.at) < longest);
-        let (mut due, begins): (Vec<&KeptNote>, Vec<&KeptNote>) =
+        let (mut due, additions): (Vec<&KeptNote>, Vec<&KeptNote>) =
             fresh.partition(|kept| kept.note.value.is_none());
-        if tells_all {
-            self.told_all_at = Some(now);
-            due.extend(self.turn_of(&begins));
+        if is_full {
+            self.last_full_at = Some(now);
+            due.extend(self.next_additions(&additions));
         }
         due.into_iter().map(|kept| kept.note.clone()).collect()
     }
 
-    fn turn_of<'a>(&mut self, begins: &[&'a KeptNote]) -> Vec<&'a KeptNote> {
-        let count = begins.len().min(MOST_BEGINS);
-        let from = self.next_begin;
-        self.next_begin = (from + count) % begins.len().max(1);
-        let ring = begins.iter().cycle().skip(from % begins.len().max(1));
-        ring.take(count).copied().collect()
+    fn next_additions<'a>(&mut self, additions: &[&'a KeptNote]) -> Vec<&'a KeptNote> {
+        let count = additions.len().min(MAX_ADDITIONS);
+        let from = self.next_addition;
+        self.next_addition = (from + count) % additions.len().max(1);
+        let rotation = additions.iter().cycle().skip(from % additions.len().max(1));
+        rotation.take(count).copied().collect()
     }
 }
--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -28,22 +28,22 @@
 /// Time after its start for which a member waits for a hub before it watches the store
 /// itself. After a restart of all 195 daemons of a fleet, half of them received objects
 /// from a hub within 1.4 s, and the last one after 1.8 s.
-const HUB_PATIENCE: Duration = Duration::from_millis(2_500);
+const HUB_WAIT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time after its start for which a daemon waits to learn whether the fleet has hubs: the
 /// processes of 195 daemons start within 0.4 s of each other, and each writes its record.
-const GATHER_TIME: Duration = Duration::from_millis(1_500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// Receives the objects that the control thread read from the store.
-pub type RelayInbox = mpsc::UnboundedReceiver<FeedObjects>;
+pub type RelayReceiver = mpsc::UnboundedReceiver<FeedObjects>;
 
 /// What a daemon's watch mode depends on besides its role.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FeedState {
     /// Whether a hub relays the objects that it reads.
-    pub joined: bool,
+    pub subscribed: bool,
     /// Whether a hub did so until recently enough that no change can be overdue.
     pub current: bool,
     /// Whether the hub is reachable, even if it cannot reach the store.
-    pub hub_heard: bool,
+    pub hub_reachable: bool,
     /// Mode of a daemon that has just started, until it is known which daemons watch the
     /// store for others.
     pub starting: Option<WatchDuty>,
@@ -59,10 +59,10 @@
 pub fn watch_duty(role: &PeerRole, state: FeedState) -> WatchDuty {
     match role {
         PeerRole::Mesh => state.starting.unwrap_or(WatchDuty::Alone),
-        PeerRole::Hub | PeerRole::Member(_) if state.joined || state.current => WatchDuty::Fed,
+        PeerRole::Hub | PeerRole::Member(_) if state.subscribed || state.current => WatchDuty::Fed,
         // Right after its start, a daemon may know of no other one in its data centre.
         PeerRole::Hub => state.starting.unwrap_or(WatchDuty::ForOthers),
-        PeerRole::Member(_) => state.starting.unwrap_or(if state.hub_heard {
+        PeerRole::Member(_) => state.starting.unwrap_or(if state.hub_reachable {
             WatchDuty::BesideHub
         } else {
             WatchDuty::WithoutHub
@@ -71,7 +71,7 @@
 }
 
 /// Time after which the request for a hub's store snapshot is sent again.
-const ASK_AGAIN: Duration = Duration::from_millis(1_000);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Decides when a member may stop watching the store itself.
 ///
@@ -81,83 +81,85 @@
 /// hub's snapshot, and relies on the hub from the response to its latest request on.
 #[derive(Debug, Default)]
 pub struct FeedJoin {
-    joined: Option<DaemonId>,
-    asked: Option<(DaemonId, MonoTime)>,
+    hub: Option<DaemonId>,
+    requested: Option<(DaemonId, MonoTime)>,
     last_number: u64,
     // When the hub that was relied on last had its last response from the store.
-    heard_through: Option<MonoTime>,
+    store_contact: Option<MonoTime>,
 }
 
 impl FeedJoin {
     /// Sets the hub that could relay the store to this daemon now, if there is one; returns
     /// the number of a snapshot request to send to it.
-    pub fn rely_on(&mut self, hub: Option<&DaemonId>, now: MonoTime) -> Option<u64> {
+    pub fn subscribe(&mut self, hub: Option<&DaemonId>, now: MonoTime) -> Option<u64> {
         let Some(hub) = hub else {
-            self.joined = None;
-            self.asked = None;
+            self.hub = None;
+            self.requested = None;
             return None;
         };
-        if self.joined.as_ref() == Some(hub) {
+        if self.hub.as_ref() == Some(hub) {
             return None;
         }
-        self.joined = None;
-        let waits = |(asked, at): &(DaemonId, MonoTime)| asked == hub && now.since(*at) < ASK_AGAIN;
-        if self.asked.as_ref().is_some_and(waits) {
+        self.hub = None;
+        let is_pending = |(requested, at): &(DaemonId, MonoTime)| {
+            requested == hub && now.since(*at) < REQUEST_INTERVAL
+        };
+        if self.requested.as_ref().is_some_and(is_pending) {
             return None;
         }
-        self.asked = Some((hub.clone(), now));
+        self.requested = Some((hub.clone(), now));
         self.last_number += 1;
         Some(self.last_number)
     }
 
     /// Handles a new link from a hub: messages sent on the previous one may be lost.
-    pub fn note_new_link(&mut self, from: &DaemonId) {
-        if self.joined.as_ref() == Some(from) {
-            self.joined = None;
+    pub fn handle_new_link(&mut self, from: &DaemonId) {
+        if self.hub.as_ref() == Some(from) {
+            self.hub = None;
         }
-        self.asked = self.asked.take().filter(|(hub, _)| hub != from);
+        self.requested = self.requested.take().filter(|(hub, _)| hub != from);
     }
 
     /// Whether a response is the one to the latest request.
     #[must_use]
     pub fn awaits(&self, from: &DaemonId, number: u64) -> bool {
-        let asked = self.asked.as_ref().is_some_and(|(hub, _)| hub == from);
-        asked && number == self.last_number
+        let requested = self.requested.as_ref().is_some_and(|(hub, _)| hub == from);
+        requested && number == self.last_number
     }
 
     /// Applies the awaited response; `complete` tells whether this daemon then has objects
     /// of all kinds. If not, the request is repeated: when a hub relied on another one that
     /// had only begun to list, its data centre had no configuration and refused all callers
     /// until the next change of the configuration.
-    pub fn take_stock(&mut self, from: &DaemonId, complete: bool) {
-        self.asked = None;
-        self.joined = complete.then(|| from.clone());
+    pub fn apply_snapshot(&mut self, from: &DaemonId, complete: bool) {
+        self.requested = None;
+        self.hub = complete.then(|| from.clone());
     }
 
     /// Records when the hub that is relied on had its last response from the store.
-    pub fn note_heard(&mut self, heard: Option<MonoTime>) {
-        if self.joined.is_some() {
-            self.heard_through = heard.max(self.heard_through);
+    pub fn record_store_contact(&mut self, contact: Option<MonoTime>) {
+        if self.hub.is_some() {
+            self.store_contact = contact.max(self.store_contact);
         }
     }
 
     /// Whether the objects relayed by a hub were up to date less than `within` ago.
     #[must_use]
     pub fn is_current(&self, within: Duration, now: MonoTime) -> bool {
-        self.heard_age(now) < within
+        self.store_age(now) < within
     }
 
     /// Returns the time since the last response of the store to the hub that is relied on.
     #[must_use]
-    pub fn heard_age(&self, now: MonoTime) -> Duration {
-        let heard = self.heard_through;
-        heard.map_or(Duration::MAX, |at| now.since(at))
+    pub fn store_age(&self, now: MonoTime) -> Duration {
+        let contact = self.store_contact;
+        contact.map_or(Duration::MAX, |at| now.since(at))
     }
 
     /// Whether this daemon relies on a hub and applies the objects that it relays.
     #[must_use]
-    pub fn is_joined(&self) -> bool {
-        self.joined.is_some()
+    pub fn is_subscribed(&self) -> bool {
+        self.hub.is_some()
     }
 }
 
@@ -174,9 +176,9 @@
     /// A listing in which nothing is missing is relayed as the objects that changed: a
     /// complete one fills a slow link for a part of a second, once for each member.
     pub fn take(&mut self, read: FeedObjects) -> Option<FeedObjects> {
-        let news = self.news_in(&read);
-        self.keep(&read);
-        match news {
+        let changes = self.changed_objects(&read);
+        self.record(&read);
+        match changes {
             Some(objects) if objects.is_empty() => None,
             Some(objects) => Some(FeedObjects {
                 whole: false,
@@ -188,7 +190,7 @@
     }
 
     // Returns the objects of a listing that changed; `None` if all of it has to be relayed.
-    fn news_in(&self, read: &FeedObjects) -> Option<Vec<StoredObjectNote>> {
+    fn changed_objects(&self, read: &FeedObjects) -> Option<Vec<StoredObjectNote>> {
         let known = self.feeds.get(&read.feed).filter(|_| read.whole)?;
         let listed = |name: &String| read.objects.iter().any(|(listed, ..)| listed == name);
         if !known.keys().all(listed) {
@@ -200,7 +202,7 @@
         Some(read.objects.iter().filter(is_new).cloned().collect())
     }
 
-    fn keep(&mut self, read: &FeedObjects) {
+    fn record(&mut self, read: &FeedObjects) {
         let feed = self.feeds.entry(read.feed).or_default();
         if read.whole {
             feed.clear();
@@ -279,44 +281,44 @@
 }
 
 /// Stores the objects that the control thread reads, for members that connect.
-pub(super) async fn stock_up(gateway: Rc<Gateway>, mut relays: RelayInbox) {
+pub(super) async fn maintain_snapshot(gateway: Rc<Gateway>, mut relays: RelayReceiver) {
     while let Some(objects) = relays.recv().await {
-        gateway.stock_objects(objects);
+        gateway.update_snapshot(objects);
     }
 }
 
 impl Gateway {
     /// Decides from where this daemon gets the store's objects, and notifies the control
     /// thread of a change.
-    pub(super) fn update_duty(&self, role: &PeerRole, now: MonoTime) {
+    pub(super) fn update_watch_mode(&self, role: &PeerRole, now: MonoTime) {
         let view = self.view();
         let bounds = self.settings().relay_bounds();
-        let (feeder, silence) = match role {
+        let (store_source, timeout) = match role {
             PeerRole::Mesh => (None, Duration::ZERO),
             PeerRole::Member(hub) => (Some(hub.clone()), bounds.member_silence),
             PeerRole::Hub => {
-                let feeder = self.hubs.borrow().store_hub(
+                let store_source = self.hubs.borrow().store_hub(
                     &self.daemon,
                     &view.daemons,
                     &self.peers.borrow(),
                     now,
                 );
-                (feeder, bounds.hub_silence)
+                (store_source, bounds.hub_silence)
             }
         };
-        let hub_heard = match role {
-            PeerRole::Member(hub) => self.peers.borrow().is_heard_directly(hub, now),
+        let hub_reachable = match role {
+            PeerRole::Member(hub) => self.peers.borrow().is_directly_reachable(hub, now),
             PeerRole::Hub | PeerRole::Mesh => false,
         };
         let hubs = self.hubs.borrow();
-        let feeding = feeder.filter(|hub| hubs.is_fed_by(hub, silence, now));
-        self.rely_on(feeding.as_ref(), now);
+        let source = store_source.filter(|hub| hubs.has_recent_store(hub, timeout, now));
+        self.subscribe(source.as_ref(), now);
         let mut joins = self.joins.borrow_mut();
-        joins.note_heard(feeding.and_then(|hub| hubs.store_heard(&hub)));
+        joins.record_store_contact(source.and_then(|hub| hubs.store_contact(&hub)));
         let state = FeedState {
-            joined: joins.is_joined(),
-            current: joins.is_current(silence, now),
-            hub_heard,
+            subscribed: joins.is_subscribed(),
+            current: joins.is_current(timeout, now),
+            hub_reachable,
             starting: self.starting(role, view.daemons.is_empty(), now),
         };
         let duty = watch_duty(role, state);
@@ -331,13 +333,13 @@
     // known either whether the fleet has hubs.
     fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchDuty> {
         let first = self.settings().first_start;
-        let patience = match role {
-            PeerRole::Member(_) => HUB_PATIENCE,
-            _ if first || nobody_known => GATHER_TIME,
+        let timeout = match role {
+            PeerRole::Member(_) => HUB_WAIT_TIMEOUT,
+            _ if first || nobody_known => DISCOVERY_TIME,
             _ => Duration::ZERO,
         };
-        let waits = now.since(self.started) < patience;
-        waits.then(|| WatchDuty::at_start(first))
+        let is_starting = now.since(self.started) < timeout;
+        is_starting.then(|| WatchDuty::at_start(first))
     }
 
     // Other hubs rely only on a hub that watches the store itself; members rely on any hub
@@ -345,74 +347,76 @@
     pub(super) fn store_age_ms(&self, whole: bool, now: MonoTime) -> u32 {
         let age = match self.duty.get() {
             WatchDuty::ForOthers => self.pulse.age(now),
-            WatchDuty::Fed if whole => self.joins.borrow().heard_age(now),
+            WatchDuty::Fed if whole => self.joins.borrow().store_age(now),
             _ => Duration::MAX,
         };
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
     }
 
     // Stores objects for daemons that connect, and relays the changes to connected ones.
-    fn stock_objects(&self, objects: FeedObjects) {
-        if let Some(news) = self.stock.borrow_mut().take(objects) {
-            let feed = news.feed;
+    fn update_snapshot(&self, objects: FeedObjects) {
+        if let Some(changes) = self.stock.borrow_mut().take(objects) {
+            let feed = changes.feed;
             self.feed_changes
-                .send(feed, PeerMessage::Objects(news).encode());
+                .send(feed, PeerMessage::Objects(changes).encode());
         }
     }
 
-    fn rely_on(&self, hub: Option<&DaemonId>, now: MonoTime) {
-        let number = self.joins.borrow_mut().rely_on(hub, now);
+    fn subscribe(&self, hub: Option<&DaemonId>, now: MonoTime) {
+        let number = self.joins.borrow_mut().subscribe(hub, now);
         let (Some(hub), Some(number)) = (hub, number) else {
             return;
         };
-        let question = PeerMessage::WantStock(StockQuestion {
+        let request = PeerMessage::WantStock(StockQuestion {
             from: self.daemon.clone(),
             life: self.life,
             number,
             known: self.stock.borrow().digests(),
         });
         // Without a link, the request is sent again a second later.
-        self.placing.borrow().send(hub, &question);
+        self.placing.borrow().send(hub, &request);
     }
 
-    pub(super) fn answer_stock(&self, question: &StockQuestion) {
+    pub(super) fn answer_snapshot_request(&self, request: &StockQuestion) {
         let view = self.view();
-        let asker = (&question.from, question.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.life) == asker) {
+        let requester = (&request.from, request.life);
+        if !view.daemons.iter().any(|d| (&d.id, d.life) == requester) {
             return;
         }
         if !self.stock.borrow().is_complete() {
             // The requester asks again a second later.
             return;
         }
-        let answer = PeerMessage::Stock(StockAnswer {
+        let response = PeerMessage::Stock(StockAnswer {
             from: self.daemon.clone(),
-            number: question.number,
-            feeds: self.stock.borrow().missing(&question.known),
+            number: request.number,
+            feeds: self.stock.borrow().missing(&request.known),
         });
         // A requester whose link is not up yet asks again.
-        self.placing.borrow().send(&question.from, &answer);
+        self.placing.borrow().send(&request.from, &response);
     }
 
-    pub(super) fn take_stock(&self, answer: StockAnswer) {
-        if !self.joins.borrow().awaits(&answer.from, answer.number) {
+    pub(super) fn apply_snapshot(&self, response: StockAnswer) {
+        if !self.joins.borrow().awaits(&response.from, response.number) {
             return;
         }
-        for objects in answer.feeds {
-            self.pass_on(objects);
+        for objects in response.feeds {
+            self.apply_objects(objects);
         }
         let complete = self.stock.borrow().is_complete();
-        self.joins.borrow_mut().take_stock(&answer.from, complete);
+        self.joins
+            .borrow_mut()
+            .apply_snapshot(&response.from, complete);
     }
 
-    pub(super) fn take_objects(&self, objects: FeedObjects) {
-        if self.joins.borrow().is_joined() {
-            self.pass_on(objects);
+    pub(super) fn handle_objects(&self, objects: FeedObjects) {
+        if self.joins.borrow().is_subscribed() {
+            self.apply_objects(objects);
         }
     }
 
-    fn pass_on(&self, objects: FeedObjects) {
-        self.stock_objects(objects.clone());
+    fn apply_objects(&self, objects: FeedObjects) {
+        self.update_snapshot(objects.clone());
         // The control thread runs until the process ends.
         let _ = self.news.send(ControlNews::PeerObjects(objects));
     }
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -25,13 +25,13 @@
 
 /// Largest fleet without hubs: up to this size, a full mesh costs less than the delay of
 /// two more hops.
-const MOST_WITHOUT_HUBS: usize = 16;
+const MAX_MESH_SIZE: usize = 16;
 /// Silence after which another daemon is selected as the hub.
-const HUB_SILENCE: Duration = Duration::from_millis(1_200);
+const HUB_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time that a new hub has to send its first message.
-const HUB_START: Duration = Duration::from_millis(2_500);
+const HUB_START_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time for which a silent hub is not selected again.
-const PASSED_OVER: Duration = Duration::from_secs(6);
+const SKIP_TIME: Duration = Duration::from_secs(6);
 /// Time after the last hint of a member for which a daemon goes on acting as its hub.
 const ACTING_TIME: Duration = Duration::from_millis(1_500);
 
@@ -74,37 +74,37 @@
 pub struct HubBook {
     role: Option<PeerRole>,
     hub_since: Option<(DaemonId, MonoTime)>,
-    passed_over: IndexMap<DaemonId, MonoTime>,
+    skipped: IndexMap<DaemonId, MonoTime>,
     last_hints: IndexMap<DaemonId, MonoTime>,
     // When hubs had their last response from the store.
-    store_heard: IndexMap<DaemonId, MonoTime>,
+    store_contact: IndexMap<DaemonId, MonoTime>,
 }
 
 impl HubBook {
     /// Records a hint: in a large fleet, daemons send hints only to the hub they selected.
-    pub fn note_hint(&mut self, from: &DaemonId, now: MonoTime) {
+    pub fn record_hint(&mut self, from: &DaemonId, now: MonoTime) {
         self.last_hints.insert(from.clone(), now);
     }
 
     /// Records how long ago a hub had its last response from the store.
-    pub fn note_store(&mut self, hub: &DaemonId, age: Duration, now: MonoTime) {
+    pub fn record_store_age(&mut self, hub: &DaemonId, age: Duration, now: MonoTime) {
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        let heard = MonoTime(now.0.saturating_sub(age));
-        self.store_heard.insert(hub.clone(), heard);
+        let contact = MonoTime(now.0.saturating_sub(age));
+        self.store_contact.insert(hub.clone(), contact);
     }
 
     /// Returns when a hub had its last response from the store, by its own report.
     #[must_use]
-    pub fn store_heard(&self, hub: &DaemonId) -> Option<MonoTime> {
-        self.store_heard.get(hub).copied()
+    pub fn store_contact(&self, hub: &DaemonId) -> Option<MonoTime> {
+        self.store_contact.get(hub).copied()
     }
 
     /// Whether a hub had a response from the store within a time. Otherwise a hub that is
     /// cut off from the store would keep its whole data centre on an old configuration.
     #[must_use]
-    pub fn is_fed_by(&self, hub: &DaemonId, within: Duration, now: MonoTime) -> bool {
-        let heard = self.store_heard(hub);
-        heard.is_some_and(|at| now.since(at) < within)
+    pub fn has_recent_store(&self, hub: &DaemonId, within: Duration, now: MonoTime) -> bool {
+        let contact = self.store_contact(hub);
+        contact.is_some_and(|at| now.since(at) < within)
     }
 
     /// Whether this daemon acts as a hub.
@@ -116,37 +116,37 @@
     /// Decides the current role of this daemon.
     pub fn role(
         &mut self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerBook,
         now: MonoTime,
     ) -> PeerRole {
-        let role = self.decide(own, daemons, peers, now);
+        let role = self.select_role(local, daemons, peers, now);
         self.role = Some(role.clone());
         role
     }
 
-    fn decide(
+    fn select_role(
         &mut self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerBook,
         now: MonoTime,
     ) -> PeerRole {
         let known = |id: &DaemonId| daemons.iter().any(|d| d.id == *id);
-        self.store_heard.retain(|hub, _| known(hub));
+        self.store_contact.retain(|hub, _| known(hub));
         let staying = daemons.iter().filter(|d| !d.leaving).count();
-        if staying <= MOST_WITHOUT_HUBS {
+        if staying <= MAX_MESH_SIZE {
             return PeerRole::Mesh;
         }
-        self.passed_over.retain(|_, until| now < *until);
+        self.skipped.retain(|_, until| now < *until);
         self.last_hints.retain(|_, at| now.since(*at) < ACTING_TIME);
-        self.pass_over_silent(peers, now);
-        let centre = daemons.iter().find(|d| d.id == *own).map(|d| &d.centre);
-        let hub = centre.and_then(|centre| self.first_of(centre, own, daemons));
+        self.skip_unresponsive(peers, now);
+        let centre = daemons.iter().find(|d| d.id == *local).map(|d| &d.centre);
+        let hub = centre.and_then(|centre| self.first_in_centre(centre, local, daemons));
         let acting = !self.last_hints.is_empty();
         match hub {
-            Some(hub) if hub != *own && !acting => {
+            Some(hub) if hub != *local && !acting => {
                 let since = self.hub_since.take().filter(|(known, _)| *known == hub);
                 self.hub_since = Some(since.unwrap_or((hub.clone(), now)));
                 PeerRole::Member(hub)
@@ -155,27 +155,27 @@
         }
     }
 
-    fn pass_over_silent(&mut self, peers: &PeerBook, now: MonoTime) {
+    fn skip_unresponsive(&mut self, peers: &PeerBook, now: MonoTime) {
         let Some((hub, since)) = &self.hub_since else {
             return;
         };
-        let started = now.since(*since) > HUB_START;
-        if started && !peers.was_heard_within(hub, HUB_SILENCE, now) {
+        let started = now.since(*since) > HUB_START_TIMEOUT;
+        if started && !peers.was_reachable_within(hub, HUB_TIMEOUT, now) {
             log::warn!(hub = hub.as_str(); "hub does not respond; selecting the next daemon as hub");
-            self.passed_over.insert(hub.clone(), now.plus(PASSED_OVER));
+            self.skipped.insert(hub.clone(), now.plus(SKIP_TIME));
             self.hub_since = None;
         }
     }
 
-    fn first_of(
+    fn first_in_centre(
         &self,
         centre: &CentreName,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
     ) -> Option<DaemonId> {
-        let there = daemons.iter().filter(|d| d.centre == *centre && !d.leaving);
-        let sound = |id: &DaemonId| id == own || !self.passed_over.contains_key(id);
-        first_in_order(there.filter(|d| sound(&d.id)))
+        let candidates = daemons.iter().filter(|d| d.centre == *centre && !d.leaving);
+        let eligible = |id: &DaemonId| id == local || !self.skipped.contains_key(id);
+        first_in_order(candidates.filter(|d| eligible(&d.id)))
     }
 
     /// Returns the hub that watches the store for this one; `None` if this hub is the first
@@ -183,17 +183,17 @@
     #[must_use]
     pub fn store_hub(
         &self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerBook,
         now: MonoTime,
     ) -> Option<DaemonId> {
-        let hubs = self.links(&PeerRole::Hub, own, daemons).into_iter();
+        let hubs = self.links(&PeerRole::Hub, local, daemons).into_iter();
         let hubs = hubs.filter(|(_, kind)| *kind == LinkKind::OtherHub);
-        let heard = hubs.filter(|(d, _)| peers.was_heard_within(&d.id, HUB_SILENCE, now));
-        let others: Vec<DaemonRecord> = heard.map(|(d, _)| d).collect();
-        let itself = daemons.iter().filter(|d| d.id == *own);
-        first_in_order(others.iter().chain(itself)).filter(|first| first != own)
+        let reachable = hubs.filter(|(d, _)| peers.was_reachable_within(&d.id, HUB_TIMEOUT, now));
+        let others: Vec<DaemonRecord> = reachable.map(|(d, _)| d).collect();
+        let local_record = daemons.iter().filter(|d| d.id == *local);
+        first_in_order(others.iter().chain(local_record)).filter(|first| first != local)
     }
 
     /// Returns the rank of this daemon among those that receive the state of the whole
@@ -201,7 +201,7 @@
     #[must_use]
     pub fn speaker_rank(
         &self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerBook,
         now: MonoTime,
@@ -210,12 +210,13 @@
         if matches!(role, PeerRole::Member(_)) {
             return None;
         }
-        let itself = daemons.iter().find(|d| d.id == *own)?;
-        let others = self.links(role, own, daemons).into_iter();
-        let speakers = others.filter(|(_, kind)| *kind != LinkKind::Member);
-        let heard = speakers.filter(|(d, _)| peers.was_heard_within(&d.id, HUB_SILENCE, now));
-        let before = |d: &DaemonRecord| precedence(d) < precedence(itself);
-        Some(heard.filter(|(d, _)| before(d)).count())
+        let local_record = daemons.iter().find(|d| d.id == *local)?;
+        let others = self.links(role, local, daemons).into_iter();
+        let full_view_peers = others.filter(|(_, kind)| *kind != LinkKind::Member);
+        let reachable =
+            full_view_peers.filter(|(d, _)| peers.was_reachable_within(&d.id, HUB_TIMEOUT, now));
+        let before = |d: &DaemonRecord| precedence(d) < precedence(local_record);
+        Some(reachable.filter(|(d, _)| before(d)).count())
     }
 
     /// Returns the links that a role needs.
@@ -223,27 +224,31 @@
     pub fn links(
         &self,
         role: &PeerRole,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
     ) -> Vec<(DaemonRecord, LinkKind)> {
-        let others = daemons.iter().filter(|d| d.id != *own);
+        let others = daemons.iter().filter(|d| d.id != *local);
         match role {
             PeerRole::Mesh => others.map(|d| (d.clone(), LinkKind::Hint)).collect(),
             PeerRole::Member(hub) => others
                 .filter(|d| d.id == *hub)
                 .map(|d| (d.clone(), LinkKind::Hint))
                 .collect(),
-            PeerRole::Hub => self.hub_links(own, daemons),
+            PeerRole::Hub => self.hub_links(local, daemons),
         }
     }
 
-    fn hub_links(&self, own: &DaemonId, daemons: &[DaemonRecord]) -> Vec<(DaemonRecord, LinkKind)> {
-        let centre = daemons.iter().find(|d| d.id == *own).map(|d| &d.centre);
+    fn hub_links(
+        &self,
+        local: &DaemonId,
+        daemons: &[DaemonRecord],
+    ) -> Vec<(DaemonRecord, LinkKind)> {
+        let centre = daemons.iter().find(|d| d.id == *local).map(|d| &d.centre);
         let kind = |daemon: &DaemonRecord| {
             if self.last_hints.contains_key(&daemon.id) {
                 return Some(LinkKind::Member);
             }
-            let first = self.first_of(&daemon.centre, own, daemons);
+            let first = self.first_in_centre(&daemon.centre, local, daemons);
             let is_hub = first.is_some_and(|first| first == daemon.id);
             if Some(&daemon.centre) != centre {
                 return is_hub.then_some(LinkKind::OtherHub);
@@ -255,7 +260,7 @@
                 LinkKind::Member
             })
         };
-        let others = daemons.iter().filter(|d| d.id != *own);
+        let others = daemons.iter().filter(|d| d.id != *local);
         others.filter_map(|d| Some((d.clone(), kind(d)?))).collect()
     }
 }
@@ -275,56 +280,56 @@
 #[derive(Debug, Default)]
 pub struct RelayedNews {
     // Newly cached prompt parts reported by members, for other hubs and members.
-    members_held: Vec<HeldNote>,
+    from_members: Vec<HeldNote>,
     // The same, reported by other hubs, for members.
-    hubs_held: Vec<HeldNote>,
-    hub_turns: NoteTurns,
-    member_turns: NoteTurns,
+    from_hubs: Vec<HeldNote>,
+    hub_broadcasts: NoteTurns,
+    fleet_broadcasts: NoteTurns,
 }
 
 /// Most updates that wait for the next message; a daemon that is no hub relays none.
-const MOST_RELAYED: usize = 4_096;
+const MAX_RELAYED: usize = 4_096;
 
 impl RelayedNews {
     /// Queues updates from a member.
-    pub fn keep_member(&mut self, notes: &[HeldNote]) {
-        keep(&mut self.members_held, notes);
+    pub fn queue_from_member(&mut self, updates: &[HeldNote]) {
+        queue_updates(&mut self.from_members, updates);
     }
 
     /// Queues updates from another hub.
-    pub fn keep_hub(&mut self, notes: &[HeldNote]) {
-        keep(&mut self.hubs_held, notes);
+    pub fn queue_from_hub(&mut self, updates: &[HeldNote]) {
+        queue_updates(&mut self.from_hubs, updates);
     }
 
     /// Takes the updates from members and those from other hubs since the last message.
-    pub fn take_held(&mut self) -> (Vec<HeldNote>, Vec<HeldNote>) {
+    pub fn take_cached_updates(&mut self) -> (Vec<HeldNote>, Vec<HeldNote>) {
         (
-            std::mem::take(&mut self.members_held),
-            std::mem::take(&mut self.hubs_held),
+            std::mem::take(&mut self.from_members),
+            std::mem::take(&mut self.from_hubs),
         )
     }
 
     /// Returns the broadcast schedule for members, which get the status of the `whole`
     /// fleet, or the one for other hubs.
-    pub fn turns(&mut self, whole: bool) -> &mut NoteTurns {
+    pub fn broadcasts(&mut self, whole: bool) -> &mut NoteTurns {
         if whole {
-            &mut self.member_turns
+            &mut self.fleet_broadcasts
         } else {
-            &mut self.hub_turns
+            &mut self.hub_broadcasts
         }
     }
 }
 
-fn keep(kept: &mut Vec<HeldNote>, notes: &[HeldNote]) {
-    if kept.len() >= MOST_RELAYED {
-        kept.clear();
+fn queue_updates(queue: &mut Vec<HeldNote>, updates: &[HeldNote]) {
+    if queue.len() >= MAX_RELAYED {
+        queue.clear();
     }
-    kept.extend_from_slice(notes);
+    queue.extend_from_slice(updates);
 }
 
 /// Returns the status that a hub reports about itself.
 #[must_use]
-pub fn own_note(hint: &PeerHint) -> MemberNote {
+pub fn local_status(hint: &PeerHint) -> MemberNote {
     MemberNote {
         id: hint.from.clone(),
         age_ms: 0,
@@ -336,8 +341,8 @@
 }
 
 /// Subtracts a daemon's own work, as it last reported it, from a sum that contains it.
-pub fn subtract(sum: &mut WorkByTarget, own: &WorkByTarget) {
-    for (target, work) in own {
+pub fn subtract(sum: &mut WorkByTarget, local: &WorkByTarget) {
+    for (target, work) in local {
         if let Some(total) = sum.get_mut(target) {
             total.subtract(work);
         }
--- a/src/gateway/peers/link_queue.rs
+++ b/src/gateway/peers/link_queue.rs
@@ -12,10 +12,10 @@
 /// Changes of objects that may wait for a slow link before all objects are sent instead:
 /// about as many as a fleet of thousands of targets has objects, since up to there the
 /// changes take less bandwidth. All objects of 4,500 targets are 1.3 MB for each receiver.
-const MOST_CHANGES: usize = 4_096;
+const MAX_CHANGES: usize = 4_096;
 /// Most messages sent between two status messages while more wait: 64 changes of 0.4 kB
 /// take as long as a status message of a large fleet, so a full link is shared evenly.
-const MOST_BETWEEN_WORDS: usize = 64;
+const MAX_BETWEEN_STATUS: usize = 64;
 
 /// Broadcasts changes of objects to all links. The configuration has its own channel, which
 /// is sent before waiting changes of targets and daemons.
@@ -28,8 +28,8 @@
 impl<M: Clone> Default for ChangeSenders<M> {
     fn default() -> Self {
         Self {
-            config: broadcast::channel(MOST_CHANGES).0,
-            records: broadcast::channel(MOST_CHANGES).0,
+            config: broadcast::channel(MAX_CHANGES).0,
+            records: broadcast::channel(MAX_CHANGES).0,
         }
     }
 }
@@ -48,15 +48,15 @@
     #[must_use]
     pub fn open<W>(
         &self,
-        word: watch::Receiver<W>,
+        status: watch::Receiver<W>,
         urgent: mpsc::UnboundedReceiver<M>,
     ) -> LinkQueue<W, M> {
         let changes = (self.config.subscribe(), self.records.subscribe());
         LinkQueue {
-            word,
+            status,
             urgent,
             changes: Some(changes),
-            since_word: 0,
+            since_status: 0,
         }
     }
 }
@@ -65,7 +65,7 @@
 #[derive(Debug, Eq, PartialEq)]
 pub enum LinkTask<M> {
     /// Sends the latest status message.
-    Word,
+    Status,
     /// Sends a request or a response.
     Message(M),
     /// Sends a change of an object.
@@ -79,56 +79,56 @@
 /// Messages that wait to be sent on a link.
 #[derive(Debug)]
 pub struct LinkQueue<W, M> {
-    word: watch::Receiver<W>,
+    status: watch::Receiver<W>,
     urgent: mpsc::UnboundedReceiver<M>,
     changes: Option<(broadcast::Receiver<M>, broadcast::Receiver<M>)>,
-    since_word: usize,
+    since_status: usize,
 }
 
 impl<W, M: Clone> LinkQueue<W, M> {
     /// Creates the queue of a link on which no changes of objects are sent.
     #[must_use]
-    pub fn without_changes(word: watch::Receiver<W>, urgent: mpsc::UnboundedReceiver<M>) -> Self {
+    pub fn without_changes(status: watch::Receiver<W>, urgent: mpsc::UnboundedReceiver<M>) -> Self {
         Self {
-            word,
+            status,
             urgent,
             changes: None,
-            since_word: 0,
+            since_status: 0,
         }
     }
 
     /// Returns the latest status message.
-    pub fn word(&mut self) -> watch::Ref<'_, W> {
-        self.word.borrow_and_update()
+    pub fn status(&mut self) -> watch::Ref<'_, W> {
+        self.status.borrow_and_update()
     }
 
     /// Waits for the next task.
     pub async fn next(&mut self) -> LinkTask<M> {
         let changes = self.changes.as_mut();
-        let task = if self.since_word < MOST_BETWEEN_WORDS {
+        let task = if self.since_status < MAX_BETWEEN_STATUS {
             tokio::select! {
                 biased;
                 task = next_message(&mut self.urgent, changes) => task,
-                changed = self.word.changed() => word_task(changed.is_ok()),
+                changed = self.status.changed() => status_task(changed.is_ok()),
             }
         } else {
             tokio::select! {
                 biased;
-                changed = self.word.changed() => word_task(changed.is_ok()),
+                changed = self.status.changed() => status_task(changed.is_ok()),
                 task = next_message(&mut self.urgent, changes) => task,
             }
         };
-        self.since_word = match task {
-            LinkTask::Word => 0,
-            _ => self.since_word + 1,
+        self.since_status = match task {
+            LinkTask::Status => 0,
+            _ => self.since_status + 1,
         };
         task
     }
 }
 
-fn word_task<M>(changed: bool) -> LinkTask<M> {
+fn status_task<M>(changed: bool) -> LinkTask<M> {
     if changed {
-        LinkTask::Word
+        LinkTask::Status
     } else {
         LinkTask::End
     }
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::members::DaemonRecord;
-use crate::gateway::peers::OutgoingWord;
+use crate::gateway::peers::OutgoingStatus;
 use crate::gateway::peers::hub::{LinkKind, PeerRole};
 use crate::gateway::peers::link_queue::{LinkQueue, LinkTask};
 use crate::gateway::peers::wire::PeerMessage;
@@ -25,13 +25,13 @@
 use crate::names::DaemonId;
 
 /// Time limit for opening a link and for sending one message.
-const LINK_WAIT: Duration = Duration::from_millis(1_000);
+const LINK_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Pause before a lost link is reopened.
-const DIAL_PAUSE: Duration = Duration::from_millis(300);
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 /// Silence after which an incoming link is closed.
-const LINK_SILENCE: Duration = Duration::from_secs(5);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Largest message, in bytes: a configuration may take a megabyte.
-const MESSAGE_BYTES: usize = 4 << 20;
+const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 type Link = WebSocketStream<TcpStream>;
 
@@ -45,43 +45,43 @@
         &mut self,
         gateway: &Rc<Gateway>,
         role: &PeerRole,
-        word: &watch::Receiver<OutgoingWord>,
+        status: &watch::Receiver<OutgoingStatus>,
     ) {
-        let wanted = gateway.wanted_links(role);
+        let needed = gateway.needed_links(role);
         let is_hub = |(_, kind): &&(DaemonRecord, LinkKind)| *kind == LinkKind::OtherHub;
-        let hubs = wanted.iter().filter(is_hub);
+        let hubs = needed.iter().filter(is_hub);
         *gateway.other_hubs.borrow_mut() = hubs.map(|(d, _)| d.id.clone()).collect();
         self.0.retain(|id, (address, kind, task)| {
             let same =
                 |(d, k): &(DaemonRecord, LinkKind)| d.id == *id && d.peers == *address && k == kind;
-            let stays = wanted.iter().any(same);
+            let stays = needed.iter().any(same);
             if !stays {
                 task.abort();
             }
             stays
         });
-        for (daemon, kind) in wanted {
+        for (daemon, kind) in needed {
             self.0.entry(daemon.id.clone()).or_insert_with(|| {
-                let sending = keep_sending(gateway.clone(), daemon.clone(), kind, word.clone());
+                let sending = maintain_link(gateway.clone(), daemon.clone(), kind, status.clone());
                 (daemon.peers, kind, spawn_local(sending))
             });
         }
     }
 }
 
-async fn keep_sending(
+async fn maintain_link(
     gateway: Rc<Gateway>,
     daemon: DaemonRecord,
     kind: LinkKind,
-    word: watch::Receiver<OutgoingWord>,
+    status: watch::Receiver<OutgoingStatus>,
 ) {
     loop {
-        if let Ok(Some(link)) = timeout(LINK_WAIT, dial(daemon.peers)).await {
+        if let Ok(Some(link)) = timeout(LINK_TIMEOUT, dial(daemon.peers)).await {
             log::info!(peer = daemon.id.as_str(), kind = format!("{kind:?}"); "link to another daemon is up");
-            send_words(&gateway, &daemon, kind, link, word.clone()).await;
+            run_link(&gateway, &daemon, kind, link, status.clone()).await;
             log::info!(peer = daemon.id.as_str(); "link to another daemon is closed");
         }
-        sleep(DIAL_PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -89,30 +89,30 @@
     let stream = TcpStream::connect(address).await.ok()?;
     crate::gateway::client::set_options(&stream).ok()?;
     let url = format!("ws://{address}/");
-    let opened = client_async_with_config(url, stream, Some(config())).await;
+    let opened = client_async_with_config(url, stream, Some(link_config())).await;
     opened.ok().map(|(link, _)| link)
 }
 
-fn config() -> WebSocketConfig {
+fn link_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(8 * 1024)
         .write_buffer_size(0)
-        .max_message_size(Some(MESSAGE_BYTES))
-        .max_frame_size(Some(MESSAGE_BYTES))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
-async fn send_words(
+async fn run_link(
     gateway: &Gateway,
     daemon: &DaemonRecord,
     kind: LinkKind,
     mut link: Link,
-    word: watch::Receiver<OutgoingWord>,
+    status: watch::Receiver<OutgoingStatus>,
 ) {
     let urgent = gateway.placing.borrow_mut().open_link(&daemon.id);
     let mut queue = if kind == LinkKind::Hint {
-        LinkQueue::without_changes(word, urgent)
+        LinkQueue::without_changes(status, urgent)
     } else {
-        gateway.feed_changes.open(word, urgent)
+        gateway.feed_changes.open(status, urgent)
     };
     if kind != LinkKind::Hint {
         let from = gateway.daemon.clone();
@@ -124,16 +124,16 @@
     loop {
         let task = queue.next().await;
         // Other hubs rely only on a hub that watches the store itself.
-        let feeds = kind != LinkKind::OtherHub || gateway.duty.get() == WatchDuty::ForOthers;
+        let relays_store = kind != LinkKind::OtherHub || gateway.duty.get() == WatchDuty::ForOthers;
         let sent = match task {
-            LinkTask::Word => {
-                let message = queue.word().for_link(kind).cloned();
-                send_word(gateway, daemon, kind, &mut link, message).await
+            LinkTask::Status => {
+                let message = queue.status().for_link(kind).cloned();
+                send_status(gateway, daemon, kind, &mut link, message).await
                     && send_config(gateway, daemon, &mut link, &mut sent_version).await
             }
             LinkTask::Message(message) => send(&mut link, message).await,
-            LinkTask::Change(message) if feeds => send(&mut link, message).await,
-            LinkTask::AllObjects if feeds => send_stock(gateway, &mut link).await,
+            LinkTask::Change(message) if relays_store => send(&mut link, message).await,
+            LinkTask::AllObjects if relays_store => send_snapshot(gateway, &mut link).await,
             LinkTask::Change(_) | LinkTask::AllObjects => true,
             LinkTask::End => false,
         };
@@ -143,7 +143,7 @@
     }
 }
 
-async fn send_word(
+async fn send_status(
     gateway: &Gateway,
     daemon: &DaemonRecord,
     kind: LinkKind,
@@ -154,7 +154,7 @@
         Some(message) => send(link, message).await,
         None => true,
     };
-    sent && send_proof(gateway, daemon, kind, link).await
+    sent && send_freshness(gateway, daemon, kind, link).await
 }
 
 async fn send_config(
@@ -171,7 +171,7 @@
     send(link, message.encode()).await
 }
 
-async fn send_proof(
+async fn send_freshness(
     gateway: &Gateway,
     daemon: &DaemonRecord,
     kind: LinkKind,
@@ -180,13 +180,13 @@
     if kind == LinkKind::Hint {
         return true;
     }
-    match gateway.proof_word(&daemon.id, clock::mono_now()) {
-        Some(word) => send(link, word.encode()).await,
+    match gateway.freshness_update(&daemon.id, clock::mono_now()) {
+        Some(update) => send(link, update.encode()).await,
         None => true,
     }
 }
 
-async fn send_stock(gateway: &Gateway, link: &mut Link) -> bool {
+async fn send_snapshot(gateway: &Gateway, link: &mut Link) -> bool {
     let stock = gateway.stock.borrow().all();
     for objects in stock {
         if !send(link, PeerMessage::Objects(objects).encode()).await {
@@ -197,7 +197,7 @@
 }
 
 async fn send(link: &mut Link, message: Message) -> bool {
-    matches!(timeout(LINK_WAIT, link.send(message)).await, Ok(Ok(())))
+    matches!(timeout(LINK_TIMEOUT, link.send(message)).await, Ok(Ok(())))
 }
 
 /// Accepts links from other daemons until the process ends.
@@ -209,23 +209,23 @@
             }
             Err(error) => {
                 log::warn!("cannot accept a link of another daemon, trying again: {error}");
-                sleep(DIAL_PAUSE).await;
+                sleep(RECONNECT_DELAY).await;
             }
         }
     }
 }
 
 async fn receive(gateway: Rc<Gateway>, stream: TcpStream) {
-    let opening = accept_async_with_config(stream, Some(config()));
-    let Ok(Ok(mut link)) = timeout(LINK_WAIT, opening).await else {
+    let opening = accept_async_with_config(stream, Some(link_config()));
+    let Ok(Ok(mut link)) = timeout(LINK_TIMEOUT, opening).await else {
         return;
     };
-    while let Ok(Some(Ok(message))) = timeout(LINK_SILENCE, link.next()).await {
+    while let Ok(Some(Ok(message))) = timeout(LINK_IDLE_TIMEOUT, link.next()).await {
         let Message::Binary(bytes) = message else {
             continue;
         };
         match ciborium::from_reader::<PeerMessage, _>(&bytes[..]) {
-            Ok(message) => gateway.take_message(message),
+            Ok(message) => gateway.handle_message(message),
             Err(error) => {
                 log::warn!("cannot decode a message of another daemon, closing the link: {error}");
                 return;
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -48,23 +48,23 @@
 use crate::timer::TimerService;
 
 /// Time between two updates of this daemon's role, and between two hints without changes.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const ROLE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two hints of a daemon whose work at targets changed, in a fleet without
 /// hubs. Engines prefill a prompt in 50 to 400 ms; with hints every 200 ms, one in ten
 /// engines that seemed free had 12,000 tokens queued, as several daemons chose it at once.
 /// In a fleet of eight, this costs each daemon 0.8% of a core without load. Hubs announce
 /// their placements to each other instead.
-const HINT_EVERY: Duration = Duration::from_millis(40);
+const HINT_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Messages of one broadcast interval, encoded once for all links.
 #[derive(Clone)]
-struct OutgoingWord {
+struct OutgoingStatus {
     hint: Message,
     centre: Option<Message>,
     fleet: Option<Message>,
 }
 
-impl OutgoingWord {
+impl OutgoingStatus {
     fn for_link(&self, kind: LinkKind) -> Option<&Message> {
         match kind {
             LinkKind::Hint => Some(&self.hint),
@@ -75,30 +75,30 @@
 }
 
 /// Runs the links of a daemon until the process ends.
-pub async fn run(gateway: Rc<Gateway>, listener: TcpListener, relays: feeding::RelayInbox) {
+pub async fn run(gateway: Rc<Gateway>, listener: TcpListener, relays: feeding::RelayReceiver) {
     spawn_local(links::accept(gateway.clone(), listener));
-    spawn_local(feeding::stock_up(gateway.clone(), relays));
-    spawn_local(placing::tell_regularly(gateway.clone()));
-    let (words, word) = watch::channel(gateway.word(&PeerRole::Mesh));
+    spawn_local(feeding::maintain_snapshot(gateway.clone(), relays));
+    spawn_local(placing::announce_regularly(gateway.clone()));
+    let (status_sender, outgoing_status) = watch::channel(gateway.outgoing_status(&PeerRole::Mesh));
     let timer = TimerService::start();
-    let mut ticks = timer.every(HINT_EVERY);
-    let mut looks = timer.every(LOOK_EVERY);
+    let mut hint_ticks = timer.every(HINT_INTERVAL);
+    let mut role_ticks = timer.every(ROLE_INTERVAL);
     let mut senders = links::LinkSenders::default();
     let mut role = PeerRole::Mesh;
     loop {
         tokio::select! {
-            Some(_) = looks.next() => {
+            Some(_) = role_ticks.next() => {
                 role = gateway.update_role();
-                senders.adjust(&gateway, &role, &word);
+                senders.adjust(&gateway, &role, &outgoing_status);
             }
-            Some(_) = ticks.next() => {
+            Some(_) = hint_ticks.next() => {
                 if role != PeerRole::Mesh || !gateway.has_new_work() {
                     continue;
                 }
             }
             else => return,
         }
-        words.send_replace(gateway.word(&role));
+        status_sender.send_replace(gateway.outgoing_status(&role));
     }
 }
 
@@ -107,11 +107,11 @@
     #[must_use]
     pub fn work_rate(&self) -> WorkRate {
         let now = clock::mono_now();
-        let own = self.core.borrow_mut().work.rate(now);
-        let others = self.peers.borrow().work_rate(now);
+        let local = self.core.borrow_mut().work.rate(now);
+        let peers = self.peers.borrow().work_rate(now);
         WorkRate {
-            read_tokens: own.read_tokens + others.read_tokens,
-            written_tokens: own.written_tokens + others.written_tokens,
+            read_tokens: local.read_tokens + peers.read_tokens,
+            written_tokens: local.written_tokens + peers.written_tokens,
         }
     }
 
@@ -126,8 +126,8 @@
     #[must_use]
     pub fn rank(&self) -> usize {
         let view = self.view();
-        let own = &self.daemon;
-        let before = view.daemons.iter().filter(|d| d.id < *own && !d.leaving);
+        let local = &self.daemon;
+        let before = view.daemons.iter().filter(|d| d.id < *local && !d.leaving);
         before.filter(|d| self.is_usable(&d.id)).count()
     }
 
@@ -157,40 +157,40 @@
             leaving: self.stopping.get(),
             config_version: view.routes.as_ref().map_or(0, |routes| routes.version),
             work: work.collect(),
-            held: peers.take_held(),
+            held: peers.take_cached_updates(),
             departed: view.departed.clone(),
-            entries: self.entry_notes(role),
+            entries: self.due_entries(role),
             works: self.crashes.borrow_mut().pick(clock::mono_now()),
             changing: self.own_changing.borrow().clone(),
             rate,
-            placed_through: self.placing.borrow().taken_through(),
+            placed_through: self.placing.borrow().used_through(),
             seen: self.seen.take(),
             clock: clock::mono_now(),
             confirms_keys: self.confirms_keys(clock::mono_now()),
             wall: clock::unix_now(),
-            usage: self.take_usage_news(),
+            usage: self.take_usage_updates(),
         }
     }
 
     // In a fleet with hubs the entries themselves are relayed to each daemon, so only
     // removals are sent.
-    fn entry_notes(&self, role: &PeerRole) -> Vec<EntryNote> {
+    fn due_entries(&self, role: &PeerRole) -> Vec<EntryNote> {
         let view = self.view();
-        let mut turns = self.entry_turns.borrow_mut();
-        let mut notes = turns.pick(&view.entry_notes, clock::mono_now());
+        let mut broadcasts = self.entry_turns.borrow_mut();
+        let mut changes = broadcasts.pick(&view.entry_notes, clock::mono_now());
         if *role != PeerRole::Mesh {
-            notes.retain(|note| note.value.is_none());
+            changes.retain(|change| change.value.is_none());
         }
-        notes
+        changes
     }
 
     // Builds the messages of this interval. Newly cached parts are sent once, to all daemons
     // that this one has a link to.
-    fn word(&self, role: &PeerRole) -> OutgoingWord {
+    fn outgoing_status(&self, role: &PeerRole) -> OutgoingStatus {
         let hint = self.hint(role);
         let (centre, fleet) = match role {
             PeerRole::Hub => {
-                let (from_members, from_hubs) = self.relayed.borrow_mut().take_held();
+                let (from_members, from_hubs) = self.relayed.borrow_mut().take_cached_updates();
                 let mut held = hint.held.clone();
                 held.extend(from_members);
                 let mut centre = self.summary(&hint, false, held.clone());
@@ -202,7 +202,7 @@
             PeerRole::Mesh | PeerRole::Member(_) => (None, None),
         };
         *self.last_hint_work.borrow_mut() = hint.work.iter().cloned().collect();
-        OutgoingWord {
+        OutgoingStatus {
             hint: PeerMessage::Hint(hint).encode(),
             centre: centre.map(|summary| PeerMessage::Summary(summary).encode()),
             fleet: fleet.map(|summary| PeerMessage::Summary(summary).encode()),
@@ -212,17 +212,21 @@
     fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<HeldNote>) -> PeerSummary {
         let now = clock::mono_now();
         let peers = self.peers.borrow();
-        let notes = if whole {
-            peers.all_notes(now)
+        let status = if whole {
+            peers.all_status(now)
         } else {
-            peers.direct_notes(now)
+            peers.direct_status(now)
         };
-        let direct: IndexSet<DaemonId> = notes.iter().map(|note| note.id.clone()).collect();
-        let mut members = self.relayed.borrow_mut().turns(whole).pick(notes);
-        members.push(hub::own_note(hint));
+        let direct: IndexSet<DaemonId> = status.iter().map(|member| member.id.clone()).collect();
+        let mut members = self
+            .relayed
+            .borrow_mut()
+            .broadcasts(whole)
+            .due_members(status);
+        members.push(hub::local_status(hint));
         let counts = |id: &DaemonId| whole || *id == hint.from || direct.contains(id);
         // Placements made from now on get a higher number than this summary contains.
-        let placed_through = self.tell_placements();
+        let placed_through = self.announce_placements();
         let work = self.core.borrow().load.summed(counts);
         PeerSummary {
             from: hint.from.clone(),
@@ -251,18 +255,18 @@
         self.proofs.borrow_mut().retain(known);
         let mut hubs = self.hubs.borrow_mut();
         let role = hubs.role(&self.daemon, &view.daemons, &peers, now);
-        let placer = match &role {
+        let placement_hub = match &role {
             PeerRole::Member(hub) => Some(hub.clone()),
             PeerRole::Hub | PeerRole::Mesh => None,
         };
-        self.placing.borrow_mut().set_placer(placer);
+        self.placing.borrow_mut().set_placement_hub(placement_hub);
         drop(peers);
         drop(hubs);
-        self.update_duty(&role, now);
+        self.update_watch_mode(&role, now);
         role
     }
 
-    fn wanted_links(&self, role: &PeerRole) -> Vec<(DaemonRecord, LinkKind)> {
+    fn needed_links(&self, role: &PeerRole) -> Vec<(DaemonRecord, LinkKind)> {
         let view = self.view();
         self.hubs.borrow().links(role, &self.daemon, &view.daemons)
     }
@@ -282,18 +286,18 @@
         })
     }
 
-    fn take_message(&self, message: PeerMessage) {
+    fn handle_message(&self, message: PeerMessage) {
         match message {
-            PeerMessage::Hint(hint) => self.take_hint(hint),
-            PeerMessage::Summary(summary) => self.take_summary(summary),
-            PeerMessage::Objects(objects) => self.take_objects(objects),
-            PeerMessage::NewLink { from } => self.joins.borrow_mut().note_new_link(&from),
-            PeerMessage::WantStock(question) => self.answer_stock(&question),
-            PeerMessage::Stock(answer) => self.take_stock(answer),
-            PeerMessage::Place(question) => self.answer_place(&question),
-            PeerMessage::Placed(answer) => self.take_place(answer),
-            PeerMessage::Placements(notes) => self.take_placements(&notes),
-            PeerMessage::Proof(word) => self.take_proof(&word),
+            PeerMessage::Hint(hint) => self.handle_hint(hint),
+            PeerMessage::Summary(summary) => self.handle_summary(summary),
+            PeerMessage::Objects(objects) => self.handle_objects(objects),
+            PeerMessage::NewLink { from } => self.joins.borrow_mut().handle_new_link(&from),
+            PeerMessage::WantStock(request) => self.answer_snapshot_request(&request),
+            PeerMessage::Stock(response) => self.apply_snapshot(response),
+            PeerMessage::Place(request) => self.answer_placement_request(&request),
+            PeerMessage::Placed(response) => self.handle_placement_response(response),
+            PeerMessage::Placements(batch) => self.apply_placements(&batch),
+            PeerMessage::Proof(update) => self.apply_freshness(&update),
             PeerMessage::Config { revision, value } => {
                 // The control thread runs until the process ends.
                 let _ = self.news.send(ControlNews::PeerConfig { revision, value });
@@ -303,7 +307,7 @@
 
     // The incarnation in a hint has to match the sender's record in the store, which only
     // daemons can read; messages of any other process are ignored.
-    fn take_hint(&self, hint: PeerHint) {
+    fn handle_hint(&self, hint: PeerHint) {
         let view = self.view();
         let known = view
             .daemons
@@ -313,30 +317,32 @@
             return;
         }
         let now = clock::mono_now();
-        let own_version = view.routes.as_ref().map_or(0, |routes| routes.version);
-        self.peers.borrow_mut().note_hint(&hint, own_version, now);
+        let local_version = view.routes.as_ref().map_or(0, |routes| routes.version);
+        self.peers
+            .borrow_mut()
+            .record_hint(&hint, local_version, now);
         self.proofs
             .borrow_mut()
-            .note_clock(&hint.from, hint.life, hint.clock);
-        self.take_member_usage(&hint, now);
-        self.take_held_notes(&hint.held);
-        self.hubs.borrow_mut().note_hint(&hint.from, now);
-        self.relayed.borrow_mut().keep_member(&hint.held);
-        self.take_departed(&hint.departed);
-        self.take_entry_notes(hint.entries);
+            .record_clock(&hint.from, hint.life, hint.clock);
+        self.apply_member_usage(&hint, now);
+        self.apply_cached_updates(&hint.held);
+        self.hubs.borrow_mut().record_hint(&hint.from, now);
+        self.relayed.borrow_mut().queue_from_member(&hint.held);
+        self.apply_departures(&hint.departed);
+        self.apply_entry_changes(hint.entries);
         self.take_work_notes(&hint.works);
-        self.take_seen(&hint.seen);
+        self.apply_results(&hint.seen);
         let work = hint.work.into_iter().collect();
         let load = &mut self.core.borrow_mut().load;
         load.settle_promises(&hint.from, hint.placed_through);
         load.set_other(hint.from, work, now);
     }
 
-    fn take_held_notes(&self, notes: &[HeldNote]) {
+    fn apply_cached_updates(&self, updates: &[HeldNote]) {
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
-        for note in notes {
-            let parts: Vec<PromptPart> = note
+        for update in updates {
+            let parts: Vec<PromptPart> = update
                 .parts
                 .iter()
                 .map(|(key, tokens)| PromptPart {
@@ -344,28 +350,28 @@
                     tokens: *tokens,
                 })
                 .collect();
-            core.note_parts(&note.engine, &parts, note.ready, now);
+            core.note_parts(&update.engine, &parts, update.ready, now);
         }
     }
 
-    fn take_departed(&self, departed: &[TargetLife]) {
+    fn apply_departures(&self, departed: &[TargetLife]) {
         let view = self.view();
         for target in departed.iter().filter(|target| view.holds(target)) {
             self.tell_departed(target);
         }
     }
 
-    fn take_entry_notes(&self, mut notes: Vec<EntryNote>) {
+    fn apply_entry_changes(&self, mut changes: Vec<EntryNote>) {
         let view = self.view();
-        let is_kept = |note: &EntryNote| view.entry_notes.iter().any(|kept| kept.note == *note);
-        notes.retain(|note| !is_kept(note));
-        if !notes.is_empty() {
+        let is_kept = |change: &EntryNote| view.entry_notes.iter().any(|kept| kept.note == *change);
+        changes.retain(|change| !is_kept(change));
+        if !changes.is_empty() {
             // The control thread runs until the process ends.
-            let _ = self.news.send(ControlNews::EntryNotes(notes));
+            let _ = self.news.send(ControlNews::EntryNotes(changes));
         }
     }
 
-    fn take_summary(&self, summary: PeerSummary) {
+    fn handle_summary(&self, summary: PeerSummary) {
         let view = self.view();
         let sender = (&summary.from, summary.life);
         let known = view.daemons.iter().any(|d| (&d.id, d.life) == sender);
@@ -378,27 +384,31 @@
         let store_age = Duration::from_millis(u64::from(summary.store_age_ms));
         self.hubs
             .borrow_mut()
-            .note_store(&summary.from, store_age, now);
-        self.take_hub_usage(&summary, now);
-        for note in summary.members.iter().filter(|note| note.id != self.daemon) {
-            let rate = if note.id == summary.from {
+            .record_store_age(&summary.from, store_age, now);
+        self.apply_hub_usage(&summary, now);
+        for status in summary
+            .members
+            .iter()
+            .filter(|status| status.id != self.daemon)
+        {
+            let rate = if status.id == summary.from {
                 summary.rate
             } else {
                 WorkRate::default()
             };
             let mut peers = self.peers.borrow_mut();
-            if note.id == summary.from {
-                peers.note_hub(note, rate, now);
+            if status.id == summary.from {
+                peers.record_hub(status, rate, now);
             } else {
-                peers.note_member(note, rate, now);
+                peers.record_member(status, rate, now);
             }
         }
-        self.take_held_notes(&summary.held);
+        self.apply_cached_updates(&summary.held);
         if !summary.whole {
-            self.relayed.borrow_mut().keep_hub(&summary.held);
+            self.relayed.borrow_mut().queue_from_hub(&summary.held);
         }
-        self.take_departed(&summary.departed);
-        self.take_entry_notes(summary.entries);
+        self.apply_departures(&summary.departed);
+        self.apply_entry_changes(summary.entries);
         self.take_work_notes(&summary.works);
         let mut work: WorkByTarget = summary.work.into_iter().collect();
         if summary.whole {
--- a/src/gateway/peers/note_turns.rs
+++ b/src/gateway/peers/note_turns.rs
@@ -15,22 +15,22 @@
 /// Number of messages in which each daemon is included once. Messages are sent every 200 ms
 /// and daemons count as unreachable after 2.6 s: through two hubs, a status is then at most
 /// 1.4 s old, which leaves 1.2 s to replace a hub that fails.
-const TURNS: u64 = 2;
+const ROTATION_LENGTH: u64 = 2;
 
 /// The part of a daemon's status that receivers act on at once.
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct ToldState {
+struct SentStatus {
     leaving: bool,
     confirms_keys: bool,
     changing: Vec<TargetLife>,
 }
 
-impl From<&MemberNote> for ToldState {
-    fn from(note: &MemberNote) -> Self {
+impl From<&MemberNote> for SentStatus {
+    fn from(member: &MemberNote) -> Self {
         Self {
-            leaving: note.leaving,
-            confirms_keys: note.confirms_keys,
-            changing: note.changing.clone(),
+            leaving: member.leaving,
+            confirms_keys: member.confirms_keys,
+            changing: member.changing.clone(),
         }
     }
 }
@@ -38,26 +38,27 @@
 /// The status last sent to one kind of receivers (members or hubs).
 #[derive(Debug, Default)]
 pub struct NoteTurns {
-    told: IndexMap<DaemonId, ToldState>,
-    word: u64,
+    sent: IndexMap<DaemonId, SentStatus>,
+    message_number: u64,
 }
 
 impl NoteTurns {
     /// Returns the status that goes into the next message: of daemons that changed and of
     /// those that are next in the rotation. A receiver that missed a message learns of a
     /// change by the rotation.
-    pub fn pick(&mut self, mut notes: Vec<MemberNote>) -> Vec<MemberNote> {
-        self.word += 1;
-        let word = self.word;
-        let before = std::mem::take(&mut self.told);
-        self.told = notes
+    pub fn due_members(&mut self, mut members: Vec<MemberNote>) -> Vec<MemberNote> {
+        self.message_number += 1;
+        let message_number = self.message_number;
+        let before = std::mem::take(&mut self.sent);
+        self.sent = members
             .iter()
-            .map(|note| (note.id.clone(), ToldState::from(note)))
+            .map(|member| (member.id.clone(), SentStatus::from(member)))
             .collect();
-        notes.retain(|note| {
-            let turn = xxh3_64(note.id.as_str().as_bytes()) % TURNS == word % TURNS;
-            turn || before.get(&note.id) != self.told.get(&note.id)
+        members.retain(|member| {
+            let is_due = xxh3_64(member.id.as_str().as_bytes()) % ROTATION_LENGTH
+                == message_number % ROTATION_LENGTH;
+            is_due || before.get(&member.id) != self.sent.get(&member.id)
         });
-        notes
+        members
     }
 }
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -29,19 +29,19 @@
 
 /// Time limit for a placement response. A round trip takes 1 to 3 ms; a choice without the
 /// hub costs a request 100 ms and more, and waiting longer than that gains nothing.
-const ANSWER_WAIT: Duration = Duration::from_millis(40);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(40);
 /// Time for which a daemon that did not respond gets no placement requests.
-const NOT_ASKED: Duration = Duration::from_millis(1_000);
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// Receives the response to a placement request.
-pub type PlaceWait = oneshot::Receiver<Option<PlacedEngines>>;
+pub type PlacementReceiver = oneshot::Receiver<Option<PlacedEngines>>;
 
 /// Delay within which a hub announces its placements to the other hubs. The sums of work
 /// that hubs exchange are some hundred milliseconds old when they are used, about as long
 /// as the prefill of a request takes.
-const NOTE_EVERY: Duration = Duration::from_millis(40);
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(40);
 /// Most placements that wait to be announced; without other hubs there is no receiver.
-const MOST_NOTES: usize = 1_024;
+const MAX_PENDING: usize = 1_024;
 
 /// Placements of a hub that it has not announced to the other hubs yet.
 #[derive(Debug, Default)]
@@ -51,9 +51,9 @@
 }
 
 impl PlacementLog {
-    fn note(&mut self, note: PlacementNote) {
-        if self.pending.len() < MOST_NOTES {
-            self.pending.push(note);
+    fn push(&mut self, record: PlacementNote) {
+        if self.pending.len() < MAX_PENDING {
+            self.pending.push(record);
         }
     }
 
@@ -70,27 +70,27 @@
 #[derive(Debug, Default)]
 pub struct PlacingDesk {
     // Daemon that chooses for this one; `None` if this one chooses by itself.
-    placer: Option<DaemonId>,
+    placement_hub: Option<DaemonId>,
     links: IndexMap<DaemonId, mpsc::UnboundedSender<Message>>,
     last_number: u64,
-    taken_through: u64,
+    used_through: u64,
     waiting: IndexMap<u64, oneshot::Sender<Option<PlacedEngines>>>,
-    not_before: Option<MonoTime>,
+    retry_at: Option<MonoTime>,
 }
 
 impl PlacingDesk {
     /// Sets the daemon that placement requests are sent to.
-    pub fn set_placer(&mut self, placer: Option<DaemonId>) {
-        if self.placer != placer {
-            self.placer = placer;
-            self.not_before = None;
+    pub fn set_placement_hub(&mut self, placement_hub: Option<DaemonId>) {
+        if self.placement_hub != placement_hub {
+            self.placement_hub = placement_hub;
+            self.retry_at = None;
         }
     }
 
     /// Whether placement requests are sent to another daemon.
     #[must_use]
-    pub fn has_placer(&self) -> bool {
-        self.placer.is_some()
+    pub fn has_placement_hub(&self) -> bool {
+        self.placement_hub.is_some()
     }
 
     /// Opens a queue of messages that a link sends between its status messages.
@@ -103,8 +103,8 @@
     /// Returns the number of the last placement request whose response was used; the
     /// resulting work is included in this daemon's hints from now on.
     #[must_use]
-    pub fn taken_through(&self) -> u64 {
-        self.taken_through
+    pub fn used_through(&self) -> u64 {
+        self.used_through
     }
 
     fn send_to(&self, daemons: &[DaemonId], message: &PeerMessage) {
@@ -123,39 +123,43 @@
 
     /// Sends a placement request and returns its number and the receiver of the response;
     /// `None` if no other daemon chooses for this one, or it cannot be asked now.
-    pub fn ask(&mut self, question: PlaceQuestion, now: MonoTime) -> Option<(u64, PlaceWait)> {
-        let placer = self.placer.clone()?;
-        if self.not_before.is_some_and(|until| now < until) {
+    pub fn send_request(
+        &mut self,
+        request: PlaceQuestion,
+        now: MonoTime,
+    ) -> Option<(u64, PlacementReceiver)> {
+        let placement_hub = self.placement_hub.clone()?;
+        if self.retry_at.is_some_and(|until| now < until) {
             return None;
         }
         let number = self.last_number + 1;
-        let question = PlaceQuestion { number, ..question };
-        if !self.send(&placer, &PeerMessage::Place(question)) {
+        let request = PlaceQuestion { number, ..request };
+        if !self.send(&placement_hub, &PeerMessage::Place(request)) {
             return None;
         }
         self.last_number = number;
-        let (answer, waits) = oneshot::channel();
-        self.waiting.insert(number, answer);
-        Some((number, waits))
+        let (response, receiver) = oneshot::channel();
+        self.waiting.insert(number, response);
+        Some((number, receiver))
     }
 
     /// Passes a response to the request that waits for it.
-    pub fn take_answer(&mut self, answer: PlaceAnswer) {
-        if let Some(waiting) = self.waiting.swap_remove(&answer.number) {
+    pub fn deliver_response(&mut self, response: PlaceAnswer) {
+        if let Some(waiting) = self.waiting.swap_remove(&response.number) {
             // The request may have stopped waiting in the meantime.
-            let _ = waiting.send(answer.engines);
+            let _ = waiting.send(response.engines);
         }
     }
 
     /// Records that the response to a placement request was used.
-    pub fn note_taken(&mut self, number: u64) {
-        self.taken_through = self.taken_through.max(number);
+    pub fn record_use(&mut self, number: u64) {
+        self.used_through = self.used_through.max(number);
     }
 
     /// Records that a placement request had no response in time.
-    pub fn note_silence(&mut self, number: u64, now: MonoTime) {
+    pub fn record_timeout(&mut self, number: u64, now: MonoTime) {
         self.waiting.swap_remove(&number);
-        self.not_before = Some(now.plus(NOT_ASKED));
+        self.retry_at = Some(now.plus(RETRY_DELAY));
     }
 }
 
@@ -167,39 +171,39 @@
         call: &RoutedCall,
         trail: &SendTrail,
     ) -> Option<EnginePlace> {
-        match self.ask_placer(call, trail).await {
+        match self.request_placement(call, trail).await {
             Some(place) => Some(place),
-            None => self.place_alone(call, trail),
+            None => self.place_locally(call, trail),
         }
     }
 
-    fn place_alone(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    fn place_locally(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
         let place = self.place(call, trail)?;
         if let Some(prompt) = &call.caller.prompt {
-            self.note_placement(prompt, &place);
+            self.queue_placement(prompt, &place);
         }
         Some(place)
     }
 
-    async fn ask_placer(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    async fn request_placement(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
         let now = clock::mono_now();
-        let question = self.question(call, trail);
-        let (number, answer) = self.placing.borrow_mut().ask(question, now)?;
-        let answer = timeout(ANSWER_WAIT, answer).await;
+        let request = self.placement_request(call, trail);
+        let (number, response) = self.placing.borrow_mut().send_request(request, now)?;
+        let response = timeout(RESPONSE_TIMEOUT, response).await;
         let mut placing = self.placing.borrow_mut();
-        let Ok(Ok(engines)) = answer else {
-            placing.note_silence(number, clock::mono_now());
+        let Ok(Ok(engines)) = response else {
+            placing.record_timeout(number, clock::mono_now());
             metrics::counter!("pistachiowick_place_questions_total", "outcome" => "silence")
                 .increment(1);
             return None;
         };
-        placing.note_taken(number);
+        placing.record_use(number);
         metrics::counter!("pistachiowick_place_questions_total", "outcome" => "answered")
             .increment(1);
         self.resolve(call, &engines?)
     }
 
-    fn question(&self, call: &RoutedCall, trail: &SendTrail) -> PlaceQuestion {
+    fn placement_request(&self, call: &RoutedCall, trail: &SendTrail) -> PlaceQuestion {
         let prompt = call.caller.prompt.clone().unwrap_or_default();
         let now = clock::mono_now();
         let core = self.core.borrow();
@@ -247,49 +251,49 @@
     }
 
     /// Answers a placement request of another daemon.
-    pub fn answer_place(&self, question: &PlaceQuestion) {
+    pub fn answer_placement_request(&self, request: &PlaceQuestion) {
         let view = self.view();
-        let asker = (&question.from, question.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.life) == asker) {
+        let requester = (&request.from, request.life);
+        if !view.daemons.iter().any(|d| (&d.id, d.life) == requester) {
             return;
         }
         let prompt = PromptShape {
             model: String::new(),
-            prompt_tokens: question.prompt_tokens,
-            output_tokens: question.output_tokens,
-            parts: parts_of(&question.parts),
+            prompt_tokens: request.prompt_tokens,
+            output_tokens: request.output_tokens,
+            parts: parts_of(&request.parts),
         };
         let order = PlaceOrder {
             choices: EngineChoices {
-                engines: view.of_service(&question.service),
+                engines: view.of_service(&request.service),
                 changing: &self.changing(),
-                excluded: &question.avoided,
+                excluded: &request.avoided,
             },
             prompt: &prompt,
-            urgency: question.urgency,
-            objective_left: Duration::from_millis(u64::from(question.objective_left_ms)),
+            urgency: request.urgency,
+            objective_left: Duration::from_millis(u64::from(request.objective_left_ms)),
         };
         let place = self.core.borrow().place(&order, clock::mono_now());
         if let Some(place) = &place {
-            self.count_place(question, &prompt, place);
-            self.note_placement(&prompt, place);
+            self.count_placement(request, &prompt, place);
+            self.queue_placement(&prompt, place);
         }
-        let answer = PeerMessage::Placed(PlaceAnswer {
-            number: question.number,
+        let response = PeerMessage::Placed(PlaceAnswer {
+            number: request.number,
             engines: place.map(|place| PlacedEngines::from(&place)),
         });
         // A requester whose link is not up yet chooses by itself.
-        self.placing.borrow().send(&question.from, &answer);
+        self.placing.borrow().send(&request.from, &response);
     }
 
     /// Queues a placement of this daemon for the other hubs, if it is a hub.
-    pub fn note_placement(&self, prompt: &PromptShape, place: &EnginePlace) {
+    pub fn queue_placement(&self, prompt: &PromptShape, place: &EnginePlace) {
         if !self.hubs.borrow().is_hub() {
             return;
         }
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let writer = place.reader.as_ref().map(|_| place.writer.id.clone());
-        self.placements.borrow_mut().note(PlacementNote {
+        self.placements.borrow_mut().push(PlacementNote {
             reader: reader.id.clone(),
             writer,
             rank: place.rank,
@@ -301,69 +305,77 @@
 
     /// Announces the queued placements to the other hubs; returns the number of the last
     /// batch that was sent.
-    pub fn tell_placements(&self) -> u64 {
-        let mut log = self.placements.borrow_mut();
-        if let Some((number, placed)) = log.take() {
-            let notes = PeerMessage::Placements(PlacementNotes {
+    pub fn announce_placements(&self) -> u64 {
+        let mut outbox = self.placements.borrow_mut();
+        if let Some((number, placed)) = outbox.take() {
+            let batch = PeerMessage::Placements(PlacementNotes {
                 from: self.daemon.clone(),
                 life: self.life,
                 number,
                 placed,
             });
             let hubs = self.other_hubs.borrow();
-            self.placing.borrow().send_to(&hubs, &notes);
+            self.placing.borrow().send_to(&hubs, &batch);
         }
-        log.last_number
+        outbox.last_number
     }
 
     /// Applies the placements of another hub.
-    pub fn take_placements(&self, notes: &PlacementNotes) {
+    pub fn apply_placements(&self, batch: &PlacementNotes) {
         let view = self.view();
-        let sender = (&notes.from, notes.life);
+        let sender = (&batch.from, batch.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
             return;
         }
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
-        let numbered = (&notes.from, notes.number);
-        for note in &notes.placed {
-            core.load
-                .promise(numbered, &note.reader, (note.rank, note.unread_tokens), now);
-            if let Some(writer) = &note.writer {
-                core.load.promise(numbered, writer, (note.rank, 0), now);
+        let numbered = (&batch.from, batch.number);
+        for record in &batch.placed {
+            core.load.promise(
+                numbered,
+                &record.reader,
+                (record.rank, record.unread_tokens),
+                now,
+            );
+            if let Some(writer) = &record.writer {
+                core.load.promise(numbered, writer, (record.rank, 0), now);
             }
-            core.note_parts(&note.reader, &parts_of(&note.parts), false, now);
+            core.note_parts(&record.reader, &parts_of(&record.parts), false, now);
         }
     }
 
     // Counts a placement before the requester's hint reports it, for the choices until then.
-    fn count_place(&self, question: &PlaceQuestion, prompt: &PromptShape, place: &EnginePlace) {
+    fn count_placement(&self, request: &PlaceQuestion, prompt: &PromptShape, place: &EnginePlace) {
         let now = clock::mono_now();
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let mut core = self.core.borrow_mut();
-        let asker = (&question.from, question.number);
-        core.load
-            .promise(asker, &reader.id, (place.rank, place.unread_tokens), now);
+        let requester = (&request.from, request.number);
+        core.load.promise(
+            requester,
+            &reader.id,
+            (place.rank, place.unread_tokens),
+            now,
+        );
         if place.reader.is_some() {
             core.load
-                .promise(asker, &place.writer.id, (place.rank, 0), now);
+                .promise(requester, &place.writer.id, (place.rank, 0), now);
         }
         core.note_parts(&reader.id, &prompt.parts, false, now);
     }
 
     /// Passes a response to the request that waits for it.
-    pub fn take_place(&self, answer: PlaceAnswer) {
-        self.placing.borrow_mut().take_answer(answer);
+    pub fn handle_placement_response(&self, response: PlaceAnswer) {
+        self.placing.borrow_mut().deliver_response(response);
     }
 }
 
 /// Announces placements to the other hubs until the process ends. Does not wake up while
 /// there are none.
-pub async fn tell_regularly(gateway: Rc<Gateway>) {
+pub async fn announce_regularly(gateway: Rc<Gateway>) {
     loop {
         gateway.placed.notified().await;
-        sleep(NOTE_EVERY).await;
-        gateway.tell_placements();
+        sleep(ANNOUNCE_DELAY).await;
+        gateway.announce_placements();
     }
 }
 
--- a/src/gateway/peers/proofs.rs
+++ b/src/gateway/peers/proofs.rs
@@ -40,25 +40,25 @@
 /// Tracks until when the local configuration is confirmed, by messages of other daemons.
 #[derive(Debug, Default)]
 pub struct ProofBook {
-    heard: IndexMap<DaemonId, (u64, MonoTime)>,
+    clocks: IndexMap<DaemonId, (u64, MonoTime)>,
     confirmed_at: Option<MonoTime>,
 }
 
 impl ProofBook {
     /// Records the clock of a daemon, as received from it.
-    pub fn note_clock(&mut self, daemon: &DaemonId, life: u64, clock: MonoTime) {
-        self.heard.insert(daemon.clone(), (life, clock));
+    pub fn record_clock(&mut self, daemon: &DaemonId, life: u64, clock: MonoTime) {
+        self.clocks.insert(daemon.clone(), (life, clock));
     }
 
     /// Removes the clocks of daemons that are not `known`.
     pub fn retain(&mut self, known: impl Fn(&DaemonId) -> bool) {
-        self.heard.retain(|daemon, _| known(daemon));
+        self.clocks.retain(|daemon, _| known(daemon));
     }
 
     /// Returns the clock last received from a daemon.
     #[must_use]
     pub fn echo(&self, daemon: &DaemonId) -> Option<ClockEcho> {
-        let (life, clock) = self.heard.get(daemon)?;
+        let (life, clock) = self.clocks.get(daemon)?;
         Some(ClockEcho {
             daemon: daemon.clone(),
             life: *life,
@@ -66,15 +66,15 @@
         })
     }
 
-    /// Applies a report to this daemon, `own` with its incarnation, which runs `own_version`.
+    /// Applies a report to this daemon, `local` with its incarnation, running `local_version`.
     ///
     /// A report on a version newer than the local one confirms nothing about the local one.
-    pub fn take(&mut self, note: &ProofNote, own: (&DaemonId, u64), own_version: u64) {
-        let Some(age_ms) = note.age_ms.filter(|_| note.version <= own_version) else {
+    pub fn apply(&mut self, report: &ProofNote, local: (&DaemonId, u64), local_version: u64) {
+        let Some(age_ms) = report.age_ms.filter(|_| report.version <= local_version) else {
             return;
         };
-        let is_own = |echo: &&ClockEcho| (&echo.daemon, echo.life) == own;
-        if let Some(echo) = note.echo.as_ref().filter(is_own) {
+        let is_own = |echo: &&ClockEcho| (&echo.daemon, echo.life) == local;
+        if let Some(echo) = report.echo.as_ref().filter(is_own) {
             let at = MonoTime(echo.clock.0.saturating_sub(age_ms));
             self.confirmed_at = self.confirmed_at.max(Some(at));
         }
@@ -93,8 +93,8 @@
     /// If read before the configuration itself, the value holds for that configuration too.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
-        let told = self.proofs.borrow().confirmed_at();
-        self.pulse.confirmed_at().max(told)
+        let by_peers = self.proofs.borrow().confirmed_at();
+        self.pulse.confirmed_at().max(by_peers)
     }
 
     /// Whether the keys in the local configuration may be assumed to be still in force.
@@ -114,7 +114,11 @@
     // Returns the report for one receiver; nothing if no keys have to be confirmed. Each
     // receiver gets only its own clock back: all clocks in all messages would grow with the
     // square of a data centre, to 2.4 MB a second for a hub of 100 daemons.
-    pub(super) fn proof_word(&self, reader: &DaemonId, now: MonoTime) -> Option<PeerMessage> {
+    pub(super) fn freshness_update(
+        &self,
+        receiver: &DaemonId,
+        now: MonoTime,
+    ) -> Option<PeerMessage> {
         // Read before the version: a newer one may be applied in between, never an older one.
         let confirmed = self.confirmed_at();
         let view = self.view();
@@ -126,20 +130,20 @@
                 clock: now,
                 version: routes.version,
                 age_ms: confirmed.map(|at| millis(now.since(at))),
-                echo: self.proofs.borrow().echo(reader),
+                echo: self.proofs.borrow().echo(receiver),
             },
         }))
     }
 
-    pub(super) fn take_proof(&self, word: &ProofWord) {
+    pub(super) fn apply_freshness(&self, update: &ProofWord) {
         let view = self.view();
-        let sender = (&word.from, word.life);
+        let sender = (&update.from, update.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
             return;
         }
         let version = view.routes.as_ref().map_or(0, |r| r.version);
         let mut proofs = self.proofs.borrow_mut();
-        proofs.note_clock(&word.from, word.life, word.proof.clock);
-        proofs.take(&word.proof, (&self.daemon, self.life), version);
+        proofs.record_clock(&update.from, update.life, update.proof.clock);
+        proofs.apply(&update.proof, (&self.daemon, self.life), version);
     }
 }
--- a/src/gateway/peers/seen.rs
+++ b/src/gateway/peers/seen.rs
@@ -17,11 +17,11 @@
 
 /// Most results in a hint; the rest is dropped. At 450 requests a second a daemon in a
 /// fleet of 195 reports one or two, so this leaves room for bursts.
-const MOST_NOTES: usize = 128;
+const MAX_RESULTS: usize = 128;
 /// Number of unresponsive targets in one hint from which on the sender itself counts as cut
 /// off. When several engines fail together, a daemon sends to one or two of them between
 /// two hints.
-const CUT_OFF_SILENCES: usize = 3;
+const CUT_OFF_TARGETS: usize = 3;
 
 /// Result of a send.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -42,7 +42,7 @@
 impl SeenWork {
     /// Adds the result of a send.
     pub fn note_result(&mut self, target: &TargetLife, result: SendResult) {
-        if self.results.len() < MOST_NOTES {
+        if self.results.len() < MAX_RESULTS {
             self.results.push(ResultNote {
                 target: target.clone(),
                 result,
@@ -53,35 +53,37 @@
     /// Returns the results that say something about their targets. Several unresponsive
     /// targets at once mean that the sender itself is cut off, and repeated silence of one
     /// target between two hints counts once.
-    pub fn telling_results(&self) -> impl Iterator<Item = &ResultNote> {
-        let silent = |note: &&ResultNote| note.result == SendResult::Silent;
-        let silences: IndexSet<&TargetLife> = self
+    pub fn conclusive_results(&self) -> impl Iterator<Item = &ResultNote> {
+        let is_silent = |observed: &&ResultNote| observed.result == SendResult::Silent;
+        let unresponsive: IndexSet<&TargetLife> = self
             .results
             .iter()
-            .filter(silent)
-            .map(|note| &note.target)
+            .filter(is_silent)
+            .map(|observed| &observed.target)
             .collect();
-        let cut_off = silences.len() >= CUT_OFF_SILENCES;
-        let mut told: IndexSet<&TargetLife> = IndexSet::new();
-        self.results.iter().filter(move |note| match note.result {
-            SendResult::Silent => !cut_off && told.insert(&note.target),
-            SendResult::Answered | SendResult::Failed => true,
-        })
+        let cut_off = unresponsive.len() >= CUT_OFF_TARGETS;
+        let mut counted: IndexSet<&TargetLife> = IndexSet::new();
+        self.results
+            .iter()
+            .filter(move |observed| match observed.result {
+                SendResult::Silent => !cut_off && counted.insert(&observed.target),
+                SendResult::Answered | SendResult::Failed => true,
+            })
     }
 }
 
 impl Gateway {
     /// Whether a hub chooses engines for this daemon's requests, and needs their results.
     pub fn is_placed_for(&self) -> bool {
-        self.placing.borrow().has_placer()
+        self.placing.borrow().has_placement_hub()
     }
 
     /// Applies a member's results as if they were those of this daemon.
-    pub(super) fn take_seen(&self, seen: &SeenWork) {
+    pub(super) fn apply_results(&self, seen: &SeenWork) {
         let view = self.view();
-        for note in seen.telling_results() {
-            if let Some(target) = view.find(&note.target) {
-                self.note_result(target, note.result);
+        for observed in seen.conclusive_results() {
+            if let Some(target) = view.find(&observed.target) {
+                self.note_result(target, observed.result);
             }
         }
     }
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -18,7 +18,7 @@
         }
     }
 
-    pub(super) fn take_usage_news(&self) -> Vec<UsageCell> {
+    pub(super) fn take_usage_updates(&self) -> Vec<UsageCell> {
         let now = clock::mono_now();
         let mut book = self.duties.borrow_mut();
         book.settle(now);
@@ -34,14 +34,14 @@
         usage
     }
 
-    pub(super) fn take_member_usage(&self, hint: &PeerHint, now: MonoTime) {
+    pub(super) fn apply_member_usage(&self, hint: &PeerHint, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
         book.clock.note_sample(&hint.from, hint.wall, now);
         book.usage.note_heard(usage_of(hint), true);
     }
 
     // Members adopt the time of their hub; between hubs, it counts as one more sample.
-    pub(super) fn take_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
+    pub(super) fn apply_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
         if let Some(time) = summary.true_time {
             if summary.whole {
@@ -50,8 +50,8 @@
                 book.clock.note_sample(&summary.from, time, now);
             }
         }
-        for told in &summary.usage {
-            book.usage.note_heard(told.clone(), false);
+        for counts in &summary.usage {
+            book.usage.note_heard(counts.clone(), false);
         }
     }
 }
--- a/tests/gateway_feeding.rs
+++ b/tests/gateway_feeding.rs
@@ -18,9 +18,9 @@
 
 struct DutyCase {
     role: fn() -> PeerRole,
-    joined: bool,
+    subscribed: bool,
     current: bool,
-    hub_heard: bool,
+    hub_reachable: bool,
     starting: Option<WatchDuty>,
     duty: WatchDuty,
 }
@@ -30,21 +30,21 @@
 // was told until a change could be overdue, and so does a hub; one that starts waits for
 // its hub first.
 #[rstest]
-#[case::small_fleet(DutyCase { role: || PeerRole::Mesh, joined: false, current: false, hub_heard: false, starting: None, duty: WatchDuty::Alone })]
-#[case::first_start(DutyCase { role: || PeerRole::Mesh, joined: false, current: false, hub_heard: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
-#[case::fed(DutyCase { role: member, joined: true, current: true, hub_heard: false, starting: None, duty: WatchDuty::Fed })]
-#[case::hub_just_gone(DutyCase { role: member, joined: false, current: true, hub_heard: false, starting: None, duty: WatchDuty::Fed })]
-#[case::hub_gone(DutyCase { role: member, joined: false, current: false, hub_heard: false, starting: None, duty: WatchDuty::WithoutHub })]
-#[case::hub_unfed(DutyCase { role: member, joined: false, current: false, hub_heard: true, starting: None, duty: WatchDuty::BesideHub })]
-#[case::restarted(DutyCase { role: member, joined: false, current: false, hub_heard: false, starting: Some(WatchDuty::Starting), duty: WatchDuty::Starting })]
-#[case::first_hub(DutyCase { role: || PeerRole::Hub, joined: false, current: false, hub_heard: false, starting: None, duty: WatchDuty::ForOthers })]
-#[case::other_hub(DutyCase { role: || PeerRole::Hub, joined: true, current: true, hub_heard: false, starting: None, duty: WatchDuty::Fed })]
-#[case::alone_so_far(DutyCase { role: || PeerRole::Hub, joined: false, current: false, hub_heard: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
+#[case::small_fleet(DutyCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: None, duty: WatchDuty::Alone })]
+#[case::first_start(DutyCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
+#[case::fed(DutyCase { role: member, subscribed: true, current: true, hub_reachable: false, starting: None, duty: WatchDuty::Fed })]
+#[case::hub_just_gone(DutyCase { role: member, subscribed: false, current: true, hub_reachable: false, starting: None, duty: WatchDuty::Fed })]
+#[case::hub_gone(DutyCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: None, duty: WatchDuty::WithoutHub })]
+#[case::hub_unfed(DutyCase { role: member, subscribed: false, current: false, hub_reachable: true, starting: None, duty: WatchDuty::BesideHub })]
+#[case::restarted(DutyCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Starting), duty: WatchDuty::Starting })]
+#[case::first_hub(DutyCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: None, duty: WatchDuty::ForOthers })]
+#[case::other_hub(DutyCase { role: || PeerRole::Hub, subscribed: true, current: true, hub_reachable: false, starting: None, duty: WatchDuty::Fed })]
+#[case::alone_so_far(DutyCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
 fn who_follows_the_store(#[case] case: DutyCase) {
     let state = FeedState {
-        joined: case.joined,
+        subscribed: case.subscribed,
         current: case.current,
-        hub_heard: case.hub_heard,
+        hub_reachable: case.hub_reachable,
         starting: case.starting,
     };
     assert_eq!(watch_duty(&(case.role)(), state), case.duty);
@@ -89,17 +89,17 @@
     let hub = DaemonId::from("hub");
     let within = Duration::from_millis(1_700);
     let mut join = FeedJoin::default();
-    join.note_heard(Some(MonoTime(1_000)));
+    join.record_store_contact(Some(MonoTime(1_000)));
     assert!(
         !join.is_current(within, MonoTime(1_000)),
         "nothing was passed on"
     );
-    join.rely_on(Some(&hub), MonoTime(1_000));
+    join.subscribe(Some(&hub), MonoTime(1_000));
     assert!(join.awaits(&hub, 1));
-    join.take_stock(&hub, true);
-    join.note_heard(Some(MonoTime(2_000)));
-    assert!(join.rely_on(None, MonoTime(2_500)).is_none());
-    join.note_heard(Some(MonoTime(9_000)));
+    join.apply_snapshot(&hub, true);
+    join.record_store_contact(Some(MonoTime(2_000)));
+    assert!(join.subscribe(None, MonoTime(2_500)).is_none());
+    join.record_store_contact(Some(MonoTime(9_000)));
     assert!(join.is_current(within, MonoTime(3_600)));
     assert!(!join.is_current(within, MonoTime(3_700)));
 }
@@ -192,7 +192,7 @@
         .into_iter()
         .enumerate()
     {
-        let asked = join.rely_on(Some(&hub), MonoTime(1_000 + 2_000 * number as u64));
+        let asked = join.subscribe(Some(&hub), MonoTime(1_000 + 2_000 * number as u64));
         assert_eq!(asked, Some(number as u64 + 1), "asked again");
         stock.take(FeedObjects {
             feed,
@@ -200,7 +200,7 @@
             objects: Vec::new(),
         });
         assert!(join.awaits(&hub, number as u64 + 1));
-        join.take_stock(&hub, stock.is_complete());
-        assert_eq!(join.is_joined(), feed == Feed::Config);
+        join.apply_snapshot(&hub, stock.is_complete());
+        assert_eq!(join.is_subscribed(), feed == Feed::Config);
     }
 }
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -106,18 +106,18 @@
     let mut peers = PeerBook::default();
     let first = PeerRole::Member(DaemonId::from("a-01"));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(0)), first);
-    peers.note_hub(&note("a-01", 0), WorkRate::default(), MonoTime(2_000));
+    peers.record_hub(&note("a-01", 0), WorkRate::default(), MonoTime(2_000));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(3_000)), first);
     let replaced = hubs.role(&member, &daemons, &peers, MonoTime(3_300));
     assert_eq!(replaced, PeerRole::Member(next.clone()));
     let mut of_next = HubBook::default();
-    of_next.note_hint(&member, MonoTime(3_400));
+    of_next.record_hint(&member, MonoTime(3_400));
     let role = of_next.role(&next, &daemons, &PeerBook::default(), MonoTime(3_500));
     assert_eq!(role, PeerRole::Hub);
     let links = of_next.links(&role, &next, &daemons);
     let to_member = links.iter().find(|(d, _)| d.id == member);
     assert_eq!(to_member.map(|(_, kind)| *kind), Some(LinkKind::Member));
-    peers.note_hub(&note("a-02", 0), WorkRate::default(), MonoTime(9_000));
+    peers.record_hub(&note("a-02", 0), WorkRate::default(), MonoTime(9_000));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(9_400)), first);
 }
 
@@ -127,14 +127,14 @@
 fn a_hub_that_hears_nothing_of_the_store_feeds_nobody() {
     let hub = DaemonId::from("a-01");
     let mut hubs = HubBook::default();
-    assert!(!hubs.is_fed_by(&hub, SILENCE, MonoTime(0)));
-    hubs.note_store(&hub, Duration::from_millis(900), MonoTime(5_000));
-    assert!(hubs.is_fed_by(&hub, SILENCE, MonoTime(5_700)));
-    hubs.note_store(&hub, Duration::from_millis(1_500), MonoTime(5_800));
-    assert!(!hubs.is_fed_by(&hub, SILENCE, MonoTime(6_000)));
-    assert!(!hubs.is_fed_by(&DaemonId::from("a-02"), SILENCE, MonoTime(5_700)));
-    hubs.note_store(&hub, Duration::ZERO, MonoTime(7_000));
-    assert!(hubs.is_fed_by(&hub, SILENCE, MonoTime(7_100)));
+    assert!(!hubs.has_recent_store(&hub, SILENCE, MonoTime(0)));
+    hubs.record_store_age(&hub, Duration::from_millis(900), MonoTime(5_000));
+    assert!(hubs.has_recent_store(&hub, SILENCE, MonoTime(5_700)));
+    hubs.record_store_age(&hub, Duration::from_millis(1_500), MonoTime(5_800));
+    assert!(!hubs.has_recent_store(&hub, SILENCE, MonoTime(6_000)));
+    assert!(!hubs.has_recent_store(&DaemonId::from("a-02"), SILENCE, MonoTime(5_700)));
+    hubs.record_store_age(&hub, Duration::ZERO, MonoTime(7_000));
+    assert!(hubs.has_recent_store(&hub, SILENCE, MonoTime(7_100)));
 }
 
 // A hub tells other hubs of those that report to it. Were it to tell of other hubs as
@@ -143,12 +143,12 @@
 fn a_hub_does_not_pass_on_other_hubs() {
     let now = MonoTime(1_000);
     let mut peers = PeerBook::default();
-    peers.note_hint(&hint("a-02"), 1, now);
-    peers.note_hub(&note("b-01", 0), WorkRate::default(), now);
-    peers.note_member(&note("b-02", 100), WorkRate::default(), now);
-    let direct: Vec<DaemonId> = peers.direct_notes(now).into_iter().map(|n| n.id).collect();
+    peers.record_hint(&hint("a-02"), 1, now);
+    peers.record_hub(&note("b-01", 0), WorkRate::default(), now);
+    peers.record_member(&note("b-02", 100), WorkRate::default(), now);
+    let direct: Vec<DaemonId> = peers.direct_status(now).into_iter().map(|n| n.id).collect();
     assert_eq!(direct, [DaemonId::from("a-02")]);
-    assert_eq!(peers.all_notes(now).len(), 3);
+    assert_eq!(peers.all_status(now).len(), 3);
 }
 
 #[test]
@@ -158,13 +158,13 @@
     let own = DaemonId::from("a-01");
     peers.set_known(&own, &daemons, MonoTime(0));
     let heard = DaemonId::from("a-02");
-    peers.note_hint(&hint("a-02"), 1, MonoTime(5_000));
+    peers.record_hint(&hint("a-02"), 1, MonoTime(5_000));
     let mut left = note("a-02", 0);
     left.leaving = true;
-    peers.note_member(&left, WorkRate::default(), MonoTime(5_100));
+    peers.record_member(&left, WorkRate::default(), MonoTime(5_100));
     assert!(peers.is_usable(&heard, MonoTime(5_200)));
     assert!(!peers.is_usable(&heard, MonoTime(6_500)));
-    peers.note_member(&note("a-02", 400), WorkRate::default(), MonoTime(7_000));
+    peers.record_member(&note("a-02", 400), WorkRate::default(), MonoTime(7_000));
     assert!(peers.is_usable(&heard, MonoTime(9_000)));
     assert!(!peers.is_usable(&heard, MonoTime(9_300)));
 }
@@ -268,59 +268,62 @@
     feeding: &'static [Option<&'static str>],
     // Answers that come afterwards: hub and number of the question.
     answers: &'static [(&'static str, u64)],
-    joined: bool,
+    subscribed: bool,
 }
 
 // A member was cut off and followed the store itself. What its hub passed on meanwhile
 // reaches it late or never, among it the departure of a target, which would get work
 // for many seconds. It relies on the hub again from the answer to its newest question.
 #[rstest]
-#[case::not_answered(JoinCase { feeding: &[Some("hub")], answers: &[], joined: false })]
-#[case::answered(JoinCase { feeding: &[Some("hub")], answers: &[("hub", 1)], joined: true })]
-#[case::answer_from_before_the_cut(JoinCase { feeding: &[Some("hub"), None, Some("hub")], answers: &[("hub", 1)], joined: false })]
-#[case::answered_after_the_cut(JoinCase { feeding: &[Some("hub"), None, Some("hub")], answers: &[("hub", 1), ("hub", 2)], joined: true })]
-#[case::asked_again(JoinCase { feeding: &[Some("hub"), Some("hub")], answers: &[("hub", 2)], joined: true })]
-#[case::other_hub(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("hub", 1)], joined: false })]
-#[case::other_hub_answered(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("next", 2)], joined: true })]
+#[case::not_answered(JoinCase { feeding: &[Some("hub")], answers: &[], subscribed: false })]
+#[case::answered(JoinCase { feeding: &[Some("hub")], answers: &[("hub", 1)], subscribed: true })]
+#[case::answer_from_before_the_cut(JoinCase { feeding: &[Some("hub"), None, Some("hub")], answers: &[("hub", 1)], subscribed: false })]
+#[case::answered_after_the_cut(JoinCase { feeding: &[Some("hub"), None, Some("hub")], answers: &[("hub", 1), ("hub", 2)], subscribed: true })]
+#[case::asked_again(JoinCase { feeding: &[Some("hub"), Some("hub")], answers: &[("hub", 2)], subscribed: true })]
+#[case::other_hub(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("hub", 1)], subscribed: false })]
+#[case::other_hub_answered(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("next", 2)], subscribed: true })]
 fn a_hub_is_relied_on_from_its_answer_on(#[case] case: JoinCase) {
     let mut join = FeedJoin::default();
     for (second, hub) in case.feeding.iter().enumerate() {
         let now = MonoTime(10_000 + 1_000 * second as u64);
-        join.rely_on(hub.map(DaemonId::from).as_ref(), now);
+        join.subscribe(hub.map(DaemonId::from).as_ref(), now);
     }
     for (hub, number) in case.answers {
         let hub = DaemonId::from(*hub);
         if join.awaits(&hub, *number) {
-            join.take_stock(&hub, true);
+            join.apply_snapshot(&hub, true);
         }
     }
-    assert_eq!(join.is_joined(), case.joined);
+    assert_eq!(join.is_subscribed(), case.subscribed);
 }
 
 #[test]
 fn a_hub_that_cannot_feed_is_relied_on_no_longer() {
     let hub = DaemonId::from("hub");
     let mut join = FeedJoin::default();
-    assert_eq!(join.rely_on(Some(&hub), MonoTime(1_000)), Some(1));
-    assert_eq!(join.rely_on(Some(&hub), MonoTime(1_200)), None);
+    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_000)), Some(1));
+    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_200)), None);
     assert!(join.awaits(&hub, 1));
-    join.take_stock(&hub, true);
-    assert_eq!(join.rely_on(Some(&hub), MonoTime(1_400)), None);
-    join.note_new_link(&DaemonId::from("other"));
-    assert!(join.is_joined());
-    join.note_new_link(&hub);
-    assert!(!join.is_joined(), "what it passed on before may be lost");
-    assert_eq!(join.rely_on(Some(&hub), MonoTime(1_500)), Some(2));
-    join.note_new_link(&hub);
+    join.apply_snapshot(&hub, true);
+    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_400)), None);
+    join.handle_new_link(&DaemonId::from("other"));
+    assert!(join.is_subscribed());
+    join.handle_new_link(&hub);
+    assert!(
+        !join.is_subscribed(),
+        "what it passed on before may be lost"
+    );
+    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_500)), Some(2));
+    join.handle_new_link(&hub);
     assert_eq!(
-        join.rely_on(Some(&hub), MonoTime(1_550)),
+        join.subscribe(Some(&hub), MonoTime(1_550)),
         Some(3),
         "so may the question's answer be"
     );
     assert!(join.awaits(&hub, 3));
-    join.take_stock(&hub, true);
-    join.rely_on(None, MonoTime(1_600));
-    assert!(!join.is_joined());
+    join.apply_snapshot(&hub, true);
+    join.subscribe(None, MonoTime(1_600));
+    assert!(!join.is_subscribed());
     assert!(!join.awaits(&hub, 3));
 }
 
@@ -364,7 +367,7 @@
     let own = DaemonId::from(case.own);
     let mut peers = PeerBook::default();
     for (hub, at) in case.heard {
-        peers.note_hub(&note(hub, 0), WorkRate::default(), MonoTime(*at));
+        peers.record_hub(&note(hub, 0), WorkRate::default(), MonoTime(*at));
     }
     let mut hubs = HubBook::default();
     hubs.role(&own, &daemons, &peers, MonoTime(5_000));
--- a/tests/gateway_link_queue.rs
+++ b/tests/gateway_link_queue.rs
@@ -9,7 +9,7 @@
 
 /// A link on which a new word waits whenever the last one was sent.
 struct BusyLink {
-    words: watch::Sender<u32>,
+    status_sender: watch::Sender<u32>,
     queue: LinkQueue<u32, &'static str>,
     changes: ChangeSenders<&'static str>,
     answers: mpsc::UnboundedSender<&'static str>,
@@ -17,12 +17,12 @@
 
 impl BusyLink {
     fn open() -> Self {
-        let (words, word) = watch::channel(0);
+        let (status_sender, status) = watch::channel(0);
         let (answers, urgent) = mpsc::unbounded_channel();
         let changes = ChangeSenders::default();
-        let queue = changes.open(word, urgent);
+        let queue = changes.open(status, urgent);
         Self {
-            words,
+            status_sender,
             queue,
             changes,
             answers,
@@ -30,10 +30,10 @@
     }
 
     async fn next(&mut self) -> LinkTask<&'static str> {
-        self.words.send_modify(|word| *word += 1);
+        self.status_sender.send_modify(|status| *status += 1);
         let task = self.queue.next().await;
-        if task == LinkTask::Word {
-            let _ = self.queue.word();
+        if task == LinkTask::Status {
+            let _ = self.queue.status();
         }
         task
     }
@@ -65,13 +65,16 @@
     let mut link = BusyLink::open();
     (0..1_000).for_each(|_| link.changes.send(Feed::Targets, TARGET));
     let tasks = link.take(1_020).await;
-    let words = tasks.iter().filter(|task| **task == LinkTask::Word).count();
+    let status_sender = tasks
+        .iter()
+        .filter(|task| **task == LinkTask::Status)
+        .count();
     let changes = tasks
         .iter()
         .filter(|t| **t == LinkTask::Change(TARGET))
         .count();
     assert_eq!(changes, 1_000);
-    assert!(words >= 15, "{words} words");
+    assert!(status_sender >= 15, "{words} words");
 }
 
 #[tokio::test]
@@ -95,11 +98,11 @@
 
 #[tokio::test]
 async fn a_member_tells_words_and_what_was_asked_for() {
-    let (words, word) = watch::channel(0);
+    let (status_sender, status) = watch::channel(0);
     let (answers, urgent) = mpsc::unbounded_channel();
-    let mut queue: LinkQueue<u32, &str> = LinkQueue::without_changes(word, urgent);
+    let mut queue: LinkQueue<u32, &str> = LinkQueue::without_changes(status, urgent);
     answers.send("question").expect("the link is open");
-    words.send_replace(1);
+    status_sender.send_replace(1);
     assert_eq!(queue.next().await, LinkTask::Message("question"));
-    assert_eq!(queue.next().await, LinkTask::Word);
+    assert_eq!(queue.next().await, LinkTask::Status);
 }
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -15,7 +15,7 @@
     NOW.plus(Duration::from_millis(ms))
 }
 
-fn question() -> PlaceQuestion {
+fn request() -> PlaceQuestion {
     PlaceQuestion {
         from: DaemonId::from("member"),
         life: 1,
@@ -111,10 +111,10 @@
     let hub = DaemonId::from("hub");
     let mut desk = PlacingDesk::default();
     let mut queue = desk.open_link(&hub);
-    assert!(desk.ask(question(), NOW).is_none(), "nobody to ask");
-    desk.set_placer(Some(hub));
-    let (first, mut first_wait) = desk.ask(question(), NOW).expect("a question");
-    let (second, mut second_wait) = desk.ask(question(), NOW).expect("a question");
+    assert!(desk.send_request(request(), NOW).is_none(), "nobody to ask");
+    desk.set_placement_hub(Some(hub));
+    let (first, mut first_wait) = desk.send_request(request(), NOW).expect("a question");
+    let (second, mut second_wait) = desk.send_request(request(), NOW).expect("a question");
     assert!(queue.try_recv().is_ok() && queue.try_recv().is_ok());
     for (number, writer) in [
         (second, "e2"),
@@ -123,7 +123,7 @@
         (99, "stray"),
     ] {
         let engines = Some(engines(writer));
-        desk.take_answer(PlaceAnswer { number, engines });
+        desk.deliver_response(PlaceAnswer { number, engines });
     }
     let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.writer);
     let first = first_wait.try_recv().expect("an answer");
@@ -137,23 +137,26 @@
 fn a_silent_placer_is_not_asked_for_a_while() {
     let mut desk = PlacingDesk::default();
     let _queue = desk.open_link(&DaemonId::from("hub"));
-    desk.set_placer(Some(DaemonId::from("hub")));
-    let (number, _wait) = desk.ask(question(), NOW).expect("a question");
-    desk.note_silence(number, NOW);
-    assert!(desk.ask(question(), after(500)).is_none());
-    assert!(desk.ask(question(), after(1_100)).is_some());
-    desk.note_silence(number, after(1_100));
+    desk.set_placement_hub(Some(DaemonId::from("hub")));
+    let (number, _wait) = desk.send_request(request(), NOW).expect("a question");
+    desk.record_timeout(number, NOW);
+    assert!(desk.send_request(request(), after(500)).is_none());
+    assert!(desk.send_request(request(), after(1_100)).is_some());
+    desk.record_timeout(number, after(1_100));
     let _other = desk.open_link(&DaemonId::from("other"));
-    desk.set_placer(Some(DaemonId::from("other")));
-    assert!(desk.ask(question(), after(1_200)).is_some());
+    desk.set_placement_hub(Some(DaemonId::from("other")));
+    assert!(desk.send_request(request(), after(1_200)).is_some());
 }
 
 #[test]
 fn a_link_that_ended_is_not_asked_over() {
     let hub = DaemonId::from("hub");
     let mut desk = PlacingDesk::default();
-    desk.set_placer(Some(hub.clone()));
-    assert!(desk.ask(question(), NOW).is_none(), "no link yet");
+    desk.set_placement_hub(Some(hub.clone()));
+    assert!(desk.send_request(request(), NOW).is_none(), "no link yet");
     drop(desk.open_link(&hub));
-    assert!(desk.ask(question(), NOW).is_none(), "the link is lost");
+    assert!(
+        desk.send_request(request(), NOW).is_none(),
+        "the link is lost"
+    );
 }
--- a/tests/gateway_proofs.rs
+++ b/tests/gateway_proofs.rs
@@ -39,9 +39,9 @@
             clock: MonoTime(clock),
         }),
     };
-    let mut book = ProofBook::default();
-    book.take(&note, (&DaemonId::from("own"), OWN_LIFE), OWN_VERSION);
-    assert_eq!(book.confirmed_at(), case.confirmed.map(MonoTime));
+    let mut tracker = ProofBook::default();
+    tracker.apply(&note, (&DaemonId::from("own"), OWN_LIFE), OWN_VERSION);
+    assert_eq!(tracker.confirmed_at(), case.confirmed.map(MonoTime));
 }
 
 /// One word on its way: when it was sent and how long it is under way, in milliseconds.
@@ -79,7 +79,7 @@
         own_ahead in 0..50_000_u64,
     ) {
         let own = DaemonId::from("own");
-        let mut book = ProofBook::default();
+        let mut tracker = ProofBook::default();
         for word in &words {
             let by = word.sent;
             // What the hub knows when it sends its word, in true time.
@@ -87,7 +87,7 @@
             let heard = hints.iter().filter(|h| h.sent + h.held <= by).map(|h| h.sent).max();
             let mut hub = ProofBook::default();
             if let Some(heard) = heard {
-                hub.note_clock(&own, OWN_LIFE, MonoTime(heard + own_ahead));
+                hub.record_clock(&own, OWN_LIFE, MonoTime(heard + own_ahead));
             }
             let note = ProofNote {
                 clock: MonoTime(by + hub_ahead),
@@ -96,8 +96,8 @@
                 echo: hub.echo(&own),
             };
             // It may arrive at any time after; the time of arrival counts for nothing.
-            book.take(&note, (&own, OWN_LIFE), OWN_VERSION);
-            if let (Some(at), Some(asked)) = (book.confirmed_at(), asked) {
+            tracker.apply(&note, (&own, OWN_LIFE), OWN_VERSION);
+            if let (Some(at), Some(asked)) = (tracker.confirmed_at(), asked) {
                 let newest = answers.iter().filter(|a| a.sent + a.held <= by).map(|a| a.sent).max();
                 prop_assert!(at.0 <= newest.unwrap_or(asked) + own_ahead);
             }
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -35,7 +35,7 @@
         seen.note_result(&TargetLife::from(*target), *result);
     }
     let told: Vec<(&str, SendResult)> = seen
-        .telling_results()
+        .conclusive_results()
         .map(|note| (note.target.as_str(), note.result))
         .collect();
     assert_eq!(told, case.telling);
@@ -88,7 +88,7 @@
         if let Some(result) = case.told {
             seen.note_result(&troubled.id, result);
         }
-        for note in seen.telling_results() {
+        for note in seen.conclusive_results() {
             core.note_result(&note.target, note.result, now);
         }
     }
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -47,8 +47,8 @@
     (life, work)
 }
 
-fn word(turns: &mut NoteTurns) -> PeerMessage {
-    let mut members = turns.pick(fleet(DAEMONS - 1));
+fn word(broadcasts: &mut NoteTurns) -> PeerMessage {
+    let mut members = broadcasts.due_members(fleet(DAEMONS - 1));
     members.push(note(DAEMONS));
     PeerMessage::Summary(PeerSummary {
         from: DaemonId::from("gateway-300"),
@@ -73,21 +73,24 @@
 // configuration then wait behind words, and callers wait behind both.
 #[test]
 fn a_word_of_a_large_fleet_leaves_half_of_the_hubs_link() {
-    let mut turns = NoteTurns::default();
+    let mut broadcasts = NoteTurns::default();
     // Whoever links up first is told of all; from then on it goes by turns.
-    let _ = word(&mut turns);
+    let _ = word(&mut broadcasts);
     for _ in 0..4 {
-        let bytes = word(&mut turns).encode().into_data().len();
+        let bytes = word(&mut broadcasts).encode().into_data().len();
         assert!(bytes <= MOST_BYTES, "{bytes} bytes");
     }
 }
 
 #[test]
 fn each_daemon_is_told_of_within_two_words() {
-    let mut turns = NoteTurns::default();
-    let _ = turns.pick(fleet(DAEMONS));
+    let mut broadcasts = NoteTurns::default();
+    let _ = broadcasts.due_members(fleet(DAEMONS));
     for _ in 0..3 {
-        let words = [turns.pick(fleet(DAEMONS)), turns.pick(fleet(DAEMONS))];
+        let words = [
+            broadcasts.due_members(fleet(DAEMONS)),
+            broadcasts.due_members(fleet(DAEMONS)),
+        ];
         let told: IndexSet<DaemonId> = words.into_iter().flatten().map(|note| note.id).collect();
         assert_eq!(told.len(), DAEMONS);
     }
@@ -108,13 +111,13 @@
 #[case::heard_again(ChangeCase { change: |note| note.age_ms = 20, at_once: false })]
 fn what_is_told_at_once(#[case] case: ChangeCase) {
     for words in 0..2 {
-        let mut turns = NoteTurns::default();
+        let mut broadcasts = NoteTurns::default();
         for _ in 0..=words {
-            let _ = turns.pick(fleet(DAEMONS));
+            let _ = broadcasts.due_members(fleet(DAEMONS));
         }
         let mut changed = fleet(DAEMONS);
         changed.iter_mut().for_each(|note| (case.change)(note));
-        let told = turns.pick(changed).len();
+        let told = broadcasts.due_members(changed).len();
         assert_eq!(told == DAEMONS, case.at_once, "{told} of {DAEMONS}");
     }
 }
@@ -122,12 +125,12 @@
 #[test]
 fn a_daemon_that_comes_back_is_told_of_at_once() {
     for words in 0..2 {
-        let mut turns = NoteTurns::default();
+        let mut broadcasts = NoteTurns::default();
         for _ in 0..=words {
-            let _ = turns.pick(fleet(DAEMONS));
+            let _ = broadcasts.due_members(fleet(DAEMONS));
         }
-        let _ = turns.pick(Vec::new());
-        assert_eq!(turns.pick(fleet(DAEMONS)).len(), DAEMONS);
+        let _ = broadcasts.due_members(Vec::new());
+        assert_eq!(broadcasts.due_members(fleet(DAEMONS)).len(), DAEMONS);
     }
 }
 
