--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -323,7 +323,7 @@
         };
         let duty = watch_duty(role, state);
         if self.duty.replace(duty) != duty {
-            log::info!(duty = format!("{duty:?}"), role = role.as_str(); "way of following the store changed");
+            log::info!(duty = format!("{duty:?}"), role = role.as_str(); "store watch mode changed");
             // The control thread runs until the process ends.
             let _ = self.news.send(ControlNews::Duty(duty));
         }
--- a/tests/gateway_feeding.rs
+++ b/tests/gateway_feeding.rs
@@ -1,4 +1,4 @@
-//! From whom a daemon hears of the store, and what hubs pass on.
+//! Where a daemon gets the store's objects from, and what hubs relay.
 
 use std::time::Duration;
 
@@ -16,92 +16,91 @@
     PeerRole::Member(DaemonId::from("hub"))
 }
 
-struct DutyCase {
+struct ModeCase {
     role: fn() -> PeerRole,
     subscribed: bool,
     current: bool,
     hub_reachable: bool,
     starting: Option<WatchDuty>,
-    duty: WatchDuty,
+    mode: WatchDuty,
 }
 
-// A hub of 39 members is replaced, and each member lists everything: 350 calls to the
-// store at once, and as many again from the next hub's members. A member keeps to what it
-// was told until a change could be overdue, and so does a hub; one that starts waits for
-// its hub first.
+// Guards against a burst of store calls when a hub of 39 members is replaced: if each member
+// listed everything at once, that would be 350 calls. A member keeps the objects it got until
+// a change could be overdue, and so does a hub; a daemon that starts waits for its hub first.
 #[rstest]
-#[case::small_fleet(DutyCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: None, duty: WatchDuty::Alone })]
-#[case::first_start(DutyCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
-#[case::fed(DutyCase { role: member, subscribed: true, current: true, hub_reachable: false, starting: None, duty: WatchDuty::Fed })]
-#[case::hub_just_gone(DutyCase { role: member, subscribed: false, current: true, hub_reachable: false, starting: None, duty: WatchDuty::Fed })]
-#[case::hub_gone(DutyCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: None, duty: WatchDuty::WithoutHub })]
-#[case::hub_unfed(DutyCase { role: member, subscribed: false, current: false, hub_reachable: true, starting: None, duty: WatchDuty::BesideHub })]
-#[case::restarted(DutyCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Starting), duty: WatchDuty::Starting })]
-#[case::first_hub(DutyCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: None, duty: WatchDuty::ForOthers })]
-#[case::other_hub(DutyCase { role: || PeerRole::Hub, subscribed: true, current: true, hub_reachable: false, starting: None, duty: WatchDuty::Fed })]
-#[case::alone_so_far(DutyCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), duty: WatchDuty::Gathering })]
-fn who_follows_the_store(#[case] case: DutyCase) {
+#[case::small_fleet(ModeCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchDuty::Alone })]
+#[case::first_start(ModeCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), mode: WatchDuty::Gathering })]
+#[case::subscribed_member(ModeCase { role: member, subscribed: true, current: true, hub_reachable: false, starting: None, mode: WatchDuty::Fed })]
+#[case::hub_just_failed(ModeCase { role: member, subscribed: false, current: true, hub_reachable: false, starting: None, mode: WatchDuty::Fed })]
+#[case::hub_failed(ModeCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchDuty::WithoutHub })]
+#[case::hub_without_store(ModeCase { role: member, subscribed: false, current: false, hub_reachable: true, starting: None, mode: WatchDuty::BesideHub })]
+#[case::restarted(ModeCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Starting), mode: WatchDuty::Starting })]
+#[case::first_hub(ModeCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchDuty::ForOthers })]
+#[case::other_hub(ModeCase { role: || PeerRole::Hub, subscribed: true, current: true, hub_reachable: false, starting: None, mode: WatchDuty::Fed })]
+#[case::alone_so_far(ModeCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), mode: WatchDuty::Gathering })]
+fn watch_mode_by_role_and_state(#[case] case: ModeCase) {
     let state = FeedState {
         subscribed: case.subscribed,
         current: case.current,
         hub_reachable: case.hub_reachable,
         starting: case.starting,
     };
-    assert_eq!(watch_duty(&(case.role)(), state), case.duty);
+    assert_eq!(watch_duty(&(case.role)(), state), case.mode);
 }
 
 struct ReadCase {
-    duty: WatchDuty,
+    mode: WatchDuty,
     lists: &'static [Feed],
     watches: &'static [Feed],
 }
 
 const ALL: &[Feed] = &[Feed::Config, Feed::Targets, Feed::Daemons];
 
-// A whole fleet starts: what all list at once, all have to wait for.
+// When a whole fleet starts, listings by all daemons at once delay every daemon.
 #[rstest]
-#[case::first_start(ReadCase { duty: WatchDuty::Gathering, lists: &[Feed::Daemons], watches: &[Feed::Daemons] })]
-#[case::restart(ReadCase { duty: WatchDuty::Starting, lists: ALL, watches: &[Feed::Daemons] })]
-#[case::alone(ReadCase { duty: WatchDuty::Alone, lists: ALL, watches: ALL })]
-#[case::without_hub(ReadCase { duty: WatchDuty::WithoutHub, lists: ALL, watches: ALL })]
-#[case::beside_hub(ReadCase { duty: WatchDuty::BesideHub, lists: ALL, watches: ALL })]
-#[case::for_others(ReadCase { duty: WatchDuty::ForOthers, lists: ALL, watches: ALL })]
-#[case::fed(ReadCase { duty: WatchDuty::Fed, lists: &[], watches: &[] })]
-fn what_a_duty_reads(#[case] case: ReadCase) {
+#[case::first_start(ReadCase { mode: WatchDuty::Gathering, lists: &[Feed::Daemons], watches: &[Feed::Daemons] })]
+#[case::restart(ReadCase { mode: WatchDuty::Starting, lists: ALL, watches: &[Feed::Daemons] })]
+#[case::alone(ReadCase { mode: WatchDuty::Alone, lists: ALL, watches: ALL })]
+#[case::without_hub(ReadCase { mode: WatchDuty::WithoutHub, lists: ALL, watches: ALL })]
+#[case::beside_hub(ReadCase { mode: WatchDuty::BesideHub, lists: ALL, watches: ALL })]
+#[case::for_others(ReadCase { mode: WatchDuty::ForOthers, lists: ALL, watches: ALL })]
+#[case::subscribed_member(ReadCase { mode: WatchDuty::Fed, lists: &[], watches: &[] })]
+fn feeds_listed_and_watched_in_each_mode(#[case] case: ReadCase) {
     let listed: Vec<Feed> = ALL
         .iter()
         .copied()
-        .filter(|f| case.duty.lists(*f))
+        .filter(|f| case.mode.lists(*f))
         .collect();
     assert_eq!(listed, case.lists);
     let watched: Vec<Feed> = ALL
         .iter()
         .copied()
-        .filter(|f| case.duty.watches(*f))
+        .filter(|f| case.mode.watches(*f))
         .collect();
     assert_eq!(watched, case.watches);
 }
 
-// What was heard before the hub went counts from when the hub had heard the store, not
-// from when the hub went: a hub that was cut from the store is no better for having lived.
+// The age of relayed objects counts from the hub's last response from the store, not from
+// the failure of the hub: the hub may have been cut off from the store before.
 #[test]
-fn what_a_hub_passed_on_stays_current_for_a_while() {
+fn relayed_objects_stay_current_for_a_limited_time() {
     let hub = DaemonId::from("hub");
     let within = Duration::from_millis(1_700);
-    let mut join = FeedJoin::default();
-    join.record_store_contact(Some(MonoTime(1_000)));
+    let mut subscription = FeedJoin::default();
+    subscription.record_store_contact(Some(MonoTime(1_000)));
     assert!(
-        !join.is_current(within, MonoTime(1_000)),
-        "nothing was passed on"
+        !subscription.is_current(within, MonoTime(1_000)),
+        "nothing was relayed"
     );
-    join.subscribe(Some(&hub), MonoTime(1_000));
-    assert!(join.awaits(&hub, 1));
-    join.apply_snapshot(&hub, true);
-    join.record_store_contact(Some(MonoTime(2_000)));
-    assert!(join.subscribe(None, MonoTime(2_500)).is_none());
-    join.record_store_contact(Some(MonoTime(9_000)));
-    assert!(join.is_current(within, MonoTime(3_600)));
-    assert!(!join.is_current(within, MonoTime(3_700)));
+    subscription.subscribe(Some(&hub), MonoTime(1_000));
+    assert!(subscription.awaits(&hub, 1));
+    subscription.apply_snapshot(&hub, true);
+    subscription.record_store_contact(Some(MonoTime(2_000)));
+    assert!(subscription.subscribe(None, MonoTime(2_500)).is_none());
+    subscription.record_store_contact(Some(MonoTime(9_000)));
+    assert!(subscription.is_current(within, MonoTime(3_600)));
+    assert!(!subscription.is_current(within, MonoTime(3_700)));
 }
 
 type Listed = &'static [(&'static str, u64)];
@@ -110,12 +109,12 @@
     before: Option<Listed>,
     read: Listed,
     whole: bool,
-    // Whether all goes on, and which objects; `None` where nothing does.
+    // Whether the complete listing is relayed, and which objects; `None` if nothing is.
     relayed: Option<(bool, &'static [&'static str])>,
 }
 
-// A hub lists anew after each outage of the store. Sent whole to 39 members, entries of
-// 120 targets take a link of 20 Mbit/s for half a second in which nobody is served.
+// A hub lists again after each outage of the store. Sent in full to 39 members, the entries
+// of 120 targets occupy a link of 20 Mbit/s for half a second in which no caller is served.
 #[rstest]
 #[case::first(RelayCase { before: None, read: &[("a", 1)], whole: true, relayed: Some((true, &["a"])) })]
 #[case::the_same(RelayCase { before: Some(&[("a", 1), ("b", 1)]), read: &[("b", 1), ("a", 1)], whole: true, relayed: None })]
@@ -123,7 +122,7 @@
 #[case::one_more(RelayCase { before: Some(&[("a", 1)]), read: &[("a", 1), ("b", 1)], whole: true, relayed: Some((false, &["b"])) })]
 #[case::one_less(RelayCase { before: Some(&[("a", 1), ("b", 1)]), read: &[("a", 1)], whole: true, relayed: Some((true, &["a"])) })]
 #[case::change(RelayCase { before: Some(&[("a", 1)]), read: &[("b", 1)], whole: false, relayed: Some((false, &["b"])) })]
-fn a_listing_goes_on_as_what_is_new(#[case] case: RelayCase) {
+fn only_changes_of_a_listing_are_relayed(#[case] case: RelayCase) {
     let objects = |read: Listed, whole| FeedObjects {
         feed: Feed::Targets,
         whole,
@@ -132,11 +131,11 @@
             .map(|(name, version)| ((*name).to_owned(), *version, Some(ByteBuf::from("{}"))))
             .collect(),
     };
-    let mut stock = FeedStock::default();
+    let mut snapshot = FeedStock::default();
     if let Some(before) = case.before {
-        stock.take(objects(before, true));
+        snapshot.take(objects(before, true));
     }
-    let relayed = stock.take(objects(case.read, case.whole));
+    let relayed = snapshot.take(objects(case.read, case.whole));
     let found = relayed.map(|r| {
         let names: Vec<String> = r.objects.into_iter().map(|(name, ..)| name).collect();
         (r.whole, names)
@@ -155,13 +154,13 @@
     heartbeat_ms: u128,
 }
 
-// Deployments state how soon a change has to be in force. Relying on each other for a part
-// of it leaves time for a listing, whether the time is two seconds or four.
+// Deployments set the time within which a change has to be in force. Daemons rely on each
+// other only for a part of it, which leaves time for a listing.
 #[rstest]
 #[case::two_seconds(BoundCase { config_ms: 2_000.0, departure_ms: 2_000.0, member_ms: 1_700, hub_ms: 1_100, heartbeat_ms: 600 })]
 #[case::four_seconds(BoundCase { config_ms: 4_000.0, departure_ms: 4_000.0, member_ms: 3_400, hub_ms: 2_200, heartbeat_ms: 1_200 })]
 #[case::the_shorter_one(BoundCase { config_ms: 4_000.0, departure_ms: 2_000.0, member_ms: 1_700, hub_ms: 1_100, heartbeat_ms: 600 })]
-fn daemons_rely_on_each_other_for_a_part_of_the_bound(#[case] case: BoundCase) {
+fn relay_timeouts_are_a_part_of_the_configured_bound(#[case] case: BoundCase) {
     let settings = json!({
         "daemon": "node-1", "ip": "127.0.0.1", "centre": "hall-a", "listen": {},
         "internal_ports": [0, 0], "store": "127.0.0.1:1",
@@ -179,28 +178,28 @@
     assert_eq!(heartbeat.as_millis(), case.heartbeat_ms);
 }
 
-// A fleet starts. The hub of one data centre asks the one that follows the store, which has
-// listed the daemons and not the configuration yet, and relies on it from the answer on:
-// 39 daemons have no configuration and refuse all callers for half of a day. Objects of
-// all kinds have to be there before a hub is relied on.
+// When a fleet starts, a hub may request a snapshot from a hub that has not listed the
+// configuration yet. If it relied on that hub from then on, the 39 daemons of its data centre
+// would refuse all callers until the next change of the configuration, half a day later. So a
+// hub is relied on only once objects of all kinds are there.
 #[test]
-fn a_hub_that_has_not_all_kinds_is_not_relied_on() {
+fn an_incomplete_snapshot_does_not_subscribe() {
     let hub = DaemonId::from("hub");
-    let mut stock = FeedStock::default();
-    let mut join = FeedJoin::default();
+    let mut snapshot = FeedStock::default();
+    let mut subscription = FeedJoin::default();
     for (number, feed) in [Feed::Daemons, Feed::Targets, Feed::Config]
         .into_iter()
         .enumerate()
     {
-        let asked = join.subscribe(Some(&hub), MonoTime(1_000 + 2_000 * number as u64));
-        assert_eq!(asked, Some(number as u64 + 1), "asked again");
-        stock.take(FeedObjects {
+        let requested = subscription.subscribe(Some(&hub), MonoTime(1_000 + 2_000 * number as u64));
+        assert_eq!(requested, Some(number as u64 + 1), "requested again");
+        snapshot.take(FeedObjects {
             feed,
             whole: true,
             objects: Vec::new(),
         });
-        assert!(join.awaits(&hub, number as u64 + 1));
-        join.apply_snapshot(&hub, stock.is_complete());
-        assert_eq!(join.is_subscribed(), feed == Feed::Config);
+        assert!(subscription.awaits(&hub, number as u64 + 1));
+        subscription.apply_snapshot(&hub, snapshot.is_complete());
+        assert_eq!(subscription.is_subscribed(), feed == Feed::Config);
     }
 }
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -1,4 +1,4 @@
-//! Which daemon speaks for a data centre, and what goes through it.
+//! Selection of each data centre's hub, and what hubs relay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,8 +17,9 @@
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
-/// Silence of the store for which a hub is relied on, where changes have two seconds.
-const SILENCE: Duration = Duration::from_millis(1_700);
+/// Time since the store's last response for which a hub is relied on, if changes have to be
+/// in force within two seconds.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_700);
 
 fn daemon(centre: &str, number: usize) -> DaemonRecord {
     let address: SocketAddr = ([127, 0, 0, 1], 1_000).into();
@@ -63,7 +64,7 @@
     }
 }
 
-fn note(id: &str, age_ms: u32) -> MemberNote {
+fn status(id: &str, age_ms: u32) -> MemberNote {
     MemberNote {
         id: DaemonId::from(id),
         age_ms,
@@ -76,28 +77,28 @@
 
 struct RoleCase {
     each: usize,
-    own: &'static str,
+    local: &'static str,
     role: fn() -> PeerRole,
     links: usize,
 }
 
 #[rstest]
-#[case::small_fleet(RoleCase { each: 5, own: "a-03", role: || PeerRole::Mesh, links: 14 })]
-#[case::member(RoleCase { each: 10, own: "a-03", role: || PeerRole::Member(DaemonId::from("a-01")), links: 1 })]
-#[case::hub(RoleCase { each: 10, own: "a-01", role: || PeerRole::Hub, links: 9 + 2 })]
-#[case::other_hub(RoleCase { each: 10, own: "b-01", role: || PeerRole::Hub, links: 9 + 2 })]
-fn who_speaks_for_whom(#[case] case: RoleCase) {
+#[case::small_fleet(RoleCase { each: 5, local: "a-03", role: || PeerRole::Mesh, links: 14 })]
+#[case::member(RoleCase { each: 10, local: "a-03", role: || PeerRole::Member(DaemonId::from("a-01")), links: 1 })]
+#[case::hub(RoleCase { each: 10, local: "a-01", role: || PeerRole::Hub, links: 9 + 2 })]
+#[case::other_hub(RoleCase { each: 10, local: "b-01", role: || PeerRole::Hub, links: 9 + 2 })]
+fn roles_and_links(#[case] case: RoleCase) {
     let daemons = fleet(case.each);
-    let own = DaemonId::from(case.own);
+    let local = DaemonId::from(case.local);
     let mut hubs = HubBook::default();
-    let role = hubs.role(&own, &daemons, &PeerBook::default(), MonoTime(0));
+    let role = hubs.role(&local, &daemons, &PeerBook::default(), MonoTime(0));
     assert_eq!(role, (case.role)());
-    assert_eq!(hubs.links(&role, &own, &daemons).len(), case.links);
+    assert_eq!(hubs.links(&role, &local, &daemons).len(), case.links);
 }
 
-// The hub of a data centre dies. Its members hear nothing from it, take the next
-// daemon, and come back to the first one after a while. The one they take learns by
-// their hints that it is a hub now, whatever it thought itself.
+// When the hub of a data centre fails, its members select the next daemon, and return to
+// the first one after a while. The selected daemon learns from their hints that it is a hub,
+// whatever role it had before.
 #[test]
 fn a_silent_hub_is_replaced() {
     let daemons = fleet(10);
@@ -106,86 +107,86 @@
     let mut peers = PeerBook::default();
     let first = PeerRole::Member(DaemonId::from("a-01"));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(0)), first);
-    peers.record_hub(&note("a-01", 0), WorkRate::default(), MonoTime(2_000));
+    peers.record_hub(&status("a-01", 0), WorkRate::default(), MonoTime(2_000));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(3_000)), first);
     let replaced = hubs.role(&member, &daemons, &peers, MonoTime(3_300));
     assert_eq!(replaced, PeerRole::Member(next.clone()));
-    let mut of_next = HubBook::default();
-    of_next.record_hint(&member, MonoTime(3_400));
-    let role = of_next.role(&next, &daemons, &PeerBook::default(), MonoTime(3_500));
+    let mut next_hubs = HubBook::default();
+    next_hubs.record_hint(&member, MonoTime(3_400));
+    let role = next_hubs.role(&next, &daemons, &PeerBook::default(), MonoTime(3_500));
     assert_eq!(role, PeerRole::Hub);
-    let links = of_next.links(&role, &next, &daemons);
+    let links = next_hubs.links(&role, &next, &daemons);
     let to_member = links.iter().find(|(d, _)| d.id == member);
     assert_eq!(to_member.map(|(_, kind)| *kind), Some(LinkKind::Member));
-    peers.record_hub(&note("a-02", 0), WorkRate::default(), MonoTime(9_000));
+    peers.record_hub(&status("a-02", 0), WorkRate::default(), MonoTime(9_000));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(9_400)), first);
 }
 
-// A hub is cut from the store and still heard. Its members would stay on an old
-// configuration with it; they follow the store themselves until it hears it again.
+// A hub may be cut off from the store and still be reachable. Its members would keep an old
+// configuration; they watch the store themselves until the hub reaches it again.
 #[test]
-fn a_hub_that_hears_nothing_of_the_store_feeds_nobody() {
+fn a_hub_without_recent_store_contact_is_not_relied_on() {
     let hub = DaemonId::from("a-01");
     let mut hubs = HubBook::default();
-    assert!(!hubs.has_recent_store(&hub, SILENCE, MonoTime(0)));
+    assert!(!hubs.has_recent_store(&hub, STORE_TIMEOUT, MonoTime(0)));
     hubs.record_store_age(&hub, Duration::from_millis(900), MonoTime(5_000));
-    assert!(hubs.has_recent_store(&hub, SILENCE, MonoTime(5_700)));
+    assert!(hubs.has_recent_store(&hub, STORE_TIMEOUT, MonoTime(5_700)));
     hubs.record_store_age(&hub, Duration::from_millis(1_500), MonoTime(5_800));
-    assert!(!hubs.has_recent_store(&hub, SILENCE, MonoTime(6_000)));
-    assert!(!hubs.has_recent_store(&DaemonId::from("a-02"), SILENCE, MonoTime(5_700)));
+    assert!(!hubs.has_recent_store(&hub, STORE_TIMEOUT, MonoTime(6_000)));
+    assert!(!hubs.has_recent_store(&DaemonId::from("a-02"), STORE_TIMEOUT, MonoTime(5_700)));
     hubs.record_store_age(&hub, Duration::ZERO, MonoTime(7_000));
-    assert!(hubs.has_recent_store(&hub, SILENCE, MonoTime(7_100)));
+    assert!(hubs.has_recent_store(&hub, STORE_TIMEOUT, MonoTime(7_100)));
 }
 
-// A hub tells other hubs of those that report to it. Were it to tell of other hubs as
-// well, each sum would come back in the next one and grow without end.
+// A hub reports to other hubs only the daemons that report to it. If it included other hubs,
+// each sum would return in the next one and grow without end.
 #[test]
-fn a_hub_does_not_pass_on_other_hubs() {
+fn a_hub_does_not_relay_the_state_of_other_hubs() {
     let now = MonoTime(1_000);
     let mut peers = PeerBook::default();
     peers.record_hint(&hint("a-02"), 1, now);
-    peers.record_hub(&note("b-01", 0), WorkRate::default(), now);
-    peers.record_member(&note("b-02", 100), WorkRate::default(), now);
+    peers.record_hub(&status("b-01", 0), WorkRate::default(), now);
+    peers.record_member(&status("b-02", 100), WorkRate::default(), now);
     let direct: Vec<DaemonId> = peers.direct_status(now).into_iter().map(|n| n.id).collect();
     assert_eq!(direct, [DaemonId::from("a-02")]);
     assert_eq!(peers.all_status(now).len(), 3);
 }
 
 #[test]
-fn own_hearing_goes_before_what_a_hub_tells() {
+fn direct_state_precedes_relayed_state() {
     let daemons = fleet(10);
     let mut peers = PeerBook::default();
-    let own = DaemonId::from("a-01");
-    peers.set_known(&own, &daemons, MonoTime(0));
-    let heard = DaemonId::from("a-02");
+    let local = DaemonId::from("a-01");
+    peers.set_known(&local, &daemons, MonoTime(0));
+    let peer = DaemonId::from("a-02");
     peers.record_hint(&hint("a-02"), 1, MonoTime(5_000));
-    let mut left = note("a-02", 0);
+    let mut left = status("a-02", 0);
     left.leaving = true;
     peers.record_member(&left, WorkRate::default(), MonoTime(5_100));
-    assert!(peers.is_usable(&heard, MonoTime(5_200)));
-    assert!(!peers.is_usable(&heard, MonoTime(6_500)));
-    peers.record_member(&note("a-02", 400), WorkRate::default(), MonoTime(7_000));
-    assert!(peers.is_usable(&heard, MonoTime(9_000)));
-    assert!(!peers.is_usable(&heard, MonoTime(9_300)));
+    assert!(peers.is_usable(&peer, MonoTime(5_200)));
+    assert!(!peers.is_usable(&peer, MonoTime(6_500)));
+    peers.record_member(&status("a-02", 400), WorkRate::default(), MonoTime(7_000));
+    assert!(peers.is_usable(&peer, MonoTime(9_000)));
+    assert!(!peers.is_usable(&peer, MonoTime(9_300)));
 }
 
 #[test]
-fn a_member_takes_its_own_work_out_of_the_sum() {
+fn a_member_subtracts_its_own_work_from_the_sum() {
     let target = TargetLife::from("e");
-    let mut own = LoadBook::default();
-    own.begin(&target, 1, 300);
+    let mut local = LoadBook::default();
+    local.begin(&target, 1, 300);
     let mut all = LoadBook::default();
     all.begin(&target, 1, 300);
     all.begin(&target, 1, 500);
     let mut sum = all.summed(|_| true);
-    subtract(&mut sum, own.own());
-    own.set_other(DaemonId::from("hub"), sum, MonoTime(0));
-    assert_eq!(own.total(&target).running, 2);
-    assert_eq!(own.total(&target).unread_before(1), 800);
+    subtract(&mut sum, local.own());
+    local.set_other(DaemonId::from("hub"), sum, MonoTime(0));
+    assert_eq!(local.total(&target).running, 2);
+    assert_eq!(local.total(&target).unread_before(1), 800);
 }
 
 #[test]
-fn a_new_link_gets_what_the_store_holds_now() {
+fn a_new_link_gets_the_current_objects() {
     let objects = |whole, objects: &[(&str, Option<&[u8]>)]| FeedObjects {
         feed: Feed::Targets,
         whole,
@@ -200,11 +201,11 @@
             })
             .collect(),
     };
-    let mut stock = FeedStock::default();
-    stock.take(objects(true, &[("gone", Some(b"1")), ("old", Some(b"2"))]));
-    stock.take(objects(true, &[("a", Some(b"1")), ("b", Some(b"2"))]));
-    stock.take(objects(false, &[("b", None), ("c", Some(b"3"))]));
-    let all = stock.all();
+    let mut snapshot = FeedStock::default();
+    snapshot.take(objects(true, &[("gone", Some(b"1")), ("old", Some(b"2"))]));
+    snapshot.take(objects(true, &[("a", Some(b"1")), ("b", Some(b"2"))]));
+    snapshot.take(objects(false, &[("b", None), ("c", Some(b"3"))]));
+    let all = snapshot.all();
     assert_eq!(all.len(), 1);
     let names: Vec<&str> = all[0]
         .objects
@@ -220,37 +221,37 @@
     missing: usize,
 }
 
-// A member asks a daemon that has just become its hub. What the member has already is not
-// sent again: with a narrow link, the hub's callers would wait for it.
+// A member requests a snapshot from a daemon that has just become its hub. Objects that the
+// member already has are not sent again: on a slow link, the hub's callers would wait.
 #[rstest]
 #[case::nothing(DigestCase { known: &[], missing: 1 })]
 #[case::the_same_in_another_order(DigestCase { known: &[("b", 2), ("a", 1)], missing: 0 })]
 #[case::an_older_version(DigestCase { known: &[("a", 1), ("b", 1)], missing: 1 })]
 #[case::one_more(DigestCase { known: &[("a", 1), ("b", 2), ("c", 1)], missing: 1 })]
 #[case::one_less(DigestCase { known: &[("a", 1)], missing: 1 })]
-fn only_what_differs_is_sent(#[case] case: DigestCase) {
-    let stock = |objects: &[(&str, u64)]| {
+fn only_feeds_that_differ_are_sent(#[case] case: DigestCase) {
+    let snapshot = |objects: &[(&str, u64)]| {
         let objects = objects.iter();
         let value = || Some(ByteBuf::from(b"1".to_vec()));
-        let mut stock = FeedStock::default();
-        stock.take(FeedObjects {
+        let mut snapshot = FeedStock::default();
+        snapshot.take(FeedObjects {
             feed: Feed::Targets,
             whole: true,
             objects: objects
                 .map(|(name, version)| ((*name).to_owned(), *version, value()))
                 .collect(),
         });
-        stock
+        snapshot
     };
-    let hub = stock(&[("a", 1), ("b", 2)]);
-    let missing = hub.missing(&stock(case.known).digests());
+    let hub = snapshot(&[("a", 1), ("b", 2)]);
+    let missing = hub.missing(&snapshot(case.known).digests());
     assert_eq!(missing.len(), case.missing);
 }
 
-// A daemon that becomes a hub sends all members everything at once, over a link that may
-// be narrow. Requests on the same link wait for it, so values take no more than their room.
+// A daemon that becomes a hub sends everything to all members at once, over a link that may
+// be slow and on which requests wait. So the encoding must add little to the values' size.
 #[test]
-fn objects_take_their_own_room_on_the_link() {
+fn objects_are_encoded_without_much_overhead() {
     let value = vec![b'x'; 300];
     let names = (0..100).map(|number| format!("target-{number:02}"));
     let objects = names.map(|name| (name, 7, Some(ByteBuf::from(value.clone()))));
@@ -263,81 +264,81 @@
     assert!(size < 100 * (300 + 20), "{size} bytes");
 }
 
-struct JoinCase {
-    // Hub that could feed the member, by second; `None` where none could.
-    feeding: &'static [Option<&'static str>],
-    // Answers that come afterwards: hub and number of the question.
-    answers: &'static [(&'static str, u64)],
+struct SubscriptionCase {
+    // Hub that could relay the store to the member in each second; `None` if none could.
+    sources: &'static [Option<&'static str>],
+    // Responses that arrive afterwards: hub and number of the request.
+    responses: &'static [(&'static str, u64)],
     subscribed: bool,
 }
 
-// A member was cut off and followed the store itself. What its hub passed on meanwhile
-// reaches it late or never, among it the departure of a target, which would get work
-// for many seconds. It relies on the hub again from the answer to its newest question.
+// While a member is cut off and watches the store itself, objects that its hub relays reach
+// it late or never. If the departure of a target is among them, the target would get work for
+// many seconds. So the member relies on the hub only from the response to its latest request.
 #[rstest]
-#[case::not_answered(JoinCase { feeding: &[Some("hub")], answers: &[], subscribed: false })]
-#[case::answered(JoinCase { feeding: &[Some("hub")], answers: &[("hub", 1)], subscribed: true })]
-#[case::answer_from_before_the_cut(JoinCase { feeding: &[Some("hub"), None, Some("hub")], answers: &[("hub", 1)], subscribed: false })]
-#[case::answered_after_the_cut(JoinCase { feeding: &[Some("hub"), None, Some("hub")], answers: &[("hub", 1), ("hub", 2)], subscribed: true })]
-#[case::asked_again(JoinCase { feeding: &[Some("hub"), Some("hub")], answers: &[("hub", 2)], subscribed: true })]
-#[case::other_hub(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("hub", 1)], subscribed: false })]
-#[case::other_hub_answered(JoinCase { feeding: &[Some("hub"), Some("next")], answers: &[("next", 2)], subscribed: true })]
-fn a_hub_is_relied_on_from_its_answer_on(#[case] case: JoinCase) {
-    let mut join = FeedJoin::default();
-    for (second, hub) in case.feeding.iter().enumerate() {
+#[case::no_response(SubscriptionCase { sources: &[Some("hub")], responses: &[], subscribed: false })]
+#[case::response(SubscriptionCase { sources: &[Some("hub")], responses: &[("hub", 1)], subscribed: true })]
+#[case::response_from_before_the_cut(SubscriptionCase { sources: &[Some("hub"), None, Some("hub")], responses: &[("hub", 1)], subscribed: false })]
+#[case::response_after_the_cut(SubscriptionCase { sources: &[Some("hub"), None, Some("hub")], responses: &[("hub", 1), ("hub", 2)], subscribed: true })]
+#[case::requested_again(SubscriptionCase { sources: &[Some("hub"), Some("hub")], responses: &[("hub", 2)], subscribed: true })]
+#[case::other_hub(SubscriptionCase { sources: &[Some("hub"), Some("next")], responses: &[("hub", 1)], subscribed: false })]
+#[case::other_hub_responded(SubscriptionCase { sources: &[Some("hub"), Some("next")], responses: &[("next", 2)], subscribed: true })]
+fn a_member_subscribes_by_the_response_to_its_latest_request(#[case] case: SubscriptionCase) {
+    let mut subscription = FeedJoin::default();
+    for (second, hub) in case.sources.iter().enumerate() {
         let now = MonoTime(10_000 + 1_000 * second as u64);
-        join.subscribe(hub.map(DaemonId::from).as_ref(), now);
+        subscription.subscribe(hub.map(DaemonId::from).as_ref(), now);
     }
-    for (hub, number) in case.answers {
+    for (hub, number) in case.responses {
         let hub = DaemonId::from(*hub);
-        if join.awaits(&hub, *number) {
-            join.apply_snapshot(&hub, true);
+        if subscription.awaits(&hub, *number) {
+            subscription.apply_snapshot(&hub, true);
         }
     }
-    assert_eq!(join.is_subscribed(), case.subscribed);
+    assert_eq!(subscription.is_subscribed(), case.subscribed);
 }
 
 #[test]
-fn a_hub_that_cannot_feed_is_relied_on_no_longer() {
+fn a_lost_hub_or_a_new_link_ends_the_subscription() {
     let hub = DaemonId::from("hub");
-    let mut join = FeedJoin::default();
-    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_000)), Some(1));
-    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_200)), None);
-    assert!(join.awaits(&hub, 1));
-    join.apply_snapshot(&hub, true);
-    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_400)), None);
-    join.handle_new_link(&DaemonId::from("other"));
-    assert!(join.is_subscribed());
-    join.handle_new_link(&hub);
+    let mut subscription = FeedJoin::default();
+    assert_eq!(subscription.subscribe(Some(&hub), MonoTime(1_000)), Some(1));
+    assert_eq!(subscription.subscribe(Some(&hub), MonoTime(1_200)), None);
+    assert!(subscription.awaits(&hub, 1));
+    subscription.apply_snapshot(&hub, true);
+    assert_eq!(subscription.subscribe(Some(&hub), MonoTime(1_400)), None);
+    subscription.handle_new_link(&DaemonId::from("other"));
+    assert!(subscription.is_subscribed());
+    subscription.handle_new_link(&hub);
     assert!(
-        !join.is_subscribed(),
-        "what it passed on before may be lost"
+        !subscription.is_subscribed(),
+        "objects relayed before may be lost"
     );
-    assert_eq!(join.subscribe(Some(&hub), MonoTime(1_500)), Some(2));
-    join.handle_new_link(&hub);
+    assert_eq!(subscription.subscribe(Some(&hub), MonoTime(1_500)), Some(2));
+    subscription.handle_new_link(&hub);
     assert_eq!(
-        join.subscribe(Some(&hub), MonoTime(1_550)),
+        subscription.subscribe(Some(&hub), MonoTime(1_550)),
         Some(3),
-        "so may the question's answer be"
+        "the response may be lost as well"
     );
-    assert!(join.awaits(&hub, 3));
-    join.apply_snapshot(&hub, true);
-    join.subscribe(None, MonoTime(1_600));
-    assert!(!join.is_subscribed());
-    assert!(!join.awaits(&hub, 3));
+    assert!(subscription.awaits(&hub, 3));
+    subscription.apply_snapshot(&hub, true);
+    subscription.subscribe(None, MonoTime(1_600));
+    assert!(!subscription.is_subscribed());
+    assert!(!subscription.awaits(&hub, 3));
 }
 
-// The members of a data centre talk to one daemon. On an instance with an eighth of a core
-// and a link of 20 Mbit/s it answers late; the strongest one is taken, whatever its name.
+// A hub serves all members of its data centre. On an instance with an eighth of a core and a
+// link of 20 Mbit/s it responds late, so the strongest instance is selected, before the name.
 #[test]
 fn the_strongest_instance_is_the_hub() {
     let mut daemons = fleet(10);
     let strong = DaemonId::from("a-07");
     let record = daemons.iter_mut().find(|d| d.id == strong);
     record.expect("it is there").strength.core_thousandths = 500;
-    let role = |own: &str, daemons: &[DaemonRecord]| {
-        let own = DaemonId::from(own);
-        HubBook::default().role(&own, daemons, &PeerBook::default(), MonoTime(0))
+    let role = |local: &str, daemons: &[DaemonRecord]| {
+        let local = DaemonId::from(local);
+        HubBook::default().role(&local, daemons, &PeerBook::default(), MonoTime(0))
     };
     assert_eq!(role("a-01", &daemons), PeerRole::Member(strong.clone()));
     assert_eq!(role("a-07", &daemons), PeerRole::Hub);
@@ -348,29 +349,29 @@
 }
 
 struct StoreHubCase {
-    own: &'static str,
-    // Other hubs, and when they were heard last.
-    heard: &'static [(&'static str, u64)],
-    follows: Option<&'static str>,
+    local: &'static str,
+    // Other hubs, and the time of their last message.
+    last_messages: &'static [(&'static str, u64)],
+    watched_by: Option<&'static str>,
 }
 
-// Five hubs that each follow the store ask it five times as often as one. The first of
-// those that hear each other does; where it falls silent, the next one takes over.
+// Five hubs that each watch the store call it five times as often as one. So only the first
+// of the reachable hubs watches it; if that one fails, the next takes over.
 #[rstest]
-#[case::first(StoreHubCase { own: "a-01", heard: &[("b-01", 4_900), ("c-01", 4_900)], follows: None })]
-#[case::relies_on_the_first(StoreHubCase { own: "c-01", heard: &[("b-01", 4_900), ("a-01", 4_900)], follows: Some("a-01") })]
-#[case::first_is_silent(StoreHubCase { own: "c-01", heard: &[("b-01", 4_900), ("a-01", 3_000)], follows: Some("b-01") })]
-#[case::next_after_a_silent_one(StoreHubCase { own: "b-01", heard: &[("c-01", 4_900), ("a-01", 3_000)], follows: None })]
-#[case::hears_nobody(StoreHubCase { own: "c-01", heard: &[], follows: None })]
-fn one_hub_follows_the_store(#[case] case: StoreHubCase) {
+#[case::first(StoreHubCase { local: "a-01", last_messages: &[("b-01", 4_900), ("c-01", 4_900)], watched_by: None })]
+#[case::relies_on_the_first(StoreHubCase { local: "c-01", last_messages: &[("b-01", 4_900), ("a-01", 4_900)], watched_by: Some("a-01") })]
+#[case::first_is_silent(StoreHubCase { local: "c-01", last_messages: &[("b-01", 4_900), ("a-01", 3_000)], watched_by: Some("b-01") })]
+#[case::next_after_a_silent_one(StoreHubCase { local: "b-01", last_messages: &[("c-01", 4_900), ("a-01", 3_000)], watched_by: None })]
+#[case::nobody_reachable(StoreHubCase { local: "c-01", last_messages: &[], watched_by: None })]
+fn one_hub_watches_the_store(#[case] case: StoreHubCase) {
     let daemons = fleet(10);
-    let own = DaemonId::from(case.own);
+    let local = DaemonId::from(case.local);
     let mut peers = PeerBook::default();
-    for (hub, at) in case.heard {
-        peers.record_hub(&note(hub, 0), WorkRate::default(), MonoTime(*at));
+    for (hub, at) in case.last_messages {
+        peers.record_hub(&status(hub, 0), WorkRate::default(), MonoTime(*at));
     }
     let mut hubs = HubBook::default();
-    hubs.role(&own, &daemons, &peers, MonoTime(5_000));
-    let follows = hubs.store_hub(&own, &daemons, &peers, MonoTime(5_000));
-    assert_eq!(follows, case.follows.map(DaemonId::from));
+    hubs.role(&local, &daemons, &peers, MonoTime(5_000));
+    let watched_by = hubs.store_hub(&local, &daemons, &peers, MonoTime(5_000));
+    assert_eq!(watched_by, case.watched_by.map(DaemonId::from));
 }
--- a/tests/gateway_link_queue.rs
+++ b/tests/gateway_link_queue.rs
@@ -1,4 +1,4 @@
-//! What goes out next on a link that is slower than what is to be said on it.
+//! Order of messages on a link that is too slow for them.
 
 use pistachiowick::gateway::peers::link_queue::{ChangeSenders, LinkQueue, LinkTask};
 use pistachiowick::gateway::store_follow::Feed;
@@ -7,7 +7,7 @@
 const CONFIG: &str = "config";
 const TARGET: &str = "target";
 
-/// A link on which a new word waits whenever the last one was sent.
+/// A link on which a new status message waits whenever the last one was sent.
 struct BusyLink {
     status_sender: watch::Sender<u32>,
     queue: LinkQueue<u32, &'static str>,
@@ -47,11 +47,11 @@
     }
 }
 
-// Thousands of targets come and go while the operator changes the configuration. The hub's
-// links are full: a new word waits each time that one was sent. Sent first, words are all
-// that a member hears, and it serves callers by a configuration that is seconds old.
+// Thousands of targets come and go while the operator changes the configuration, and a new
+// status message waits each time one was sent. If status messages were always sent first, a
+// member would get nothing else and serve callers by a configuration that is seconds old.
 #[tokio::test]
-async fn a_configuration_goes_before_all_that_waits() {
+async fn a_configuration_is_sent_before_waiting_changes() {
     let mut link = BusyLink::open();
     (0..1_000).for_each(|_| link.changes.send(Feed::Targets, TARGET));
     link.take(200).await;
@@ -61,11 +61,11 @@
 }
 
 #[tokio::test]
-async fn changes_and_words_share_a_full_link() {
+async fn changes_and_status_messages_share_a_full_link() {
     let mut link = BusyLink::open();
     (0..1_000).for_each(|_| link.changes.send(Feed::Targets, TARGET));
     let tasks = link.take(1_020).await;
-    let status_sender = tasks
+    let status_messages = tasks
         .iter()
         .filter(|task| **task == LinkTask::Status)
         .count();
@@ -74,11 +74,11 @@
         .filter(|t| **t == LinkTask::Change(TARGET))
         .count();
     assert_eq!(changes, 1_000);
-    assert!(status_sender >= 15, "{words} words");
+    assert!(status_messages >= 15, "{status_messages} status messages");
 }
 
 #[tokio::test]
-async fn an_answer_goes_before_changes_made_after_it() {
+async fn a_response_is_sent_before_later_changes() {
     let mut link = BusyLink::open();
     link.changes.send(Feed::Config, CONFIG);
     link.answers.send("answer").expect("the link is open");
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_member_tells_words_and_what_was_asked_for() {
+async fn a_member_sends_requests_and_status_messages() {
     let (status_sender, status) = watch::channel(0);
     let (answers, urgent) = mpsc::unbounded_channel();
     let mut queue: LinkQueue<u32, &str> = LinkQueue::without_changes(status, urgent);
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -1,4 +1,4 @@
-//! Places on engines that one daemon gives out for others.
+//! Choice of engines by one daemon for others.
 
 use std::time::Duration;
 
@@ -45,31 +45,31 @@
     }
 }
 
-struct PromiseCase {
-    // Number of the last question that the member's own word contains, if it comes.
-    told: Option<u64>,
-    // Unread tokens in that word.
-    told_tokens: u32,
+struct PlacementCase {
+    // Number of the last placement request that the member's hint contains, if one arrives.
+    reported: Option<u64>,
+    // Pending prefill tokens in that hint.
+    reported_tokens: u32,
     wait_ms: u64,
     unread: u32,
 }
 
-// A hub gives a member a place (question 4) and hears of the work itself by the member's
-// next hint. In between the place counts, so that the next request is put elsewhere;
-// afterwards it must not count twice, and a member that is gone leaves nothing behind.
+// A hub answers placement request 4 of a member, whose next hint reports the work itself.
+// Until then the placement counts, so that the next request goes elsewhere. Afterwards it must
+// not count twice, and the placement of a member that is gone must expire.
 #[rstest]
-#[case::not_told_yet(PromiseCase { told: None, told_tokens: 0, wait_ms: 100, unread: 1_000 })]
-#[case::older_word(PromiseCase { told: Some(3), told_tokens: 500, wait_ms: 100, unread: 1_500 })]
-#[case::told(PromiseCase { told: Some(4), told_tokens: 1_000, wait_ms: 100, unread: 1_000 })]
-#[case::told_and_read(PromiseCase { told: Some(5), told_tokens: 0, wait_ms: 100, unread: 0 })]
-#[case::member_is_gone(PromiseCase { told: None, told_tokens: 0, wait_ms: 1_000, unread: 0 })]
-fn a_place_counts_once(#[case] case: PromiseCase) {
+#[case::not_reported_yet(PlacementCase { reported: None, reported_tokens: 0, wait_ms: 100, unread: 1_000 })]
+#[case::older_hint(PlacementCase { reported: Some(3), reported_tokens: 500, wait_ms: 100, unread: 1_500 })]
+#[case::reported(PlacementCase { reported: Some(4), reported_tokens: 1_000, wait_ms: 100, unread: 1_000 })]
+#[case::reported_and_prefilled(PlacementCase { reported: Some(5), reported_tokens: 0, wait_ms: 100, unread: 0 })]
+#[case::member_is_gone(PlacementCase { reported: None, reported_tokens: 0, wait_ms: 1_000, unread: 0 })]
+fn a_placement_counts_once(#[case] case: PlacementCase) {
     let (member, engine) = (DaemonId::from("member"), TargetLife::from("e1"));
     let mut load = LoadBook::default();
     load.promise((&member, 4), &engine, (1, 1_000), NOW);
-    if let Some(through) = case.told {
+    if let Some(through) = case.reported {
         let mut own = LoadBook::default();
-        own.begin(&engine, 1, case.told_tokens);
+        own.begin(&engine, 1, case.reported_tokens);
         load.settle_promises(&member, through);
         load.set_other(member, own.own().clone(), after(50));
     }
@@ -80,41 +80,44 @@
     assert_eq!(summed, case.unread);
 }
 
-struct LateNoteCase {
+struct LatePlacementCase {
     through: u64,
     number: u64,
     unread: u32,
 }
 
-// Hubs tell each other of placements at once and of their sums later. A note that comes
-// after a sum which contains it must not count a second time; a hub that was started
-// again numbers from the beginning.
+// Hubs announce placements to each other at once, and sums of their work later. A placement
+// that arrives after a sum which contains it must not count twice; a hub that was restarted
+// numbers its announcements from the beginning.
 #[rstest]
-#[case::after_its_sum(LateNoteCase { through: 4, number: 4, unread: 500 })]
-#[case::newer(LateNoteCase { through: 4, number: 5, unread: 1_500 })]
-#[case::of_the_next_life(LateNoteCase { through: 0, number: 1, unread: 1_500 })]
-fn a_note_after_its_sum_does_not_count_twice(#[case] case: LateNoteCase) {
+#[case::after_its_sum(LatePlacementCase { through: 4, number: 4, unread: 500 })]
+#[case::newer(LatePlacementCase { through: 4, number: 5, unread: 1_500 })]
+#[case::of_the_next_incarnation(LatePlacementCase { through: 0, number: 1, unread: 1_500 })]
+fn a_placement_after_its_sum_does_not_count_twice(#[case] case: LatePlacementCase) {
     let (hub, engine) = (DaemonId::from("hub"), TargetLife::from("e1"));
     let mut load = LoadBook::default();
     load.settle_promises(&hub, 90);
     load.settle_promises(&hub, case.through);
-    let mut told = LoadBook::default();
-    told.begin(&engine, 1, 500);
-    load.set_other(hub.clone(), told.own().clone(), NOW);
+    let mut reported = LoadBook::default();
+    reported.begin(&engine, 1, 500);
+    load.set_other(hub.clone(), reported.own().clone(), NOW);
     load.promise((&hub, case.number), &engine, (1, 1_000), NOW);
     load.expire(after(50));
     assert_eq!(load.total(&engine).unread_before(1), case.unread);
 }
 
 #[test]
-fn an_answer_reaches_its_own_question() {
+fn a_response_reaches_its_own_request() {
     let hub = DaemonId::from("hub");
-    let mut desk = PlacingDesk::default();
-    let mut queue = desk.open_link(&hub);
-    assert!(desk.send_request(request(), NOW).is_none(), "nobody to ask");
-    desk.set_placement_hub(Some(hub));
-    let (first, mut first_wait) = desk.send_request(request(), NOW).expect("a question");
-    let (second, mut second_wait) = desk.send_request(request(), NOW).expect("a question");
+    let mut client = PlacingDesk::default();
+    let mut queue = client.open_link(&hub);
+    assert!(
+        client.send_request(request(), NOW).is_none(),
+        "no hub to ask"
+    );
+    client.set_placement_hub(Some(hub));
+    let (first, mut first_wait) = client.send_request(request(), NOW).expect("a request");
+    let (second, mut second_wait) = client.send_request(request(), NOW).expect("a request");
     assert!(queue.try_recv().is_ok() && queue.try_recv().is_ok());
     for (number, writer) in [
         (second, "e2"),
@@ -123,7 +126,7 @@
         (99, "stray"),
     ] {
         let engines = Some(engines(writer));
-        desk.deliver_response(PlaceAnswer { number, engines });
+        client.deliver_response(PlaceAnswer { number, engines });
     }
     let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.writer);
     let first = first_wait.try_recv().expect("an answer");
@@ -132,31 +135,31 @@
     assert_eq!(writer(second), Some(TargetLife::from("e2")));
 }
 
-// The hub stands still. One request waits for it, the others do not.
+// When the hub hangs, one request waits for its response; the next ones do not.
 #[test]
-fn a_silent_placer_is_not_asked_for_a_while() {
-    let mut desk = PlacingDesk::default();
-    let _queue = desk.open_link(&DaemonId::from("hub"));
-    desk.set_placement_hub(Some(DaemonId::from("hub")));
-    let (number, _wait) = desk.send_request(request(), NOW).expect("a question");
-    desk.record_timeout(number, NOW);
-    assert!(desk.send_request(request(), after(500)).is_none());
-    assert!(desk.send_request(request(), after(1_100)).is_some());
-    desk.record_timeout(number, after(1_100));
-    let _other = desk.open_link(&DaemonId::from("other"));
-    desk.set_placement_hub(Some(DaemonId::from("other")));
-    assert!(desk.send_request(request(), after(1_200)).is_some());
+fn an_unresponsive_hub_gets_no_requests_for_a_while() {
+    let mut client = PlacingDesk::default();
+    let _queue = client.open_link(&DaemonId::from("hub"));
+    client.set_placement_hub(Some(DaemonId::from("hub")));
+    let (number, _wait) = client.send_request(request(), NOW).expect("a request");
+    client.record_timeout(number, NOW);
+    assert!(client.send_request(request(), after(500)).is_none());
+    assert!(client.send_request(request(), after(1_100)).is_some());
+    client.record_timeout(number, after(1_100));
+    let _other = client.open_link(&DaemonId::from("other"));
+    client.set_placement_hub(Some(DaemonId::from("other")));
+    assert!(client.send_request(request(), after(1_200)).is_some());
 }
 
 #[test]
-fn a_link_that_ended_is_not_asked_over() {
+fn no_request_is_sent_on_a_closed_link() {
     let hub = DaemonId::from("hub");
-    let mut desk = PlacingDesk::default();
-    desk.set_placement_hub(Some(hub.clone()));
-    assert!(desk.send_request(request(), NOW).is_none(), "no link yet");
-    drop(desk.open_link(&hub));
+    let mut client = PlacingDesk::default();
+    client.set_placement_hub(Some(hub.clone()));
+    assert!(client.send_request(request(), NOW).is_none(), "no link yet");
+    drop(client.open_link(&hub));
     assert!(
-        desk.send_request(request(), NOW).is_none(),
+        client.send_request(request(), NOW).is_none(),
         "the link is lost"
     );
 }
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -1,4 +1,4 @@
-//! What a hub learns from what its members saw.
+//! What a hub learns from the results that its members report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,29 +16,29 @@
 
 use gateway_samples::engine;
 
-struct TellingCase {
-    /// Target and what became of a send to it, in the order of the sends.
+struct ResultsCase {
+    /// Target and result of each send, in order.
     results: &'static [(&'static str, SendResult)],
-    telling: &'static [(&'static str, SendResult)],
+    conclusive: &'static [(&'static str, SendResult)],
 }
 
-// A member loses its own network for a moment and hears nothing of any engine. A hub that
-// took its word would avoid engines that serve everybody else.
+// A member that loses its own network for a moment gets no response from any engine. A hub
+// that relied on its results would avoid engines that serve all other daemons.
 #[rstest]
-#[case::answers(TellingCase { results: &[("a", SendResult::Answered), ("b", SendResult::Failed)], telling: &[("a", SendResult::Answered), ("b", SendResult::Failed)] })]
-#[case::one_dark(TellingCase { results: &[("a", SendResult::Silent), ("b", SendResult::Answered)], telling: &[("a", SendResult::Silent), ("b", SendResult::Answered)] })]
-#[case::silent_twice(TellingCase { results: &[("a", SendResult::Silent), ("a", SendResult::Silent)], telling: &[("a", SendResult::Silent)] })]
-#[case::cut_off(TellingCase { results: &[("a", SendResult::Silent), ("b", SendResult::Silent), ("c", SendResult::Silent), ("d", SendResult::Answered)], telling: &[("d", SendResult::Answered)] })]
-fn a_member_that_is_cut_off_says_nothing_of_engines(#[case] case: TellingCase) {
+#[case::answers(ResultsCase { results: &[("a", SendResult::Answered), ("b", SendResult::Failed)], conclusive: &[("a", SendResult::Answered), ("b", SendResult::Failed)] })]
+#[case::one_unresponsive(ResultsCase { results: &[("a", SendResult::Silent), ("b", SendResult::Answered)], conclusive: &[("a", SendResult::Silent), ("b", SendResult::Answered)] })]
+#[case::silent_twice(ResultsCase { results: &[("a", SendResult::Silent), ("a", SendResult::Silent)], conclusive: &[("a", SendResult::Silent)] })]
+#[case::cut_off(ResultsCase { results: &[("a", SendResult::Silent), ("b", SendResult::Silent), ("c", SendResult::Silent), ("d", SendResult::Answered)], conclusive: &[("d", SendResult::Answered)] })]
+fn results_of_a_member_that_is_cut_off_are_ignored(#[case] case: ResultsCase) {
     let mut seen = SeenWork::default();
     for (target, result) in case.results {
         seen.note_result(&TargetLife::from(*target), *result);
     }
-    let told: Vec<(&str, SendResult)> = seen
+    let reported: Vec<(&str, SendResult)> = seen
         .conclusive_results()
-        .map(|note| (note.target.as_str(), note.result))
+        .map(|observed| (observed.target.as_str(), observed.result))
         .collect();
-    assert_eq!(told, case.telling);
+    assert_eq!(reported, case.conclusive);
 }
 
 fn chosen(core: &DecisionCore, engines: &[Arc<TargetRecord>], now: MonoTime) -> TargetLife {
@@ -61,40 +61,40 @@
     place.writer.id.clone()
 }
 
-/// Who saw what of an engine.
-struct SawCase {
-    /// What two members tell of a send each.
-    told: Option<SendResult>,
+/// Results of sends to an engine.
+struct EngineCase {
+    /// Result that two members report, of one send each.
+    reported: Option<SendResult>,
     /// Times of the hub's own sends.
     own_ms: &'static [f64],
 }
 
-// A lane summary comes in while one of two engines has turned dark, fails, or has turned
-// slow. The hub that places it sends little itself. Members' results lead it past the first
-// two; a slow engine it learns of by its own sends, since times of many senders at once show
-// passing queues more than engines.
+// One of two engines is unresponsive, fails or is slow while a request arrives. The hub that
+// chooses the engine sends few requests itself. By the results of its members it avoids an
+// engine that is unresponsive or fails. A slow engine it detects by its own sends only, since
+// the times of many senders show short-lived queues more than the speed of engines.
 #[rstest]
-#[case::dark(SawCase { told: Some(SendResult::Silent), own_ms: &[] })]
-#[case::failing(SawCase { told: Some(SendResult::Failed), own_ms: &[] })]
-#[case::slow(SawCase { told: Some(SendResult::Answered), own_ms: &[2_000.0, 2_000.0] })]
-fn a_hub_places_by_what_it_and_its_members_saw(#[case] case: SawCase) {
+#[case::unresponsive(EngineCase { reported: Some(SendResult::Silent), own_ms: &[] })]
+#[case::failing(EngineCase { reported: Some(SendResult::Failed), own_ms: &[] })]
+#[case::slow(EngineCase { reported: Some(SendResult::Answered), own_ms: &[2_000.0, 2_000.0] })]
+fn a_hub_avoids_engines_by_its_own_and_its_members_results(#[case] case: EngineCase) {
     let engines = ["a", "b"].map(|id| Arc::new(engine(id, EngineStage::Decode)));
     let now = MonoTime(10_000);
     let mut core = DecisionCore::default();
     let first = chosen(&core, &engines, now);
-    let troubled = engines.iter().find(|e| e.id == first).expect("one of them");
+    let faulty = engines.iter().find(|e| e.id == first).expect("one of them");
     for _member in 0..2 {
         let mut seen = SeenWork::default();
-        if let Some(result) = case.told {
-            seen.note_result(&troubled.id, result);
+        if let Some(result) = case.reported {
+            seen.note_result(&faulty.id, result);
         }
-        for note in seen.conclusive_results() {
-            core.note_result(&note.target, note.result, now);
+        for observed in seen.conclusive_results() {
+            core.note_result(&observed.target, observed.result, now);
         }
     }
     for taken_ms in case.own_ms {
         let timed = TimedWork {
-            engine: troubled.clone(),
+            engine: faulty.clone(),
             work: EngineWork::ReadHere,
             tokens: 1_460.0,
         };
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -1,4 +1,4 @@
-//! What a hub tells in a word, and how large words are in a large fleet.
+//! What a hub includes in a summary, and how large summaries are in a large fleet.
 
 use indexmap::IndexSet;
 use pistachiowick::gateway::deciding::load::TargetWork;
@@ -13,11 +13,11 @@
 const DAEMONS: usize = 300;
 /// Targets with work at a time.
 const WORKING: usize = 300;
-/// Most bytes of a word: a hub with 100 members and a link of 25 MB a second sends five
-/// words a second to each, and half of the link is for callers.
-const MOST_BYTES: usize = 25_000;
+/// Most bytes of a summary: a hub with 100 members and a link of 25 MB a second sends five
+/// summaries a second to each, and half of the link is for callers.
+const MAX_BYTES: usize = 25_000;
 
-fn note(index: usize) -> MemberNote {
+fn status(index: usize) -> MemberNote {
     MemberNote {
         id: DaemonId::from(format!("gateway-{index:03}").as_str()),
         age_ms: 180,
@@ -29,14 +29,14 @@
 }
 
 fn fleet(count: usize) -> Vec<MemberNote> {
-    (0..count).map(note).collect()
+    (0..count).map(status).collect()
 }
 
 fn work(index: usize) -> (TargetLife, TargetWork) {
-    let born = UnixTime(1_790_000_000_000 + index as u64);
+    let started = UnixTime(1_790_000_000_000 + index as u64);
     let life = TargetLife::new(
         TargetId::from(format!("llm-pool-{index:04}").as_str()),
-        Some(born),
+        Some(started),
     );
     let mut work = TargetWork {
         running: 12,
@@ -47,9 +47,9 @@
     (life, work)
 }
 
-fn word(broadcasts: &mut NoteTurns) -> PeerMessage {
+fn summary(broadcasts: &mut NoteTurns) -> PeerMessage {
     let mut members = broadcasts.due_members(fleet(DAEMONS - 1));
-    members.push(note(DAEMONS));
+    members.push(status(DAEMONS));
     PeerMessage::Summary(PeerSummary {
         from: DaemonId::from("gateway-300"),
         life: 1_790_000_000_000,
@@ -68,31 +68,35 @@
     })
 }
 
-// A hub of a large fleet sends its words to a hundred members. When a word tells each of
-// them of each daemon, by field names, the hub's link is full; departures and changes of
-// configuration then wait behind words, and callers wait behind both.
+// A hub of a large fleet sends its summaries to a hundred members. If each summary contained
+// the status of each daemon, with field names, the hub's link would be full; departures and
+// changes of the configuration would wait behind summaries, and callers behind both.
 #[test]
-fn a_word_of_a_large_fleet_leaves_half_of_the_hubs_link() {
+fn summaries_of_a_large_fleet_leave_half_of_the_hubs_link() {
     let mut broadcasts = NoteTurns::default();
-    // Whoever links up first is told of all; from then on it goes by turns.
-    let _ = word(&mut broadcasts);
+    // The first summary contains all daemons, the next ones a part in rotation.
+    let _ = summary(&mut broadcasts);
     for _ in 0..4 {
-        let bytes = word(&mut broadcasts).encode().into_data().len();
-        assert!(bytes <= MOST_BYTES, "{bytes} bytes");
+        let bytes = summary(&mut broadcasts).encode().into_data().len();
+        assert!(bytes <= MAX_BYTES, "{bytes} bytes");
     }
 }
 
 #[test]
-fn each_daemon_is_told_of_within_two_words() {
+fn each_daemon_is_included_within_two_summaries() {
     let mut broadcasts = NoteTurns::default();
     let _ = broadcasts.due_members(fleet(DAEMONS));
     for _ in 0..3 {
-        let words = [
+        let summaries = [
             broadcasts.due_members(fleet(DAEMONS)),
             broadcasts.due_members(fleet(DAEMONS)),
         ];
-        let told: IndexSet<DaemonId> = words.into_iter().flatten().map(|note| note.id).collect();
-        assert_eq!(told.len(), DAEMONS);
+        let included: IndexSet<DaemonId> = summaries
+            .into_iter()
+            .flatten()
+            .map(|status| status.id)
+            .collect();
+        assert_eq!(included.len(), DAEMONS);
     }
 }
 
@@ -101,32 +105,32 @@
     at_once: bool,
 }
 
-// A daemon leaves, orders an engine or loses track of the keys: readers send it no more
-// callers and leave that engine alone, so they hear of it with the next word and not at
-// the daemon's turn. That it was heard again is nothing to act on.
+// When a daemon leaves or cannot confirm its keys, receivers direct no more callers to it;
+// when it changes an engine's stage, they leave that engine alone. So these changes are in the
+// next summary, ahead of the rotation. A new message from the daemon needs no action.
 #[rstest]
-#[case::leaving(ChangeCase { change: |note| note.leaving = true, at_once: true })]
-#[case::keys_not_confirmed(ChangeCase { change: |note| note.confirms_keys = false, at_once: true })]
-#[case::ordering(ChangeCase { change: |note| note.changing = vec![TargetLife::from("engine")], at_once: true })]
-#[case::heard_again(ChangeCase { change: |note| note.age_ms = 20, at_once: false })]
-fn what_is_told_at_once(#[case] case: ChangeCase) {
-    for words in 0..2 {
+#[case::leaving(ChangeCase { change: |status| status.leaving = true, at_once: true })]
+#[case::keys_not_confirmed(ChangeCase { change: |status| status.confirms_keys = false, at_once: true })]
+#[case::changing_a_stage(ChangeCase { change: |status| status.changing = vec![TargetLife::from("engine")], at_once: true })]
+#[case::new_contact(ChangeCase { change: |status| status.age_ms = 20, at_once: false })]
+fn changes_that_are_sent_at_once(#[case] case: ChangeCase) {
+    for summaries in 0..2 {
         let mut broadcasts = NoteTurns::default();
-        for _ in 0..=words {
+        for _ in 0..=summaries {
             let _ = broadcasts.due_members(fleet(DAEMONS));
         }
         let mut changed = fleet(DAEMONS);
-        changed.iter_mut().for_each(|note| (case.change)(note));
-        let told = broadcasts.due_members(changed).len();
-        assert_eq!(told == DAEMONS, case.at_once, "{told} of {DAEMONS}");
+        changed.iter_mut().for_each(|status| (case.change)(status));
+        let included = broadcasts.due_members(changed).len();
+        assert_eq!(included == DAEMONS, case.at_once, "{included} of {DAEMONS}");
     }
 }
 
 #[test]
-fn a_daemon_that_comes_back_is_told_of_at_once() {
-    for words in 0..2 {
+fn a_daemon_that_comes_back_is_included_at_once() {
+    for summaries in 0..2 {
         let mut broadcasts = NoteTurns::default();
-        for _ in 0..=words {
+        for _ in 0..=summaries {
             let _ = broadcasts.due_members(fleet(DAEMONS));
         }
         let _ = broadcasts.due_members(Vec::new());
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn work_at_a_rank_that_engines_do_not_tell_apart_is_refused() {
+fn work_at_an_unknown_rank_is_rejected() {
     let mut bytes = Vec::new();
     ciborium::into_writer(&(3_u32, vec![(10_u8, 700_u32)]), &mut bytes).expect("it encodes");
     let read: Result<TargetWork, _> = ciborium::from_reader(&bytes[..]);
