--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::config::catalogue::{ItemName, ItemSpec};
 use crate::control::snapshot::{SnapshotCell, new_cell};
-use crate::crashes::SharedCrashes;
+use crate::crashes::SharedCrashTracker;
 use crate::names::{ClassName, ModelName, ProcessIncarnation, TargetId, WorkspaceName};
 use crate::peers::link::PeerEvent;
 use crate::ports::{EnginePort, PlatformPort};
@@ -149,7 +149,7 @@
     /// Seed of all random choices of the control thread.
     pub seed: u64,
     /// Work that ended targets, told to peers.
-    pub crashes: SharedCrashes,
+    pub crashes: SharedCrashTracker,
 }
 
 /// Handle of the control thread.
--- a/src/control/peer_desk.rs
+++ b/src/control/peer_desk.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use tokio::sync::{mpsc, watch};
 
-use crate::crashes::SharedCrashes;
+use crate::crashes::SharedCrashTracker;
 use crate::membership::fleet::FleetView;
 use crate::names::{
     DaemonId, ModelName, MonoTime, ProcessIncarnation, TargetId, UnixTime, WorkspaceName,
@@ -16,7 +16,7 @@
 use crate::ports::{ObjectName, ObjectVersion, StoredObject};
 use crate::roles::mix::{WorkBins, WorkTotals};
 use crate::settings::DaemonSettings;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::targets::wire::EngineState;
 
 const NEWS_AGE: Duration = Duration::from_secs(10);
@@ -44,7 +44,7 @@
     applied: IndexMap<String, (ObjectVersion, MonoTime)>,
     engines: IndexMap<TargetId, EngineState>,
     digests: IndexMap<TargetId, MonoTime>,
-    crashes: SharedCrashes,
+    crashes: SharedCrashTracker,
     watching: watch::Sender<bool>,
 }
 
@@ -54,7 +54,7 @@
     pub fn new(
         settings: &DaemonSettings,
         incarnation: ProcessIncarnation,
-        crashes: SharedCrashes,
+        crashes: SharedCrashTracker,
     ) -> Self {
         Self {
             own: settings.daemon_id.clone(),
@@ -168,7 +168,7 @@
 
     /// Drops suspicions of engines that still report in the same life.
     pub fn refute_by_reports(&self, fleet: &FleetView, now: MonoTime) {
-        let reports = |target: &TargetLife| {
+        let reports = |target: &TargetIncarnation| {
             let report = fleet.targets.get(target.name())?.report.as_ref()?;
             let same = target.born() == Some(UnixTime(report.incarnation.0));
             (same && now.since(report.taken_at) < FRESH_REPORT).then_some(())
--- a/src/crashes/news.rs
+++ b/src/crashes/broadcasts.rs
@@ -10,7 +10,7 @@
 
 use crate::crashes::work_digest::WorkDigest;
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// How long news of a work are told, from the first word on.
 const NEWS_TIME: Duration = Duration::from_millis(600);
@@ -25,13 +25,13 @@
 
 /// What daemons tell each other of a work.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
-pub struct WorkNote {
+pub struct CrashReport {
     /// The work.
     pub work: WorkDigest,
     /// Lives of targets that ended under it.
-    pub ends: Vec<TargetLife>,
+    pub ends: Vec<TargetIncarnation>,
     /// Lives that seemed to and did not, or that ended for another reason.
-    pub refuted: Vec<TargetLife>,
+    pub refuted: Vec<TargetIncarnation>,
     /// Milliseconds since the last end, or since it was asked for where it is held.
     pub age_ms: u64,
 }
@@ -44,13 +44,13 @@
 
 /// What the words before contained.
 #[derive(Clone, Debug, Default)]
-pub struct CrashNews {
+pub struct CrashBroadcasts {
     fresh: IndexMap<WorkDigest, NewsTurn>,
     turned_at: Option<MonoTime>,
     next_turn: usize,
 }
 
-impl CrashNews {
+impl CrashBroadcasts {
     /// Has news of a work told from `due` on.
     pub fn tell(&mut self, work: WorkDigest, due: MonoTime) {
         let turn = NewsTurn { due, until: None };
--- a/src/crashes/mod.rs
+++ b/src/crashes/mod.rs
@@ -6,21 +6,21 @@
 //! ([`book`]). Daemons tell each other ([`news`]); work that ended three targets is held:
 //! it is sent no more.
 
-pub mod book;
-pub mod news;
+pub mod broadcasts;
+pub mod tracker;
 pub mod work_digest;
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::crashes::book::CrashBook;
+use crate::crashes::tracker::CrashTracker;
 
 /// A book that threads of a daemon share. Clones share one book.
 #[derive(Clone, Debug, Default)]
-pub struct SharedCrashes(Arc<Mutex<CrashBook>>);
+pub struct SharedCrashTracker(Arc<Mutex<CrashTracker>>);
 
-impl SharedCrashes {
+impl SharedCrashTracker {
     /// Takes the book for one step.
-    pub fn lock(&self) -> MutexGuard<'_, CrashBook> {
+    pub fn lock(&self) -> MutexGuard<'_, CrashTracker> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/crashes/book.rs
+++ b/src/crashes/tracker.rs
@@ -9,10 +9,10 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::crashes::news::{CrashNews, WorkNote};
+use crate::crashes::broadcasts::{CrashBroadcasts, CrashReport};
 use crate::crashes::work_digest::WorkDigest;
 use crate::names::{MonoTime, millis};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Targets that work may end before it is held.
 pub const MOST_ENDS: usize = 3;
@@ -48,7 +48,7 @@
 
 #[derive(Clone, Debug)]
 struct WorkRecord {
-    ends: IndexMap<TargetLife, EndRecord>,
+    ends: IndexMap<TargetIncarnation, EndRecord>,
     last_end: MonoTime,
     last_asked: MonoTime,
     trial_at: Option<MonoTime>,
@@ -114,14 +114,14 @@
     }
 
     // Others know of those ends only that they were told.
-    fn note(&self, work: WorkDigest, now: MonoTime) -> WorkNote {
+    fn note(&self, work: WorkDigest, now: MonoTime) -> CrashReport {
         let shared = self.ends.iter().filter(|(_, end)| end.shared);
         let (refuted, ends): (Vec<_>, Vec<_>) = shared.partition(|(_, end)| end.refuted);
-        let lives = |found: Vec<(&TargetLife, &EndRecord)>| {
+        let lives = |found: Vec<(&TargetIncarnation, &EndRecord)>| {
             let lives = found.into_iter().map(|(life, _)| life.clone());
             lives.collect()
         };
-        WorkNote {
+        CrashReport {
             work,
             ends: lives(ends),
             refuted: lives(refuted),
@@ -132,7 +132,7 @@
 
 /// When a request was sent, on a connection from when.
 #[derive(Clone, Copy, Debug)]
-pub struct AnswerTimes {
+pub struct ExchangeTimes {
     /// When the connection was opened.
     pub opened: MonoTime,
     /// When the request was sent.
@@ -141,7 +141,7 @@
 
 /// What may be done with work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WorkStanding {
+pub enum WorkStatus {
     /// It is sent.
     Free,
     /// It is sent once, to see whether targets withstand it now.
@@ -152,14 +152,14 @@
 
 /// Which work ended which targets.
 #[derive(Clone, Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     works: IndexMap<WorkDigest, WorkRecord>,
     // Suspicions by the life that may still refute them.
-    suspects: IndexMap<TargetLife, IndexSet<WorkDigest>>,
-    news: CrashNews,
+    suspects: IndexMap<TargetIncarnation, IndexSet<WorkDigest>>,
+    news: CrashBroadcasts,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Whether there is no suspect.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -168,7 +168,12 @@
 
     /// Takes a connection that ended under a run of `work`; true when the work is held from
     /// now on.
-    pub fn note_end(&mut self, work: WorkDigest, target: &TargetLife, now: MonoTime) -> bool {
+    pub fn note_end(
+        &mut self,
+        work: WorkDigest,
+        target: &TargetIncarnation,
+        now: MonoTime,
+    ) -> bool {
         let end = EndRecord {
             at: now,
             own: true,
@@ -190,7 +195,7 @@
 
     /// Takes what another daemon, or the store, tells of work; true when it is held from now
     /// on. `relays` tells whether it is to be told on.
-    pub fn take_note(&mut self, note: &WorkNote, relays: bool, now: MonoTime) -> bool {
+    pub fn take_note(&mut self, note: &CrashReport, relays: bool, now: MonoTime) -> bool {
         let was_held = self.is_held(note.work);
         let seen = MonoTime(now.0.saturating_sub(note.age_ms));
         let end = EndRecord {
@@ -219,7 +224,7 @@
     ///
     /// Where a target keeps its name when it starts again, only a connection from before the
     /// end shows that it was none.
-    pub fn note_answer(&mut self, target: &TargetLife, times: AnswerTimes, now: MonoTime) {
+    pub fn note_answer(&mut self, target: &TargetIncarnation, times: ExchangeTimes, now: MonoTime) {
         let keeps_name = target.born().is_some();
         self.refute_ends(target, now, |end| {
             if !end.own {
@@ -239,13 +244,13 @@
     /// one that is not gone after that is of a target that lives.
     pub fn note_entries(
         &mut self,
-        has_entry: impl Fn(&TargetLife) -> bool,
+        has_entry: impl Fn(&TargetIncarnation) -> bool,
         lapse_time: Duration,
         heard_since: MonoTime,
         now: MonoTime,
     ) {
         let alive = self.suspects.keys().filter(|target| has_entry(target));
-        let alive: Vec<TargetLife> = alive.cloned().collect();
+        let alive: Vec<TargetIncarnation> = alive.cloned().collect();
         for target in alive {
             self.refute_ends(&target, now, |end| {
                 now.since(end.at.max(heard_since)) >= lapse_time
@@ -258,7 +263,7 @@
         let Some(record) = self.works.get(&work) else {
             return;
         };
-        let lives: Vec<TargetLife> = record.ends.keys().cloned().collect();
+        let lives: Vec<TargetIncarnation> = record.ends.keys().cloned().collect();
         for target in &lives {
             self.refute(work, target);
         }
@@ -266,21 +271,21 @@
     }
 
     /// What may be done with work now. One daemon of the fleet `tries` held work.
-    pub fn standing(&mut self, work: WorkDigest, tries: bool, now: MonoTime) -> WorkStanding {
+    pub fn standing(&mut self, work: WorkDigest, tries: bool, now: MonoTime) -> WorkStatus {
         let Some(record) = self.works.get_mut(&work) else {
-            return WorkStanding::Free;
+            return WorkStatus::Free;
         };
         record.last_asked = now;
         if !record.is_held() {
-            return WorkStanding::Free;
+            return WorkStatus::Free;
         }
         let next = record.next_trial();
         let on_trial = record.trial_at.is_some_and(|at| now.since(at) < TRIAL_TIME);
         if tries && !on_trial && next.is_some_and(|at| at <= now) {
             record.trial_at = Some(now);
-            return WorkStanding::Trial;
+            return WorkStatus::Trial;
         }
-        WorkStanding::Held(next.map(|at| at.since(now)))
+        WorkStatus::Held(next.map(|at| at.since(now)))
     }
 
     /// Whether work is held.
@@ -291,7 +296,7 @@
 
     /// Targets that ended under work, as far as not refuted.
     #[must_use]
-    pub fn ends(&self, work: WorkDigest) -> Vec<TargetLife> {
+    pub fn ends(&self, work: WorkDigest) -> Vec<TargetIncarnation> {
         let record = self.works.get(&work);
         let ends = record.into_iter().flat_map(|record| &record.ends);
         let counted = ends.filter(|(_, end)| !end.refuted);
@@ -317,7 +322,7 @@
     }
 
     /// What goes into the next word to other daemons.
-    pub fn pick(&mut self, now: MonoTime) -> Vec<WorkNote> {
+    pub fn pick(&mut self, now: MonoTime) -> Vec<CrashReport> {
         if self.works.is_empty() {
             return Vec::new();
         }
@@ -345,7 +350,7 @@
     fn take_end(
         &mut self,
         work: WorkDigest,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         end: EndRecord,
         seen: MonoTime,
     ) -> bool {
@@ -371,7 +376,7 @@
 
     fn refute_ends(
         &mut self,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         now: MonoTime,
         refutes: impl Fn(&EndRecord) -> bool,
     ) {
@@ -393,7 +398,7 @@
     fn take_refuted(
         &mut self,
         work: WorkDigest,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         end: EndRecord,
         seen: MonoTime,
     ) -> bool {
@@ -408,7 +413,7 @@
         true
     }
 
-    fn refute(&mut self, work: WorkDigest, target: &TargetLife) {
+    fn refute(&mut self, work: WorkDigest, target: &TargetIncarnation) {
         let record = self.works.get_mut(&work);
         if let Some(end) = record.and_then(|record| record.ends.get_mut(target)) {
             end.refuted = true;
@@ -416,7 +421,7 @@
         self.clear_suspect(target, work);
     }
 
-    fn clear_suspect(&mut self, target: &TargetLife, work: WorkDigest) {
+    fn clear_suspect(&mut self, target: &TargetIncarnation, work: WorkDigest) {
         if let Some(suspects) = self.suspects.get_mut(target) {
             suspects.swap_remove(&work);
             if suspects.is_empty() {
--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -20,7 +20,7 @@
         route: &mut RouteRule,
         caller: &CallerRequest,
     ) -> Result<CallerAccess, Failure> {
-        if !routes.asks_for_keys() {
+        if !routes.requires_keys() {
             return Ok(CallerAccess::Open);
         }
         if route.public {
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// Returns the refusal; a choice of engines would try one after the other instead.
-    pub(super) fn check_still(&self, access: &CallerAccess) -> Result<(), Failure> {
+    pub(super) fn recheck_access(&self, access: &CallerAccess) -> Result<(), Failure> {
         if self.may_still_send(access) {
             return Ok(());
         }
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -38,12 +38,12 @@
 
 /// Repeats of one daemon, by service.
 #[derive(Clone, Debug)]
-pub struct RepeatBudget {
+pub struct RetryLimiter {
     rule: BudgetRule,
     services: IndexMap<ServiceName, SpanCounts>,
 }
 
-impl RepeatBudget {
+impl RetryLimiter {
     /// Creates a budget under `rule`.
     #[must_use]
     pub fn new(rule: BudgetRule) -> Self {
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -17,10 +17,10 @@
 };
 use crate::gateway::sending::SendPlan;
 use crate::names::millis;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// A caller's request, routed and read.
-pub struct RoutedCall {
+pub struct RoutedRequest {
     /// Picture of the fleet when it arrived.
     pub view: Arc<FleetView>,
     /// Its route.
@@ -45,7 +45,7 @@
     pub due: Instant,
 }
 
-impl RoutedCall {
+impl RoutedRequest {
     /// Time that a target may still spend.
     #[must_use]
     pub fn time_left(&self) -> Duration {
@@ -124,11 +124,11 @@
 
 /// Targets that one request was sent to, or could not be sent to.
 #[derive(Clone, Debug, Default)]
-pub struct SendTrail {
+pub struct SendHistory {
     /// Targets that got the request.
-    pub sent: Vec<TargetLife>,
+    pub sent: Vec<TargetIncarnation>,
     /// Targets that no byte reached.
-    pub unreached: Vec<TargetLife>,
+    pub unreached: Vec<TargetIncarnation>,
     /// Whether one of them ran the request or may have. Whatever a later target says,
     /// the caller must not be told then that nothing ran.
     pub may_have_run: bool,
@@ -137,42 +137,47 @@
     pub prompt_read: bool,
 }
 
-impl SendTrail {
+impl SendHistory {
     /// Whether a target was tried.
     #[must_use]
-    pub fn has(&self, target: &TargetLife) -> bool {
+    pub fn has(&self, target: &TargetIncarnation) -> bool {
         self.sent.contains(target) || self.unreached.contains(target)
     }
 
     /// Targets that were tried.
-    pub fn tried(&self) -> impl Iterator<Item = &TargetLife> {
+    pub fn tried(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.sent.iter().chain(&self.unreached)
     }
 
     /// Whether the route allows one more target.
     #[must_use]
-    pub fn may_send(&self, call: &RoutedCall) -> bool {
-        (self.sent.len() as u32) < call.route.most_targets
+    pub fn may_send(&self, call: &RoutedRequest) -> bool {
+        (self.sent.len() as u32) < call.route.max_targets
     }
 
     /// Whether the route allows another target after the next one.
     #[must_use]
-    pub fn may_add(&self, call: &RoutedCall) -> bool {
-        (self.sent.len() as u32) + 1 < call.route.most_targets
+    pub fn may_add(&self, call: &RoutedRequest) -> bool {
+        (self.sent.len() as u32) + 1 < call.route.max_targets
     }
 }
 
 /// Work counted at a target until it is dropped.
-pub struct WorkGuard {
+pub struct InFlightGuard {
     gateway: Rc<Gateway>,
-    target: TargetLife,
+    target: TargetIncarnation,
     rank: u8,
     unread_tokens: u32,
 }
 
-impl WorkGuard {
+impl InFlightGuard {
     /// Counts a request of a rank with `unread_tokens` to read.
-    pub fn begin(gateway: &Rc<Gateway>, target: &TargetLife, rank: u8, unread_tokens: u32) -> Self {
+    pub fn begin(
+        gateway: &Rc<Gateway>,
+        target: &TargetIncarnation,
+        rank: u8,
+        unread_tokens: u32,
+    ) -> Self {
         let mut core = gateway.core.borrow_mut();
         core.load.begin(target, rank, unread_tokens);
         Self {
@@ -192,7 +197,7 @@
     }
 }
 
-impl Drop for WorkGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut core = self.gateway.core.borrow_mut();
         core.load.end(&self.target, self.rank, self.unread_tokens);
--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -35,7 +35,7 @@
 
 /// What a failed send means for the request.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum SendFault {
+pub enum SendError {
     /// No byte of the request left: it has not run.
     #[error("not sent: {0}; another target may be asked")]
     NotSent(String),
@@ -50,7 +50,7 @@
 
 /// Why a body was not read to its end.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// The other side ended the connection, or its framing cannot be read.
     #[error("the body was cut: {0}; ask again if the request may be repeated")]
     Cut(String),
@@ -62,11 +62,11 @@
     Slow,
 }
 
-impl From<BodyFault> for SendFault {
-    fn from(fault: BodyFault) -> Self {
+impl From<BodyError> for SendError {
+    fn from(fault: BodyError) -> Self {
         match fault {
-            BodyFault::Cut(reason) => Self::Cut(reason),
-            BodyFault::TooLong(_) | BodyFault::Slow => Self::Unclear(fault.to_string()),
+            BodyError::Cut(reason) => Self::Cut(reason),
+            BodyError::TooLong(_) | BodyError::Slow => Self::Unclear(fault.to_string()),
         }
     }
 }
@@ -96,7 +96,7 @@
 
 /// An open connection; dropping it closes it and with it what runs on it.
 #[derive(Debug)]
-pub struct HttpLink {
+pub struct HttpConnection {
     sender: SendRequest<Full<Bytes>>,
     /// When it was opened.
     pub opened: MonoTime,
@@ -108,24 +108,24 @@
     pub used: bool,
 }
 
-impl HttpLink {
+impl HttpConnection {
     /// Opens a connection, until `deadline` at the latest.
     ///
     /// # Errors
     ///
-    /// Returns [`SendFault::NotSent`] where none can be had.
-    pub async fn open(address: SocketAddr, deadline: Instant) -> Result<Self, SendFault> {
+    /// Returns [`SendError::NotSent`] where none can be had.
+    pub async fn open(address: SocketAddr, deadline: Instant) -> Result<Self, SendError> {
         let connected = timeout_at(deadline, TcpStream::connect(address)).await;
         let stream = connected
-            .map_err(|_| SendFault::NotSent(format!("{address} took no connection in time")))?
-            .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
-        set_options(&stream).map_err(|e| SendFault::NotSent(format!("{address}: {e}")))?;
+            .map_err(|_| SendError::NotSent(format!("{address} took no connection in time")))?
+            .map_err(|error| SendError::NotSent(format!("{address}: {error}")))?;
+        set_socket_options(&stream).map_err(|e| SendError::NotSent(format!("{address}: {e}")))?;
         let mut builder = http1::Builder::new();
         builder.max_buf_size(HEAD_BYTES);
         let (sender, connection) = builder
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| SendFault::NotSent(format!("{address}: {error}")))?;
+            .map_err(|error| SendError::NotSent(format!("{address}: {error}")))?;
         tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to {address} ended: {error}");
@@ -155,14 +155,14 @@
         &mut self,
         request: &OutgoingRequest,
         deadline: Instant,
-    ) -> Result<Response<Incoming>, SendFault> {
+    ) -> Result<Response<Incoming>, SendError> {
         self.used = true;
         let sending = self.sender.try_send_request(request.to_http());
         match timeout_at(deadline, sending).await {
-            Err(_) => Err(SendFault::Unclear("no answer in time".to_owned())),
+            Err(_) => Err(SendError::Unclear("no answer in time".to_owned())),
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut error)) => match error.take_message() {
-                Some(_) => Err(SendFault::NotSent(error.into_error().to_string())),
+                Some(_) => Err(SendError::NotSent(error.into_error().to_string())),
                 None => Err(lost_answer(&error.into_error())),
             },
         }
@@ -174,7 +174,7 @@
 /// # Errors
 ///
 /// Returns the error of the socket.
-pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(ACK_WAIT))?;
@@ -186,11 +186,11 @@
 }
 
 // A path that takes no bytes any more ends the connection here; the other side may go on.
-fn lost_answer(error: &hyper::Error) -> SendFault {
+fn lost_answer(error: &hyper::Error) -> SendError {
     if is_timeout(error) {
-        SendFault::Unclear(error.to_string())
+        SendError::Unclear(error.to_string())
     } else {
-        SendFault::Cut(error.to_string())
+        SendError::Cut(error.to_string())
     }
 }
 
@@ -213,17 +213,17 @@
 /// # Errors
 ///
 /// Returns what is wrong: cut short, too long, or too slow.
-pub async fn read_body<B>(body: B, most_bytes: usize, deadline: Instant) -> Result<Bytes, BodyFault>
+pub async fn read_body<B>(body: B, most_bytes: usize, deadline: Instant) -> Result<Bytes, BodyError>
 where
     B: http_body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn error::Error + Send + Sync>>,
 {
     let reading = Limited::new(body, most_bytes).collect();
     match timeout_at(deadline, reading).await {
-        Err(_) => Err(BodyFault::Slow),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyFault::TooLong(most_bytes)),
-        Ok(Err(error)) if is_timeout(&*error) => Err(BodyFault::Slow),
-        Ok(Err(error)) => Err(BodyFault::Cut(error.to_string())),
+        Err(_) => Err(BodyError::Slow),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLong(most_bytes)),
+        Ok(Err(error)) if is_timeout(&*error) => Err(BodyError::Slow),
+        Ok(Err(error)) => Err(BodyError::Cut(error.to_string())),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
     }
 }
@@ -234,11 +234,11 @@
 ///
 /// Returns what became of the call.
 pub async fn call(
-    link: &mut HttpLink,
+    link: &mut HttpConnection,
     request: &OutgoingRequest,
     most_bytes: usize,
     deadline: Instant,
-) -> Result<(http::response::Parts, Bytes), SendFault> {
+) -> Result<(http::response::Parts, Bytes), SendError> {
     let response = link.send(request, deadline).await?;
     let (head, body) = response.into_parts();
     let body = read_body(body, most_bytes, deadline).await?;
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -17,15 +17,17 @@
 use crate::gateway::model::FleetConfig;
 use crate::gateway::peers::wire::FeedObjects;
 use crate::gateway::port::GatewayPorts;
-use crate::gateway::registry::{EntryContent, EntryNews, EntryNote, EntrySource, TargetRegistry};
+use crate::gateway::registry::{
+    EntryChange, EntryContent, EntrySource, EntryUpdate, TargetRegistry,
+};
 use crate::gateway::routes::RouteTable;
 use crate::gateway::store_follow::{
-    FIRST_BACKOFF, Feed, FeedNews, FollowPace, Follower, LONGEST_BACKOFF, StorePulse, WatchDuty,
-    kind_of, pause,
+    ConfigWatchWaits, FIRST_BACKOFF, Feed, Follower, LONGEST_BACKOFF, StoreEvent, StoreLiveness,
+    WatchMode, kind_of, pause,
 };
 use crate::names::{DaemonId, MonoTime, TargetId, millis};
 use crate::ports::{ConditionalWrite, ObjectName, ObjectVersion, PlatformError, StoredObject};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// How often what is remembered of ended entries and lives is cleared.
@@ -37,11 +39,11 @@
 
 /// What others tell the control thread.
 #[derive(Debug)]
-pub enum ControlNews {
+pub enum ControlInput {
     /// A target was not at its address any more.
-    TargetDeparted(TargetLife),
+    TargetDeparted(TargetIncarnation),
     /// Another daemon told of entries that began or ended.
-    EntryNotes(Vec<EntryNote>),
+    EntryNotes(Vec<EntryUpdate>),
     /// Another daemon sent a configuration.
     PeerConfig {
         /// Revision of the store's object.
@@ -52,7 +54,7 @@
     /// A hub passed on objects of the store.
     PeerObjects(FeedObjects),
     /// How this daemon is to follow the store.
-    Duty(WatchDuty),
+    Duty(WatchMode),
     /// This daemon is stopping.
     Stopping,
 }
@@ -64,19 +66,19 @@
     /// Where to publish.
     pub cell: FleetCell,
     /// Where to note that the store was heard.
-    pub pulse: Arc<StorePulse>,
+    pub pulse: Arc<StoreLiveness>,
     /// This daemon's record.
     pub record: DaemonRecord,
     /// How the store is followed at first.
-    pub duty: WatchDuty,
+    pub duty: WatchMode,
     /// How often the configuration is asked for while nothing changes.
-    pub pace: FollowPace,
+    pub pace: ConfigWatchWaits,
 }
 
 /// Handle of the control thread.
 pub struct ControlLink {
     /// Where traffic tells it something.
-    pub news: mpsc::UnboundedSender<ControlNews>,
+    pub news: mpsc::UnboundedSender<ControlInput>,
     /// What it reads of the store, for hubs to pass on.
     pub relays: mpsc::UnboundedReceiver<FeedObjects>,
     /// The thread; it ends when all senders of news are gone.
@@ -116,14 +118,14 @@
     config_source: Option<(u64, Arc<[u8]>)>,
     targets_known: bool,
     own_record_seen: bool,
-    pulse: Arc<StorePulse>,
+    pulse: Arc<StoreLiveness>,
     // Revision of a configuration that could not be read and is not in force here.
     unread_config: Option<u64>,
 }
 
 async fn run(
     setup: ControlSetup,
-    mut inbox: mpsc::UnboundedReceiver<ControlNews>,
+    mut inbox: mpsc::UnboundedReceiver<ControlInput>,
     relay: mpsc::UnboundedSender<FeedObjects>,
 ) {
     let (duty_sender, duty) = watch::channel(setup.duty);
@@ -160,24 +162,24 @@
     loop {
         let changed = tokio::select! {
             news = inbox.recv() => match news {
-                Some(ControlNews::TargetDeparted(id)) => state.note_departed(&id),
-                Some(ControlNews::EntryNotes(notes)) => state.take_notes(notes),
-                Some(ControlNews::PeerConfig { revision, value }) => {
+                Some(ControlInput::TargetDeparted(id)) => state.note_departed(&id),
+                Some(ControlInput::EntryNotes(notes)) => state.take_notes(notes),
+                Some(ControlInput::PeerConfig { revision, value }) => {
                     state.take_value(revision, &value)
                 }
-                Some(ControlNews::PeerObjects(objects)) => state.take_relayed(objects),
-                Some(ControlNews::Duty(duty)) => {
+                Some(ControlInput::PeerObjects(objects)) => state.take_relayed(objects),
+                Some(ControlInput::Duty(duty)) => {
                     duty_sender.send_replace(duty);
                     false
                 }
-                Some(ControlNews::Stopping) => {
+                Some(ControlInput::Stopping) => {
                     record_sender.send_modify(|record| record.leaving = true);
                     false
                 }
                 None => return,
             },
             news = feeds.recv() => {
-                if let Some(objects) = news.as_ref().and_then(FeedNews::relayed) {
+                if let Some(objects) = news.as_ref().and_then(StoreEvent::relayed) {
                     // The traffic thread ends only with the process.
                     let _ = relay.send(objects);
                 }
@@ -187,7 +189,7 @@
                 }
                 changed
             }
-            () = wait_until(state.registry.next_given_up()) => {
+            () = wait_until(state.registry.next_expiry()) => {
                 state.registry.expire(clock::mono_now())
             }
             _ = ticks.next() => state.registry.expire(clock::mono_now()),
@@ -204,7 +206,7 @@
 
 impl ControlState {
     // Each request that meets the target tells of it.
-    fn note_departed(&mut self, id: &TargetLife) -> bool {
+    fn note_departed(&mut self, id: &TargetIncarnation) -> bool {
         if self.registry.has_departed(id) {
             return false;
         }
@@ -213,7 +215,7 @@
         true
     }
 
-    fn take_notes(&mut self, notes: Vec<EntryNote>) -> bool {
+    fn take_notes(&mut self, notes: Vec<EntryUpdate>) -> bool {
         let now = clock::mono_now();
         let mut changed = false;
         for note in notes {
@@ -282,9 +284,9 @@
             });
         let stored = stored.collect();
         let news = if whole {
-            FeedNews::Listed(feed, stored)
+            StoreEvent::Listed(feed, stored)
         } else {
-            FeedNews::Changed(feed, stored)
+            StoreEvent::Changed(feed, stored)
         };
         self.take(news, EntrySource::Hub)
     }
@@ -298,14 +300,14 @@
     }
 
     // Whether something changed that traffic has to see.
-    fn take(&mut self, news: FeedNews, source: EntrySource) -> bool {
+    fn take(&mut self, news: StoreEvent, source: EntrySource) -> bool {
         let now = clock::mono_now();
-        let answered = matches!(news, FeedNews::Listed(..) | FeedNews::Changed(..));
+        let answered = matches!(news, StoreEvent::Listed(..) | StoreEvent::Changed(..));
         if answered && source == EntrySource::Store {
             self.registry.note_store_answer(now);
         }
         match news {
-            FeedNews::Confirmed(at) => {
+            StoreEvent::Confirmed(at) => {
                 // Nothing is confirmed by an answer that could not be read: keys that it
                 // takes away would stay in force.
                 if self.routes.is_some() && self.unread_config.is_none() {
@@ -313,33 +315,34 @@
                 }
                 false
             }
-            FeedNews::TargetsThrough(revision) => {
+            StoreEvent::TargetsThrough(revision) => {
                 self.registry.note_read_through(revision);
                 false
             }
-            FeedNews::Failed(asked) => {
+            StoreEvent::Failed(asked) => {
                 self.registry.note_store_failure(asked, now);
                 false
             }
-            FeedNews::Listed(Feed::Targets, objects) => {
+            StoreEvent::Listed(Feed::Targets, objects) => {
                 let listing = objects.iter().map(|object| self.decode_target(object));
                 let listing = listing.collect();
                 self.registry.replace(listing, source, now);
                 self.targets_known = true;
                 true
             }
-            FeedNews::Listed(Feed::Daemons, objects) => {
+            StoreEvent::Listed(Feed::Daemons, objects) => {
                 self.members.clear();
                 self.take_daemons(&objects)
             }
-            FeedNews::Changed(Feed::Targets, objects) => {
+            StoreEvent::Changed(Feed::Targets, objects) => {
                 for object in &objects {
                     self.take_target(object, source);
                 }
                 !objects.is_empty()
             }
-            FeedNews::Changed(Feed::Daemons, objects) => self.take_daemons(&objects),
-            FeedNews::Listed(Feed::Config, objects) | FeedNews::Changed(Feed::Config, objects) => {
+            StoreEvent::Changed(Feed::Daemons, objects) => self.take_daemons(&objects),
+            StoreEvent::Listed(Feed::Config, objects)
+            | StoreEvent::Changed(Feed::Config, objects) => {
                 let mut changed = false;
                 for object in &objects {
                     changed |= self.take_config(object);
@@ -349,7 +352,7 @@
         }
     }
 
-    fn decode_target(&self, object: &StoredObject) -> EntryNews {
+    fn decode_target(&self, object: &StoredObject) -> EntryChange {
         let name = &object.object.name;
         let decode = self.ports.schema.decode_target;
         let content = match &object.value {
@@ -359,7 +362,7 @@
                 Err(fault) => EntryContent::Unreadable(fault),
             },
         };
-        EntryNews {
+        EntryChange {
             name: TargetId::from(name.as_str()),
             revision: object.version.0,
             content,
@@ -417,7 +420,7 @@
     fn publish(&self) {
         let mut targets = self.registry.by_service();
         if let Some(routes) = &self.routes {
-            fleet::leave_out_strangers(&mut targets, routes);
+            fleet::remove_unconfigured(&mut targets, routes);
         }
         let view = FleetView {
             routes: self.routes.clone(),
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -18,33 +18,33 @@
 use tokio_tungstenite::tungstenite::Message;
 
 use crate::clock;
-use crate::crashes::book::CrashBook;
-use crate::gateway::budget::RepeatBudget;
-use crate::gateway::control::{self, ControlLink, ControlNews, ControlSetup};
+use crate::crashes::tracker::CrashTracker;
+use crate::gateway::budget::RetryLimiter;
+use crate::gateway::control::{self, ControlInput, ControlLink, ControlSetup};
 use crate::gateway::deciding::DecisionCore;
 use crate::gateway::deciding::load::WorkByTarget;
-use crate::gateway::duties::{self, DutyBook};
-use crate::gateway::entry::{self, PageKind};
+use crate::gateway::entry::{self, ListenerKind};
 use crate::gateway::fleet::{FleetCell, FleetView};
-use crate::gateway::held_work::{self, HeldDesk};
+use crate::gateway::fleet_tasks::{self, UsageMeter};
 use crate::gateway::members::DaemonRecord;
-use crate::gateway::peers::entry_turns::EntryTurns;
-use crate::gateway::peers::feeding::{FeedJoin, FeedStock};
-use crate::gateway::peers::hub::{HubBook, RelayedNews};
+use crate::gateway::peers::entry_broadcasts::EntryBroadcasts;
+use crate::gateway::peers::feeding::{FeedSubscription, StoreSnapshot};
+use crate::gateway::peers::freshness::FreshnessTracker;
+use crate::gateway::peers::hub::{HubSelector, RelayQueue};
 use crate::gateway::peers::link_queue::ChangeSenders;
-use crate::gateway::peers::placing::{PlacementLog, PlacingDesk};
-use crate::gateway::peers::proofs::ProofBook;
-use crate::gateway::peers::seen::SeenWork;
-use crate::gateway::peers::{self, PeerBook};
+use crate::gateway::peers::placing::{PlacementClient, PlacementOutbox};
+use crate::gateway::peers::seen::ObservedResults;
+use crate::gateway::peers::{self, PeerTable};
 use crate::gateway::pool::LinkPool;
 use crate::gateway::port::GatewayPorts;
+use crate::gateway::quarantine::{self, QuarantineStore};
 use crate::gateway::reload;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::stage_control;
-use crate::gateway::store_follow::{StorePulse, WatchDuty};
+use crate::gateway::store_follow::{StoreLiveness, WatchMode};
 use crate::names::{DaemonId, MonoTime};
 use crate::ports::ObjectName;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::telemetry;
 use crate::timer::TimerService;
 
@@ -63,53 +63,53 @@
     /// What decisions rest on.
     pub core: RefCell<DecisionCore>,
     /// The other daemons.
-    pub peers: RefCell<PeerBook>,
+    pub peers: RefCell<PeerTable>,
     /// As of when the configuration is known to be the newest one.
-    pub proofs: RefCell<ProofBook>,
+    pub proofs: RefCell<FreshnessTracker>,
     /// Usage counted here and heard, and true time.
-    pub duties: RefCell<DutyBook>,
+    pub duties: RefCell<UsageMeter>,
     /// Whom to ask for places on engines.
-    pub placing: RefCell<PlacingDesk>,
+    pub placing: RefCell<PlacementClient>,
     /// What this daemon has placed as a hub.
-    pub placements: RefCell<PlacementLog>,
+    pub placements: RefCell<PlacementOutbox>,
     /// Wakes up who tells the other hubs of it.
     pub placed: Notify,
     /// Hubs that are told of it.
     pub other_hubs: RefCell<Vec<DaemonId>>,
     /// Who is whose hub.
-    pub hubs: RefCell<HubBook>,
+    pub hubs: RefCell<HubSelector>,
     /// Whether a hub is relied on for the store's objects.
-    pub joins: RefCell<FeedJoin>,
+    pub feed_subscription: RefCell<FeedSubscription>,
     /// What is passed on by a hub: what engines came to hold, whom it tells of when.
-    pub relayed: RefCell<RelayedNews>,
+    pub relayed: RefCell<RelayQueue>,
     /// Which notes on entries were told when.
-    pub entry_turns: RefCell<EntryTurns>,
+    pub entry_broadcasts: RefCell<EntryBroadcasts>,
     /// What own sends showed, to be told to the hub.
-    pub seen: RefCell<SeenWork>,
+    pub seen: RefCell<ObservedResults>,
     /// Own work as last told.
-    pub last_hint_work: RefCell<WorkByTarget>,
+    pub last_sent_work: RefCell<WorkByTarget>,
     /// The store's objects, to be passed on by a hub.
-    pub stock: RefCell<FeedStock>,
+    pub stock: RefCell<StoreSnapshot>,
     /// Changes of the store's objects for links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
-    pub duty: Cell<WatchDuty>,
+    pub duty: Cell<WatchMode>,
     /// When this daemon started.
     pub started: MonoTime,
     /// When the store was last heard.
-    pub pulse: Arc<StorePulse>,
+    pub pulse: Arc<StoreLiveness>,
     /// Distinguishes this life of the daemon from others under its name.
     pub life: u64,
     /// Engines that this daemon is changing.
-    pub own_changing: RefCell<Vec<TargetLife>>,
+    pub local_stage_changes: RefCell<Vec<TargetIncarnation>>,
     /// Work that ended targets.
-    pub crashes: RefCell<CrashBook>,
+    pub crashes: RefCell<CrashTracker>,
     /// Held work as the store has it.
-    pub held: RefCell<HeldDesk>,
+    pub held: RefCell<QuarantineStore>,
     /// Wakes up requests that wait for a target, where work is held.
-    pub newly_held: Notify,
+    pub newly_quarantined: Notify,
     /// Repeats.
-    pub budget: RefCell<RepeatBudget>,
+    pub budget: RefCell<RetryLimiter>,
     /// Draws.
     pub rng: RefCell<SmallRng>,
     /// Whether the process is stopping.
@@ -117,7 +117,7 @@
     /// Callers' connections that are open.
     pub serving: Cell<usize>,
     /// Where the control thread hears what traffic noticed.
-    pub news: mpsc::UnboundedSender<ControlNews>,
+    pub news: mpsc::UnboundedSender<ControlInput>,
 }
 
 impl Gateway {
@@ -140,9 +140,9 @@
     }
 
     /// Tells the control thread that a target is no longer at its address.
-    pub fn tell_departed(&self, target: &TargetLife) {
+    pub fn notify_departed(&self, target: &TargetIncarnation) {
         // The control thread ends only with the process.
-        let _ = self.news.send(ControlNews::TargetDeparted(target.clone()));
+        let _ = self.news.send(ControlInput::TargetDeparted(target.clone()));
     }
 
     /// Daemons that share the fleet's budgets, this one included.
@@ -154,7 +154,7 @@
 
 /// Why a daemon could not run.
 #[derive(Debug, Error)]
-pub enum DaemonFault {
+pub enum DaemonError {
     /// A socket or a thread could not be had.
     #[error("{what}: {error}; free the address or raise the limit")]
     Start {
@@ -193,11 +193,11 @@
         ports: GatewayPorts,
         fleet: FleetCell,
         life: u64,
-        news: mpsc::UnboundedSender<ControlNews>,
+        news: mpsc::UnboundedSender<ControlInput>,
     ) -> Self {
         let window = settings.duties.map(|duties| duties.usage_window());
-        let budget = RepeatBudget::new(settings.budget_rule());
-        let duty = WatchDuty::at_start(settings.first_start);
+        let budget = RetryLimiter::new(settings.budget_rule());
+        let duty = WatchMode::at_start(settings.first_start);
         Self {
             daemon: settings.daemon.clone(),
             core: RefCell::new(DecisionCore::new(settings.placement)),
@@ -207,27 +207,27 @@
             pool: Rc::default(),
             peers: RefCell::default(),
             proofs: RefCell::default(),
-            duties: RefCell::new(DutyBook::new(window.unwrap_or_default())),
+            duties: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
             placing: RefCell::default(),
             placements: RefCell::default(),
             placed: Notify::new(),
             other_hubs: RefCell::default(),
             hubs: RefCell::default(),
-            joins: RefCell::default(),
+            feed_subscription: RefCell::default(),
             relayed: RefCell::default(),
-            entry_turns: RefCell::default(),
+            entry_broadcasts: RefCell::default(),
             seen: RefCell::default(),
-            last_hint_work: RefCell::default(),
+            last_sent_work: RefCell::default(),
             stock: RefCell::default(),
             feed_changes: ChangeSenders::default(),
             duty: Cell::new(duty),
             started: clock::mono_now(),
             pulse: Arc::default(),
             life,
-            own_changing: RefCell::default(),
+            local_stage_changes: RefCell::default(),
             crashes: RefCell::default(),
             held: RefCell::default(),
-            newly_held: Notify::new(),
+            newly_quarantined: Notify::new(),
             budget: RefCell::new(budget),
             rng: RefCell::new(SmallRng::from_os_rng()),
             stopping: Cell::new(false),
@@ -262,7 +262,7 @@
             return;
         }
         let view = self.view();
-        let silent = self.peers.borrow().long_silent(clock::mono_now());
+        let silent = self.peers.borrow().unreachable_daemons(clock::mono_now());
         let left = view.daemons.iter().filter(|d| silent.contains(&d.id));
         for record in left {
             self.remove_record(record).await;
@@ -292,7 +292,7 @@
         }
         self.pool.borrow_mut().sweep(tokio::time::Instant::now());
         self.crashes.borrow_mut().sweep(now);
-        self.refute_by_entries(now);
+        self.refute_registered_targets(now);
         let view = self.view();
         let mut core = self.core.borrow_mut();
         core.sweep(|target| view.holds(target), now);
@@ -325,7 +325,7 @@
     settings: GatewaySettings,
     ports: GatewayPorts,
     signals: DaemonSignals<impl Future<Output = ()>>,
-) -> Result<(), DaemonFault> {
+) -> Result<(), DaemonError> {
     let metrics = telemetry::install_prometheus()?;
     let fleet: FleetCell = Arc::new(ArcSwap::from_pointee(FleetView::default()));
     let centre = settings.centre.clone();
@@ -334,8 +334,8 @@
     let peer_listener = listen("peers", settings.peer_address()).await?;
     let life = rand::rng().random();
     let record = own_record(&settings, &listeners, &peer_listener, life);
-    let pulse = Arc::new(StorePulse::default());
-    let duty = WatchDuty::at_start(settings.first_start);
+    let pulse = Arc::new(StoreLiveness::default());
+    let duty = WatchMode::at_start(settings.first_start);
     let setup = ControlSetup {
         ports: ports.clone(),
         cell: fleet.clone(),
@@ -360,7 +360,7 @@
     }
     let linking = peers::run(gateway.clone(), peer_listener, control.relays);
     supervise("peers", linking);
-    supervise("held work", held_work::run(gateway.clone()));
+    supervise("held work", quarantine::run(gateway.clone()));
     supervise("stages", stage_control::run(gateway.clone()));
     if let Some(duties) = gateway.settings().duties {
         supervise("duties", duties::run(gateway.clone(), duties));
@@ -394,7 +394,7 @@
     log::info!(grace_ms = grace.as_millis() as u64; "stopping: running requests end first");
     gateway.stopping.set(true);
     // The control thread ends only with the process.
-    let _ = gateway.news.send(ControlNews::Stopping);
+    let _ = gateway.news.send(ControlInput::Stopping);
     let latest = began + grace.saturating_sub(END_MARGIN);
     tokio::time::sleep_until((began + ACCEPT_AFTER_STOP).min(latest)).await;
     close.send_replace(true);
@@ -405,8 +405,8 @@
     log::info!(unfinished = left, took_ms = began.elapsed().as_millis() as u64; "stopped");
 }
 
-fn start_control(setup: ControlSetup) -> Result<ControlLink, DaemonFault> {
-    control::start(setup).map_err(|error| DaemonFault::Start {
+fn start_control(setup: ControlSetup) -> Result<ControlLink, DaemonError> {
+    control::start(setup).map_err(|error| DaemonError::Start {
         what: "the control thread".to_owned(),
         error,
     })
@@ -421,7 +421,7 @@
     let bound = |listener: &TcpListener| listener.local_addr().ok();
     let callers = listeners
         .iter()
-        .find(|open| matches!(open.kind, PageKind::Callers));
+        .find(|open| matches!(open.kind, ListenerKind::Callers));
     let callers = callers.and_then(|open| bound(&open.listener));
     let peers = bound(peers).unwrap_or_else(|| settings.peer_address());
     DaemonRecord {
@@ -437,18 +437,18 @@
 
 struct OpenListener {
     listener: TcpListener,
-    kind: PageKind,
+    kind: ListenerKind,
 }
 
 async fn open_listeners(
     settings: &GatewaySettings,
     metrics: &PrometheusHandle,
-) -> Result<Vec<OpenListener>, DaemonFault> {
+) -> Result<Vec<OpenListener>, DaemonError> {
     let addresses = &settings.listen;
-    let pages = || PageKind::Pages(metrics.clone());
+    let pages = || ListenerKind::Pages(metrics.clone());
     let wanted = [
         ("metrics", Some(settings.metrics_address()), pages()),
-        ("callers", addresses.callers, PageKind::Callers),
+        ("callers", addresses.callers, ListenerKind::Callers),
         ("readiness", addresses.readiness, pages()),
         ("directory", addresses.directory, pages()),
     ];
@@ -462,8 +462,8 @@
     Ok(listeners)
 }
 
-async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonFault> {
-    let fault = |error| DaemonFault::Start {
+async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
+    let fault = |error| DaemonError::Start {
         what: format!("listening on {address}"),
         error,
     };
--- a/src/gateway/deciding/affinity.rs
+++ b/src/gateway/deciding/affinity.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::model::PromptPart;
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Age from which a part is no longer believed to be cached. Engines drop what was
 /// least recently used; at the loads met so far parts lived for tens of seconds.
@@ -32,12 +32,12 @@
 
 /// Beliefs about the caches of engines.
 #[derive(Clone, Debug, Default)]
-pub struct CacheBook {
-    engines: IndexMap<TargetLife, IndexMap<u64, CachedPart>>,
+pub struct CacheIndex {
+    engines: IndexMap<TargetIncarnation, IndexMap<u64, CachedPart>>,
     most_tokens: u64,
 }
 
-impl CacheBook {
+impl CacheIndex {
     /// Sets how many tokens an engine's memory holds. Running requests share it.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.most_tokens = tokens * CACHE_SHARE_PERCENT / 100;
@@ -46,19 +46,29 @@
     /// Tokens of the leading parts that an engine is believed to have, or to have
     /// by the time that a request sent now is read.
     #[must_use]
-    pub fn cached_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
+    pub fn cached_tokens(
+        &self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+    ) -> u32 {
         self.leading_tokens(engine, parts, now, |_| true)
     }
 
     /// Tokens of the leading parts that another engine could copy from this one.
     #[must_use]
-    pub fn ready_tokens(&self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) -> u32 {
+    pub fn ready_tokens(
+        &self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+    ) -> u32 {
         self.leading_tokens(engine, parts, now, |part| part.ready)
     }
 
     fn leading_tokens(
         &self,
-        engine: &TargetLife,
+        engine: &TargetIncarnation,
         parts: &[PromptPart],
         now: MonoTime,
         counts: impl Fn(&CachedPart) -> bool,
@@ -75,17 +85,28 @@
     }
 
     /// Notes that an engine has read, or was given, a prompt.
-    pub fn note_held(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) {
+    pub fn note_cached(&mut self, engine: &TargetIncarnation, parts: &[PromptPart], now: MonoTime) {
         self.note(engine, parts, now, true);
     }
 
     /// Notes that an engine was asked to read a prompt. Requests that share its
     /// parts had better wait there than have them read a second time elsewhere.
-    pub fn note_coming(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime) {
+    pub fn note_prefilling(
+        &mut self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+    ) {
         self.note(engine, parts, now, false);
     }
 
-    fn note(&mut self, engine: &TargetLife, parts: &[PromptPart], now: MonoTime, ready: bool) {
+    fn note(
+        &mut self,
+        engine: &TargetIncarnation,
+        parts: &[PromptPart],
+        now: MonoTime,
+        ready: bool,
+    ) {
         let cached = self.engines.entry(engine.clone()).or_default();
         for part in parts {
             let tokens = part.tokens;
@@ -109,7 +130,7 @@
     }
 
     /// Forgets engines for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(&TargetLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&TargetIncarnation) -> bool) {
         self.engines.retain(|engine, _| keep(engine));
     }
 }
@@ -131,7 +152,7 @@
 
 /// Weight of an engine as the home of a shared part; the highest is the first home.
 #[must_use]
-pub fn home_weight(key: u64, engine: &TargetLife) -> u64 {
+pub fn home_weight(key: u64, engine: &TargetIncarnation) -> u64 {
     weight(key, engine.as_str())
 }
 
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::deciding::TimedWork;
 use crate::gateway::deciding::affinity;
-use crate::gateway::deciding::engine_model::{EngineLines, EngineWork};
+use crate::gateway::deciding::engine_model::{EngineLatencies, EngineWork};
 use crate::gateway::deciding::health::HealthView;
 use crate::gateway::deciding::load::TargetWork;
 use crate::gateway::model::{EngineStage, PromptShape, TargetRecord};
@@ -100,7 +100,7 @@
 
 /// Engines chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EnginePlace {
+pub struct EnginePlacement {
     /// Engine that reads the prompt for the other; `None` where one does both.
     pub reader: Option<Arc<TargetRecord>>,
     /// Engine that makes the tokens.
@@ -123,10 +123,10 @@
     pub gives_way: bool,
 }
 
-impl EnginePlace {
+impl EnginePlacement {
     /// The reading of the prompt at `engine`, as work whose time is taken.
     #[must_use]
-    pub fn timed_reading(&self, engine: &Arc<TargetRecord>) -> TimedWork {
+    pub fn timed_prefill(&self, engine: &Arc<TargetRecord>) -> TimedWork {
         let work = match (self.reader.is_some(), self.gives_way) {
             (true, false) => EngineWork::ReadAhead,
             (true, true) => EngineWork::ReadAheadLate,
@@ -158,11 +158,11 @@
 #[must_use]
 pub fn choose(
     weights: &PlacementWeights,
-    lines: &EngineLines,
+    lines: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
-) -> Option<EnginePlace> {
+) -> Option<EnginePlacement> {
     let scene = Scene::new(weights, lines, engines, prompt, rank);
     let direct = scene.cheapest(|e| !e.is_reader() && e.may_get_work)?;
     let Some(read) = scene.cheapest(|e| e.is_reader() && e.may_get_work) else {
@@ -174,7 +174,7 @@
     if read.cost_ms + writer_ms.cost >= direct.cost_ms {
         return Some(direct_place(&direct, rank));
     }
-    Some(EnginePlace {
+    Some(EnginePlacement {
         reader: Some(read.engine.record.clone()),
         writer: writer.record.clone(),
         fetch_from: read.fetch_from.map(|holder| holder.record.clone()),
@@ -193,9 +193,9 @@
 /// Reading takes up to seconds, in which engines leave and loads change, so this is
 /// asked again once the prompt is read.
 #[must_use]
-pub fn choose_writer(
+pub fn choose_decode_engine(
     weights: &PlacementWeights,
-    lines: &EngineLines,
+    lines: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
@@ -204,8 +204,8 @@
     scene.writer().map(|(engine, _)| engine.record.clone())
 }
 
-fn direct_place(way: &ReadWay<'_>, rank: u8) -> EnginePlace {
-    EnginePlace {
+fn direct_place(way: &ReadWay<'_>, rank: u8) -> EnginePlacement {
+    EnginePlacement {
         reader: None,
         writer: way.engine.record.clone(),
         fetch_from: way.fetch_from.map(|holder| holder.record.clone()),
@@ -230,7 +230,7 @@
 
 struct Scene<'a> {
     weights: &'a PlacementWeights,
-    lines: &'a EngineLines,
+    lines: &'a EngineLatencies,
     engines: &'a [EngineState],
     prompt: &'a PromptShape,
     rank: u8,
@@ -242,7 +242,7 @@
 impl<'a> Scene<'a> {
     fn new(
         weights: &'a PlacementWeights,
-        lines: &'a EngineLines,
+        lines: &'a EngineLatencies,
         engines: &'a [EngineState],
         prompt: &'a PromptShape,
         rank: u8,
@@ -291,7 +291,7 @@
         let discount = if is_home { weights.home_discount } else { 0.0 };
         let reread_cost = weights.reread_weight * f64::from(reread) * (1.0 - discount);
         let pace = engine.health.pace;
-        let waiting = engine.work.unread_before(self.rank);
+        let waiting = engine.work.prefill_tokens_before(self.rank);
         let (line, disturbed, running) = if engine.is_reader() {
             (self.lines.read_ahead, 1.0, 0.0)
         } else {
@@ -320,7 +320,7 @@
     fn writer(&self) -> Option<(&'a EngineState, WriteTime)> {
         let fits = |e: &&EngineState| !e.is_reader() && e.may_get_work;
         let costs = self.engines.iter().filter(fits).map(|engine| {
-            let waiting = f64::from(engine.work.unread_before(self.rank));
+            let waiting = f64::from(engine.work.prefill_tokens_before(self.rank));
             let pace = engine.health.pace;
             let expected = self.lines.take_over.at(waiting) * pace + engine.trouble_ms();
             let copied = self.prompt.prompt_tokens.saturating_sub(engine.held_tokens);
--- a/src/gateway/deciding/engine_model.rs
+++ b/src/gateway/deciding/engine_model.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::deciding::line_fit::{LineFit, WorkLine};
+use crate::gateway::deciding::line_fit::{LatencyFit, LinearLatency};
 use crate::names::ServiceName;
 
 /// Work whose time is learned. Sizes are the tokens that have to be read before it is
@@ -44,57 +44,57 @@
 
     // Guesses between the engines met so far, which differ by a factor of eight. They
     // weigh as much as two observations and are gone within a second of load.
-    fn prior(self) -> WorkLine {
+    fn prior(self) -> LinearLatency {
         let (fixed_ms, token_ms) = match self {
             Self::ReadAhead | Self::ReadAheadLate => (40.0, 0.01),
             Self::ReadHere | Self::ReadHereLate => (40.0, 0.02),
             Self::TakeOver => (30.0, 0.02),
         };
-        WorkLine { fixed_ms, token_ms }
+        LinearLatency { fixed_ms, token_ms }
     }
 }
 
 /// Lines by which one request is placed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EngineLines {
+pub struct EngineLatencies {
     /// Reading for another engine.
-    pub read_ahead: WorkLine,
+    pub read_ahead: LinearLatency,
     /// Reading where the tokens are made.
-    pub read_here: WorkLine,
+    pub read_here: LinearLatency,
     /// Taking over.
-    pub take_over: WorkLine,
+    pub take_over: LinearLatency,
 }
 
 /// What is learned of the engines of all services.
 #[derive(Clone, Debug, Default)]
-pub struct EngineBook {
-    fits: IndexMap<(ServiceName, EngineWork), LineFit>,
+pub struct EngineSpeeds {
+    fits: IndexMap<(ServiceName, EngineWork), LatencyFit>,
 }
 
-impl EngineBook {
+impl EngineSpeeds {
     /// Takes the time of work on `tokens`.
     pub fn note(&mut self, service: &ServiceName, work: EngineWork, tokens: f64, taken_ms: f64) {
         let fit = self.fits.entry((service.clone(), work));
-        let fit = fit.or_insert_with(|| LineFit::new(work.prior()));
+        let fit = fit.or_insert_with(|| LatencyFit::new(work.prior()));
         fit.note(tokens, taken_ms);
     }
 
     /// Returns the line of one kind of work.
     #[must_use]
-    pub fn line(&self, service: &ServiceName, work: EngineWork) -> WorkLine {
+    pub fn line(&self, service: &ServiceName, work: EngineWork) -> LinearLatency {
         let fit = self.fits.get(&(service.clone(), work));
-        fit.map_or_else(|| work.prior(), LineFit::line)
+        fit.map_or_else(|| work.prior(), LatencyFit::line)
     }
 
     /// Returns the lines for a request that is in time, or gives way.
     #[must_use]
-    pub fn lines(&self, service: &ServiceName, gives_way: bool) -> EngineLines {
+    pub fn lines(&self, service: &ServiceName, gives_way: bool) -> EngineLatencies {
         let (ahead, here) = if gives_way {
             (EngineWork::ReadAheadLate, EngineWork::ReadHereLate)
         } else {
             (EngineWork::ReadAhead, EngineWork::ReadHere)
         };
-        EngineLines {
+        EngineLatencies {
             read_ahead: self.line(service, ahead),
             read_here: self.line(service, here),
             take_over: self.line(service, EngineWork::TakeOver),
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Sends without any answer in a row after which a target is avoided.
 const SILENT_SENDS: u32 = 2;
@@ -83,15 +83,15 @@
 
 /// Records of all targets that got sends.
 #[derive(Clone, Debug, Default)]
-pub struct HealthBook {
-    targets: IndexMap<TargetLife, TargetHealth>,
+pub struct HealthTracker {
+    targets: IndexMap<TargetIncarnation, TargetHealth>,
 }
 
-impl HealthBook {
+impl HealthTracker {
     /// Notes what came of a send; returns what it changed for choices.
     pub fn note(
         &mut self,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         result: SendResult,
         now: MonoTime,
     ) -> Option<HealthChange> {
@@ -109,7 +109,7 @@
     }
 
     /// Notes the time an answer took against what is expected of engines like it.
-    pub fn note_time(&mut self, target: &TargetLife, taken_ms: f64, expected_ms: f64) {
+    pub fn note_time(&mut self, target: &TargetIncarnation, taken_ms: f64, expected_ms: f64) {
         let health = self.targets.entry(target.clone()).or_default();
         let ratio = (taken_ms / expected_ms.max(1.0)).clamp(PACE_RANGE.0, PACE_RANGE.1);
         health.pace += TIME_WEIGHT * (ratio - health.pace);
@@ -117,7 +117,7 @@
 
     /// Shows a target to a choice.
     #[must_use]
-    pub fn view(&self, target: &TargetLife, now: MonoTime) -> HealthView {
+    pub fn view(&self, target: &TargetIncarnation, now: MonoTime) -> HealthView {
         let fresh = TargetHealth::default();
         let health = self.targets.get(target).unwrap_or(&fresh);
         HealthView {
@@ -129,7 +129,7 @@
     }
 
     /// Forgets targets for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(&TargetLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&TargetIncarnation) -> bool) {
         self.targets.retain(|target, _| keep(target));
     }
 }
--- a/src/gateway/deciding/line_fit.rs
+++ b/src/gateway/deciding/line_fit.rs
@@ -17,14 +17,14 @@
 
 /// Time of work: a fixed part and one that grows with its tokens, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorkLine {
+pub struct LinearLatency {
     /// Beside the tokens.
     pub fixed_ms: f64,
     /// Per token.
     pub token_ms: f64,
 }
 
-impl WorkLine {
+impl LinearLatency {
     /// Returns the time of work on `tokens`.
     #[must_use]
     pub fn at(&self, tokens: f64) -> f64 {
@@ -37,21 +37,21 @@
 /// Old observations fade, so that it follows engines that turn slow; single ones far
 /// off, as after a pause of the whole instance, are cut to the usual distance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LineFit {
-    prior: WorkLine,
+pub struct LatencyFit {
+    prior: LinearLatency,
     weight: f64,
     sum_x: f64,
     sum_y: f64,
     sum_xx: f64,
     sum_xy: f64,
     spread: f64,
-    line: WorkLine,
+    line: LinearLatency,
 }
 
-impl LineFit {
+impl LatencyFit {
     /// Starts from what is known beforehand.
     #[must_use]
-    pub fn new(prior: WorkLine) -> Self {
+    pub fn new(prior: LinearLatency) -> Self {
         Self {
             prior,
             weight: 0.0,
@@ -66,7 +66,7 @@
 
     /// Returns the line as known now.
     #[must_use]
-    pub fn line(&self) -> WorkLine {
+    pub fn line(&self) -> LinearLatency {
         self.line
     }
 
@@ -93,7 +93,7 @@
         self.line = self.fitted();
     }
 
-    fn fitted(&self) -> WorkLine {
+    fn fitted(&self) -> LinearLatency {
         let (near, far) = (self.prior.fixed_ms, self.prior.at(PRIOR_TOKENS));
         let weight = self.weight + 2.0 * PRIOR_WEIGHT;
         let sum_x = self.sum_x + PRIOR_WEIGHT * PRIOR_TOKENS;
@@ -106,11 +106,11 @@
         let token_ms = slope.max(LEAST_TOKEN_MS);
         let fixed_ms = (sum_y - token_ms * sum_x) / weight;
         if fixed_ms >= LEAST_FIXED_MS {
-            return WorkLine { fixed_ms, token_ms };
+            return LinearLatency { fixed_ms, token_ms };
         }
         // The best line through the least fixed time.
         let token_ms = (sum_xy - LEAST_FIXED_MS * sum_x) / sum_xx;
-        WorkLine {
+        LinearLatency {
             fixed_ms: LEAST_FIXED_MS,
             token_ms: token_ms.max(LEAST_TOKEN_MS),
         }
--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Age from which another daemon's counts are left out.
 const STALE_AFTER: Duration = Duration::from_millis(1_500);
@@ -62,7 +62,7 @@
 impl TargetWork {
     /// Tokens that are read before those of a new request of `rank`.
     #[must_use]
-    pub fn unread_before(&self, rank: u8) -> u32 {
+    pub fn prefill_tokens_before(&self, rank: u8) -> u32 {
         self.unread[..=rank_index(rank)].iter().sum()
     }
 }
@@ -89,13 +89,13 @@
 }
 
 /// Work by target.
-pub type WorkByTarget = IndexMap<TargetLife, TargetWork>;
+pub type WorkByTarget = IndexMap<TargetIncarnation, TargetWork>;
 
 /// Work that another daemon was told to place and has not told of itself yet.
 #[derive(Clone, Debug)]
 struct PromisedWork {
     number: u64,
-    target: TargetLife,
+    target: TargetIncarnation,
     work: TargetWork,
     at: MonoTime,
 }
@@ -105,7 +105,7 @@
 
 /// Work of this daemon and of the others.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     own: WorkByTarget,
     others: IndexMap<DaemonId, (MonoTime, WorkByTarget)>,
     promised: IndexMap<DaemonId, Vec<PromisedWork>>,
@@ -115,16 +115,16 @@
     sum: WorkByTarget,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Notes the start of a request of a rank with `unread_tokens` to read.
-    pub fn begin(&mut self, target: &TargetLife, rank: u8, unread_tokens: u32) {
+    pub fn begin(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
         let work = self.own.entry(target.clone()).or_default();
         work.running += 1;
         work.unread[rank_index(rank)] += unread_tokens;
     }
 
     /// Notes that tokens counted by [`Self::begin`] were read.
-    pub fn note_read(&mut self, target: &TargetLife, rank: u8, tokens: u32) {
+    pub fn note_read(&mut self, target: &TargetIncarnation, rank: u8, tokens: u32) {
         if let Some(work) = self.own.get_mut(target) {
             let unread = &mut work.unread[rank_index(rank)];
             *unread = unread.saturating_sub(tokens);
@@ -132,7 +132,7 @@
     }
 
     /// Notes the end of a request, of whose prompt `unread_tokens` were not read.
-    pub fn end(&mut self, target: &TargetLife, rank: u8, unread_tokens: u32) {
+    pub fn end(&mut self, target: &TargetIncarnation, rank: u8, unread_tokens: u32) {
         self.note_read(target, rank, unread_tokens);
         if let Some(work) = self.own.get_mut(target) {
             work.running = work.running.saturating_sub(1);
@@ -143,7 +143,7 @@
     }
 
     /// Takes another daemon's work in place of what it told before.
-    pub fn set_other(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
+    pub fn set_peer_work(&mut self, daemon: DaemonId, work: WorkByTarget, now: MonoTime) {
         self.others.insert(daemon, (now, work));
         self.sum_up(now);
     }
@@ -154,7 +154,7 @@
     pub fn promise(
         &mut self,
         (daemon, number): (&DaemonId, u64),
-        target: &TargetLife,
+        target: &TargetIncarnation,
         (rank, unread_tokens): (u8, u32),
         now: MonoTime,
     ) {
@@ -181,7 +181,7 @@
     }
 
     /// Leaves out promises of a daemon that its own word contains by now.
-    pub fn settle_promises(&mut self, daemon: &DaemonId, through: u64) {
+    pub fn release_reservations(&mut self, daemon: &DaemonId, through: u64) {
         self.settled.insert(daemon.clone(), through);
         if let Some(promised) = self.promised.get_mut(daemon) {
             promised.retain(|promise| promise.number > through);
@@ -217,7 +217,7 @@
 
     /// All work known at a target.
     #[must_use]
-    pub fn total(&self, target: &TargetLife) -> TargetWork {
+    pub fn total(&self, target: &TargetIncarnation) -> TargetWork {
         let mut total = self.own.get(target).copied().unwrap_or_default();
         total.add(&self.sum.get(target).copied().unwrap_or_default());
         total
--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -16,30 +16,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::gateway::deciding::affinity::CacheBook;
-use crate::gateway::deciding::engine_choice::{EnginePlace, EngineState, PlacementWeights};
-use crate::gateway::deciding::engine_model::{EngineBook, EngineWork};
-use crate::gateway::deciding::health::{HealthBook, HealthChange, HealthView, SendResult};
-use crate::gateway::deciding::load::LoadBook;
+use crate::gateway::deciding::affinity::CacheIndex;
+use crate::gateway::deciding::engine_choice::{EnginePlacement, EngineState, PlacementWeights};
+use crate::gateway::deciding::engine_model::{EngineSpeeds, EngineWork};
+use crate::gateway::deciding::health::{HealthChange, HealthTracker, HealthView, SendResult};
+use crate::gateway::deciding::load::LoadTracker;
 use crate::gateway::deciding::work_meter::WorkMeter;
 use crate::gateway::model::{PromptPart, PromptShape, TargetRecord};
 use crate::names::{MonoTime, ServiceName};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Added to the rank of a request that can no longer be in time.
 const LATE_RANKS: u8 = 5;
 
 /// Engines as a decision may use them.
-pub struct EngineChoices<'a> {
+pub struct EngineCandidates<'a> {
     /// Engines of the service.
     pub engines: &'a [Arc<TargetRecord>],
     /// Engines that are being changed and get no work.
-    pub changing: &'a [TargetLife],
+    pub changing: &'a [TargetIncarnation],
     /// Engines that the request cannot use any more.
-    pub excluded: &'a [TargetLife],
+    pub excluded: &'a [TargetIncarnation],
 }
 
-impl EngineChoices<'_> {
+impl EngineCandidates<'_> {
     fn service(&self) -> ServiceName {
         let first = self.engines.first();
         first.map_or_else(|| ServiceName::from(""), |engine| engine.service.clone())
@@ -58,9 +58,9 @@
 }
 
 /// A request as the choice of its engines sees it.
-pub struct PlaceOrder<'a> {
+pub struct PlacementQuery<'a> {
     /// Engines to choose from.
-    pub choices: EngineChoices<'a>,
+    pub choices: EngineCandidates<'a>,
     /// Its prompt.
     pub prompt: &'a PromptShape,
     /// Rank of its route; 0 is the most urgent.
@@ -75,13 +75,13 @@
     /// Weights of the choice.
     pub weights: PlacementWeights,
     /// Which targets answer.
-    pub health: HealthBook,
+    pub health: HealthTracker,
     /// Work outstanding.
-    pub load: LoadBook,
+    pub load: LoadTracker,
     /// What engines have cached.
-    pub caches: CacheBook,
+    pub caches: CacheIndex,
     /// How fast engines work.
-    pub engines: EngineBook,
+    pub engines: EngineSpeeds,
     /// Work offered to engines.
     pub work: WorkMeter,
 }
@@ -99,7 +99,7 @@
     /// Notes what came of a send; returns what it changed for choices.
     pub fn note_result(
         &mut self,
-        target: &TargetLife,
+        target: &TargetIncarnation,
         result: SendResult,
         now: MonoTime,
     ) -> Option<HealthChange> {
@@ -123,21 +123,21 @@
     /// Notes parts of a prompt that an engine holds, or was asked to read.
     pub fn note_parts(
         &mut self,
-        engine: &TargetLife,
+        engine: &TargetIncarnation,
         parts: &[PromptPart],
         ready: bool,
         now: MonoTime,
     ) {
         if ready {
-            self.caches.note_held(engine, parts, now);
+            self.caches.note_cached(engine, parts, now);
         } else {
-            self.caches.note_coming(engine, parts, now);
+            self.caches.note_prefilling(engine, parts, now);
         }
     }
 
     /// Leaves out what is too old, and what is believed of targets for which `keep` is
     /// false.
-    pub fn sweep(&mut self, keep: impl Fn(&TargetLife) -> bool, now: MonoTime) {
+    pub fn sweep(&mut self, keep: impl Fn(&TargetIncarnation) -> bool, now: MonoTime) {
         self.load.expire(now);
         self.health.retain(&keep);
         self.caches.retain(&keep);
@@ -145,13 +145,13 @@
 
     /// Chooses engines for a request; `None` without one that generates.
     #[must_use]
-    pub fn place(&self, order: &PlaceOrder<'_>, now: MonoTime) -> Option<EnginePlace> {
+    pub fn place(&self, order: &PlacementQuery<'_>, now: MonoTime) -> Option<EnginePlacement> {
         let engines = self.engine_states(&order.choices, &order.prompt.parts, now);
         let service = order.choices.service();
         let choose = |rank, gives_way| {
             let lines = self.engines.lines(&service, gives_way);
             let place = engine_choice::choose(&self.weights, &lines, &engines, order.prompt, rank)?;
-            Some(EnginePlace { gives_way, ..place })
+            Some(EnginePlacement { gives_way, ..place })
         };
         let in_time = choose(order.urgency, false)?;
         // What waits too long to be in time gives way to what can still be. A prompt
@@ -165,9 +165,9 @@
 
     /// Chooses the engine that reads a prompt instead of the one chosen before.
     #[must_use]
-    pub fn another_reader(
+    pub fn choose_other_prefill_engine(
         &self,
-        choices: &EngineChoices<'_>,
+        choices: &EngineCandidates<'_>,
         prompt: &PromptShape,
         rank: u8,
         now: MonoTime,
@@ -184,14 +184,14 @@
     #[must_use]
     pub fn writer(
         &self,
-        choices: &EngineChoices<'_>,
+        choices: &EngineCandidates<'_>,
         prompt: &PromptShape,
         rank: u8,
         now: MonoTime,
     ) -> Option<Arc<TargetRecord>> {
         let engines = self.engine_states(choices, &prompt.parts, now);
         let lines = self.engines.lines(&choices.service(), false);
-        engine_choice::choose_writer(&self.weights, &lines, &engines, prompt, rank)
+        engine_choice::choose_decode_engine(&self.weights, &lines, &engines, prompt, rank)
     }
 
     /// Chooses a target of a plain service; `draw` gives numbers of 0 to 1 by which
@@ -215,12 +215,12 @@
 
     fn engine_states(
         &self,
-        choices: &EngineChoices<'_>,
+        choices: &EngineCandidates<'_>,
         parts: &[PromptPart],
         now: MonoTime,
     ) -> Vec<EngineState> {
-        let excluded = |id: &TargetLife| choices.excluded.contains(id);
-        let changing = |id: &TargetLife| choices.changing.contains(id);
+        let excluded = |id: &TargetIncarnation| choices.excluded.contains(id);
+        let changing = |id: &TargetIncarnation| choices.changing.contains(id);
         let states = choices.engines.iter().map(|engine| EngineState {
             record: engine.clone(),
             held_tokens: self.caches.cached_tokens(&engine.id, parts, now),
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::model::{EngineStage, TargetRecord};
 use crate::names::CentreName;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Engines that always stay able to generate: prompts can also be read there, but
 /// nothing can be generated on a prefill engine.
@@ -23,7 +23,7 @@
 
 /// An order that the plan wants.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StageWish {
+pub struct StageChangePlan {
     /// Engine to change.
     pub engine: Arc<TargetRecord>,
     /// Stage that it is to have.
@@ -32,7 +32,7 @@
 
 /// Returns how many of `engines` should read prompts, for a share of them.
 #[must_use]
-pub fn wanted_readers(engines: usize, share: f64) -> usize {
+pub fn prefill_engine_count(engines: usize, share: f64) -> usize {
     let most = engines.saturating_sub(FEWEST_WRITERS);
     let wanted = (share * engines as f64).round() as usize;
     let fewest = usize::from(most > 0);
@@ -44,10 +44,10 @@
 #[must_use]
 pub fn wishes(
     engines: &[Arc<TargetRecord>],
-    running: impl Fn(&TargetLife) -> u32,
+    running: impl Fn(&TargetIncarnation) -> u32,
     wanted: usize,
     at_once: usize,
-) -> Vec<StageWish> {
+) -> Vec<StageChangePlan> {
     let readers = engines.iter().filter(|e| is_reader(e)).count();
     let (stage, count) = if readers < wanted {
         (EngineStage::Prefill, wanted - readers)
@@ -71,7 +71,7 @@
         };
         let engine = left.swap_remove(at);
         *in_centre.entry(engine.centre.clone()).or_default() += 1;
-        wishes.push(StageWish {
+        wishes.push(StageChangePlan {
             engine: engine.clone(),
             stage,
         });
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -6,7 +6,7 @@
 use crate::names::{CentreName, DaemonId};
 
 /// Most addresses in an answer; callers count no more.
-pub const MOST_ADDRESSES: usize = 64;
+pub const MAX_ADDRESSES: usize = 64;
 /// Fewest daemons of the caller's data centre that are worth naming alone.
 const FEWEST_NEAR: usize = 2;
 
@@ -36,5 +36,5 @@
         good
     };
     let addresses = chosen.into_iter().map(|daemon| daemon.callers);
-    addresses.take(MOST_ADDRESSES).collect()
+    addresses.take(MAX_ADDRESSES).collect()
 }
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -20,7 +20,7 @@
 
 use crate::gateway::daemon::Gateway;
 use crate::gateway::directory;
-use crate::gateway::head_clock::{HeadClock, TimedStream};
+use crate::gateway::head_clock::{HeaderTimer, TimedStream};
 use crate::gateway::reply::{Failure, FailureKind, FrameStream, Reply};
 
 /// Limits before the first configuration says otherwise.
@@ -37,7 +37,7 @@
 
 /// What a listener serves.
 #[derive(Clone)]
-pub enum PageKind {
+pub enum ListenerKind {
     /// Callers' requests.
     Callers,
     /// The directory, readiness and metrics.
@@ -48,7 +48,7 @@
 pub async fn accept_loop(
     gateway: Rc<Gateway>,
     listener: TcpListener,
-    kind: PageKind,
+    kind: ListenerKind,
     closing: watch::Receiver<bool>,
 ) {
     let mut closed = closing.clone();
@@ -72,20 +72,20 @@
 async fn serve_stream(
     gateway: Rc<Gateway>,
     stream: TcpStream,
-    kind: PageKind,
+    kind: ListenerKind,
     mut closing: watch::Receiver<bool>,
 ) {
-    let _open = matches!(kind, PageKind::Callers).then(|| OpenCount::begin(&gateway));
+    let _open = matches!(kind, ListenerKind::Callers).then(|| OpenCount::begin(&gateway));
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("connection ended before it was served: {error}");
         return;
     }
     let view = gateway.view();
     let limits = view.routes.as_ref().map(|routes| routes.limits);
-    let idle = limits.map_or(FIRST_IDLE_TIME, |limits| limits.idle_time);
+    let idle = limits.map_or(FIRST_IDLE_TIME, |limits| limits.idle_timeout);
     let head_bytes = limits.map_or(FIRST_HEAD_BYTES, |limits| limits.head_bytes);
-    let head_time = limits.map_or(FIRST_HEAD_TIME, |limits| limits.head_time);
-    let clock = Rc::new(HeadClock::default());
+    let header_timeout = limits.map_or(FIRST_HEAD_TIME, |limits| limits.header_timeout);
+    let clock = Rc::new(HeaderTimer::default());
     let (served, ticking) = (gateway.clone(), clock.clone());
     let service = service_fn(move |request| {
         let (gateway, kind, clock) = (served.clone(), kind.clone(), ticking.clone());
@@ -107,8 +107,8 @@
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = clock.overdue(head_time) => {
-            log::info!(limit_ms = head_time.as_millis() as u64; "connection closed: its caller sent no whole head in time");
+        () = clock.overdue(header_timeout) => {
+            log::info!(limit_ms = header_timeout.as_millis() as u64; "connection closed: its caller sent no whole head in time");
             return;
         }
         _ = closing.wait_for(|close| *close) => {
@@ -123,7 +123,7 @@
 
 // The next head counts from the end of this answer, which for a stream is its last
 // event.
-fn when_sent(reply: Reply, clock: Rc<HeadClock>) -> Reply {
+fn when_sent(reply: Reply, clock: Rc<HeaderTimer>) -> Reply {
     let (head, body) = reply.into_parts();
     let body = match body {
         Either::Left(whole) => {
@@ -141,7 +141,7 @@
     Response::from_parts(head, body)
 }
 
-struct AnswerGuard(Rc<HeadClock>);
+struct AnswerGuard(Rc<HeaderTimer>);
 
 impl Drop for AnswerGuard {
     fn drop(&mut self) {
@@ -165,10 +165,10 @@
     }
 }
 
-async fn respond(gateway: Rc<Gateway>, kind: PageKind, request: Request<Incoming>) -> Reply {
+async fn respond(gateway: Rc<Gateway>, kind: ListenerKind, request: Request<Incoming>) -> Reply {
     let mut reply = match kind {
-        PageKind::Callers => gateway.clone().serve(request).await,
-        PageKind::Pages(metrics) => page(&gateway, &metrics, &request),
+        ListenerKind::Callers => gateway.clone().serve(request).await,
+        ListenerKind::Pages(metrics) => page(&gateway, &metrics, &request),
     };
     if gateway.stopping.get() {
         let headers = reply.headers_mut();
@@ -189,7 +189,7 @@
             metrics.render(),
         );
     }
-    match (gateway.ports.wire.directory_question)(request.uri()) {
+    match (gateway.ports.wire.decode_directory_query)(request.uri()) {
         None => Failure::new(FailureKind::NoRoute, "no such page").reply(),
         Some(question) => {
             let view = gateway.view();
@@ -201,7 +201,7 @@
             );
             let keep = gateway.settings().bounds.directory_keep_s;
             let keep = DIRECTORY_KEEP.min(Duration::from_secs_f64(keep));
-            let body = (gateway.ports.wire.directory_answer)(&addresses, keep);
+            let body = (gateway.ports.wire.encode_directory_answer)(&addresses, keep);
             bytes_page(StatusCode::OK, "application/json", body)
         }
     }
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -7,10 +7,10 @@
 
 use crate::gateway::members::DaemonRecord;
 use crate::gateway::model::TargetRecord;
-use crate::gateway::registry::{KeptNote, MissingEntry};
+use crate::gateway::registry::{MissingEntry, RecentUpdate};
 use crate::gateway::routes::RouteTable;
 use crate::names::ServiceName;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Targets by the service that they offer.
 pub type TargetsByService = IndexMap<ServiceName, Vec<Arc<TargetRecord>>>;
@@ -27,11 +27,11 @@
     /// Revision and value of that configuration, for daemons that are behind.
     pub config_source: Option<(u64, Arc<[u8]>)>,
     /// Targets that announced their departure lately.
-    pub departed: Vec<TargetLife>,
+    pub departed: Vec<TargetIncarnation>,
     /// Entries of targets that began or certainly ended lately.
-    pub entry_notes: Vec<KeptNote>,
+    pub entry_notes: Vec<RecentUpdate>,
     /// Targets without an entry that still get work.
-    pub missing: IndexMap<TargetLife, MissingEntry>,
+    pub missing: IndexMap<TargetIncarnation, MissingEntry>,
     /// Daemons with a record in the store, this one included.
     pub daemons: Vec<DaemonRecord>,
 }
@@ -45,19 +45,19 @@
 
     /// Targets of a service that may get work.
     #[must_use]
-    pub fn of_service(&self, service: &ServiceName) -> &[Arc<TargetRecord>] {
+    pub fn service_targets(&self, service: &ServiceName) -> &[Arc<TargetRecord>] {
         self.targets.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Whether a target may still get work.
     #[must_use]
-    pub fn holds(&self, target: &TargetLife) -> bool {
+    pub fn holds(&self, target: &TargetIncarnation) -> bool {
         self.find(target).is_some()
     }
 
     /// Returns the newest record of a target that may still get work.
     #[must_use]
-    pub fn find(&self, target: &TargetLife) -> Option<&Arc<TargetRecord>> {
+    pub fn find(&self, target: &TargetIncarnation) -> Option<&Arc<TargetRecord>> {
         let mut all = self.targets.values().flatten();
         all.find(|record| record.id == *target)
     }
@@ -67,7 +67,7 @@
 /// of services that it does not name, and entries without a stage among the engines of a
 /// service, which all tell theirs. Orders to change stages would go there, and work that
 /// comes back as a failure.
-pub fn leave_out_strangers(targets: &mut TargetsByService, routes: &RouteTable) {
+pub fn remove_unconfigured(targets: &mut TargetsByService, routes: &RouteTable) {
     targets.retain(|service, records| {
         let Some(rule) = routes.service(service) else {
             return false;
--- a/src/gateway/duties/true_time.rs
+++ b/src/gateway/fleet_tasks/fleet_clock.rs
@@ -22,20 +22,20 @@
 
 /// What is known of true time.
 #[derive(Debug, Default)]
-pub struct TrueClock {
+pub struct FleetClock {
     samples: IndexMap<DaemonId, (ClockOffset, MonoTime)>,
     settled: Option<ClockOffset>,
 }
 
-impl TrueClock {
+impl FleetClock {
     /// Takes what a daemon's wall clock showed when it was heard.
-    pub fn note_sample(&mut self, daemon: &DaemonId, wall: UnixTime, now: MonoTime) {
+    pub fn add_sample(&mut self, daemon: &DaemonId, wall: UnixTime, now: MonoTime) {
         self.samples
             .insert(daemon.clone(), (offset_of(wall, now), now));
     }
 
     /// Takes the time that a hub and its members have agreed on.
-    pub fn note_agreed(&mut self, agreed: UnixTime, now: MonoTime) {
+    pub fn adopt_time(&mut self, agreed: UnixTime, now: MonoTime) {
         self.settled = Some(offset_of(agreed, now));
     }
 
--- a/src/gateway/duties/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -5,12 +5,12 @@
 //! when nothing of the one before can still be under way and its turn has lasted long
 //! enough: acting in turns would be taken for two holders.
 
-pub mod server_desk;
+pub mod fleet_clock;
 pub mod server_plan;
-pub mod true_time;
-pub mod usage_book;
-pub mod usage_desk;
+pub mod server_scaler;
+pub mod usage_counts;
 pub mod usage_ledger;
+pub mod usage_reporter;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::authority::lease_state::{LeaseAuthority, LeaseTimes};
 use crate::clock;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::server_desk::{ServerDesk, ServerNews};
-use crate::gateway::duties::true_time::TrueClock;
-use crate::gateway::duties::usage_book::UsageBook;
-use crate::gateway::duties::usage_desk::{UsageDesk, UsageNews};
-use crate::gateway::lease_upkeep::{LeaseAnswer, LeaseUpkeep};
-use crate::gateway::port::DutyCaller;
-use crate::gateway::settings::DutySettings;
+use crate::gateway::fleet_tasks::fleet_clock::FleetClock;
+use crate::gateway::fleet_tasks::server_scaler::{ServerDesk, ServerNews};
+use crate::gateway::fleet_tasks::usage_counts::UsageCounts;
+use crate::gateway::fleet_tasks::usage_reporter::{UsageDesk, UsageNews};
+use crate::gateway::lease_upkeep::{LeaseCallResult, LeaseManager};
+use crate::gateway::port::FleetTaskHolder;
+use crate::gateway::settings::FleetTaskSettings;
 use crate::names::{FenceNumber, MonoTime};
 use crate::ports::ObjectName;
 use crate::timer::TimerService;
@@ -52,20 +52,20 @@
 
 /// What this daemon counts of usage, and the time that it goes by.
 #[derive(Debug)]
-pub struct DutyBook {
+pub struct UsageMeter {
     /// True time.
-    pub clock: TrueClock,
+    pub clock: FleetClock,
     /// Requests that began, by window and workspace.
-    pub usage: UsageBook,
+    pub usage: UsageCounts,
 }
 
-impl DutyBook {
+impl UsageMeter {
     /// Creates a book for windows of a length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
         Self {
-            clock: TrueClock::default(),
-            usage: UsageBook::new(window),
+            clock: FleetClock::default(),
+            usage: UsageCounts::new(window),
         }
     }
 
@@ -78,14 +78,14 @@
 
 /// The right to act, for one look at what is due.
 #[derive(Clone, Debug)]
-pub struct DutyTurn {
+pub struct FleetTaskTurn {
     /// Who acts.
-    pub caller: DutyCaller,
+    pub caller: FleetTaskHolder,
     /// When no call may be begun any more, on the own clock.
     pub until: MonoTime,
 }
 
-impl DutyTurn {
+impl FleetTaskTurn {
     /// Whether a call may still be begun.
     #[must_use]
     pub fn lasts(&self) -> bool {
@@ -94,14 +94,14 @@
 }
 
 enum DeskNews {
-    Lease(LeaseAnswer),
+    Lease(LeaseCallResult),
     Usage(UsageNews),
     Servers(ServerNews),
 }
 
 struct DutyDesk {
     gateway: Rc<Gateway>,
-    lease: LeaseUpkeep,
+    lease: LeaseManager,
     turn_time: Duration,
     held: Option<(FenceNumber, MonoTime)>,
     usage: UsageDesk,
@@ -110,7 +110,7 @@
 }
 
 /// Runs until the process ends.
-pub async fn run(gateway: Rc<Gateway>, settings: DutySettings) {
+pub async fn run(gateway: Rc<Gateway>, settings: FleetTaskSettings) {
     let (results, mut inbox) = mpsc::unbounded_channel();
     let turn_time = settings.turn_time();
     let times = LeaseTimes {
@@ -119,7 +119,7 @@
         order_flight: turn_time.mul_f64(FLIGHT_PART),
     };
     let mut desk = DutyDesk {
-        lease: LeaseUpkeep::new(gateway.clone(), GROUP, times),
+        lease: LeaseManager::new(gateway.clone(), GROUP, times),
         turn_time,
         held: None,
         usage: UsageDesk::new(&settings),
@@ -168,7 +168,7 @@
 
     // The right to act now. Who takes the lease from a holder that gave it up could act
     // right after it, and hand it back as soon: the wait keeps three acts in turns apart.
-    fn turn(&mut self, now: MonoTime) -> Option<DutyTurn> {
+    fn turn(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
         let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
             // A renewal that comes late only makes the holder wait: what it knows holds on.
             if !self.lease.is_held() {
@@ -184,11 +184,11 @@
         if !first && now.since(since) < self.turn_time + LOOK_EVERY {
             return None;
         }
-        let caller = DutyCaller {
+        let caller = FleetTaskHolder {
             holder: self.gateway.daemon.clone(),
             fence,
         };
-        Some(DutyTurn { caller, until })
+        Some(FleetTaskTurn { caller, until })
     }
 
     // What a holder knows is read anew in each turn: another one may have acted between.
@@ -225,6 +225,6 @@
         if self.stopping.get() || now.since(self.started) < SETTLE_TIME {
             return None;
         }
-        self.speaker_rank(now)
+        self.full_view_rank(now)
     }
 }
--- a/src/gateway/duties/server_desk.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -8,11 +8,11 @@
 use tokio::task::spawn_local;
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::server_plan::{self, CentreTargets, CentreWish};
-use crate::gateway::duties::{DutyTurn, duty_object};
 use crate::gateway::fleet::FleetView;
+use crate::gateway::fleet_tasks::server_plan::{self, CentreTargets, CentreWish};
+use crate::gateway::fleet_tasks::{FleetTaskTurn, duty_object};
 use crate::gateway::model::{ScalingRule, TargetRecord};
-use crate::gateway::port::{OrderAnswer, ServerOrder};
+use crate::gateway::port::{ServerOrder, ServerOrderOutcome};
 use crate::names::{CentreName, MonoTime, ServiceName};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
@@ -52,7 +52,7 @@
     /// What was provided was written.
     Written(Result<ObjectVersion, PlatformError>),
     /// Servers were ordered.
-    Ordered(OrderSubject, u32, Result<OrderAnswer, PlatformError>),
+    Ordered(OrderSubject, u32, Result<ServerOrderOutcome, PlatformError>),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -85,7 +85,7 @@
     pub fn look(
         &mut self,
         gateway: &Rc<Gateway>,
-        turn: &DutyTurn,
+        turn: &FleetTaskTurn,
         now: MonoTime,
         tell: impl Fn(ServerNews) + 'static,
     ) {
@@ -252,10 +252,10 @@
                 self.provided = None;
                 self.pause(&error, now);
             }
-            ServerNews::Ordered(subject, count, Ok(OrderAnswer::Taken)) => {
+            ServerNews::Ordered(subject, count, Ok(ServerOrderOutcome::Taken)) => {
                 self.orders.insert(subject, LastOrder { count, at: now });
             }
-            ServerNews::Ordered(subject, _, Ok(OrderAnswer::NoneThere)) => {
+            ServerNews::Ordered(subject, _, Ok(ServerOrderOutcome::NoneThere)) => {
                 self.orders.swap_remove(&subject);
                 self.paused.insert(subject, now.plus(NONE_PAUSE));
             }
@@ -284,12 +284,12 @@
 }
 
 fn count(view: &FleetView, service: &ServiceName) -> u32 {
-    u32::try_from(view.of_service(service).len()).unwrap_or(u32::MAX)
+    u32::try_from(view.service_targets(service).len()).unwrap_or(u32::MAX)
 }
 
 // In the order of the data centres' names, so that all look alike to each holder.
 fn centres_of(view: &FleetView, service: &ServiceName, rule: &ScalingRule) -> Vec<CentreTargets> {
-    let targets = view.of_service(service);
+    let targets = view.service_targets(service);
     let mut centres: Vec<CentreTargets> = rule
         .centre_prices
         .iter()
@@ -327,7 +327,7 @@
 
 fn order(
     gateway: &Rc<Gateway>,
-    turn: &DutyTurn,
+    turn: &FleetTaskTurn,
     (subject, count): (OrderSubject, u32),
     tell: impl Fn(ServerNews) + 'static,
 ) {
--- a/src/gateway/duties/usage_book.rs
+++ b/src/gateway/fleet_tasks/usage_counts.rs
@@ -8,14 +8,14 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::duties::true_time::TrueClock;
+use crate::gateway::fleet_tasks::fleet_clock::FleetClock;
 use crate::names::{DaemonId, MonoTime, WorkspaceName, millis};
 
 /// Number of a window: the time since 1970 in lengths of a window.
 pub type WindowNumber = u64;
 
 /// Requests of one workspace that began in one window, as one daemon counted them so far.
-pub type UsageCell = (WindowNumber, WorkspaceName, u32);
+pub type UsageCount = (WindowNumber, WorkspaceName, u32);
 
 /// What one daemon counted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -25,7 +25,7 @@
     /// Its life; each counts from zero.
     pub life: u64,
     /// Its counts.
-    pub cells: Vec<UsageCell>,
+    pub cells: Vec<UsageCount>,
 }
 
 /// Requests by workspace.
@@ -42,7 +42,7 @@
 
 /// Counts of this daemon and of those that tell it theirs.
 #[derive(Debug)]
-pub struct UsageBook {
+pub struct UsageCounts {
     window: Duration,
     // Begun while true time was not agreed on yet.
     pending: Vec<(MonoTime, WorkspaceName)>,
@@ -53,7 +53,7 @@
     told_all_at: MonoTime,
 }
 
-impl UsageBook {
+impl UsageCounts {
     /// Creates a book for windows of a length.
     #[must_use]
     pub fn new(window: Duration) -> Self {
@@ -70,7 +70,7 @@
 
     /// Returns the window of a moment.
     #[must_use]
-    pub fn window_of(&self, clock: &TrueClock, moment: MonoTime) -> Option<WindowNumber> {
+    pub fn window_of(&self, clock: &FleetClock, moment: MonoTime) -> Option<WindowNumber> {
         let at = clock.at(moment)?;
         Some(at.0 / millis(self.window).max(1))
     }
@@ -81,7 +81,7 @@
     }
 
     /// Puts what began into its windows, once true time is known.
-    pub fn sort_in(&mut self, clock: &TrueClock, now: MonoTime) {
+    pub fn sort_in(&mut self, clock: &FleetClock, now: MonoTime) {
         let Some(newest) = self.window_of(clock, now) else {
             return;
         };
@@ -100,7 +100,7 @@
     }
 
     /// Returns own counts to tell: those that changed, and at times all recent ones.
-    pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCell> {
+    pub fn take_news(&mut self, now: MonoTime) -> Vec<UsageCount> {
         let changed = std::mem::take(&mut self.changed);
         if now.since(self.told_all_at) < TELL_ALL_EVERY {
             let own = |(window, workspace): (WindowNumber, WorkspaceName)| {
--- a/src/gateway/duties/usage_ledger.rs
+++ b/src/gateway/fleet_tasks/usage_ledger.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
+use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
 
 /// Reported windows that stay in the record, so that its size is bounded.
 const REPORTED_KEPT: usize = 6;
--- a/src/gateway/duties/usage_desk.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -6,11 +6,11 @@
 use tokio::task::spawn_local;
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
-use crate::gateway::duties::usage_ledger::{UsageLedger, UsageStep};
-use crate::gateway::duties::{DutyTurn, duty_object};
+use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
+use crate::gateway::fleet_tasks::usage_ledger::{UsageLedger, UsageStep};
+use crate::gateway::fleet_tasks::{FleetTaskTurn, duty_object};
 use crate::gateway::port::UsageReport;
-use crate::gateway::settings::DutySettings;
+use crate::gateway::settings::FleetTaskSettings;
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
@@ -46,7 +46,7 @@
 impl UsageDesk {
     /// Creates a desk.
     #[must_use]
-    pub fn new(settings: &DutySettings) -> Self {
+    pub fn new(settings: &FleetTaskSettings) -> Self {
         Self {
             close_after: settings.usage_due().mul_f64(CLOSE_PART),
             ledger: None,
@@ -65,7 +65,7 @@
     pub fn look(
         &mut self,
         gateway: &Rc<Gateway>,
-        turn: &DutyTurn,
+        turn: &FleetTaskTurn,
         now: MonoTime,
         tell: impl Fn(UsageNews) + 'static,
     ) {
@@ -105,7 +105,7 @@
     }
 
     // The newest window that has ended so long ago that its counts are in.
-    fn newest_closed(&self, book: &super::DutyBook, now: MonoTime) -> Option<WindowNumber> {
+    fn newest_closed(&self, book: &super::UsageMeter, now: MonoTime) -> Option<WindowNumber> {
         let moment = MonoTime(now.0.checked_sub(millis(self.close_after))?);
         book.usage.window_of(&book.clock, moment)?.checked_sub(1)
     }
@@ -180,7 +180,7 @@
 
 fn send(
     gateway: &Rc<Gateway>,
-    turn: &DutyTurn,
+    turn: &FleetTaskTurn,
     (window, counts): (WindowNumber, WorkspaceCounts),
     tell: impl Fn(UsageNews) + 'static,
 ) {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -15,8 +15,8 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
-use crate::gateway::client::{self, BodyFault, OutgoingRequest};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
+use crate::gateway::client::{self, BodyError, OutgoingRequest};
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::fleet::FleetView;
@@ -51,9 +51,9 @@
         }
     }
 
-    async fn run(self: Rc<Self>, call: RoutedCall) -> Reply {
+    async fn run(self: Rc<Self>, call: RoutedRequest) -> Reply {
         let call = Rc::new(call);
-        if let Err(refusal) = self.check_held(&call) {
+        if let Err(refusal) = self.check_quarantine(&call) {
             self.log_failure(&call.caller.id, &call.route.name, &refusal, call.arrived);
             return refusal.reply();
         }
@@ -91,7 +91,7 @@
         head: Parts,
         body: Incoming,
         arrived: Instant,
-    ) -> Result<RoutedCall, Failure> {
+    ) -> Result<RoutedRequest, Failure> {
         let caller = (self.ports.wire.decode_caller)(&head.headers)
             .map_err(|fault| Failure::new(FailureKind::BadRequest, fault.to_string()))?;
         let view = self.view();
@@ -110,7 +110,7 @@
         strip_connection_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove(EXPECT);
-        Ok(RoutedCall {
+        Ok(RoutedRequest {
             view,
             route,
             service,
@@ -149,23 +149,23 @@
         Ok((route.clone(), service.clone()))
     }
 
-    async fn forward_plain(self: &Rc<Self>, call: &RoutedCall) -> Result<Reply, Failure> {
-        let mut trail = SendTrail::default();
+    async fn forward_plain(self: &Rc<Self>, call: &RoutedRequest) -> Result<Reply, Failure> {
+        let mut trail = SendHistory::default();
         let mut begun = false;
         let mut last = Err(Failure::refused("no target is known", NOTHING_YET_WAIT));
         while let Some(target) = self.choose_plain(&call.view, &call.service.name, &trail) {
-            let more = trail.may_add(call) && call.route.repeat.may_repeat();
+            let more = trail.may_add(call) && call.route.repeat.may_retry();
             let end = self.send_plain(&target, call, more).await;
             let again = match &end {
                 PlainEnd::Whole(_) => false,
                 PlainEnd::FailedWhole(_) | PlainEnd::Unclear(_) => {
                     trail.sent.push(target.id.clone());
                     trail.may_have_run = true;
-                    more && self.may_repeat(call)
+                    more && self.may_retry(call)
                 }
                 PlainEnd::Refused(_) => {
                     trail.sent.push(target.id.clone());
-                    trail.may_send(call) && self.may_repeat(call)
+                    trail.may_send(call) && self.may_retry(call)
                 }
                 PlainEnd::NotSent(_) => {
                     trail.unreached.push(target.id.clone());
@@ -174,7 +174,7 @@
                 // It is no target of the request, but the request arrived there.
                 PlainEnd::Astray(_) => {
                     trail.unreached.push(target.id.clone());
-                    trail.unreached.len() < MOST_NOT_SENT && self.may_repeat(call)
+                    trail.unreached.len() < MOST_NOT_SENT && self.may_retry(call)
                 }
             };
             if !end.says_not_run() && !std::mem::replace(&mut begun, true) {
@@ -193,7 +193,7 @@
     async fn send_plain(
         self: &Rc<Self>,
         target: &TargetRecord,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         more: bool,
     ) -> PlainEnd {
         let sent = Instant::now();
@@ -203,7 +203,7 @@
             call.due
         };
         let order = plain_order(target, call);
-        let _work = WorkGuard::begin(self, &target.id, 0, 0);
+        let _work = InFlightGuard::begin(self, &target.id, 0, 0);
         let outcome = self.send(target, call.plan(until), &order).await;
         let end = self.finish_plain(target, call, outcome).await;
         call.log_send(target, "run", end.as_str(), sent);
@@ -212,7 +212,7 @@
 
     /// Takes a repeat from the budget for a request that has time left and is not held.
     #[must_use]
-    pub fn may_repeat(&self, call: &RoutedCall) -> bool {
+    pub fn may_retry(&self, call: &RoutedRequest) -> bool {
         if self.is_held(call) {
             return false;
         }
@@ -225,7 +225,7 @@
     async fn finish_plain(
         &self,
         target: &TargetRecord,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         outcome: SendOutcome,
     ) -> PlainEnd {
         let answer = match outcome {
@@ -248,7 +248,7 @@
         } = *answer;
         match client::read_body(body, MOST_ANSWER_BYTES, call.due).await {
             Err(fault) => {
-                self.note_body_fault(call, target, &fault);
+                self.record_body_error(call, target, &fault);
                 PlainEnd::Unclear(format!("{}: {fault}", target.id))
             }
             Ok(body) => {
@@ -261,7 +261,7 @@
                 self.note_result(target, result);
                 self.note_answered(target, times);
                 if head.status.is_success() {
-                    self.note_completed(call, &head.headers);
+                    self.record_completion(call, &head.headers);
                 }
                 lease.give_back(&head);
                 let reply = whole_reply(head, body);
@@ -278,12 +278,12 @@
         &self,
         view: &FleetView,
         service: &ServiceName,
-        trail: &SendTrail,
+        trail: &SendHistory,
     ) -> Option<Arc<TargetRecord>> {
         let newest = self.view();
         let mut rng = self.rng.borrow_mut();
         let untried = view
-            .of_service(service)
+            .service_targets(service)
             .iter()
             .filter(|t| !trail.has(&t.id) && newest.holds(&t.id));
         let core = self.core.borrow();
@@ -291,7 +291,7 @@
     }
 }
 
-fn plain_order(target: &TargetRecord, call: &RoutedCall) -> SendOrder {
+fn plain_order(target: &TargetRecord, call: &RoutedRequest) -> SendOrder {
     SendOrder {
         target: target.id.clone(),
         time_left: call.time_left(),
@@ -318,7 +318,7 @@
         matches!(self, Self::Refused(_) | Self::NotSent(_) | Self::Astray(_))
     }
 
-    fn into_result(self, call: &RoutedCall) -> Result<Reply, Failure> {
+    fn into_result(self, call: &RoutedRequest) -> Result<Reply, Failure> {
         match self {
             Self::Whole(reply) | Self::FailedWhole(reply) => Ok(reply),
             Self::Refused(reason) | Self::NotSent(reason) | Self::Astray(reason) => {
@@ -342,7 +342,7 @@
 
 /// Failure for a request that may have run.
 #[must_use]
-pub fn lost(call: &RoutedCall, reason: String) -> Failure {
+pub fn lost(call: &RoutedRequest, reason: String) -> Failure {
     if Instant::now() >= call.due {
         Failure::new(FailureKind::OutOfTime, reason)
     } else {
@@ -376,11 +376,11 @@
     }
     match client::read_body(body, limit, due).await {
         Ok(bytes) => Ok(bytes),
-        Err(fault @ BodyFault::Slow) => {
+        Err(fault @ BodyError::Slow) => {
             Err(Failure::new(FailureKind::SlowCaller, fault.to_string()))
         }
-        Err(BodyFault::TooLong(_)) => Err(too_large(limit)),
-        Err(BodyFault::Cut(reason)) => Err(Failure::new(FailureKind::BadRequest, reason)),
+        Err(BodyError::TooLong(_)) => Err(too_large(limit)),
+        Err(BodyError::Cut(reason)) => Err(Failure::new(FailureKind::BadRequest, reason)),
     }
 }
 
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -7,21 +7,21 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
-use crate::gateway::client::{self, BodyFault};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
+use crate::gateway::client::{self, BodyError};
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::engine_choice::EnginePlace;
+use crate::gateway::deciding::engine_choice::EnginePlacement;
 use crate::gateway::deciding::engine_model::EngineWork;
 use crate::gateway::deciding::health::SendResult;
-use crate::gateway::deciding::{EngineChoices, PlaceOrder, TimedWork};
+use crate::gateway::deciding::{EngineCandidates, PlacementQuery, TimedWork};
 use crate::gateway::forward::lost;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::port::{SendMode, SendOrder};
-use crate::gateway::reading::HandleGuard;
+use crate::gateway::reading::CacheHandleGuard;
 use crate::gateway::reply::{Failure, Reply, stream_reply, whole_reply};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
-use crate::gateway::stream::{EventRelay, FirstEventWatch};
-use crate::target_life::TargetLife;
+use crate::gateway::stream::{EventRelay, FirstEventTimer};
+use crate::target_incarnation::TargetIncarnation;
 
 /// Time to come back after a refusal by an engine.
 pub(super) const ENGINE_BUSY_WAIT: Duration = Duration::from_millis(200);
@@ -44,8 +44,8 @@
     /// # Errors
     ///
     /// Returns the failure that the caller is told.
-    pub async fn generate(self: Rc<Self>, call: Rc<RoutedCall>) -> Result<Reply, Failure> {
-        let mut trail = SendTrail::default();
+    pub async fn generate(self: Rc<Self>, call: Rc<RoutedRequest>) -> Result<Reply, Failure> {
+        let mut trail = SendHistory::default();
         let started = self.generate_along(&call, &mut trail).await;
         started.map_err(|failure| match failure.retry_after {
             Some(_) if trail.may_have_run => lost(&call, failure.reason),
@@ -55,13 +55,13 @@
 
     async fn generate_along(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        trail: &mut SendTrail,
+        call: &Rc<RoutedRequest>,
+        trail: &mut SendHistory,
     ) -> Result<Reply, Failure> {
         let mut last = Failure::refused("no engine is known", ENGINE_BUSY_WAIT);
-        while let Some(place) = self.place_by_fleet(call, trail).await {
-            self.check_still(&call.access)?;
-            self.check_held(call)?;
+        while let Some(place) = self.place_request(call, trail).await {
+            self.recheck_access(&call.access)?;
+            self.check_quarantine(call)?;
             if let Some(refusal) = too_late(call, &place) {
                 return Err(refusal);
             }
@@ -79,11 +79,11 @@
 
     fn with_writer(
         &self,
-        call: &RoutedCall,
-        mut place: EnginePlace,
+        call: &RoutedRequest,
+        mut place: EnginePlacement,
         was_read: bool,
-        trail: &SendTrail,
-    ) -> EnginePlace {
+        trail: &SendHistory,
+    ) -> EnginePlacement {
         if place.reader.is_none() || !was_read {
             return place;
         }
@@ -96,7 +96,7 @@
         place
     }
 
-    fn note_placed(&self, call: &RoutedCall, place: &EnginePlace) {
+    fn note_placed(&self, call: &RoutedRequest, place: &EnginePlacement) {
         let now = clock::mono_now();
         let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
@@ -105,7 +105,7 @@
         if let Some(prompt) = &call.caller.prompt {
             core.note_parts(&reader.id, &prompt.parts, false, now);
             let mut peers = self.peers.borrow_mut();
-            peers.note_held(&reader.id, &prompt.parts, false);
+            peers.note_cached(&reader.id, &prompt.parts, false);
         }
         let load = &core.load;
         let prompt = call.caller.prompt.as_ref();
@@ -119,7 +119,7 @@
             unread_tokens = place.unread_tokens,
             reread_tokens = place.reread_tokens,
             rank = place.rank,
-            waiting_tokens = load.total(&reader.id).unread_before(place.rank),
+            waiting_tokens = load.total(&reader.id).prefill_tokens_before(place.rank),
             fetch_from = place.fetch_from.as_ref().map_or("", |holder| holder.id.as_str()),
             running = load.total(&place.writer.id).running,
             others_known = load.others(),
@@ -130,21 +130,23 @@
 
     async fn start(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        place: &EnginePlace,
-        mut handle: Option<HandleGuard>,
-        trail: &mut SendTrail,
+        call: &Rc<RoutedRequest>,
+        place: &EnginePlacement,
+        mut handle: Option<CacheHandleGuard>,
+        trail: &mut SendHistory,
     ) -> Started {
         let writer = &place.writer;
         let unread = match handle {
             Some(_) => 0,
             None => place.unread_tokens,
         };
-        let mut work = WorkGuard::begin(self, &writer.id, place.rank, unread);
+        let mut work = InFlightGuard::begin(self, &writer.id, place.rank, unread);
         let mut timed = self.timed_start(place, handle.is_some());
         let fetch_from = place.fetch_from.as_deref().filter(|_| handle.is_none());
         let sent = Instant::now();
-        let mode = handle.as_ref().map_or(SendMode::Run, HandleGuard::mode);
+        let mode = handle
+            .as_ref()
+            .map_or(SendMode::Run, CacheHandleGuard::mode);
         let mut outcome = self
             .send_writer(call, writer, mode, fetch_from, place.rank, sent)
             .await;
@@ -154,7 +156,7 @@
             if let Some(handle) = &mut handle {
                 handle.forget();
             }
-            if self.may_repeat(call) {
+            if self.may_retry(call) {
                 timed = None;
                 let fetch_from = Some(place.reader.as_deref().unwrap_or(writer));
                 outcome = self
@@ -171,9 +173,9 @@
                 if !answer.head.status.is_success() {
                     return self.fail_with(call, writer, *answer).await;
                 }
-                self.note_held(call, writer);
+                self.note_cached(call, writer);
                 work.note_read();
-                let watch = FirstEventWatch { sent, timed };
+                let watch = FirstEventTimer { sent, timed };
                 let relay = self.relay(call, place, *answer, trail.clone(), (work, watch));
                 return Started::Reply(relay);
             }
@@ -186,7 +188,7 @@
                 let reason = "the engine left its address or does other work now";
                 let failure = Failure::refused(reason, ENGINE_BUSY_WAIT);
                 // The next send is a repeat, as this one arrived somewhere.
-                return if self.may_repeat(call) {
+                return if self.may_retry(call) {
                     Started::Again(failure)
                 } else {
                     Started::Ended(failure)
@@ -200,8 +202,8 @@
         };
         trail.sent.push(writer.id.clone());
         let refused = failure.retry_after.is_some();
-        let repeats = refused || call.route.repeat.may_repeat();
-        if repeats && trail.may_send(call) && self.may_repeat(call) {
+        let repeats = refused || call.route.repeat.may_retry();
+        if repeats && trail.may_send(call) && self.may_retry(call) {
             return Started::Again(failure);
         }
         Started::Ended(failure)
@@ -218,14 +220,17 @@
 
     // Other work that a writer takes up between the choice and the send is not in the
     // size, as it would not be for the next choice.
-    fn timed_start(&self, place: &EnginePlace, was_read: bool) -> Option<TimedWork> {
+    fn timed_start(&self, place: &EnginePlacement, was_read: bool) -> Option<TimedWork> {
         let writer = &place.writer;
         if !was_read {
             let chosen = place.reader.is_none();
-            return chosen.then(|| place.timed_reading(writer));
+            return chosen.then(|| place.timed_prefill(writer));
         }
         let core = self.core.borrow();
-        let waiting = core.load.total(&writer.id).unread_before(place.rank);
+        let waiting = core
+            .load
+            .total(&writer.id)
+            .prefill_tokens_before(place.rank);
         Some(TimedWork {
             engine: writer.clone(),
             work: EngineWork::TakeOver,
@@ -235,7 +240,7 @@
 
     async fn send_writer(
         &self,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         writer: &TargetRecord,
         mode: SendMode,
         fetch_from: Option<&TargetRecord>,
@@ -257,7 +262,7 @@
     #[must_use]
     pub fn order(
         &self,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         engine: &TargetRecord,
         mode: SendMode,
         resume_after: Option<u64>,
@@ -277,11 +282,11 @@
 
     fn relay(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        place: &EnginePlace,
+        call: &Rc<RoutedRequest>,
+        place: &EnginePlacement,
         answer: TargetAnswer,
-        trail: SendTrail,
-        (work, watch): (WorkGuard, FirstEventWatch),
+        trail: SendHistory,
+        (work, watch): (InFlightGuard, FirstEventTimer),
     ) -> Reply {
         let head = answer.head.clone();
         let relay = EventRelay::new(
@@ -298,7 +303,7 @@
 
     async fn fail_with(
         &self,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         engine: &TargetRecord,
         answer: TargetAnswer,
     ) -> Started {
@@ -310,30 +315,30 @@
                 Started::Reply(whole_reply(answer.head, body))
             }
             Err(fault) => {
-                if let BodyFault::Cut(reason) = &fault {
-                    self.note_cut(call, engine, reason);
+                if let BodyError::Cut(reason) = &fault {
+                    self.record_connection_loss(call, engine, reason);
                 }
                 Started::Ended(lost(call, fault.to_string()))
             }
         }
     }
 
-    pub(super) fn note_held(&self, call: &RoutedCall, engine: &TargetRecord) {
+    pub(super) fn note_cached(&self, call: &RoutedRequest, engine: &TargetRecord) {
         let Some(prompt) = &call.caller.prompt else {
             return;
         };
         let mut core = self.core.borrow_mut();
         core.note_parts(&engine.id, &prompt.parts, true, clock::mono_now());
         let mut peers = self.peers.borrow_mut();
-        peers.note_held(&engine.id, &prompt.parts, true);
+        peers.note_cached(&engine.id, &prompt.parts, true);
     }
 
     /// Chooses the engines of a request among those that its trail leaves.
     #[must_use]
-    pub fn place(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    pub fn place(&self, call: &RoutedRequest, trail: &SendHistory) -> Option<EnginePlacement> {
         let prompt = call.prompt();
         self.with_choices(call, trail, |choices| {
-            let order = PlaceOrder {
+            let order = PlacementQuery {
                 choices,
                 prompt: &prompt,
                 urgency: call.route.urgency,
@@ -345,9 +350,9 @@
 
     /// Engines that are being changed, by this daemon or another one.
     #[must_use]
-    pub fn changing(&self) -> Vec<TargetLife> {
+    pub fn changing(&self) -> Vec<TargetIncarnation> {
         let peers = self.peers.borrow();
-        let own = self.own_changing.borrow();
+        let own = self.local_stage_changes.borrow();
         let all = peers.changing(clock::mono_now()).chain(own.iter());
         all.cloned().collect()
     }
@@ -363,13 +368,13 @@
 
     pub(super) fn with_choices<T>(
         &self,
-        call: &RoutedCall,
-        trail: &SendTrail,
-        decide: impl FnOnce(EngineChoices<'_>) -> T,
+        call: &RoutedRequest,
+        trail: &SendHistory,
+        decide: impl FnOnce(EngineCandidates<'_>) -> T,
     ) -> T {
-        let excluded: Vec<TargetLife> = trail.tried().cloned().collect();
-        decide(EngineChoices {
-            engines: &self.staying(call.view.of_service(&call.service.name)),
+        let excluded: Vec<TargetIncarnation> = trail.tried().cloned().collect();
+        decide(EngineCandidates {
+            engines: &self.staying(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: &excluded,
         })
@@ -378,7 +383,7 @@
 
 // A caller of a stream gives up when the first event does not come. Work for it
 // would be in vain and hold up others; told at once, it may come back in time.
-fn too_late(call: &RoutedCall, place: &EnginePlace) -> Option<Failure> {
+fn too_late(call: &RoutedRequest, place: &EnginePlacement) -> Option<Failure> {
     let gap = call.route.gap_objective.unwrap_or_default();
     let patience = SHORTEST_PATIENCE
         .max(call.route.objective * PATIENCE_OBJECTIVES)
--- a/src/gateway/head_clock.rs
+++ b/src/gateway/head_clock.rs
@@ -27,12 +27,12 @@
 
 /// Clock of one connection.
 #[derive(Debug)]
-pub struct HeadClock {
+pub struct HeaderTimer {
     phase: Cell<HeadPhase>,
     begun: Notify,
 }
 
-impl Default for HeadClock {
+impl Default for HeaderTimer {
     fn default() -> Self {
         Self {
             phase: Cell::new(HeadPhase::Idle),
@@ -41,7 +41,7 @@
     }
 }
 
-impl HeadClock {
+impl HeaderTimer {
     /// Notes that a head was read and its request is served.
     pub fn note_head(&self) {
         self.phase.set(HeadPhase::Serving);
@@ -74,13 +74,13 @@
 /// A caller's connection that tells its clock of each byte.
 pub struct TimedStream {
     inner: TcpStream,
-    clock: Rc<HeadClock>,
+    clock: Rc<HeaderTimer>,
 }
 
 impl TimedStream {
     /// Wraps a connection.
     #[must_use]
-    pub fn new(inner: TcpStream, clock: Rc<HeadClock>) -> Self {
+    pub fn new(inner: TcpStream, clock: Rc<HeaderTimer>) -> Self {
         Self { inner, clock }
     }
 }
--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -33,9 +33,9 @@
 
 /// Handle of the log.
 #[derive(Debug)]
-pub struct JournalHandle(Arc<LineCounts>);
+pub struct LogHandle(Arc<LineCounts>);
 
-impl JournalHandle {
+impl LogHandle {
     /// Waits until the lines so far are written, for half a second at most.
     ///
     /// The writing thread ends with the process. Without this the last lines, which
@@ -76,13 +76,13 @@
 /// # Errors
 ///
 /// Returns an error for an unknown level, or when a logger is already installed.
-pub fn install(level: &str) -> Result<JournalHandle, LogError> {
+pub fn install(level: &str) -> Result<LogHandle, LogError> {
     let level: LevelFilter = level.parse().map_err(|_| LogError::Level {
         found: level.to_owned(),
     })?;
     let (lines, queue) = sync_channel(QUEUE_LINES);
     let counts = Arc::new(LineCounts::default());
-    let handle = JournalHandle(counts.clone());
+    let handle = LogHandle(counts.clone());
     let counted = counts.clone();
     // Without the thread there are no lines; the process itself can still serve.
     let _ = thread::Builder::new()
--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -14,7 +14,7 @@
 
 /// What came of a call to the store.
 #[derive(Debug)]
-pub enum LeaseAnswer {
+pub enum LeaseCallResult {
     /// The lease was read.
     Read(Result<Option<StoredObject>, PlatformError>),
     /// The lease was written, with the mark of that write.
@@ -22,13 +22,13 @@
 }
 
 /// One lease, for which some daemons contend in a common order.
-pub struct LeaseUpkeep {
+pub struct LeaseManager {
     gateway: Rc<Gateway>,
     table: LeaseTable,
     group: GroupName,
 }
 
-impl LeaseUpkeep {
+impl LeaseManager {
     /// Creates the upkeep of the lease of a group.
     #[must_use]
     pub fn new(gateway: Rc<Gateway>, group: &str, times: LeaseTimes) -> Self {
@@ -46,7 +46,7 @@
         &mut self,
         rank: Option<usize>,
         now: MonoTime,
-        tell: impl Fn(LeaseAnswer) + Clone + 'static,
+        tell: impl Fn(LeaseCallResult) + Clone + 'static,
     ) {
         if self.gateway.stopping.get() {
             self.table.stop();
@@ -64,25 +64,25 @@
         }
     }
 
-    fn act(&self, action: LeaseAction, tell: impl Fn(LeaseAnswer) + 'static) {
+    fn act(&self, action: LeaseAction, tell: impl Fn(LeaseCallResult) + 'static) {
         let store = self.gateway.ports.store.clone();
         spawn_local(async move {
             tell(match action {
                 LeaseAction::Read(group) => {
-                    LeaseAnswer::Read((store.read)(lease_object(&group)).await)
+                    LeaseCallResult::Read((store.read)(lease_object(&group)).await)
                 }
                 LeaseAction::Write { mark, write, .. } => {
-                    LeaseAnswer::Written(mark, (store.write)(write).await)
+                    LeaseCallResult::Written(mark, (store.write)(write).await)
                 }
             });
         });
     }
 
     /// Takes what came of a call.
-    pub fn take(&mut self, answer: LeaseAnswer, now: MonoTime) {
+    pub fn take(&mut self, answer: LeaseCallResult, now: MonoTime) {
         match answer {
-            LeaseAnswer::Read(result) => self.table.note_read(&self.group, &result, now),
-            LeaseAnswer::Written(mark, result) => {
+            LeaseCallResult::Read(result) => self.table.note_read(&self.group, &result, now),
+            LeaseCallResult::Written(mark, result) => {
                 self.table.note_write(&self.group, &mark, &result, now);
             }
         }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -25,13 +25,13 @@
     pub leaving: bool,
     /// What its instance carries; 0 where that is not stated.
     #[serde(default)]
-    pub strength: InstanceStrength,
+    pub strength: InstanceCapacity,
 }
 
 /// What an instance carries, by what a hub needs most: its processor's time, then its
 /// link, then its memory.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct InstanceStrength {
+pub struct InstanceCapacity {
     /// Thousandths of a core.
     pub core_thousandths: u32,
     /// Megabits a second.
--- a/src/gateway/model.rs
+++ b/src/gateway/model.rs
@@ -7,11 +7,11 @@
 
 use crate::access_key::KeyDigest;
 use crate::names::{CentreName, ServiceName, WorkspaceName};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RepeatRule {
+pub enum RetryRule {
     /// A request may run any number of times.
     Idempotent,
     /// A request may run at most once.
@@ -22,10 +22,10 @@
     ResumableStream,
 }
 
-impl RepeatRule {
+impl RetryRule {
     /// Whether a request may be sent again although an earlier send may have run.
     #[must_use]
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
@@ -55,7 +55,7 @@
     /// Prefix of the path, beginning and ending with a slash.
     pub path_prefix: String,
     /// What may be repeated.
-    pub repeat: RepeatRule,
+    pub repeat: RetryRule,
     /// Longest time for a request, from its arrival to its final answer.
     pub time_limit: Duration,
     /// Time within which an answer, or its first event, is worth most.
@@ -65,7 +65,7 @@
     /// Rank among the routes; 0 is the most urgent.
     pub urgency: u8,
     /// Most targets that one attempt of a caller may be sent to.
-    pub most_targets: u32,
+    pub max_targets: u32,
     /// Services that share the requests.
     pub shares: Vec<ServiceShare>,
     /// Whether callers need no key, also where the configuration names workspaces.
@@ -115,7 +115,7 @@
     /// Name that routes and targets refer to.
     pub name: ServiceName,
     /// Connections that one target accepts from all callers together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Set where the targets are model engines.
     pub engine: Option<EngineLimits>,
     /// Set where targets may be ordered.
@@ -146,9 +146,9 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// Time for the head of a request to arrive.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time a connection may stay without a request.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration, whole.
@@ -190,7 +190,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetRecord {
     /// Life of the target that the entry is of.
-    pub id: TargetLife,
+    pub id: TargetIncarnation,
     /// Service it offers.
     pub service: ServiceName,
     /// Where it listens.
--- a/src/gateway/peers/book.rs
+++ b/src/gateway/peers/book.rs
@@ -7,9 +7,9 @@
 use crate::gateway::deciding::stage_plan::WorkRate;
 use crate::gateway::members::DaemonRecord;
 use crate::gateway::model::PromptPart;
-use crate::gateway::peers::wire::{HeldNote, MemberNote, PeerHint};
+use crate::gateway::peers::wire::{CachedPartsUpdate, MemberStatus, PeerHint};
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Silence after which a daemon counts as unreachable.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_300);
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 struct PeerStatus {
     last_contact: MonoTime,
-    changing: Vec<TargetLife>,
+    changing: Vec<TargetIncarnation>,
     rate: WorkRate,
     leaving: bool,
     config_version: u64,
@@ -55,18 +55,18 @@
 
 /// State of the other daemons, as last received.
 #[derive(Debug, Default)]
-pub struct PeerBook {
+pub struct PeerTable {
     statuses: IndexMap<DaemonId, PeerStatus>,
     // Since when a daemon's record is known.
     known_since: IndexMap<DaemonId, MonoTime>,
-    pending: Vec<HeldNote>,
+    pending: Vec<CachedPartsUpdate>,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Queues prompt parts that an engine has cached, or prefills, for the next hint. Parts
     /// of a single request are included, as they evict shared ones from the engine's cache.
-    pub fn note_held(&mut self, engine: &TargetLife, parts: &[PromptPart], ready: bool) {
-        self.pending.push(HeldNote {
+    pub fn note_cached(&mut self, engine: &TargetIncarnation, parts: &[PromptPart], ready: bool) {
+        self.pending.push(CachedPartsUpdate {
             engine: engine.clone(),
             parts: parts.iter().map(|part| (part.key, part.tokens)).collect(),
             ready,
@@ -107,7 +107,7 @@
     /// Returns the daemons with a record that have been silent for longer than network
     /// partitions last.
     #[must_use]
-    pub fn long_silent(&self, now: MonoTime) -> Vec<DaemonId> {
+    pub fn unreachable_daemons(&self, now: MonoTime) -> Vec<DaemonId> {
         let known = self.known_since.iter();
         let silent = known.filter(|(id, since)| {
             let last = self
@@ -120,7 +120,7 @@
     }
 
     /// Returns the engines whose stage other daemons are changing.
-    pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetLife> {
+    pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetIncarnation> {
         let alive = self.statuses.values();
         let alive = alive.filter(move |state| state.is_fresh(now));
         alive.flat_map(|state| &state.changing)
@@ -157,7 +157,7 @@
     }
 
     /// Applies what a hub reported about a daemon, unless newer or direct state is known here.
-    pub fn record_member(&mut self, status: &MemberNote, rate: WorkRate, now: MonoTime) {
+    pub fn record_member(&mut self, status: &MemberStatus, rate: WorkRate, now: MonoTime) {
         let last_contact = MonoTime(now.0.saturating_sub(u64::from(status.age_ms)));
         let known = self.statuses.get(&status.id);
         if known.is_some_and(|state| {
@@ -180,7 +180,7 @@
     }
 
     /// Applies what a hub reported about itself over its own link.
-    pub fn record_hub(&mut self, status: &MemberNote, rate: WorkRate, now: MonoTime) {
+    pub fn record_hub(&mut self, status: &MemberStatus, rate: WorkRate, now: MonoTime) {
         let state = PeerStatus {
             last_contact: now,
             changing: status.changing.clone(),
@@ -198,7 +198,7 @@
     /// Returns the status of the daemons that report to this one, for other hubs. Other
     /// hubs are left out: if their sums were passed on, they would be counted repeatedly.
     #[must_use]
-    pub fn direct_status(&self, now: MonoTime) -> Vec<MemberNote> {
+    pub fn direct_status(&self, now: MonoTime) -> Vec<MemberStatus> {
         let direct = self.statuses.iter();
         let reports = |state: &PeerStatus| !state.relayed && !state.is_hub && state.is_fresh(now);
         let direct = direct.filter(|(_, state)| reports(state));
@@ -208,7 +208,7 @@
     }
 
     /// Returns the status of all reachable daemons, for the members of this hub.
-    pub fn all_status(&self, now: MonoTime) -> Vec<MemberNote> {
+    pub fn all_status(&self, now: MonoTime) -> Vec<MemberStatus> {
         let fresh = self
             .statuses
             .iter()
@@ -242,14 +242,14 @@
         })
     }
 
-    pub(super) fn take_cached_updates(&mut self) -> Vec<HeldNote> {
+    pub(super) fn take_cached_updates(&mut self) -> Vec<CachedPartsUpdate> {
         std::mem::take(&mut self.pending)
     }
 }
 
-fn member_status(id: &DaemonId, state: &PeerStatus, now: MonoTime) -> MemberNote {
+fn member_status(id: &DaemonId, state: &PeerStatus, now: MonoTime) -> MemberStatus {
     let age = now.since(state.last_contact).as_millis();
-    MemberNote {
+    MemberStatus {
         id: id.clone(),
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         leaving: state.leaving,
--- a/src/gateway/peers/entry_turns.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::registry::{EntryNote, KeptNote};
+use crate::gateway::registry::{EntryUpdate, RecentUpdate};
 use crate::names::MonoTime;
 
 /// How long a change is sent: longer than a daemon that depends on it is usually cut off.
@@ -21,20 +21,20 @@
 
 /// Schedule of the changes that go into the next messages.
 #[derive(Debug, Default)]
-pub struct EntryTurns {
+pub struct EntryBroadcasts {
     last_full_at: Option<MonoTime>,
     // Index of the next addition to send.
     next_addition: usize,
 }
 
-impl EntryTurns {
+impl EntryBroadcasts {
     /// Returns the changes that go into a message now, out of all recorded ones.
-    pub fn pick(&mut self, notes: &[KeptNote], now: MonoTime) -> Vec<EntryNote> {
+    pub fn pick(&mut self, notes: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
         let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
         let is_full = !self.last_full_at.is_some_and(is_recent);
         let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
         let fresh = notes.iter().filter(|kept| now.since(kept.at) < longest);
-        let (mut due, additions): (Vec<&KeptNote>, Vec<&KeptNote>) =
+        let (mut due, additions): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
             fresh.partition(|kept| kept.note.value.is_none());
         if is_full {
             self.last_full_at = Some(now);
@@ -43,7 +43,7 @@
         due.into_iter().map(|kept| kept.note.clone()).collect()
     }
 
-    fn next_additions<'a>(&mut self, additions: &[&'a KeptNote]) -> Vec<&'a KeptNote> {
+    fn next_additions<'a>(&mut self, additions: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
         let count = additions.len().min(MAX_ADDITIONS);
         let from = self.next_addition;
         self.next_addition = (from + count) % additions.len().max(1);
--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -16,13 +16,13 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::gateway::control::ControlNews;
+use crate::gateway::control::ControlInput;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::peers::hub::PeerRole;
 use crate::gateway::peers::wire::{
-    FeedObjects, PeerMessage, StockAnswer, StockQuestion, StoredObjectNote,
+    FeedObjects, ObjectUpdate, PeerMessage, SnapshotRequest, SnapshotResponse,
 };
-use crate::gateway::store_follow::{Feed, WatchDuty};
+use crate::gateway::store_follow::{Feed, WatchMode};
 use crate::names::{DaemonId, MonoTime};
 
 /// Time after its start for which a member waits for a hub before it watches the store
@@ -46,7 +46,7 @@
     pub hub_reachable: bool,
     /// Mode of a daemon that has just started, until it is known which daemons watch the
     /// store for others.
-    pub starting: Option<WatchDuty>,
+    pub starting: Option<WatchMode>,
 }
 
 /// Decides how a daemon of a role watches the store.
@@ -56,16 +56,16 @@
 /// only when a change could be overdue: otherwise each failure of a hub would make each of
 /// its members list everything, which is 350 calls in a data centre of 40 daemons.
 #[must_use]
-pub fn watch_duty(role: &PeerRole, state: FeedState) -> WatchDuty {
+pub fn choose_watch_mode(role: &PeerRole, state: FeedState) -> WatchMode {
     match role {
-        PeerRole::Mesh => state.starting.unwrap_or(WatchDuty::Alone),
-        PeerRole::Hub | PeerRole::Member(_) if state.subscribed || state.current => WatchDuty::Fed,
+        PeerRole::Mesh => state.starting.unwrap_or(WatchMode::Alone),
+        PeerRole::Hub | PeerRole::Member(_) if state.subscribed || state.current => WatchMode::Fed,
         // Right after its start, a daemon may know of no other one in its data centre.
-        PeerRole::Hub => state.starting.unwrap_or(WatchDuty::ForOthers),
+        PeerRole::Hub => state.starting.unwrap_or(WatchMode::ForOthers),
         PeerRole::Member(_) => state.starting.unwrap_or(if state.hub_reachable {
-            WatchDuty::BesideHub
+            WatchMode::BesideHub
         } else {
-            WatchDuty::WithoutHub
+            WatchMode::WithoutHub
         }),
     }
 }
@@ -80,7 +80,7 @@
 /// departure in that time would get work until it exits. The member therefore requests the
 /// hub's snapshot, and relies on the hub from the response to its latest request on.
 #[derive(Debug, Default)]
-pub struct FeedJoin {
+pub struct FeedSubscription {
     hub: Option<DaemonId>,
     requested: Option<(DaemonId, MonoTime)>,
     last_number: u64,
@@ -88,7 +88,7 @@
     store_contact: Option<MonoTime>,
 }
 
-impl FeedJoin {
+impl FeedSubscription {
     /// Sets the hub that could relay the store to this daemon now, if there is one; returns
     /// the number of a snapshot request to send to it.
     pub fn subscribe(&mut self, hub: Option<&DaemonId>, now: MonoTime) -> Option<u64> {
@@ -165,11 +165,11 @@
 
 /// Objects of the store as this daemon last read them, for members that connect.
 #[derive(Debug, Default)]
-pub struct FeedStock {
+pub struct StoreSnapshot {
     feeds: IndexMap<Feed, IndexMap<String, (u64, Vec<u8>)>>,
 }
 
-impl FeedStock {
+impl StoreSnapshot {
     /// Applies objects that were read; returns those to relay to daemons that had the same
     /// objects before.
     ///
@@ -190,13 +190,13 @@
     }
 
     // Returns the objects of a listing that changed; `None` if all of it has to be relayed.
-    fn changed_objects(&self, read: &FeedObjects) -> Option<Vec<StoredObjectNote>> {
+    fn changed_objects(&self, read: &FeedObjects) -> Option<Vec<ObjectUpdate>> {
         let known = self.feeds.get(&read.feed).filter(|_| read.whole)?;
         let listed = |name: &String| read.objects.iter().any(|(listed, ..)| listed == name);
         if !known.keys().all(listed) {
             return None;
         }
-        let is_new = |(name, version, _): &&StoredObjectNote| {
+        let is_new = |(name, version, _): &&ObjectUpdate| {
             known.get(name).is_none_or(|(known, _)| known != version)
         };
         Some(read.objects.iter().filter(is_new).cloned().collect())
@@ -313,25 +313,25 @@
         let hubs = self.hubs.borrow();
         let source = store_source.filter(|hub| hubs.has_recent_store(hub, timeout, now));
         self.subscribe(source.as_ref(), now);
-        let mut joins = self.joins.borrow_mut();
-        joins.record_store_contact(source.and_then(|hub| hubs.store_contact(&hub)));
+        let mut feed_subscription = self.feed_subscription.borrow_mut();
+        feed_subscription.record_store_contact(source.and_then(|hub| hubs.store_contact(&hub)));
         let state = FeedState {
-            subscribed: joins.is_subscribed(),
-            current: joins.is_current(timeout, now),
+            subscribed: feed_subscription.is_subscribed(),
+            current: feed_subscription.is_current(timeout, now),
             hub_reachable,
             starting: self.starting(role, view.daemons.is_empty(), now),
         };
-        let duty = watch_duty(role, state);
+        let duty = choose_watch_mode(role, state);
         if self.duty.replace(duty) != duty {
             log::info!(duty = format!("{duty:?}"), role = role.as_str(); "store watch mode changed");
             // The control thread runs until the process ends.
-            let _ = self.news.send(ControlNews::Duty(duty));
+            let _ = self.news.send(ControlInput::Duty(duty));
         }
     }
 
     // Returns the watch mode of the first seconds. As long as no record is known, it is not
     // known either whether the fleet has hubs.
-    fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchDuty> {
+    fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchMode> {
         let first = self.settings().first_start;
         let timeout = match role {
             PeerRole::Member(_) => HUB_WAIT_TIMEOUT,
@@ -339,15 +339,15 @@
             _ => Duration::ZERO,
         };
         let is_starting = now.since(self.started) < timeout;
-        is_starting.then(|| WatchDuty::at_start(first))
+        is_starting.then(|| WatchMode::at_start(first))
     }
 
     // Other hubs rely only on a hub that watches the store itself; members rely on any hub
     // that knows when the store last responded.
     pub(super) fn store_age_ms(&self, whole: bool, now: MonoTime) -> u32 {
         let age = match self.duty.get() {
-            WatchDuty::ForOthers => self.pulse.age(now),
-            WatchDuty::Fed if whole => self.joins.borrow().store_age(now),
+            WatchMode::ForOthers => self.pulse.age(now),
+            WatchMode::Fed if whole => self.feed_subscription.borrow().store_age(now),
             _ => Duration::MAX,
         };
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
@@ -363,11 +363,11 @@
     }
 
     fn subscribe(&self, hub: Option<&DaemonId>, now: MonoTime) {
-        let number = self.joins.borrow_mut().subscribe(hub, now);
+        let number = self.feed_subscription.borrow_mut().subscribe(hub, now);
         let (Some(hub), Some(number)) = (hub, number) else {
             return;
         };
-        let request = PeerMessage::WantStock(StockQuestion {
+        let request = PeerMessage::WantStock(SnapshotRequest {
             from: self.daemon.clone(),
             life: self.life,
             number,
@@ -377,7 +377,7 @@
         self.placing.borrow().send(hub, &request);
     }
 
-    pub(super) fn answer_snapshot_request(&self, request: &StockQuestion) {
+    pub(super) fn answer_snapshot_request(&self, request: &SnapshotRequest) {
         let view = self.view();
         let requester = (&request.from, request.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == requester) {
@@ -387,7 +387,7 @@
             // The requester asks again a second later.
             return;
         }
-        let response = PeerMessage::Stock(StockAnswer {
+        let response = PeerMessage::Stock(SnapshotResponse {
             from: self.daemon.clone(),
             number: request.number,
             feeds: self.stock.borrow().missing(&request.known),
@@ -396,21 +396,25 @@
         self.placing.borrow().send(&request.from, &response);
     }
 
-    pub(super) fn apply_snapshot(&self, response: StockAnswer) {
-        if !self.joins.borrow().awaits(&response.from, response.number) {
+    pub(super) fn apply_snapshot(&self, response: SnapshotResponse) {
+        if !self
+            .feed_subscription
+            .borrow()
+            .awaits(&response.from, response.number)
+        {
             return;
         }
         for objects in response.feeds {
             self.apply_objects(objects);
         }
         let complete = self.stock.borrow().is_complete();
-        self.joins
+        self.feed_subscription
             .borrow_mut()
             .apply_snapshot(&response.from, complete);
     }
 
     pub(super) fn handle_objects(&self, objects: FeedObjects) {
-        if self.joins.borrow().is_subscribed() {
+        if self.feed_subscription.borrow().is_subscribed() {
             self.apply_objects(objects);
         }
     }
@@ -418,6 +422,6 @@
     fn apply_objects(&self, objects: FeedObjects) {
         self.update_snapshot(objects.clone());
         // The control thread runs until the process ends.
-        let _ = self.news.send(ControlNews::PeerObjects(objects));
+        let _ = self.news.send(ControlInput::PeerObjects(objects));
     }
 }
--- a/src/gateway/peers/proofs.rs
+++ b/src/gateway/peers/freshness.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::daemon::Gateway;
-use crate::gateway::peers::wire::{PeerMessage, ProofWord};
+use crate::gateway::peers::wire::{FreshnessUpdate, PeerMessage};
 use crate::names::{DaemonId, MonoTime, millis};
 
 /// Clock of a daemon, as another daemon last received it.
@@ -26,7 +26,7 @@
 
 /// Age of a daemon's configuration, as reported to another daemon.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct ProofNote {
+pub struct ConfigFreshness {
     /// The sender's clock.
     pub clock: MonoTime,
     /// Version that the sender runs.
@@ -39,12 +39,12 @@
 
 /// Tracks until when the local configuration is confirmed, by messages of other daemons.
 #[derive(Debug, Default)]
-pub struct ProofBook {
+pub struct FreshnessTracker {
     clocks: IndexMap<DaemonId, (u64, MonoTime)>,
     confirmed_at: Option<MonoTime>,
 }
 
-impl ProofBook {
+impl FreshnessTracker {
     /// Records the clock of a daemon, as received from it.
     pub fn record_clock(&mut self, daemon: &DaemonId, life: u64, clock: MonoTime) {
         self.clocks.insert(daemon.clone(), (life, clock));
@@ -69,7 +69,7 @@
     /// Applies a report to this daemon, `local` with its incarnation, running `local_version`.
     ///
     /// A report on a version newer than the local one confirms nothing about the local one.
-    pub fn apply(&mut self, report: &ProofNote, local: (&DaemonId, u64), local_version: u64) {
+    pub fn apply(&mut self, report: &ConfigFreshness, local: (&DaemonId, u64), local_version: u64) {
         let Some(age_ms) = report.age_ms.filter(|_| report.version <= local_version) else {
             return;
         };
@@ -104,7 +104,7 @@
     /// bound set for revocations has passed since its last confirmation.
     #[must_use]
     pub fn confirms_keys(&self, now: MonoTime) -> bool {
-        let Some(limit) = self.settings().key_trust() else {
+        let Some(limit) = self.settings().key_validity() else {
             return true;
         };
         let confirmed = self.confirmed_at();
@@ -122,11 +122,11 @@
         // Read before the version: a newer one may be applied in between, never an older one.
         let confirmed = self.confirmed_at();
         let view = self.view();
-        let routes = view.routes.as_ref().filter(|r| r.asks_for_keys())?;
-        Some(PeerMessage::Proof(ProofWord {
+        let routes = view.routes.as_ref().filter(|r| r.requires_keys())?;
+        Some(PeerMessage::Proof(FreshnessUpdate {
             from: self.daemon.clone(),
             life: self.life,
-            proof: ProofNote {
+            proof: ConfigFreshness {
                 clock: now,
                 version: routes.version,
                 age_ms: confirmed.map(|at| millis(now.since(at))),
@@ -135,7 +135,7 @@
         }))
     }
 
-    pub(super) fn apply_freshness(&self, update: &ProofWord) {
+    pub(super) fn apply_freshness(&self, update: &FreshnessUpdate) {
         let view = self.view();
         let sender = (&update.from, update.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -17,10 +17,10 @@
 use indexmap::IndexMap;
 
 use crate::gateway::deciding::load::WorkByTarget;
-use crate::gateway::members::{DaemonRecord, InstanceStrength};
-use crate::gateway::peers::book::PeerBook;
-use crate::gateway::peers::note_turns::NoteTurns;
-use crate::gateway::peers::wire::{HeldNote, MemberNote, PeerHint};
+use crate::gateway::members::{DaemonRecord, InstanceCapacity};
+use crate::gateway::peers::book::PeerTable;
+use crate::gateway::peers::member_broadcasts::MemberBroadcasts;
+use crate::gateway::peers::wire::{CachedPartsUpdate, MemberStatus, PeerHint};
 use crate::names::{CentreName, DaemonId, MonoTime};
 
 /// Largest fleet without hubs: up to this size, a full mesh costs less than the delay of
@@ -71,7 +71,7 @@
 
 /// Selects the hub of this daemon's data centre.
 #[derive(Debug, Default)]
-pub struct HubBook {
+pub struct HubSelector {
     role: Option<PeerRole>,
     hub_since: Option<(DaemonId, MonoTime)>,
     skipped: IndexMap<DaemonId, MonoTime>,
@@ -80,7 +80,7 @@
     store_contact: IndexMap<DaemonId, MonoTime>,
 }
 
-impl HubBook {
+impl HubSelector {
     /// Records a hint: in a large fleet, daemons send hints only to the hub they selected.
     pub fn record_hint(&mut self, from: &DaemonId, now: MonoTime) {
         self.last_hints.insert(from.clone(), now);
@@ -118,7 +118,7 @@
         &mut self,
         local: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> PeerRole {
         let role = self.select_role(local, daemons, peers, now);
@@ -130,7 +130,7 @@
         &mut self,
         local: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> PeerRole {
         let known = |id: &DaemonId| daemons.iter().any(|d| d.id == *id);
@@ -155,7 +155,7 @@
         }
     }
 
-    fn skip_unresponsive(&mut self, peers: &PeerBook, now: MonoTime) {
+    fn skip_unresponsive(&mut self, peers: &PeerTable, now: MonoTime) {
         let Some((hub, since)) = &self.hub_since else {
             return;
         };
@@ -185,7 +185,7 @@
         &self,
         local: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> Option<DaemonId> {
         let hubs = self.links(&PeerRole::Hub, local, daemons).into_iter();
@@ -199,11 +199,11 @@
     /// Returns the rank of this daemon among those that receive the state of the whole
     /// fleet: all daemons of a fleet without hubs, else the hubs; `None` for a member.
     #[must_use]
-    pub fn speaker_rank(
+    pub fn full_view_rank(
         &self,
         local: &DaemonId,
         daemons: &[DaemonRecord],
-        peers: &PeerBook,
+        peers: &PeerTable,
         now: MonoTime,
     ) -> Option<usize> {
         let role = self.role.as_ref()?;
@@ -267,7 +267,7 @@
 
 /// Order in which daemons are selected as hubs: those on the strongest instances first, as a
 /// hub carries the messages of a whole data centre, then by name.
-fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceStrength>, &DaemonId) {
+fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceCapacity>, &DaemonId) {
     (Reverse(daemon.strength), &daemon.id)
 }
 
@@ -278,31 +278,31 @@
 
 /// Updates that a hub relays between its members and other hubs.
 #[derive(Debug, Default)]
-pub struct RelayedNews {
+pub struct RelayQueue {
     // Newly cached prompt parts reported by members, for other hubs and members.
-    from_members: Vec<HeldNote>,
+    from_members: Vec<CachedPartsUpdate>,
     // The same, reported by other hubs, for members.
-    from_hubs: Vec<HeldNote>,
-    hub_broadcasts: NoteTurns,
-    fleet_broadcasts: NoteTurns,
+    from_hubs: Vec<CachedPartsUpdate>,
+    hub_broadcasts: MemberBroadcasts,
+    fleet_broadcasts: MemberBroadcasts,
 }
 
 /// Most updates that wait for the next message; a daemon that is no hub relays none.
 const MAX_RELAYED: usize = 4_096;
 
-impl RelayedNews {
+impl RelayQueue {
     /// Queues updates from a member.
-    pub fn queue_from_member(&mut self, updates: &[HeldNote]) {
+    pub fn queue_from_member(&mut self, updates: &[CachedPartsUpdate]) {
         queue_updates(&mut self.from_members, updates);
     }
 
     /// Queues updates from another hub.
-    pub fn queue_from_hub(&mut self, updates: &[HeldNote]) {
+    pub fn queue_from_hub(&mut self, updates: &[CachedPartsUpdate]) {
         queue_updates(&mut self.from_hubs, updates);
     }
 
     /// Takes the updates from members and those from other hubs since the last message.
-    pub fn take_cached_updates(&mut self) -> (Vec<HeldNote>, Vec<HeldNote>) {
+    pub fn take_cached_updates(&mut self) -> (Vec<CachedPartsUpdate>, Vec<CachedPartsUpdate>) {
         (
             std::mem::take(&mut self.from_members),
             std::mem::take(&mut self.from_hubs),
@@ -311,7 +311,7 @@
 
     /// Returns the broadcast schedule for members, which get the status of the `whole`
     /// fleet, or the one for other hubs.
-    pub fn broadcasts(&mut self, whole: bool) -> &mut NoteTurns {
+    pub fn broadcasts(&mut self, whole: bool) -> &mut MemberBroadcasts {
         if whole {
             &mut self.fleet_broadcasts
         } else {
@@ -320,7 +320,7 @@
     }
 }
 
-fn queue_updates(queue: &mut Vec<HeldNote>, updates: &[HeldNote]) {
+fn queue_updates(queue: &mut Vec<CachedPartsUpdate>, updates: &[CachedPartsUpdate]) {
     if queue.len() >= MAX_RELAYED {
         queue.clear();
     }
@@ -329,8 +329,8 @@
 
 /// Returns the status that a hub reports about itself.
 #[must_use]
-pub fn local_status(hint: &PeerHint) -> MemberNote {
-    MemberNote {
+pub fn local_status(hint: &PeerHint) -> MemberStatus {
+    MemberStatus {
         id: hint.from.clone(),
         age_ms: 0,
         leaving: hint.leaving,
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -21,7 +21,7 @@
 use crate::gateway::peers::hub::{LinkKind, PeerRole};
 use crate::gateway::peers::link_queue::{LinkQueue, LinkTask};
 use crate::gateway::peers::wire::PeerMessage;
-use crate::gateway::store_follow::WatchDuty;
+use crate::gateway::store_follow::WatchMode;
 use crate::names::DaemonId;
 
 /// Time limit for opening a link and for sending one message.
@@ -87,7 +87,7 @@
 
 async fn dial(address: SocketAddr) -> Option<Link> {
     let stream = TcpStream::connect(address).await.ok()?;
-    crate::gateway::client::set_options(&stream).ok()?;
+    crate::gateway::client::set_socket_options(&stream).ok()?;
     let url = format!("ws://{address}/");
     let opened = client_async_with_config(url, stream, Some(link_config())).await;
     opened.ok().map(|(link, _)| link)
@@ -124,7 +124,7 @@
     loop {
         let task = queue.next().await;
         // Other hubs rely only on a hub that watches the store itself.
-        let relays_store = kind != LinkKind::OtherHub || gateway.duty.get() == WatchDuty::ForOthers;
+        let relays_store = kind != LinkKind::OtherHub || gateway.duty.get() == WatchMode::ForOthers;
         let sent = match task {
             LinkTask::Status => {
                 let message = queue.status().for_link(kind).cloned();
--- a/src/gateway/peers/note_turns.rs
+++ b/src/gateway/peers/member_broadcasts.rs
@@ -8,9 +8,9 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::gateway::peers::wire::MemberNote;
+use crate::gateway::peers::wire::MemberStatus;
 use crate::names::DaemonId;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Number of messages in which each daemon is included once. Messages are sent every 200 ms
 /// and daemons count as unreachable after 2.6 s: through two hubs, a status is then at most
@@ -22,11 +22,11 @@
 struct SentStatus {
     leaving: bool,
     confirms_keys: bool,
-    changing: Vec<TargetLife>,
+    changing: Vec<TargetIncarnation>,
 }
 
-impl From<&MemberNote> for SentStatus {
-    fn from(member: &MemberNote) -> Self {
+impl From<&MemberStatus> for SentStatus {
+    fn from(member: &MemberStatus) -> Self {
         Self {
             leaving: member.leaving,
             confirms_keys: member.confirms_keys,
@@ -37,16 +37,16 @@
 
 /// The status last sent to one kind of receivers (members or hubs).
 #[derive(Debug, Default)]
-pub struct NoteTurns {
+pub struct MemberBroadcasts {
     sent: IndexMap<DaemonId, SentStatus>,
     message_number: u64,
 }
 
-impl NoteTurns {
+impl MemberBroadcasts {
     /// Returns the status that goes into the next message: of daemons that changed and of
     /// those that are next in the rotation. A receiver that missed a message learns of a
     /// change by the rotation.
-    pub fn due_members(&mut self, mut members: Vec<MemberNote>) -> Vec<MemberNote> {
+    pub fn due_members(&mut self, mut members: Vec<MemberStatus>) -> Vec<MemberStatus> {
         self.message_number += 1;
         let message_number = self.message_number;
         let before = std::mem::take(&mut self.sent);
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -10,14 +10,14 @@
 //! exchange messages with their hub only, and hubs with each other.
 
 pub mod book;
-pub mod entry_turns;
+pub mod entry_broadcasts;
 pub mod feeding;
+pub mod freshness;
 pub mod hub;
 pub mod link_queue;
 mod links;
-pub mod note_turns;
+pub mod member_broadcasts;
 pub mod placing;
-pub mod proofs;
 pub mod seen;
 mod usage;
 pub mod wire;
@@ -31,20 +31,20 @@
 use tokio::task::spawn_local;
 use tokio_tungstenite::tungstenite::Message;
 
-pub use crate::gateway::peers::book::PeerBook;
+pub use crate::gateway::peers::book::PeerTable;
 
 use crate::clock;
-use crate::gateway::control::ControlNews;
+use crate::gateway::control::ControlInput;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::load::WorkByTarget;
 use crate::gateway::deciding::stage_plan::WorkRate;
 use crate::gateway::members::DaemonRecord;
 use crate::gateway::model::PromptPart;
 use crate::gateway::peers::hub::{LinkKind, PeerRole};
-use crate::gateway::peers::wire::{HeldNote, PeerHint, PeerMessage, PeerSummary};
-use crate::gateway::registry::EntryNote;
+use crate::gateway::peers::wire::{CachedPartsUpdate, PeerHint, PeerMessage, PeerSummary};
+use crate::gateway::registry::EntryUpdate;
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Time between two updates of this daemon's role, and between two hints without changes.
@@ -134,15 +134,15 @@
     /// Returns the rank of this daemon among those that receive the state of the whole
     /// fleet; `None` if it does not.
     #[must_use]
-    pub fn speaker_rank(&self, now: MonoTime) -> Option<usize> {
+    pub fn full_view_rank(&self, now: MonoTime) -> Option<usize> {
         let view = self.view();
         let peers = self.peers.borrow();
         let hubs = self.hubs.borrow();
-        hubs.speaker_rank(&self.daemon, &view.daemons, &peers, now)
+        hubs.full_view_rank(&self.daemon, &view.daemons, &peers, now)
     }
 
     fn has_new_work(&self) -> bool {
-        *self.core.borrow().load.own() != *self.last_hint_work.borrow()
+        *self.core.borrow().load.own() != *self.last_sent_work.borrow()
     }
 
     fn hint(&self, role: &PeerRole) -> PeerHint {
@@ -161,7 +161,7 @@
             departed: view.departed.clone(),
             entries: self.due_entries(role),
             works: self.crashes.borrow_mut().pick(clock::mono_now()),
-            changing: self.own_changing.borrow().clone(),
+            changing: self.local_stage_changes.borrow().clone(),
             rate,
             placed_through: self.placing.borrow().used_through(),
             seen: self.seen.take(),
@@ -174,9 +174,9 @@
 
     // In a fleet with hubs the entries themselves are relayed to each daemon, so only
     // removals are sent.
-    fn due_entries(&self, role: &PeerRole) -> Vec<EntryNote> {
+    fn due_entries(&self, role: &PeerRole) -> Vec<EntryUpdate> {
         let view = self.view();
-        let mut broadcasts = self.entry_turns.borrow_mut();
+        let mut broadcasts = self.entry_broadcasts.borrow_mut();
         let mut changes = broadcasts.pick(&view.entry_notes, clock::mono_now());
         if *role != PeerRole::Mesh {
             changes.retain(|change| change.value.is_none());
@@ -201,7 +201,7 @@
             }
             PeerRole::Mesh | PeerRole::Member(_) => (None, None),
         };
-        *self.last_hint_work.borrow_mut() = hint.work.iter().cloned().collect();
+        *self.last_sent_work.borrow_mut() = hint.work.iter().cloned().collect();
         OutgoingStatus {
             hint: PeerMessage::Hint(hint).encode(),
             centre: centre.map(|summary| PeerMessage::Summary(summary).encode()),
@@ -209,7 +209,7 @@
         }
     }
 
-    fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<HeldNote>) -> PeerSummary {
+    fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<CachedPartsUpdate>) -> PeerSummary {
         let now = clock::mono_now();
         let peers = self.peers.borrow();
         let status = if whole {
@@ -291,7 +291,9 @@
             PeerMessage::Hint(hint) => self.handle_hint(hint),
             PeerMessage::Summary(summary) => self.handle_summary(summary),
             PeerMessage::Objects(objects) => self.handle_objects(objects),
-            PeerMessage::NewLink { from } => self.joins.borrow_mut().handle_new_link(&from),
+            PeerMessage::NewLink { from } => {
+                self.feed_subscription.borrow_mut().handle_new_link(&from)
+            }
             PeerMessage::WantStock(request) => self.answer_snapshot_request(&request),
             PeerMessage::Stock(response) => self.apply_snapshot(response),
             PeerMessage::Place(request) => self.answer_placement_request(&request),
@@ -300,7 +302,7 @@
             PeerMessage::Proof(update) => self.apply_freshness(&update),
             PeerMessage::Config { revision, value } => {
                 // The control thread runs until the process ends.
-                let _ = self.news.send(ControlNews::PeerConfig { revision, value });
+                let _ = self.news.send(ControlInput::PeerConfig { revision, value });
             }
         }
     }
@@ -330,15 +332,15 @@
         self.relayed.borrow_mut().queue_from_member(&hint.held);
         self.apply_departures(&hint.departed);
         self.apply_entry_changes(hint.entries);
-        self.take_work_notes(&hint.works);
+        self.apply_crash_reports(&hint.works);
         self.apply_results(&hint.seen);
         let work = hint.work.into_iter().collect();
         let load = &mut self.core.borrow_mut().load;
-        load.settle_promises(&hint.from, hint.placed_through);
-        load.set_other(hint.from, work, now);
+        load.release_reservations(&hint.from, hint.placed_through);
+        load.set_peer_work(hint.from, work, now);
     }
 
-    fn apply_cached_updates(&self, updates: &[HeldNote]) {
+    fn apply_cached_updates(&self, updates: &[CachedPartsUpdate]) {
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
         for update in updates {
@@ -354,20 +356,21 @@
         }
     }
 
-    fn apply_departures(&self, departed: &[TargetLife]) {
+    fn apply_departures(&self, departed: &[TargetIncarnation]) {
         let view = self.view();
         for target in departed.iter().filter(|target| view.holds(target)) {
-            self.tell_departed(target);
+            self.notify_departed(target);
         }
     }
 
-    fn apply_entry_changes(&self, mut changes: Vec<EntryNote>) {
+    fn apply_entry_changes(&self, mut changes: Vec<EntryUpdate>) {
         let view = self.view();
-        let is_kept = |change: &EntryNote| view.entry_notes.iter().any(|kept| kept.note == *change);
+        let is_kept =
+            |change: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.note == *change);
         changes.retain(|change| !is_kept(change));
         if !changes.is_empty() {
             // The control thread runs until the process ends.
-            let _ = self.news.send(ControlNews::EntryNotes(changes));
+            let _ = self.news.send(ControlInput::EntryNotes(changes));
         }
     }
 
@@ -409,15 +412,15 @@
         }
         self.apply_departures(&summary.departed);
         self.apply_entry_changes(summary.entries);
-        self.take_work_notes(&summary.works);
+        self.apply_crash_reports(&summary.works);
         let mut work: WorkByTarget = summary.work.into_iter().collect();
         if summary.whole {
-            hub::subtract(&mut work, &self.last_hint_work.borrow());
+            hub::subtract(&mut work, &self.last_sent_work.borrow());
         }
         let load = &mut self.core.borrow_mut().load;
         if !summary.whole {
-            load.settle_promises(&summary.from, summary.placed_through);
+            load.release_reservations(&summary.from, summary.placed_through);
         }
-        load.set_other(summary.from, work, now);
+        load.set_peer_work(summary.from, work, now);
     }
 }
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -16,16 +16,17 @@
 use tokio_tungstenite::tungstenite::Message;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail};
+use crate::gateway::call::{RoutedRequest, SendHistory};
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::engine_choice::EnginePlace;
-use crate::gateway::deciding::{EngineChoices, PlaceOrder};
+use crate::gateway::deciding::engine_choice::EnginePlacement;
+use crate::gateway::deciding::{EngineCandidates, PlacementQuery};
 use crate::gateway::model::{PromptPart, PromptShape, TargetRecord};
 use crate::gateway::peers::wire::{
-    PeerMessage, PlaceAnswer, PlaceQuestion, PlacedEngines, PlacementNote, PlacementNotes,
+    PeerMessage, PlacedEngines, PlacementBatch, PlacementRecord, PlacementRequest,
+    PlacementResponse,
 };
 use crate::names::{DaemonId, MonoTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Time limit for a placement response. A round trip takes 1 to 3 ms; a choice without the
 /// hub costs a request 100 ms and more, and waiting longer than that gains nothing.
@@ -45,19 +46,19 @@
 
 /// Placements of a hub that it has not announced to the other hubs yet.
 #[derive(Debug, Default)]
-pub struct PlacementLog {
-    pending: Vec<PlacementNote>,
+pub struct PlacementOutbox {
+    pending: Vec<PlacementRecord>,
     last_number: u64,
 }
 
-impl PlacementLog {
-    fn push(&mut self, record: PlacementNote) {
+impl PlacementOutbox {
+    fn push(&mut self, record: PlacementRecord) {
         if self.pending.len() < MAX_PENDING {
             self.pending.push(record);
         }
     }
 
-    fn take(&mut self) -> Option<(u64, Vec<PlacementNote>)> {
+    fn take(&mut self) -> Option<(u64, Vec<PlacementRecord>)> {
         if self.pending.is_empty() {
             return None;
         }
@@ -68,7 +69,7 @@
 
 /// Sends placement requests to another daemon and matches the responses.
 #[derive(Debug, Default)]
-pub struct PlacingDesk {
+pub struct PlacementClient {
     // Daemon that chooses for this one; `None` if this one chooses by itself.
     placement_hub: Option<DaemonId>,
     links: IndexMap<DaemonId, mpsc::UnboundedSender<Message>>,
@@ -78,7 +79,7 @@
     retry_at: Option<MonoTime>,
 }
 
-impl PlacingDesk {
+impl PlacementClient {
     /// Sets the daemon that placement requests are sent to.
     pub fn set_placement_hub(&mut self, placement_hub: Option<DaemonId>) {
         if self.placement_hub != placement_hub {
@@ -125,7 +126,7 @@
     /// `None` if no other daemon chooses for this one, or it cannot be asked now.
     pub fn send_request(
         &mut self,
-        request: PlaceQuestion,
+        request: PlacementRequest,
         now: MonoTime,
     ) -> Option<(u64, PlacementReceiver)> {
         let placement_hub = self.placement_hub.clone()?;
@@ -133,7 +134,7 @@
             return None;
         }
         let number = self.last_number + 1;
-        let request = PlaceQuestion { number, ..request };
+        let request = PlacementRequest { number, ..request };
         if !self.send(&placement_hub, &PeerMessage::Place(request)) {
             return None;
         }
@@ -144,7 +145,7 @@
     }
 
     /// Passes a response to the request that waits for it.
-    pub fn deliver_response(&mut self, response: PlaceAnswer) {
+    pub fn deliver_response(&mut self, response: PlacementResponse) {
         if let Some(waiting) = self.waiting.swap_remove(&response.number) {
             // The request may have stopped waiting in the meantime.
             let _ = waiting.send(response.engines);
@@ -166,18 +167,18 @@
 impl Gateway {
     /// Chooses the engines for a request: asks the hub, and chooses locally if it does not
     /// respond or returns no engines that are known here.
-    pub async fn place_by_fleet(
+    pub async fn place_request(
         &self,
-        call: &RoutedCall,
-        trail: &SendTrail,
-    ) -> Option<EnginePlace> {
+        call: &RoutedRequest,
+        trail: &SendHistory,
+    ) -> Option<EnginePlacement> {
         match self.request_placement(call, trail).await {
             Some(place) => Some(place),
             None => self.place_locally(call, trail),
         }
     }
 
-    fn place_locally(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    fn place_locally(&self, call: &RoutedRequest, trail: &SendHistory) -> Option<EnginePlacement> {
         let place = self.place(call, trail)?;
         if let Some(prompt) = &call.caller.prompt {
             self.queue_placement(prompt, &place);
@@ -185,7 +186,11 @@
         Some(place)
     }
 
-    async fn request_placement(&self, call: &RoutedCall, trail: &SendTrail) -> Option<EnginePlace> {
+    async fn request_placement(
+        &self,
+        call: &RoutedRequest,
+        trail: &SendHistory,
+    ) -> Option<EnginePlacement> {
         let now = clock::mono_now();
         let request = self.placement_request(call, trail);
         let (number, response) = self.placing.borrow_mut().send_request(request, now)?;
@@ -203,13 +208,13 @@
         self.resolve(call, &engines?)
     }
 
-    fn placement_request(&self, call: &RoutedCall, trail: &SendTrail) -> PlaceQuestion {
+    fn placement_request(&self, call: &RoutedRequest, trail: &SendHistory) -> PlacementRequest {
         let prompt = call.caller.prompt.clone().unwrap_or_default();
         let now = clock::mono_now();
         let core = self.core.borrow();
-        let engines = call.view.of_service(&call.service.name).iter();
+        let engines = call.view.service_targets(&call.service.name).iter();
         let avoided = engines.filter(|e| trail.has(&e.id) || core.health.view(&e.id, now).avoided);
-        PlaceQuestion {
+        PlacementRequest {
             from: self.daemon.clone(),
             life: self.life,
             number: 0,
@@ -225,10 +230,10 @@
 
     // A response is valid only with engines that this daemon knows for the request's own
     // route, as the other daemon may run another configuration.
-    fn resolve(&self, call: &RoutedCall, engines: &PlacedEngines) -> Option<EnginePlace> {
+    fn resolve(&self, call: &RoutedRequest, engines: &PlacedEngines) -> Option<EnginePlacement> {
         let newest = self.view();
-        let known = call.view.of_service(&call.service.name);
-        let find = |id: &TargetLife| -> Option<Arc<TargetRecord>> {
+        let known = call.view.service_targets(&call.service.name);
+        let find = |id: &TargetIncarnation| -> Option<Arc<TargetRecord>> {
             let found = known.iter().find(|engine| engine.id == *id)?;
             newest.holds(id).then(|| found.clone())
         };
@@ -236,7 +241,7 @@
             Some(id) => Some(find(id)?),
             None => None,
         };
-        Some(EnginePlace {
+        Some(EnginePlacement {
             reader,
             writer: find(&engines.writer)?,
             fetch_from: engines.fetch_from.as_ref().and_then(find),
@@ -251,7 +256,7 @@
     }
 
     /// Answers a placement request of another daemon.
-    pub fn answer_placement_request(&self, request: &PlaceQuestion) {
+    pub fn answer_placement_request(&self, request: &PlacementRequest) {
         let view = self.view();
         let requester = (&request.from, request.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == requester) {
@@ -263,9 +268,9 @@
             output_tokens: request.output_tokens,
             parts: parts_of(&request.parts),
         };
-        let order = PlaceOrder {
-            choices: EngineChoices {
-                engines: view.of_service(&request.service),
+        let order = PlacementQuery {
+            choices: EngineCandidates {
+                engines: view.service_targets(&request.service),
                 changing: &self.changing(),
                 excluded: &request.avoided,
             },
@@ -278,7 +283,7 @@
             self.count_placement(request, &prompt, place);
             self.queue_placement(&prompt, place);
         }
-        let response = PeerMessage::Placed(PlaceAnswer {
+        let response = PeerMessage::Placed(PlacementResponse {
             number: request.number,
             engines: place.map(|place| PlacedEngines::from(&place)),
         });
@@ -287,13 +292,13 @@
     }
 
     /// Queues a placement of this daemon for the other hubs, if it is a hub.
-    pub fn queue_placement(&self, prompt: &PromptShape, place: &EnginePlace) {
+    pub fn queue_placement(&self, prompt: &PromptShape, place: &EnginePlacement) {
         if !self.hubs.borrow().is_hub() {
             return;
         }
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let writer = place.reader.as_ref().map(|_| place.writer.id.clone());
-        self.placements.borrow_mut().push(PlacementNote {
+        self.placements.borrow_mut().push(PlacementRecord {
             reader: reader.id.clone(),
             writer,
             rank: place.rank,
@@ -308,7 +313,7 @@
     pub fn announce_placements(&self) -> u64 {
         let mut outbox = self.placements.borrow_mut();
         if let Some((number, placed)) = outbox.take() {
-            let batch = PeerMessage::Placements(PlacementNotes {
+            let batch = PeerMessage::Placements(PlacementBatch {
                 from: self.daemon.clone(),
                 life: self.life,
                 number,
@@ -321,7 +326,7 @@
     }
 
     /// Applies the placements of another hub.
-    pub fn apply_placements(&self, batch: &PlacementNotes) {
+    pub fn apply_placements(&self, batch: &PlacementBatch) {
         let view = self.view();
         let sender = (&batch.from, batch.life);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
@@ -345,7 +350,12 @@
     }
 
     // Counts a placement before the requester's hint reports it, for the choices until then.
-    fn count_placement(&self, request: &PlaceQuestion, prompt: &PromptShape, place: &EnginePlace) {
+    fn count_placement(
+        &self,
+        request: &PlacementRequest,
+        prompt: &PromptShape,
+        place: &EnginePlacement,
+    ) {
         let now = clock::mono_now();
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let mut core = self.core.borrow_mut();
@@ -364,7 +374,7 @@
     }
 
     /// Passes a response to the request that waits for it.
-    pub fn handle_placement_response(&self, response: PlaceAnswer) {
+    pub fn handle_placement_response(&self, response: PlacementResponse) {
         self.placing.borrow_mut().deliver_response(response);
     }
 }
@@ -387,8 +397,8 @@
     parts.collect()
 }
 
-impl From<&EnginePlace> for PlacedEngines {
-    fn from(place: &EnginePlace) -> Self {
+impl From<&EnginePlacement> for PlacedEngines {
+    fn from(place: &EnginePlacement) -> Self {
         Self {
             reader: place.reader.as_ref().map(|reader| reader.id.clone()),
             writer: place.writer.id.clone(),
--- a/src/gateway/peers/seen.rs
+++ b/src/gateway/peers/seen.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::SendResult;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Most results in a hint; the rest is dropped. At 450 requests a second a daemon in a
 /// fleet of 195 reports one or two, so this leaves room for bursts.
@@ -25,25 +25,25 @@
 
 /// Result of a send.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ResultNote {
+pub struct ObservedResult {
     /// The target.
-    pub target: TargetLife,
+    pub target: TargetIncarnation,
     /// The result.
     pub result: SendResult,
 }
 
 /// Results of a daemon's sends since its last hint.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct SeenWork {
+pub struct ObservedResults {
     /// One result per send, oldest first.
-    pub results: Vec<ResultNote>,
+    pub results: Vec<ObservedResult>,
 }
 
-impl SeenWork {
+impl ObservedResults {
     /// Adds the result of a send.
-    pub fn note_result(&mut self, target: &TargetLife, result: SendResult) {
+    pub fn note_result(&mut self, target: &TargetIncarnation, result: SendResult) {
         if self.results.len() < MAX_RESULTS {
-            self.results.push(ResultNote {
+            self.results.push(ObservedResult {
                 target: target.clone(),
                 result,
             });
@@ -53,16 +53,16 @@
     /// Returns the results that say something about their targets. Several unresponsive
     /// targets at once mean that the sender itself is cut off, and repeated silence of one
     /// target between two hints counts once.
-    pub fn conclusive_results(&self) -> impl Iterator<Item = &ResultNote> {
-        let is_silent = |observed: &&ResultNote| observed.result == SendResult::Silent;
-        let unresponsive: IndexSet<&TargetLife> = self
+    pub fn conclusive_results(&self) -> impl Iterator<Item = &ObservedResult> {
+        let is_silent = |observed: &&ObservedResult| observed.result == SendResult::Silent;
+        let unresponsive: IndexSet<&TargetIncarnation> = self
             .results
             .iter()
             .filter(is_silent)
             .map(|observed| &observed.target)
             .collect();
         let cut_off = unresponsive.len() >= CUT_OFF_TARGETS;
-        let mut counted: IndexSet<&TargetLife> = IndexSet::new();
+        let mut counted: IndexSet<&TargetIncarnation> = IndexSet::new();
         self.results
             .iter()
             .filter(move |observed| match observed.result {
@@ -74,12 +74,12 @@
 
 impl Gateway {
     /// Whether a hub chooses engines for this daemon's requests, and needs their results.
-    pub fn is_placed_for(&self) -> bool {
+    pub fn uses_remote_placement(&self) -> bool {
         self.placing.borrow().has_placement_hub()
     }
 
     /// Applies a member's results as if they were those of this daemon.
-    pub(super) fn apply_results(&self, seen: &SeenWork) {
+    pub(super) fn apply_results(&self, seen: &ObservedResults) {
         let view = self.view();
         for observed in seen.conclusive_results() {
             if let Some(target) = view.find(&observed.target) {
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::duties::usage_book::{DaemonUsage, UsageCell};
+use crate::gateway::fleet_tasks::usage_counts::{DaemonUsage, UsageCount};
 use crate::gateway::model::CallerAccess;
 use crate::gateway::peers::wire::{PeerHint, PeerSummary};
 use crate::names::MonoTime;
@@ -18,7 +18,7 @@
         }
     }
 
-    pub(super) fn take_usage_updates(&self) -> Vec<UsageCell> {
+    pub(super) fn take_usage_updates(&self) -> Vec<UsageCount> {
         let now = clock::mono_now();
         let mut book = self.duties.borrow_mut();
         book.settle(now);
@@ -36,7 +36,7 @@
 
     pub(super) fn apply_member_usage(&self, hint: &PeerHint, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
-        book.clock.note_sample(&hint.from, hint.wall, now);
+        book.clock.add_sample(&hint.from, hint.wall, now);
         book.usage.note_heard(usage_of(hint), true);
     }
 
@@ -45,9 +45,9 @@
         let mut book = self.duties.borrow_mut();
         if let Some(time) = summary.true_time {
             if summary.whole {
-                book.clock.note_agreed(time, now);
+                book.clock.adopt_time(time, now);
             } else {
-                book.clock.note_sample(&summary.from, time, now);
+                book.clock.add_sample(&summary.from, time, now);
             }
         }
         for counts in &summary.usage {
--- a/src/gateway/peers/wire.rs
+++ b/src/gateway/peers/wire.rs
@@ -8,22 +8,22 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use tokio_tungstenite::tungstenite::Message;
 
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
 use crate::gateway::deciding::load::TargetWork;
 use crate::gateway::deciding::stage_plan::WorkRate;
-use crate::gateway::duties::usage_book::{DaemonUsage, UsageCell};
-use crate::gateway::peers::proofs::ProofNote;
-use crate::gateway::peers::seen::SeenWork;
-use crate::gateway::registry::EntryNote;
+use crate::gateway::fleet_tasks::usage_counts::{DaemonUsage, UsageCount};
+use crate::gateway::peers::freshness::ConfigFreshness;
+use crate::gateway::peers::seen::ObservedResults;
+use crate::gateway::registry::EntryUpdate;
 use crate::gateway::store_follow::Feed;
 use crate::names::{DaemonId, MonoTime, ServiceName, UnixTime};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Prompt parts that an engine has cached, or is prefilling.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
-pub struct HeldNote {
+pub struct CachedPartsUpdate {
     /// The engine.
-    pub engine: TargetLife,
+    pub engine: TargetIncarnation,
     /// Keys and tokens of the parts, in the prompt's order.
     pub parts: Vec<(u64, u32)>,
     /// Whether they are cached already.
@@ -42,25 +42,25 @@
     /// Version of the configuration that it runs.
     pub config_version: u64,
     /// Its running and queued work at targets.
-    pub work: Vec<(TargetLife, TargetWork)>,
+    pub work: Vec<(TargetIncarnation, TargetWork)>,
     /// Prompt parts newly cached at engines by its requests since the last hint.
-    pub held: Vec<HeldNote>,
+    pub held: Vec<CachedPartsUpdate>,
     /// Targets that it knows to be leaving the fleet.
-    pub departed: Vec<TargetLife>,
-    /// Added or removed entries of targets, as due ([`super::entry_turns`]).
+    pub departed: Vec<TargetIncarnation>,
+    /// Added or removed entries of targets, as due ([`super::entry_broadcasts`]).
     #[serde(default)]
-    pub entries: Vec<EntryNote>,
-    /// Work that crashed targets, as due ([`crate::crashes::news`]).
+    pub entries: Vec<EntryUpdate>,
+    /// Work that crashed targets, as due ([`crate::crashes::broadcasts`]).
     #[serde(default)]
-    pub works: Vec<WorkNote>,
+    pub works: Vec<CrashReport>,
     /// Engines whose stage it is changing.
-    pub changing: Vec<TargetLife>,
+    pub changing: Vec<TargetIncarnation>,
     /// Work that it places on engines per second.
     pub rate: WorkRate,
     /// Number of the last placement request whose work this hint contains.
     pub placed_through: u64,
     /// Results of its sends, if a hub chooses engines for its requests.
-    pub seen: SeenWork,
+    pub seen: ObservedResults,
     /// Its monotonic clock.
     pub clock: MonoTime,
     /// Whether it knows which keys are in force.
@@ -68,7 +68,7 @@
     /// Its wall clock.
     pub wall: UnixTime,
     /// New counts of requests started here, by window and workspace.
-    pub usage: Vec<UsageCell>,
+    pub usage: Vec<UsageCount>,
 }
 
 /// A message between daemons.
@@ -94,37 +94,37 @@
         from: DaemonId,
     },
     /// A request for the store snapshot of a hub.
-    WantStock(StockQuestion),
+    WantStock(SnapshotRequest),
     /// The response to it.
-    Stock(StockAnswer),
+    Stock(SnapshotResponse),
     /// A request to choose the engines for a caller's request.
-    Place(PlaceQuestion),
+    Place(PlacementRequest),
     /// The response to it.
-    Placed(PlaceAnswer),
+    Placed(PlacementResponse),
     /// Placements of a hub since its last announcement.
-    Placements(PlacementNotes),
+    Placements(PlacementBatch),
     /// The age of a hub's configuration, for one receiver.
-    Proof(ProofWord),
+    Proof(FreshnessUpdate),
 }
 
 /// Age of a hub's configuration, for one receiver.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ProofWord {
+pub struct FreshnessUpdate {
     /// The hub.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
     pub life: u64,
     /// The report.
-    pub proof: ProofNote,
+    pub proof: ConfigFreshness,
 }
 
 /// Engines that a hub has chosen for a request.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
-pub struct PlacementNote {
+pub struct PlacementRecord {
     /// Engine that prefills the prompt.
-    pub reader: TargetLife,
+    pub reader: TargetIncarnation,
     /// Engine that decodes, if it is another one.
-    pub writer: Option<TargetLife>,
+    pub writer: Option<TargetIncarnation>,
     /// Scheduling rank at the engines.
     pub rank: u8,
     /// Tokens that the prefill engine still has to prefill.
@@ -135,7 +135,7 @@
 
 /// Placements of a hub since its last announcement.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct PlacementNotes {
+pub struct PlacementBatch {
     /// The hub.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
@@ -143,12 +143,12 @@
     /// Number of this batch within that incarnation.
     pub number: u64,
     /// The placements.
-    pub placed: Vec<PlacementNote>,
+    pub placed: Vec<PlacementRecord>,
 }
 
 /// A request for the store snapshot of a hub.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct StockQuestion {
+pub struct SnapshotRequest {
     /// The requester.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
@@ -161,7 +161,7 @@
 
 /// The part of a hub's store snapshot that the requester lacks.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct StockAnswer {
+pub struct SnapshotResponse {
     /// The hub.
     pub from: DaemonId,
     /// Number of the request.
@@ -172,7 +172,7 @@
 
 /// A request to choose the engines for a caller's request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct PlaceQuestion {
+pub struct PlacementRequest {
     /// The requester.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
@@ -182,7 +182,7 @@
     /// Service that the request is for.
     pub service: ServiceName,
     /// Engines that the requester excludes.
-    pub avoided: Vec<TargetLife>,
+    pub avoided: Vec<TargetIncarnation>,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
     /// Most tokens to generate.
@@ -199,11 +199,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlacedEngines {
     /// Engine that prefills the prompt for the other one, if any.
-    pub reader: Option<TargetLife>,
+    pub reader: Option<TargetIncarnation>,
     /// Engine that decodes.
-    pub writer: TargetLife,
+    pub writer: TargetIncarnation,
     /// Engine that the prefill engine copies shared parts from.
-    pub fetch_from: Option<TargetLife>,
+    pub fetch_from: Option<TargetIncarnation>,
     /// Scheduling rank that they were chosen for.
     pub rank: u8,
     /// Expected time to the first token, in milliseconds.
@@ -222,7 +222,7 @@
 
 /// The response to a placement request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct PlaceAnswer {
+pub struct PlacementResponse {
     /// Number of the request.
     pub number: u64,
     /// The engines, if there are any.
@@ -231,7 +231,7 @@
 
 /// Status of one daemon, as reported by a hub.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
-pub struct MemberNote {
+pub struct MemberStatus {
     /// The daemon.
     pub id: DaemonId,
     /// Milliseconds since its last message.
@@ -241,7 +241,7 @@
     /// Version of the configuration that it runs.
     pub config_version: u64,
     /// Engines whose stage it is changing.
-    pub changing: Vec<TargetLife>,
+    pub changing: Vec<TargetIncarnation>,
     /// Whether it knows which keys are in force.
     pub confirms_keys: bool,
 }
@@ -255,20 +255,20 @@
     pub life: u64,
     /// Whether this covers the whole fleet.
     pub whole: bool,
-    /// Status of the daemons that are due in this message ([`super::note_turns`]).
-    pub members: Vec<MemberNote>,
+    /// Status of the daemons that are due in this message ([`super::member_broadcasts`]).
+    pub members: Vec<MemberStatus>,
     /// Work of all covered daemons at targets, summed.
-    pub work: Vec<(TargetLife, TargetWork)>,
+    pub work: Vec<(TargetIncarnation, TargetWork)>,
     /// Prompt parts newly cached at engines since the last summary.
-    pub held: Vec<HeldNote>,
+    pub held: Vec<CachedPartsUpdate>,
     /// Targets known to be leaving the fleet.
-    pub departed: Vec<TargetLife>,
+    pub departed: Vec<TargetIncarnation>,
     /// Removed entries of targets, as due.
     #[serde(default)]
-    pub entries: Vec<EntryNote>,
+    pub entries: Vec<EntryUpdate>,
     /// Work that crashed targets, as due.
     #[serde(default)]
-    pub works: Vec<WorkNote>,
+    pub works: Vec<CrashReport>,
     /// Work that the covered daemons place on engines per second.
     pub rate: WorkRate,
     /// Milliseconds since the hub's last response from the store.
@@ -290,11 +290,11 @@
     pub whole: bool,
     /// Name, version and value of each; one without a value was deleted. Values are encoded
     /// as bytes: as a list of numbers, they take nearly twice the bandwidth.
-    pub objects: Vec<StoredObjectNote>,
+    pub objects: Vec<ObjectUpdate>,
 }
 
 /// Name, version and value of an object.
-pub type StoredObjectNote = (String, u64, Option<ByteBuf>);
+pub type ObjectUpdate = (String, u64, Option<ByteBuf>);
 
 impl PeerMessage {
     /// Encodes the message.
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -7,13 +7,13 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-use crate::gateway::client::HttpLink;
-use crate::target_life::TargetLife;
+use crate::gateway::client::HttpConnection;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Longest idle time of a kept connection. Targets may drop an idle one without
 /// notice, and a request that must not run twice is lost with it; one that was
 /// used within the last seconds is almost always still there.
-pub const LONGEST_IDLE: Duration = Duration::from_millis(4_000);
+pub const MAX_IDLE: Duration = Duration::from_millis(4_000);
 /// Taken from the keeping time that a target states, because its clock started
 /// before its answer arrived here.
 const KEEP_MARGIN: Duration = Duration::from_millis(600);
@@ -22,13 +22,13 @@
 /// knows nothing of a connection from before; a request sent on one would be lost.
 #[derive(Debug, Default)]
 pub struct LinkPool {
-    idle: IndexMap<TargetLife, Vec<HttpLink>>,
-    busy: IndexMap<TargetLife, u32>,
+    idle: IndexMap<TargetIncarnation, Vec<HttpConnection>>,
+    busy: IndexMap<TargetIncarnation, u32>,
 }
 
 impl LinkPool {
     /// Takes the most recently used connection that is still good.
-    pub fn take(&mut self, target: &TargetLife, now: Instant) -> Option<HttpLink> {
+    pub fn take(&mut self, target: &TargetIncarnation, now: Instant) -> Option<HttpConnection> {
         let links = self.idle.get_mut(target)?;
         while let Some(link) = links.pop() {
             if is_fresh(&link, now) {
@@ -39,7 +39,12 @@
     }
 
     /// Puts a connection back after a whole answer that lets it stay open.
-    pub fn put(&mut self, target: &TargetLife, mut link: HttpLink, headers: &HeaderMap) {
+    pub fn put(
+        &mut self,
+        target: &TargetIncarnation,
+        mut link: HttpConnection,
+        headers: &HeaderMap,
+    ) {
         let now = Instant::now();
         if says_close(headers) {
             return;
@@ -50,7 +55,7 @@
     }
 
     /// Notes a connection in use, or one given back.
-    pub fn note_busy(&mut self, target: &TargetLife, began: bool) {
+    pub fn note_busy(&mut self, target: &TargetIncarnation, began: bool) {
         let busy = self.busy.entry(target.clone()).or_default();
         *busy = if began {
             *busy + 1
@@ -61,7 +66,7 @@
 
     /// Connections open to a target, busy and idle.
     #[must_use]
-    pub fn open(&self, target: &TargetLife) -> u32 {
+    pub fn open(&self, target: &TargetIncarnation) -> u32 {
         let busy = self.busy.get(target).copied().unwrap_or(0);
         let idle = self.idle.get(target).map_or(0, Vec::len);
         busy + u32::try_from(idle).unwrap_or(u32::MAX)
@@ -77,8 +82,8 @@
     }
 }
 
-fn is_fresh(link: &HttpLink, now: Instant) -> bool {
-    let rested = now.saturating_duration_since(link.idle_since) < LONGEST_IDLE;
+fn is_fresh(link: &HttpConnection, now: Instant) -> bool {
+    let rested = now.saturating_duration_since(link.idle_since) < MAX_IDLE;
     let kept = link.kept_until.is_none_or(|until| now < until);
     rested && kept && link.is_open()
 }
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -9,16 +9,16 @@
 use http::{HeaderMap, Method, StatusCode, Uri};
 use thiserror::Error;
 
-use crate::gateway::duties::usage_book::{WindowNumber, WorkspaceCounts};
+use crate::gateway::fleet_tasks::usage_counts::{WindowNumber, WorkspaceCounts};
 use crate::gateway::model::{CallerAccess, CallerRequest, EngineStage, FleetConfig, TargetRecord};
 use crate::names::{CentreName, DaemonId, FenceNumber, ServiceName, TargetId, UnixTime};
 use crate::ports::{ObjectName, ObjectVersion, PlatformError, PlatformPort, PortCall};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Something on the wire that cannot be read.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{field}: found {found:?}; expected {expected}")]
-pub struct WireFault {
+pub struct WireError {
     /// Field or header.
     pub field: &'static str,
     /// What stood there, shortened.
@@ -27,7 +27,7 @@
     pub expected: &'static str,
 }
 
-impl WireFault {
+impl WireError {
     /// Creates a fault; keeps the first 80 characters of what was found.
     #[must_use]
     pub fn new(field: &'static str, found: &str, expected: &'static str) -> Self {
@@ -42,7 +42,7 @@
 
 /// Memory of a prompt that an engine read and keeps for another engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CacheHandle {
+pub struct KvCacheHandle {
     /// Engine that keeps it.
     pub holder: SocketAddr,
     /// The holder's name for it.
@@ -57,14 +57,14 @@
     /// Read the prompt only and keep its memory.
     ReadPrompt,
     /// Run it from the memory of a prompt read elsewhere.
-    TakeOver(CacheHandle),
+    TakeOver(KvCacheHandle),
 }
 
 /// One send of a caller's request to a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SendOrder {
     /// Target meant; any other one at its address refuses.
-    pub target: TargetLife,
+    pub target: TargetIncarnation,
     /// Time the target may spend.
     pub time_left: Duration,
     /// What to do.
@@ -81,7 +81,7 @@
 
 /// What an answer's head says beside its status.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct AnswerMarks {
+pub struct AnswerMetadata {
     /// Attempt that it answers, where it says so.
     pub request_id: Option<String>,
     /// The target states that it has not run the request.
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineOrder {
     /// Engine meant.
-    pub target: TargetLife,
+    pub target: TargetIncarnation,
     /// Stage that it is to have.
     pub stage: EngineStage,
     /// Daemon that orders.
@@ -120,7 +120,7 @@
     /// Fence of the holder's lease.
     pub fence: FenceNumber,
     /// Orders that the engine must have taken before, or it refuses.
-    pub orders_taken: u64,
+    pub orders_accepted: u64,
 }
 
 /// What became of an order that was answered.
@@ -142,14 +142,14 @@
     /// Whether an order is in progress.
     pub busy: bool,
     /// Orders taken since its start.
-    pub orders_taken: u64,
+    pub orders_accepted: u64,
     /// Its start on its own clock, where it tells it.
     pub born: Option<UnixTime>,
 }
 
 /// A caller's question which address to use.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DirectoryQuestion {
+pub struct DirectoryQuery {
     /// Data centre the caller is in, or an empty name.
     pub centre: CentreName,
 }
@@ -158,15 +158,15 @@
 #[derive(Clone)]
 pub struct WirePort {
     /// Reads what a caller's head says.
-    pub decode_caller: fn(&HeaderMap) -> Result<CallerRequest, WireFault>,
+    pub decode_caller: fn(&HeaderMap) -> Result<CallerRequest, WireError>,
     /// Makes the head of a send from the caller's head.
     pub encode_send: fn(&HeaderMap, &SendOrder) -> HeaderMap,
     /// Reads what a target's head says.
-    pub decode_answer: fn(StatusCode, &HeaderMap) -> AnswerMarks,
+    pub decode_answer: fn(StatusCode, &HeaderMap) -> AnswerMetadata,
     /// Reads the engine's name for the memory from the answer to [`SendMode::ReadPrompt`].
-    pub decode_read: fn(&[u8]) -> Result<String, WireFault>,
+    pub decode_read: fn(&[u8]) -> Result<String, WireError>,
     /// Makes the call that frees a kept prompt.
-    pub free_handle: fn(&str) -> TargetQuery,
+    pub release_handle: fn(&str) -> TargetQuery,
     /// Makes an order.
     pub encode_order: fn(&EngineOrder) -> TargetQuery,
     /// Reads the answer to an order.
@@ -174,11 +174,11 @@
     /// Makes the question for an engine's report.
     pub report_query: fn() -> TargetQuery,
     /// Reads an engine's report.
-    pub decode_report: fn(&[u8]) -> Result<EngineReport, WireFault>,
+    pub decode_report: fn(&[u8]) -> Result<EngineReport, WireError>,
     /// Reads a question to the directory; `None` where the path is another one.
-    pub directory_question: fn(&Uri) -> Option<DirectoryQuestion>,
+    pub decode_directory_query: fn(&Uri) -> Option<DirectoryQuery>,
     /// Makes the directory's answer from addresses and the time to keep them.
-    pub directory_answer: fn(&[SocketAddr], Duration) -> Bytes,
+    pub encode_directory_answer: fn(&[SocketAddr], Duration) -> Bytes,
     /// Whether a path asks if this daemon is ready.
     pub is_ready_path: fn(&str) -> bool,
 }
@@ -197,14 +197,14 @@
     /// Kind of the records of held work, which is the gateway's own too.
     pub held_kind: String,
     /// Reads a configuration.
-    pub decode_config: fn(&[u8]) -> Result<FleetConfig, WireFault>,
+    pub decode_config: fn(&[u8]) -> Result<FleetConfig, WireError>,
     /// Reads a target's entry from its name and value.
-    pub decode_target: fn(&str, &[u8]) -> Result<TargetRecord, WireFault>,
+    pub decode_target: fn(&str, &[u8]) -> Result<TargetRecord, WireError>,
 }
 
 /// Who performs a duty of the whole fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DutyCaller {
+pub struct FleetTaskHolder {
     /// The daemon.
     pub holder: DaemonId,
     /// Fence of its lease.
@@ -235,7 +235,7 @@
 
 /// What became of an order for servers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderAnswer {
+pub enum ServerOrderOutcome {
     /// It is carried out.
     Taken,
     /// There are none of the kind at present.
@@ -244,11 +244,12 @@
 
 /// Calls to the platform that one daemon makes at a time.
 #[derive(Clone)]
-pub struct DutyPort {
+pub struct FleetTaskPort {
     /// Reports the usage of a window; an exact repeat is taken as well.
-    pub report_usage: PortCall<(DutyCaller, UsageReport), Result<(), PlatformError>>,
+    pub report_usage: PortCall<(FleetTaskHolder, UsageReport), Result<(), PlatformError>>,
     /// Orders servers.
-    pub order_servers: PortCall<(DutyCaller, ServerOrder), Result<OrderAnswer, PlatformError>>,
+    pub order_servers:
+        PortCall<(FleetTaskHolder, ServerOrder), Result<ServerOrderOutcome, PlatformError>>,
 }
 
 /// Everything that the gateway needs from its adapter.
@@ -263,5 +264,5 @@
     /// Removes an object of the store if it has the version.
     pub remove: PortCall<(ObjectName, ObjectVersion), Result<(), PlatformError>>,
     /// Duties of one daemon at a time, where the platform asks for any.
-    pub duties: Option<DutyPort>,
+    pub duties: Option<FleetTaskPort>,
 }
