--- a/src/gateway/held_work/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -14,18 +14,18 @@
 use tokio::time::sleep;
 
 use crate::clock;
-use crate::crashes::book::{AnswerTimes, WorkStanding};
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
+use crate::crashes::tracker::{ExchangeTimes, WorkStatus};
 use crate::crashes::work_digest::WorkDigest;
-use crate::gateway::call::RoutedCall;
+use crate::gateway::call::RoutedRequest;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::held_work::records::HeldRecord;
 use crate::gateway::model::TargetRecord;
+use crate::gateway::quarantine::records::QuarantineRecord;
 use crate::gateway::reply::Failure;
 use crate::gateway::store_follow::Feed;
 use crate::names::{MonoTime, millis};
 use crate::ports::{ConditionalWrite, ObjectName, ObjectVersion, PlatformError, StoredObject};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Why held work is not sent.
@@ -53,7 +53,7 @@
 
 /// Which held works the store has.
 #[derive(Clone, Debug, Default)]
-pub struct HeldDesk {
+pub struct QuarantineStore {
     kept: IndexMap<WorkDigest, KeptWork>,
     looked_at: Option<MonoTime>,
     heard_since: Option<MonoTime>,
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Returns the refusal.
-    pub fn check_held(&self, call: &RoutedCall) -> Result<(), Failure> {
+    pub fn check_quarantine(&self, call: &RoutedRequest) -> Result<(), Failure> {
         if !self.is_held(call) {
             return Ok(());
         }
@@ -94,13 +94,13 @@
         let tries = self.rank() == 0;
         let standing = self.crashes.borrow_mut().standing(work, tries, now);
         match standing {
-            WorkStanding::Free => Ok(()),
-            WorkStanding::Trial => {
+            WorkStatus::Free => Ok(()),
+            WorkStatus::Trial => {
                 call.on_trial.set(true);
                 log::warn!(request = call.caller.id.as_str(), work = work.to_string(); "held work is tried once");
                 Ok(())
             }
-            WorkStanding::Held(next) => {
+            WorkStatus::Held(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(Failure::refused(HELD, next.unwrap_or(HELD_WAIT)))
             }
@@ -109,20 +109,25 @@
 
     /// Whether a request that was taken may not be sent on, as its work is held by now.
     #[must_use]
-    pub fn is_held(&self, call: &RoutedCall) -> bool {
+    pub fn is_held(&self, call: &RoutedRequest) -> bool {
         let crashes = self.crashes.borrow();
         !crashes.is_empty() && !call.on_trial.get() && crashes.is_held(call.work())
     }
 
     /// Completes when a request's work is held.
-    pub(in crate::gateway) async fn until_held(&self, call: &RoutedCall) {
+    pub(in crate::gateway) async fn until_quarantined(&self, call: &RoutedRequest) {
         while !self.is_held(call) {
-            self.newly_held.notified().await;
+            self.newly_quarantined.notified().await;
         }
     }
 
     /// Notes that a target ended a connection before its answer was whole.
-    pub fn note_cut(&self, call: &RoutedCall, target: &TargetRecord, reason: &str) {
+    pub fn record_connection_loss(
+        &self,
+        call: &RoutedRequest,
+        target: &TargetRecord,
+        reason: &str,
+    ) {
         let (work, now) = (call.work(), clock::mono_now());
         // A trial is one run.
         call.on_trial.set(false);
@@ -144,13 +149,13 @@
     }
 
     /// Notes that a target answered to the end.
-    pub fn note_answered(&self, target: &TargetRecord, times: AnswerTimes) {
+    pub fn note_answered(&self, target: &TargetRecord, times: ExchangeTimes) {
         let mut crashes = self.crashes.borrow_mut();
         crashes.note_answer(&target.id, times, clock::mono_now());
     }
 
     /// Notes that work ran to its end. An answer without a length may end with its target.
-    pub fn note_completed(&self, call: &RoutedCall, head: &HeaderMap) {
+    pub fn record_completion(&self, call: &RoutedRequest, head: &HeaderMap) {
         let framed = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
         if framed && !self.crashes.borrow().is_empty() {
             let mut crashes = self.crashes.borrow_mut();
@@ -159,7 +164,7 @@
     }
 
     /// Takes what other daemons tell of work that ended targets.
-    pub(in crate::gateway) fn take_work_notes(&self, notes: &[WorkNote]) {
+    pub(in crate::gateway) fn apply_crash_reports(&self, notes: &[CrashReport]) {
         if notes.is_empty() {
             return;
         }
@@ -169,7 +174,7 @@
         }
     }
 
-    fn take_work_note(&self, note: &WorkNote, relays: bool, route: &str, source: &'static str) {
+    fn take_work_note(&self, note: &CrashReport, relays: bool, route: &str, source: &'static str) {
         let now = clock::mono_now();
         let holds = self.crashes.borrow_mut().take_note(note, relays, now);
         if holds {
@@ -179,7 +184,7 @@
 
     fn hold(&self, work: WorkDigest, route: &str, source: &'static str) {
         let ends = self.crashes.borrow().ends(work);
-        let targets: Vec<&str> = ends.iter().map(TargetLife::as_str).collect();
+        let targets: Vec<&str> = ends.iter().map(TargetIncarnation::as_str).collect();
         metrics::counter!("pistachiowick_works_held_total").increment(1);
         log::warn!(
             work = work.to_string(),
@@ -194,11 +199,11 @@
             ends: 0,
         };
         self.held.borrow_mut().kept.entry(work).or_insert(kept);
-        self.newly_held.notify_waiters();
+        self.newly_quarantined.notify_waiters();
     }
 
     /// Drops suspicions of targets whose entries show that they live.
-    pub(in crate::gateway) fn refute_by_entries(&self, now: MonoTime) {
+    pub(in crate::gateway) fn refute_registered_targets(&self, now: MonoTime) {
         let heard = self.pulse.age(now) < STORE_SILENCE;
         let heard_since = {
             let mut desk = self.held.borrow_mut();
@@ -211,7 +216,7 @@
         };
         let view = self.view();
         let has_entry =
-            |target: &TargetLife| view.holds(target) && !view.missing.contains_key(target);
+            |target: &TargetIncarnation| view.holds(target) && !view.missing.contains_key(target);
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
         crashes.note_entries(has_entry, lapse_time, heard_since, now);
@@ -254,7 +259,7 @@
         let Some(value) = &object.value else {
             return;
         };
-        match HeldRecord::note(name, value) {
+        match QuarantineRecord::note(name, value) {
             Ok(mut note) => {
                 // Only callers keep what is known here from being forgotten.
                 if self.crashes.borrow().knows(note.work) {
@@ -273,7 +278,7 @@
     async fn keep_held(&self) -> Result<(), PlatformError> {
         let held: Vec<WorkDigest> = self.crashes.borrow().held().collect();
         metrics::gauge!("pistachiowick_works_held").set(held.len() as f64);
-        let (now, rank) = (clock::mono_now(), self.speaker_rank(clock::mono_now()));
+        let (now, rank) = (clock::mono_now(), self.full_view_rank(clock::mono_now()));
         self.held
             .borrow_mut()
             .kept
@@ -307,7 +312,7 @@
         let stored = stored.filter(|stored| stored.value.is_some());
         let expected = stored.as_ref().map_or(ObjectVersion(0), |s| s.version);
         let value = stored.and_then(|stored| stored.value).unwrap_or_default();
-        let mut record = HeldRecord::decode(&object.name, &value).unwrap_or_default();
+        let mut record = QuarantineRecord::decode(&object.name, &value).unwrap_or_default();
         let ends = self.crashes.borrow().ends(work);
         if record.route.is_empty() {
             record.route = self.kept_route(work);
--- a/src/gateway/held_work/records.rs
+++ b/src/gateway/quarantine/records.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
 use crate::crashes::work_digest::WorkDigest;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// An object of the store that names no held work.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-pub enum HeldRecordFault {
+pub enum QuarantineRecordError {
     /// The object's name is no digest.
     #[error("held work {name:?} has no digest for its name; it is left out, delete it")]
     Name {
@@ -30,25 +30,25 @@
 
 /// A held work. Its digest is the object's name.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct HeldRecord {
+pub struct QuarantineRecord {
     /// Route that it came by, for operators.
     #[serde(default)]
     pub route: String,
     /// Lives of targets that ended under it.
-    pub ends: Vec<TargetLife>,
+    pub ends: Vec<TargetIncarnation>,
     /// Set by an operator to let it go.
     #[serde(default)]
     pub released: bool,
 }
 
-impl HeldRecord {
+impl QuarantineRecord {
     /// Reads a record.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the object.
-    pub fn decode(name: &str, value: &[u8]) -> Result<Self, HeldRecordFault> {
-        serde_json::from_slice(value).map_err(|error| HeldRecordFault::Value {
+    pub fn decode(name: &str, value: &[u8]) -> Result<Self, QuarantineRecordError> {
+        serde_json::from_slice(value).map_err(|error| QuarantineRecordError::Value {
             name: name.to_owned(),
             reason: error.to_string(),
         })
@@ -69,8 +69,8 @@
     /// # Errors
     ///
     /// Returns what is wrong with the object.
-    pub fn note(name: &str, value: &[u8]) -> Result<WorkNote, HeldRecordFault> {
-        let fault = |_: ParseIntError| HeldRecordFault::Name {
+    pub fn note(name: &str, value: &[u8]) -> Result<CrashReport, QuarantineRecordError> {
+        let fault = |_: ParseIntError| QuarantineRecordError::Name {
             name: name.to_owned(),
         };
         let work: WorkDigest = name.parse().map_err(fault)?;
@@ -80,7 +80,7 @@
         } else {
             (ends, Vec::new())
         };
-        Ok(WorkNote {
+        Ok(CrashReport {
             work,
             ends,
             refuted,
@@ -89,9 +89,9 @@
     }
 
     /// Adds lives that ended; true when one is new.
-    pub fn add(&mut self, ends: &[TargetLife]) -> bool {
+    pub fn add(&mut self, ends: &[TargetIncarnation]) -> bool {
         let before = self.ends.len();
-        let unknown: Vec<TargetLife> = ends
+        let unknown: Vec<TargetIncarnation> = ends
             .iter()
             .filter(|life| !self.ends.contains(life))
             .cloned()
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -7,18 +7,18 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
 use crate::gateway::client;
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::EngineChoices;
-use crate::gateway::deciding::engine_choice::EnginePlace;
+use crate::gateway::deciding::EngineCandidates;
+use crate::gateway::deciding::engine_choice::EnginePlacement;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::generate::ENGINE_BUSY_WAIT;
 use crate::gateway::model::TargetRecord;
-use crate::gateway::port::{CacheHandle, SendMode};
+use crate::gateway::port::{KvCacheHandle, SendMode};
 use crate::gateway::reply::Failure;
 use crate::gateway::sending::SendOutcome;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Largest answer to a reading of a prompt, in bytes.
 const MOST_READ_ANSWER: usize = 64 * 1024;
@@ -36,17 +36,17 @@
     // send every request twice.
     pub(super) async fn read_ahead(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
-        place: &EnginePlace,
-        trail: &mut SendTrail,
-    ) -> Result<Option<HandleGuard>, Failure> {
+        call: &Rc<RoutedRequest>,
+        place: &EnginePlacement,
+        trail: &mut SendHistory,
+    ) -> Result<Option<CacheHandleGuard>, Failure> {
         let Some(mut reader) = place.reader.clone() else {
             return Ok(None);
         };
-        if trail.prompt_read && !self.may_repeat(call) {
+        if trail.prompt_read && !self.may_retry(call) {
             return Ok(None);
         }
-        let mut tried: Vec<TargetLife> = Vec::new();
+        let mut tried: Vec<TargetIncarnation> = Vec::new();
         for _ in 0..MOST_READINGS {
             match self.read_prompt(call, &reader, place).await {
                 Reading::Kept(handle) => {
@@ -54,13 +54,13 @@
                     return Ok(Some(handle));
                 }
                 Reading::NotSent => {}
-                Reading::Failed(reason) if !self.may_repeat(call) => {
+                Reading::Failed(reason) if !self.may_retry(call) => {
                     return Err(Failure::refused(reason, ENGINE_BUSY_WAIT));
                 }
                 Reading::Failed(_) => {}
             }
             tried.push(reader.id.clone());
-            let Some(next) = self.another_reader(call, &tried) else {
+            let Some(next) = self.choose_other_prefill_engine(call, &tried) else {
                 break;
             };
             reader = next;
@@ -68,25 +68,29 @@
         Ok(None)
     }
 
-    fn another_reader(&self, call: &RoutedCall, tried: &[TargetLife]) -> Option<Arc<TargetRecord>> {
-        let choices = EngineChoices {
-            engines: &self.staying(call.view.of_service(&call.service.name)),
+    fn choose_other_prefill_engine(
+        &self,
+        call: &RoutedRequest,
+        tried: &[TargetIncarnation],
+    ) -> Option<Arc<TargetRecord>> {
+        let choices = EngineCandidates {
+            engines: &self.staying(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: tried,
         };
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
         let core = self.core.borrow();
-        core.another_reader(&choices, &prompt, urgency, clock::mono_now())
+        core.choose_other_prefill_engine(&choices, &prompt, urgency, clock::mono_now())
     }
 
     async fn read_prompt(
         self: &Rc<Self>,
-        call: &Rc<RoutedCall>,
+        call: &Rc<RoutedRequest>,
         reader: &Arc<TargetRecord>,
-        place: &EnginePlace,
+        place: &EnginePlacement,
     ) -> Reading {
         let sent = Instant::now();
-        let _work = WorkGuard::begin(self, &reader.id, place.rank, place.unread_tokens);
+        let _work = InFlightGuard::begin(self, &reader.id, place.rank, place.unread_tokens);
         let patience = Duration::from_secs_f64(place.expected_ms * READ_PATIENCE / 1_000.0);
         let until = sent + patience.max(SHORTEST_READ_WAIT);
         let fetch_from = place.fetch_from.as_deref();
@@ -103,10 +107,10 @@
         let reading = self.finish_reading(call, reader, outcome, until).await;
         call.log_send(reader, "read_prompt", reading.as_str(), sent);
         if let Reading::Kept(_) = reading {
-            self.note_held(call, reader);
+            self.note_cached(call, reader);
             // What waits at a reader that was not chosen first is not known here.
             if place.reader.as_ref().is_some_and(|r| r.id == reader.id) {
-                self.note_time(&place.timed_reading(reader), sent.elapsed());
+                self.note_time(&place.timed_prefill(reader), sent.elapsed());
             }
         }
         reading
@@ -114,7 +118,7 @@
 
     async fn finish_reading(
         self: &Rc<Self>,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         reader: &Arc<TargetRecord>,
         outcome: SendOutcome,
         until: Instant,
@@ -138,7 +142,7 @@
         let body = match read {
             Ok(body) => body,
             Err(fault) => {
-                self.note_body_fault(call, reader, &fault);
+                self.record_body_error(call, reader, &fault);
                 return Reading::Failed(fault.to_string());
             }
         };
@@ -152,17 +156,17 @@
         self.note_result(reader, SendResult::Answered);
         self.note_answered(reader, answer.times);
         answer.lease.give_back(&answer.head);
-        let handle = CacheHandle {
+        let handle = KvCacheHandle {
             holder: reader.address,
             name,
         };
-        Reading::Kept(HandleGuard::new(self.clone(), reader.clone(), handle))
+        Reading::Kept(CacheHandleGuard::new(self.clone(), reader.clone(), handle))
     }
 }
 
 // What became of the reading of a prompt; nothing has run in any case.
 enum Reading {
-    Kept(HandleGuard),
+    Kept(CacheHandleGuard),
     // No byte left.
     NotSent,
     // It arrived at an engine and came to nothing.
@@ -180,14 +184,14 @@
 }
 
 /// A kept prompt that is freed unless another engine took it.
-pub struct HandleGuard {
+pub struct CacheHandleGuard {
     gateway: Rc<Gateway>,
     reader: Arc<TargetRecord>,
-    handle: Option<CacheHandle>,
+    handle: Option<KvCacheHandle>,
 }
 
-impl HandleGuard {
-    fn new(gateway: Rc<Gateway>, reader: Arc<TargetRecord>, handle: CacheHandle) -> Self {
+impl CacheHandleGuard {
+    fn new(gateway: Rc<Gateway>, reader: Arc<TargetRecord>, handle: KvCacheHandle) -> Self {
         Self {
             gateway,
             reader,
@@ -208,13 +212,15 @@
     }
 }
 
-impl Drop for HandleGuard {
+impl Drop for CacheHandleGuard {
     fn drop(&mut self) {
         let Some(handle) = self.handle.take() else {
             return;
         };
         let gateway = self.gateway.clone();
         let reader = self.reader.clone();
-        tokio::task::spawn_local(async move { gateway.free_handle(&reader, &handle.name).await });
+        tokio::task::spawn_local(
+            async move { gateway.release_handle(&reader, &handle.name).await },
+        );
     }
 }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -4,13 +4,13 @@
 //! disappearance as a departure would empty the fleet after an outage; keeping
 //! each would send work to targets that are gone. So: an entry that disappears
 //! while the store was answering all the time is gone at once, one that
-//! disappears around an outage has [`REAPPEAR_TIME`] from the store's return, unless
+//! disappears around an outage has [`ENTRY_RETURN_TIME`] from the store's return, unless
 //! another daemon heard the store all along and tells that it ended.
 //!
 //! A departure ends one life of a target. The store's revisions tell which of two
 //! entries of a name is newer; targets' own clocks may step.
 //!
-//! [`REAPPEAR_TIME`]: crate::gateway::store_contact::REAPPEAR_TIME
+//! [`ENTRY_RETURN_TIME`]: crate::gateway::store_contact::ENTRY_RETURN_TIME
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 
 use crate::gateway::fleet::TargetsByService;
 use crate::gateway::model::TargetRecord;
-use crate::gateway::port::WireFault;
-use crate::gateway::store_contact::StoreContact;
+use crate::gateway::port::WireError;
+use crate::gateway::store_contact::StoreOutageTracker;
 use crate::names::{MonoTime, TargetId, millis};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// How long the end of a life, and the revision of a name's last entry, are
 /// remembered: longer than any stale view of them can arrive.
@@ -58,12 +58,12 @@
     /// It names a target.
     Named(TargetRecord),
     /// It names none: another writer wrote it, or over it.
-    Unreadable(WireFault),
+    Unreadable(WireError),
 }
 
 /// One entry as it was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EntryNews {
+pub struct EntryChange {
     /// Name of the entry.
     pub name: TargetId,
     /// The store's revision of its last change; 0 where it is not told.
@@ -89,7 +89,7 @@
 
 /// What daemons tell each other of an entry: that it began or that it ended.
 #[derive(Clone, Debug, Deserialize_tuple, Eq, PartialEq, Serialize_tuple)]
-pub struct EntryNote {
+pub struct EntryUpdate {
     /// Name of the entry.
     pub name: TargetId,
     /// Revision of the change. An entry that ended is over up to it.
@@ -100,9 +100,9 @@
 
 /// A note that is remembered.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KeptNote {
+pub struct RecentUpdate {
     /// What is told.
-    pub note: EntryNote,
+    pub note: EntryUpdate,
     /// When it was learned.
     pub at: MonoTime,
 }
@@ -119,14 +119,14 @@
     entries: IndexMap<TargetId, TargetEntry>,
     // Lives that announced their end. An older entry may be seen later, from a peer or
     // a stale read; leaving stays leaving for the life.
-    departed: IndexMap<TargetLife, MonoTime>,
+    departed: IndexMap<TargetIncarnation, MonoTime>,
     // Newest revision seen of each name, so that an older entry undoes nothing.
     seen: IndexMap<TargetId, SeenRevision>,
     // Entries that began or certainly ended, for daemons that do not hear the store.
-    notes: IndexMap<TargetId, KeptNote>,
+    notes: IndexMap<TargetId, RecentUpdate>,
     // Entries that name no target, by the revision that was logged.
     unreadable: IndexMap<TargetId, u64>,
-    contact: StoreContact,
+    contact: StoreOutageTracker,
     // Revision up to which this daemon itself read all changes.
     read_through: u64,
 }
@@ -148,7 +148,7 @@
     }
 
     /// Takes a whole listing.
-    pub fn replace(&mut self, listing: Vec<EntryNews>, source: EntrySource, now: MonoTime) {
+    pub fn replace(&mut self, listing: Vec<EntryChange>, source: EntrySource, now: MonoTime) {
         let listed: Vec<TargetId> = listing.iter().map(|news| news.name.clone()).collect();
         for news in listing {
             self.take(news, source, now);
@@ -167,8 +167,8 @@
 
     /// Takes one entry, unless a newer one of its name is known; true when a target's life
     /// began with it.
-    pub fn take(&mut self, news: EntryNews, source: EntrySource, now: MonoTime) -> bool {
-        let EntryNews {
+    pub fn take(&mut self, news: EntryChange, source: EntrySource, now: MonoTime) -> bool {
+        let EntryChange {
             name,
             revision,
             content,
@@ -197,7 +197,7 @@
     }
 
     /// Takes the end of a life, announced by the target itself or noticed by an answer.
-    pub fn depart(&mut self, life: &TargetLife, now: MonoTime) {
+    pub fn depart(&mut self, life: &TargetIncarnation, now: MonoTime) {
         let current = self.entries.get(life.name());
         if current.is_some_and(|entry| entry.record.id == *life) {
             self.entries.swap_remove(life.name());
@@ -227,7 +227,7 @@
 
     /// Entries that began or ended lately. The begin of one that is not here any more, for
     /// whatever reason, is left out.
-    pub fn notes(&self) -> impl Iterator<Item = &KeptNote> {
+    pub fn notes(&self) -> impl Iterator<Item = &RecentUpdate> {
         let is_here = |name: &TargetId| {
             let entry = self.entries.get(name);
             entry.is_some_and(|entry| entry.missing.is_none())
@@ -262,7 +262,7 @@
 
     /// When the next missing entry is given up.
     #[must_use]
-    pub fn next_given_up(&self) -> Option<MonoTime> {
+    pub fn next_expiry(&self) -> Option<MonoTime> {
         self.missing().map(|(_, missing)| missing.until).min()
     }
 
@@ -285,17 +285,17 @@
 
     /// Whether a life of a target announced its end.
     #[must_use]
-    pub fn has_departed(&self, life: &TargetLife) -> bool {
+    pub fn has_departed(&self, life: &TargetIncarnation) -> bool {
         self.departed.contains_key(life)
     }
 
     /// Lives that ended and are still remembered.
-    pub fn departed(&self) -> impl Iterator<Item = &TargetLife> {
+    pub fn departed(&self) -> impl Iterator<Item = &TargetIncarnation> {
         self.departed.keys()
     }
 
     /// Entries that the store holds no more and whose targets still get work.
-    pub fn missing(&self) -> impl Iterator<Item = (&TargetLife, MissingEntry)> {
+    pub fn missing(&self) -> impl Iterator<Item = (&TargetIncarnation, MissingEntry)> {
         let entries = self.entries.values();
         entries.filter_map(|entry| Some((&entry.record.id, entry.missing?)))
     }
@@ -333,7 +333,7 @@
     }
 
     fn remove(&mut self, name: &TargetId, source: EntrySource, now: MonoTime) {
-        if let Some(until) = self.contact.reappears_until(now) {
+        if let Some(until) = self.contact.entry_return_deadline(now) {
             self.miss(name, until, source, now);
             return;
         }
@@ -359,12 +359,13 @@
         if revision == 0 {
             return;
         }
-        let note = EntryNote {
+        let note = EntryUpdate {
             name: name.clone(),
             revision,
             value,
         };
-        self.notes.insert(name.clone(), KeptNote { note, at: now });
+        self.notes
+            .insert(name.clone(), RecentUpdate { note, at: now });
     }
 
     fn seen_revision(&self, name: &TargetId) -> u64 {
@@ -396,7 +397,7 @@
         &mut self,
         name: &TargetId,
         revision: u64,
-        fault: &WireFault,
+        fault: &WireError,
         source: EntrySource,
     ) {
         let logged = self.unreadable.insert(name.clone(), revision);
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -18,10 +18,10 @@
 /// that a short answer never looks whole.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("the answer was cut: {0}; ask again if the request may be repeated")]
-pub struct AnswerCut(pub String);
+pub struct AnswerTruncated(pub String);
 
 /// Frames of a body that is passed on as it arrives.
-pub type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, AnswerCut>>>>;
+pub type FrameStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, AnswerTruncated>>>>;
 
 /// Body of an answer to a caller.
 pub type ReplyBody = Either<Full<Bytes>, StreamBody<FrameStream>>;
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -77,7 +77,7 @@
 
     /// Whether callers are known by keys.
     #[must_use]
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.keys.is_some()
     }
 
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -9,16 +9,16 @@
 use tokio::time::Instant;
 
 use crate::clock;
-use crate::crashes::book::AnswerTimes;
-use crate::gateway::call::RoutedCall;
-use crate::gateway::client::{self, BodyFault, HttpLink, OutgoingRequest, SendFault};
+use crate::crashes::tracker::ExchangeTimes;
+use crate::gateway::call::RoutedRequest;
+use crate::gateway::client::{self, BodyError, HttpConnection, OutgoingRequest, SendError};
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::health::{HealthChange, SendResult};
 use crate::gateway::model::TargetRecord;
 use crate::gateway::pool::LinkPool;
 use crate::gateway::port::{SendMode, SendOrder, TargetQuery};
 use crate::names::MonoTime;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Longest time for a new connection. Connections take a few milliseconds; a
 /// target that needs longer is away, and the request can still go elsewhere.
@@ -75,21 +75,21 @@
     /// Body as it arrives.
     pub body: Incoming,
     /// The connection that it arrives on.
-    pub lease: LinkLease,
+    pub lease: PooledConnection,
     /// What it takes for a proof that the target lives.
-    pub times: AnswerTimes,
+    pub times: ExchangeTimes,
 }
 
-/// A connection in use. Dropped before [`LinkLease::give_back`] it is closed, by
+/// A connection in use. Dropped before [`PooledConnection::give_back`] it is closed, by
 /// which the target learns that nobody waits any more.
 #[derive(Debug)]
-pub struct LinkLease {
-    link: Option<HttpLink>,
+pub struct PooledConnection {
+    link: Option<HttpConnection>,
     record: Rc<TargetRecord>,
     pool: Rc<RefCell<LinkPool>>,
 }
 
-impl LinkLease {
+impl PooledConnection {
     fn new(pool: &Rc<RefCell<LinkPool>>, record: &TargetRecord) -> Self {
         pool.borrow_mut().note_busy(&record.id, true);
         Self {
@@ -112,7 +112,7 @@
     }
 }
 
-impl Drop for LinkLease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.pool.borrow_mut().note_busy(&self.record.id, false);
     }
@@ -138,7 +138,7 @@
 #[derive(Clone, Copy)]
 pub struct SendPlan<'a> {
     /// The caller's request.
-    pub call: &'a RoutedCall,
+    pub call: &'a RoutedRequest,
     /// Until when the head of the answer is waited for.
     pub until: Instant,
 }
@@ -163,21 +163,21 @@
         }
         let mut request = plan.call.request.clone();
         request.headers = (self.ports.wire.encode_send)(&plan.call.request.headers, order);
-        let mut lease = LinkLease::new(&self.pool, target);
+        let mut lease = PooledConnection::new(&self.pool, target);
         let sent = clock::mono_now();
         let outcome = tokio::select! {
             outcome = self.send_on(&mut lease, &request, plan) => outcome,
             // The target may not have begun it, and is spared then.
-            () = self.until_held(plan.call) => {
+            () = self.until_quarantined(plan.call) => {
                 return SendOutcome::Unclear("given up, as its work is held now".to_owned());
             }
         };
         let outcome = match outcome {
             Ok(response) => self.judge(target, plan.call, order, response, (lease, sent)),
-            Err(SendFault::NotSent(reason)) => SendOutcome::NotSent(reason),
-            Err(SendFault::Unclear(reason)) => SendOutcome::Unclear(reason),
-            Err(SendFault::Cut(reason)) => {
-                self.note_cut(plan.call, target, &reason);
+            Err(SendError::NotSent(reason)) => SendOutcome::NotSent(reason),
+            Err(SendError::Unclear(reason)) => SendOutcome::Unclear(reason),
+            Err(SendError::Cut(reason)) => {
+                self.record_connection_loss(plan.call, target, &reason);
                 SendOutcome::Unclear(reason)
             }
         };
@@ -187,18 +187,18 @@
 
     async fn send_on(
         &self,
-        lease: &mut LinkLease,
+        lease: &mut PooledConnection,
         request: &OutgoingRequest,
         plan: SendPlan<'_>,
-    ) -> Result<http::Response<Incoming>, SendFault> {
+    ) -> Result<http::Response<Incoming>, SendError> {
         let address = lease.record.address;
         while let Some(mut kept) = self.take_kept(&lease.record.id) {
-            if !plan.call.route.repeat.may_repeat() && kept.idle_since.elapsed() > SURE_IDLE {
+            if !plan.call.route.repeat.may_retry() && kept.idle_since.elapsed() > SURE_IDLE {
                 continue;
             }
             match kept.send(request, plan.until).await {
                 // Closed before the first byte: a new connection is no second send.
-                Err(SendFault::NotSent(_)) => {}
+                Err(SendError::NotSent(_)) => {}
                 other => {
                     lease.link = Some(kept);
                     return other;
@@ -206,13 +206,13 @@
             }
         }
         if self.pool.borrow().open(&lease.record.id) > self.connection_share(&lease.record) {
-            return Err(SendFault::NotSent(format!(
+            return Err(SendError::NotSent(format!(
                 "{address} has this daemon's share of connections"
             )));
         }
         let until = plan.until.min(Instant::now() + CONNECT_WAIT);
         metrics::counter!("pistachiowick_target_connections_total").increment(1);
-        let mut link = HttpLink::open(address, until).await?;
+        let mut link = HttpConnection::open(address, until).await?;
         let answer = link.send(request, plan.until).await;
         lease.link = Some(link);
         answer
@@ -224,23 +224,23 @@
         let view = self.view();
         let routes = view.routes.as_ref();
         let rule = routes.and_then(|routes| routes.service(&target.service));
-        let accepted = rule.map_or(u32::MAX, |rule| rule.most_connections);
+        let accepted = rule.map_or(u32::MAX, |rule| rule.max_connections);
         let daemons = u32::try_from(self.daemon_count()).unwrap_or(u32::MAX);
         (accepted / daemons).max(FEWEST_CONNECTIONS)
     }
 
     // A step of its own, so that the pool is not borrowed across a wait.
-    fn take_kept(&self, target: &TargetLife) -> Option<HttpLink> {
+    fn take_kept(&self, target: &TargetIncarnation) -> Option<HttpConnection> {
         self.pool.borrow_mut().take(target, Instant::now())
     }
 
     fn judge(
         &self,
         target: &TargetRecord,
-        call: &RoutedCall,
+        call: &RoutedRequest,
         order: &SendOrder,
         response: http::Response<Incoming>,
-        (lease, sent): (LinkLease, MonoTime),
+        (lease, sent): (PooledConnection, MonoTime),
     ) -> SendOutcome {
         let (head, body) = response.into_parts();
         let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
@@ -267,7 +267,7 @@
         if is_run && head.status.is_success() && !marks.signed {
             return SendOutcome::Unclear(format!("{} did not sign its answer", target.id));
         }
-        let times = AnswerTimes {
+        let times = ExchangeTimes {
             opened: lease.opened().unwrap_or(sent),
             sent,
         };
@@ -289,19 +289,19 @@
         };
         self.note_result(target, result);
         if matches!(outcome, SendOutcome::WrongTarget) {
-            self.tell_departed(&target.id);
+            self.notify_departed(&target.id);
         }
     }
 
     /// Frees a prompt that an engine keeps and that nobody will take.
-    pub async fn free_handle(&self, reader: &TargetRecord, name: &str) {
-        let query = (self.ports.wire.free_handle)(name);
+    pub async fn release_handle(&self, reader: &TargetRecord, name: &str) {
+        let query = (self.ports.wire.release_handle)(name);
         let until = Instant::now() + FREE_WAIT;
         let request = query_request(reader, query);
-        let mut lease = LinkLease::new(&self.pool, reader);
+        let mut lease = PooledConnection::new(&self.pool, reader);
         let link = match self.take_kept(&reader.id) {
             Some(link) => Ok(link),
-            None => HttpLink::open(reader.address, until).await,
+            None => HttpConnection::open(reader.address, until).await,
         };
         let called = match link {
             Ok(link) => {
@@ -319,9 +319,14 @@
     }
 
     /// Notes that the body of a target's answer was not read to its end.
-    pub fn note_body_fault(&self, call: &RoutedCall, target: &TargetRecord, fault: &BodyFault) {
-        if let BodyFault::Cut(reason) = fault {
-            self.note_cut(call, target, reason);
+    pub fn record_body_error(
+        &self,
+        call: &RoutedRequest,
+        target: &TargetRecord,
+        fault: &BodyError,
+    ) {
+        if let BodyError::Cut(reason) = fault {
+            self.record_connection_loss(call, target, reason);
         }
         self.note_result(target, SendResult::Failed);
     }
@@ -329,7 +334,7 @@
     /// Notes what came of a send, and logs a target that is avoided from now on.
     pub fn note_result(&self, target: &TargetRecord, result: SendResult) {
         let now = clock::mono_now();
-        if self.is_placed_for() {
+        if self.uses_remote_placement() {
             self.seen.borrow_mut().note_result(&target.id, result);
         }
         let changed = self.core.borrow_mut().note_result(&target.id, result, now);
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -8,13 +8,13 @@
 
 use crate::gateway::budget::BudgetRule;
 use crate::gateway::deciding::engine_choice::PlacementWeights;
-use crate::gateway::members::InstanceStrength;
-use crate::gateway::store_follow::FollowPace;
+use crate::gateway::members::InstanceCapacity;
+use crate::gateway::store_follow::ConfigWatchWaits;
 use crate::names::{CentreName, DaemonId};
 
 /// Settings that cannot be used.
 #[derive(Debug, Error)]
-pub enum SettingsFault {
+pub enum GatewaySettingsError {
     /// The file cannot be read.
     #[error("settings {path:?} cannot be read ({reason}); name a readable file")]
     Unreadable {
@@ -137,9 +137,9 @@
 impl InstanceLimits {
     /// Returns them as other daemons are told.
     #[must_use]
-    pub fn strength(&self) -> InstanceStrength {
+    pub fn strength(&self) -> InstanceCapacity {
         // Casts of numbers below zero give zero.
-        InstanceStrength {
+        InstanceCapacity {
             core_thousandths: (self.cpu_share * self.core_speed * 1_000.0) as u32,
             link_mbps: self.link_mbps as u32,
             memory_mb: self.memory_mb as u32,
@@ -150,7 +150,7 @@
 /// Duties that one daemon performs for the fleet. Times are in the unit that the name
 /// ends with.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-pub struct DutySettings {
+pub struct FleetTaskSettings {
     /// Where the platform takes calls.
     pub address: SocketAddr,
     /// Length of a window of usage.
@@ -176,7 +176,7 @@
     3_000.0
 }
 
-impl DutySettings {
+impl FleetTaskSettings {
     /// Returns the length of a window of usage.
     #[must_use]
     pub fn usage_window(&self) -> Duration {
@@ -195,7 +195,7 @@
         Duration::from_secs_f64(self.turn_ms / 1_000.0)
     }
 
-    fn check(&self) -> Result<(), SettingsFault> {
+    fn check(&self) -> Result<(), GatewaySettingsError> {
         positive("duties.usage_window_s", self.usage_window_s)?;
         positive("duties.usage_due_s", self.usage_due_s)?;
         positive("duties.turn_ms", self.turn_ms)
@@ -221,7 +221,7 @@
     pub bounds: BoundSettings,
     /// Duties of one daemon at a time, where the platform asks for any.
     #[serde(default)]
-    pub duties: Option<DutySettings>,
+    pub duties: Option<FleetTaskSettings>,
     /// What the instance carries.
     #[serde(default)]
     pub limits: InstanceLimits,
@@ -255,11 +255,12 @@
     /// # Errors
     ///
     /// Returns what is wrong and where.
-    pub fn load(path: &str) -> Result<Self, SettingsFault> {
-        let text = std::fs::read_to_string(path).map_err(|error| SettingsFault::Unreadable {
-            path: path.to_owned(),
-            reason: error.to_string(),
-        })?;
+    pub fn load(path: &str) -> Result<Self, GatewaySettingsError> {
+        let text =
+            std::fs::read_to_string(path).map_err(|error| GatewaySettingsError::Unreadable {
+                path: path.to_owned(),
+                reason: error.to_string(),
+            })?;
         Self::parse(&text)
     }
 
@@ -268,13 +269,13 @@
     /// # Errors
     ///
     /// Returns what is wrong and where.
-    pub fn parse(text: &str) -> Result<Self, SettingsFault> {
+    pub fn parse(text: &str) -> Result<Self, GatewaySettingsError> {
         let settings: Self = serde_json::from_str(text)?;
         settings.check()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), SettingsFault> {
+    fn check(&self) -> Result<(), GatewaySettingsError> {
         let bounds = &self.bounds;
         positive("bounds.stop_grace_s", bounds.stop_grace_s)?;
         positive("bounds.repeat_window_s", bounds.repeat_window_s)?;
@@ -348,12 +349,12 @@
 
     /// Returns how often the configuration is asked for while nothing changes.
     #[must_use]
-    pub fn follow_pace(&self) -> FollowPace {
+    pub fn follow_pace(&self) -> ConfigWatchWaits {
         let bounds = &self.bounds;
         let within = bounds.config_within_ms.min(bounds.departure_within_ms);
         let revoked = bounds.revoked_within_ms.unwrap_or(f64::INFINITY);
         let wait = |ms: f64| Duration::from_secs_f64(ms.min(LONGEST_CONFIG_WAIT_MS) / 1_000.0);
-        FollowPace {
+        ConfigWatchWaits {
             heartbeat: wait((within * HEARTBEAT_PART).min(revoked * HUB_CONFIRM_PART)),
             config_wait: wait(revoked * CONFIRM_PART),
         }
@@ -362,7 +363,7 @@
     /// Returns how long a key counts as in force after the configuration that holds it was
     /// certainly the newest one; `None` where that is not bounded.
     #[must_use]
-    pub fn key_trust(&self) -> Option<Duration> {
+    pub fn key_validity(&self) -> Option<Duration> {
         let revoked = self.bounds.revoked_within_ms?;
         Some(Duration::from_secs_f64(revoked * KEY_TRUST_PART / 1_000.0))
     }
@@ -381,22 +382,22 @@
     }
 }
 
-fn positive(field: &'static str, value: f64) -> Result<(), SettingsFault> {
+fn positive(field: &'static str, value: f64) -> Result<(), GatewaySettingsError> {
     if value > 0.0 && value.is_finite() {
         return Ok(());
     }
     Err(out_of_range(field, &value.to_string(), "a number above 0"))
 }
 
-fn not_negative(field: &'static str, value: f64) -> Result<(), SettingsFault> {
+fn not_negative(field: &'static str, value: f64) -> Result<(), GatewaySettingsError> {
     if value >= 0.0 && value.is_finite() {
         return Ok(());
     }
     Err(out_of_range(field, &value.to_string(), "0 or more"))
 }
 
-fn out_of_range(field: &'static str, found: &str, expected: &'static str) -> SettingsFault {
-    SettingsFault::Range {
+fn out_of_range(field: &'static str, found: &str, expected: &'static str) -> GatewaySettingsError {
+    GatewaySettingsError::Range {
         field,
         found: found.to_owned(),
         expected,
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -17,15 +17,15 @@
 
 use crate::authority::lease_state::LeaseTimes;
 use crate::clock;
-use crate::gateway::client::{self, HttpLink, SendFault};
+use crate::gateway::client::{self, HttpConnection, SendError};
 use crate::gateway::daemon::Gateway;
-use crate::gateway::deciding::stage_plan::{self, StageWish};
-use crate::gateway::lease_upkeep::{LeaseAnswer, LeaseUpkeep};
+use crate::gateway::deciding::stage_plan::{self, StageChangePlan};
+use crate::gateway::lease_upkeep::{LeaseCallResult, LeaseManager};
 use crate::gateway::model::{EngineStage, TargetRecord};
 use crate::gateway::port::{EngineOrder, EngineReport, OrderOutcome, TargetQuery};
 use crate::gateway::sending::query_request;
 use crate::names::{FenceNumber, MonoTime, ServiceName};
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
 /// Group of the lease: all engines together, so that there is one holder.
@@ -67,16 +67,20 @@
 
 struct StageDesk {
     gateway: Rc<Gateway>,
-    lease: LeaseUpkeep,
+    lease: LeaseManager,
     held_since: Option<MonoTime>,
     wanted_since: Option<MonoTime>,
-    changes: IndexMap<TargetLife, StageChange>,
+    changes: IndexMap<TargetIncarnation, StageChange>,
     results: mpsc::UnboundedSender<DeskNews>,
 }
 
 enum DeskNews {
-    Lease(LeaseAnswer),
-    Ordered(TargetLife, EngineStage, Result<OrderOutcome, SendFault>),
+    Lease(LeaseCallResult),
+    Ordered(
+        TargetIncarnation,
+        EngineStage,
+        Result<OrderOutcome, SendError>,
+    ),
 }
 
 /// Runs until the process ends.
@@ -88,7 +92,7 @@
         order_flight: ORDER_FLIGHT,
     };
     let mut desk = StageDesk {
-        lease: LeaseUpkeep::new(gateway.clone(), GROUP, times),
+        lease: LeaseManager::new(gateway.clone(), GROUP, times),
         gateway,
         held_since: None,
         wanted_since: None,
@@ -147,9 +151,9 @@
 
     fn note_ordered(
         &mut self,
-        id: &TargetLife,
+        id: &TargetIncarnation,
         stage: EngineStage,
-        result: &Result<OrderOutcome, SendFault>,
+        result: &Result<OrderOutcome, SendError>,
         now: MonoTime,
     ) {
         log::info!(target_id = id.as_str(), stage = format!("{stage:?}"), outcome = format!("{result:?}"); "engine ordered to change its stage");
@@ -161,10 +165,10 @@
         match result {
             // An order without an answer may still be carried out, so the engine is
             // treated as changing until it shows what it does.
-            Ok(OrderOutcome::Accepted) | Err(SendFault::Unclear(_) | SendFault::Cut(_)) => {
+            Ok(OrderOutcome::Accepted) | Err(SendError::Unclear(_) | SendError::Cut(_)) => {
                 change.ordered_at = Some(now);
             }
-            Ok(OrderOutcome::Holds | OrderOutcome::Refused(_)) | Err(SendFault::NotSent(_)) => {
+            Ok(OrderOutcome::Holds | OrderOutcome::Refused(_)) | Err(SendError::NotSent(_)) => {
                 self.changes.swap_remove(id);
             }
         }
@@ -179,7 +183,7 @@
             .collect()
     }
 
-    fn wishes(&self) -> Vec<StageWish> {
+    fn wishes(&self) -> Vec<StageChangePlan> {
         let mut wishes = Vec::new();
         let share = self.gateway.settings().prefill_share;
         let idle = self.gateway.is_idle();
@@ -187,13 +191,13 @@
         for (_, engines) in self.engines() {
             let after: Vec<Arc<TargetRecord>> =
                 engines.iter().map(|e| self.as_changed(e)).collect();
-            let wanted = stage_plan::wanted_readers(engines.len(), share);
+            let wanted = stage_plan::prefill_engine_count(engines.len(), share);
             let at_once = if idle {
                 engines.len()
             } else {
                 CHANGES_AT_ONCE.saturating_sub(self.changes.len())
             };
-            let running = |id: &TargetLife| core.load.total(id).running;
+            let running = |id: &TargetIncarnation| core.load.total(id).running;
             wishes.extend(stage_plan::wishes(&after, running, wanted, at_once));
         }
         wishes
@@ -210,7 +214,7 @@
         }
     }
 
-    fn obey(&mut self, wishes: Vec<StageWish>, now: MonoTime) {
+    fn obey(&mut self, wishes: Vec<StageChangePlan>, now: MonoTime) {
         let settled = self
             .held_since
             .is_some_and(|since| now.since(since) >= SETTLE_TIME);
@@ -282,7 +286,7 @@
 
     fn publish(&self) {
         let changing = self.changes.keys().cloned().collect();
-        *self.gateway.own_changing.borrow_mut() = changing;
+        *self.gateway.local_stage_changes.borrow_mut() = changing;
     }
 }
 
@@ -299,50 +303,50 @@
         stage: EngineStage,
         fence: FenceNumber,
         until: MonoTime,
-    ) -> Result<OrderOutcome, SendFault> {
+    ) -> Result<OrderOutcome, SendError> {
         let report = self.read_report(engine).await?;
         if report.born.is_some() && report.born != engine.id.born() {
             // Its entry lags: the life that was to be changed has ended.
-            self.tell_departed(&engine.id);
-            return Err(SendFault::NotSent("the engine started again".to_owned()));
+            self.notify_departed(&engine.id);
+            return Err(SendError::NotSent("the engine started again".to_owned()));
         }
         if report.stage == Some(stage) {
             return Ok(OrderOutcome::Holds);
         }
         if report.busy {
-            return Err(SendFault::NotSent(
+            return Err(SendError::NotSent(
                 "another order is in progress".to_owned(),
             ));
         }
         if clock::mono_now().plus(CALL_WAIT) >= until {
-            return Err(SendFault::NotSent("the lease ends soon".to_owned()));
+            return Err(SendError::NotSent("the lease ends soon".to_owned()));
         }
         let order = EngineOrder {
             target: engine.id.clone(),
             stage,
             holder: self.daemon.clone(),
             fence,
-            orders_taken: report.orders_taken,
+            orders_accepted: report.orders_accepted,
         };
         let query = (self.ports.wire.encode_order)(&order);
         let (head, body) = self.call_target(engine, query).await?;
         Ok((self.ports.wire.decode_order)(head.status, &body))
     }
 
-    async fn read_report(&self, engine: &TargetRecord) -> Result<EngineReport, SendFault> {
+    async fn read_report(&self, engine: &TargetRecord) -> Result<EngineReport, SendError> {
         let query = (self.ports.wire.report_query)();
         let (_, body) = self.call_target(engine, query).await?;
-        (self.ports.wire.decode_report)(&body).map_err(|e| SendFault::NotSent(e.to_string()))
+        (self.ports.wire.decode_report)(&body).map_err(|e| SendError::NotSent(e.to_string()))
     }
 
     async fn call_target(
         &self,
         engine: &TargetRecord,
         query: TargetQuery,
-    ) -> Result<(http::response::Parts, bytes::Bytes), SendFault> {
+    ) -> Result<(http::response::Parts, bytes::Bytes), SendError> {
         let until = Instant::now() + CALL_WAIT;
         let request = query_request(engine, query);
-        let mut link = HttpLink::open(engine.address, until).await?;
+        let mut link = HttpConnection::open(engine.address, until).await?;
         client::call(&mut link, &request, MOST_REPORT, until).await
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -10,7 +10,7 @@
 
 /// Time in which entries of living targets are back after the store's return: about two
 /// seconds, as the users state it, less the time in which a send reaches its target.
-pub const REAPPEAR_TIME: Duration = Duration::from_millis(1_900);
+pub const ENTRY_RETURN_TIME: Duration = Duration::from_millis(1_900);
 /// How long after its last failure the store counts as just returned. Where no call of this
 /// daemon is answered after the failure, it bounds the time from the return.
 pub const RETURN_TIME: Duration = Duration::from_millis(2_500);
@@ -25,12 +25,12 @@
 
 /// What the calls to the store tell of it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreContact {
+pub struct StoreOutageTracker {
     heard_at: Option<MonoTime>,
     absence: Option<StoreAbsence>,
 }
 
-impl StoreContact {
+impl StoreOutageTracker {
     /// Notes that a call that was begun at `asked` has failed.
     ///
     /// A call that hung while others were answered shows a lost connection, not a store
@@ -57,12 +57,12 @@
 
     /// Returns until when an entry that vanishes now may be back; `None` where it will not be.
     #[must_use]
-    pub fn reappears_until(&self, now: MonoTime) -> Option<MonoTime> {
+    pub fn entry_return_deadline(&self, now: MonoTime) -> Option<MonoTime> {
         let StoreAbsence {
             failed_at,
             returned_at,
         } = self.absence?;
-        let returned = returned_at.unwrap_or(now).plus(REAPPEAR_TIME);
+        let returned = returned_at.unwrap_or(now).plus(ENTRY_RETURN_TIME);
         let until = returned.min(failed_at.plus(RETURN_TIME));
         (now < until).then_some(until)
     }
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -73,7 +73,7 @@
 
 /// What following the store brings.
 #[derive(Debug)]
-pub enum FeedNews {
+pub enum StoreEvent {
     /// All objects of a kind.
     Listed(Feed, Vec<StoredObject>),
     /// Objects that changed.
@@ -86,7 +86,7 @@
     TargetsThrough(u64),
 }
 
-impl FeedNews {
+impl StoreEvent {
     /// What hubs pass on of it.
     #[must_use]
     pub fn relayed(&self) -> Option<FeedObjects> {
@@ -115,7 +115,7 @@
 
 /// How a daemon follows the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum WatchDuty {
+pub enum WatchMode {
     /// Only the daemons' records, until it is known who follows it for whom: the whole
     /// fleet starts, and each listing would be read by all at once.
     Gathering,
@@ -134,7 +134,7 @@
     Fed,
 }
 
-impl WatchDuty {
+impl WatchMode {
     /// Returns the duty of a daemon that starts.
     #[must_use]
     pub fn at_start(first_start: bool) -> Self {
@@ -183,7 +183,7 @@
 
     // A hub asks for one kind often: those that rely on it have to notice within their
     // bounds that it hears the store no more. So does whoever has to confirm keys.
-    fn wait(self, feed: Feed, pace: FollowPace) -> Duration {
+    fn wait(self, feed: Feed, pace: ConfigWatchWaits) -> Duration {
         match (self, feed) {
             (Self::ForOthers, Feed::Config) => pace.heartbeat,
             (_, Feed::Config) => pace.config_wait.min(WATCH_WAIT),
@@ -210,7 +210,7 @@
 
 /// How often the configuration's kind is asked for while nothing changes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct FollowPace {
+pub struct ConfigWatchWaits {
     /// Longest wait of the watch by which a hub hears of the store.
     pub heartbeat: Duration,
     /// The same for a daemon that follows the store for itself.
@@ -219,14 +219,14 @@
 
 /// When the store was last heard, by kind of object.
 #[derive(Debug)]
-pub struct StorePulse {
+pub struct StoreLiveness {
     listed: [AtomicBool; 3],
     config_heard: watch::Sender<Option<MonoTime>>,
     // Milliseconds on the own clock, one more than they are; 0 stands for never.
     confirmed: AtomicU64,
 }
 
-impl Default for StorePulse {
+impl Default for StoreLiveness {
     fn default() -> Self {
         Self {
             listed: Default::default(),
@@ -236,7 +236,7 @@
     }
 }
 
-impl StorePulse {
+impl StoreLiveness {
     fn note(&self, feed: Feed) {
         self.listed[feed as usize].store(true, Ordering::Relaxed);
         if feed == Feed::Config {
@@ -294,13 +294,13 @@
     /// The store's name for it.
     pub kind: String,
     /// Where news go.
-    pub news: mpsc::UnboundedSender<FeedNews>,
+    pub news: mpsc::UnboundedSender<StoreEvent>,
     /// Whether to follow, and for whom.
-    pub duty: watch::Receiver<WatchDuty>,
+    pub duty: watch::Receiver<WatchMode>,
     /// Where to note that the store was heard.
-    pub pulse: Arc<StorePulse>,
+    pub pulse: Arc<StoreLiveness>,
     /// How often the configuration is asked for while nothing changes.
-    pub pace: FollowPace,
+    pub pace: ConfigWatchWaits,
 }
 
 impl Follower {
@@ -318,7 +318,7 @@
                 Ok(batch) => {
                     backoff = FIRST_BACKOFF;
                     self.log_return(&mut failing, asked);
-                    let news = FeedNews::Listed(self.feed, batch.objects);
+                    let news = StoreEvent::Listed(self.feed, batch.objects);
                     self.tell(news, batch.revision, asked);
                     self.watch_from(batch.revision).await;
                     pause(&mut backoff, LONGEST_BACKOFF).await;
@@ -371,7 +371,7 @@
                     backoff = FIRST_BACKOFF;
                     since = revision.max(since);
                     let gathers = !objects.is_empty() && self.feed != Feed::Config;
-                    self.tell(FeedNews::Changed(self.feed, objects), since, asked);
+                    self.tell(StoreEvent::Changed(self.feed, objects), since, asked);
                     if gathers {
                         sleep(duty.gather_pause()).await;
                     }
@@ -390,9 +390,9 @@
     }
 
     // Waits until this kind is to be watched; `None` when a hub passes it on instead.
-    async fn duty_to_watch(&mut self) -> Option<WatchDuty> {
+    async fn duty_to_watch(&mut self) -> Option<WatchMode> {
         let feed = self.feed;
-        let decided = |duty: &WatchDuty| duty.watches(feed) || *duty == WatchDuty::Fed;
+        let decided = |duty: &WatchMode| duty.watches(feed) || *duty == WatchMode::Fed;
         // The sender lives as long as the thread.
         let duty = *self.duty.wait_for(decided).await.ok()?;
         duty.watches(feed).then_some(duty)
@@ -403,7 +403,7 @@
     // that is back would be heard by nobody of its data centre until that pause is over.
     async fn pause_after_failure(&mut self, backoff: &mut Duration, begun: Instant) {
         let duty = *self.duty.borrow();
-        let is_member = matches!(duty, WatchDuty::WithoutHub | WatchDuty::BesideHub);
+        let is_member = matches!(duty, WatchMode::WithoutHub | WatchMode::BesideHub);
         let failed_at = clock::mono_now();
         let mut duties = self.duty.clone();
         let changed = duties.wait_for(|now| *now != duty);
@@ -434,13 +434,13 @@
 
     // Hands on what the store answered to a question that was sent at `asked`. The answer
     // may have been under way for long; what it holds was true when it was asked for.
-    fn tell(&self, news: FeedNews, through: u64, asked: MonoTime) {
+    fn tell(&self, news: StoreEvent, through: u64, asked: MonoTime) {
         self.pulse.note(self.feed);
         // The loop that receives this ends only with the thread.
         let _ = self.news.send(news);
         let _ = match self.feed {
-            Feed::Config => self.news.send(FeedNews::Confirmed(asked)),
-            Feed::Targets => self.news.send(FeedNews::TargetsThrough(through)),
+            Feed::Config => self.news.send(StoreEvent::Confirmed(asked)),
+            Feed::Targets => self.news.send(StoreEvent::TargetsThrough(through)),
             Feed::Daemons => Ok(()),
         };
     }
@@ -456,7 +456,7 @@
         metrics::counter!("pistachiowick_store_failures_total").increment(1);
         let took_ms = millis(clock::mono_now().since(asked));
         log::warn!(kind = self.kind.as_str(), took_ms = took_ms; "store does not answer: {error}");
-        let _ = self.news.send(FeedNews::Failed(asked));
+        let _ = self.news.send(StoreEvent::Failed(asked));
     }
 }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -11,15 +11,15 @@
 use hyper::body::Frame;
 use tokio::time::{Instant, timeout_at};
 
-use crate::gateway::call::{RoutedCall, SendTrail, WorkGuard};
+use crate::gateway::call::{InFlightGuard, RoutedRequest, SendHistory};
 use crate::gateway::client::is_timeout;
 use crate::gateway::daemon::Gateway;
 use crate::gateway::deciding::TimedWork;
 use crate::gateway::deciding::health::SendResult;
 use crate::gateway::event_split::EventSplitter;
-use crate::gateway::model::{RepeatRule, TargetRecord};
+use crate::gateway::model::{RetryRule, TargetRecord};
 use crate::gateway::port::SendMode;
-use crate::gateway::reply::{AnswerCut, FrameStream};
+use crate::gateway::reply::{AnswerTruncated, FrameStream};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 
 /// Silence of an engine after which a resumable stream is continued elsewhere, in
@@ -30,7 +30,7 @@
 
 /// Takes the time to the first event of a stream.
 #[derive(Debug)]
-pub struct FirstEventWatch {
+pub struct FirstEventTimer {
     /// When the request was sent to the engine.
     pub sent: Instant,
     /// What the time is of; `None` where it tells nothing of the engine.
@@ -40,14 +40,14 @@
 /// A stream on its way to the caller. Dropping it ends the engine's work.
 pub struct EventRelay {
     gateway: Rc<Gateway>,
-    call: Rc<RoutedCall>,
+    call: Rc<RoutedRequest>,
     engine: Arc<TargetRecord>,
     answer: Option<TargetAnswer>,
     splitter: EventSplitter,
     last_id: Option<u64>,
-    trail: SendTrail,
-    work: Option<WorkGuard>,
-    watch: FirstEventWatch,
+    trail: SendHistory,
+    work: Option<InFlightGuard>,
+    watch: FirstEventTimer,
     first_event: Option<Instant>,
     ended: bool,
 }
@@ -67,12 +67,12 @@
     #[must_use]
     pub fn new(
         gateway: Rc<Gateway>,
-        call: Rc<RoutedCall>,
+        call: Rc<RoutedRequest>,
         engine: Arc<TargetRecord>,
         answer: TargetAnswer,
-        trail: SendTrail,
-        work: WorkGuard,
-        watch: FirstEventWatch,
+        trail: SendHistory,
+        work: InFlightGuard,
+        watch: FirstEventTimer,
     ) -> Self {
         let last_id = call.caller.resume_after;
         Self {
@@ -103,11 +103,12 @@
         }))
     }
 
-    async fn next(&mut self) -> Result<Option<Bytes>, AnswerCut> {
+    async fn next(&mut self) -> Result<Option<Bytes>, AnswerTruncated> {
         loop {
             let step = self.step().await;
             if let RelayStep::Cut(reason) = &step {
-                self.gateway.note_cut(&self.call, &self.engine, reason);
+                self.gateway
+                    .record_connection_loss(&self.call, &self.engine, reason);
             }
             match step {
                 RelayStep::Bytes(bytes) => return Ok(Some(bytes)),
@@ -118,12 +119,12 @@
                 }
                 RelayStep::OutOfTime => {
                     self.end("out_of_time", SendResult::Failed);
-                    return Err(AnswerCut("its time is up".to_owned()));
+                    return Err(AnswerTruncated("its time is up".to_owned()));
                 }
                 RelayStep::Cut(reason) | RelayStep::Broken(reason) => {
                     if !self.resume(&reason).await {
                         self.end("cut", SendResult::Failed);
-                        return Err(AnswerCut(reason));
+                        return Err(AnswerTruncated(reason));
                     }
                 }
             }
@@ -193,7 +194,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RepeatRule::ResumableStream && self.trail.may_send(&self.call)
+        self.call.route.repeat == RetryRule::ResumableStream && self.trail.may_send(&self.call)
     }
 
     // Continues after the last whole event that the caller has. The answer keeps
@@ -210,12 +211,13 @@
         let Some(place) = self.gateway.place(&self.call, &self.trail) else {
             return false;
         };
-        if !self.gateway.may_repeat(&self.call) {
+        if !self.gateway.may_retry(&self.call) {
             return false;
         }
         let engine = place.writer;
         self.trail.sent.push(engine.id.clone());
-        let mut work = WorkGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
+        let mut work =
+            InFlightGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
         let order = self.gateway.order(
             &self.call,
             &engine,
@@ -277,7 +279,7 @@
         if result == SendResult::Answered {
             self.gateway.note_answered(&self.engine, answer.times);
             self.gateway
-                .note_completed(&self.call, &answer.head.headers);
+                .record_completion(&self.call, &answer.head.headers);
             answer.lease.give_back(&answer.head);
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod server;
 pub mod settings;
 pub mod store;
-pub mod target_life;
+pub mod target_incarnation;
 pub mod targets;
 pub mod telemetry;
 pub mod timer;
--- a/src/membership/addressing.rs
+++ b/src/membership/addressing.rs
@@ -7,7 +7,7 @@
 use crate::names::{CentreName, DaemonId};
 
 /// Most addresses in one answer.
-pub const MOST_ADDRESSES: usize = 8;
+pub const MAX_ADDRESSES: usize = 8;
 
 const LIVE_WEIGHT: u32 = 100;
 const SUSPECT_WEIGHT: u32 = 1;
@@ -58,7 +58,7 @@
     drawn.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     let addresses = drawn
         .iter()
-        .take(MOST_ADDRESSES)
+        .take(MAX_ADDRESSES)
         .map(|(_, _, daemon)| entry(daemon));
     AddressAnswer {
         addresses: addresses.collect(),
--- a/src/peers/wire.rs
+++ b/src/peers/wire.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::crashes::news::WorkNote;
+use crate::crashes::broadcasts::CrashReport;
 use crate::names::{DaemonId, ModelName, ProcessIncarnation, WorkspaceName};
 use crate::ports::{ObjectName, ObjectVersion, StoredObject};
 use crate::roles::mix::{MIX_BINS, WorkAmount, WorkTotals};
@@ -32,8 +32,8 @@
     pub applied: Vec<(String, ObjectVersion)>,
     /// States of engines it leads.
     pub engines: Vec<EngineState>,
-    /// Work that ended targets, by turns ([`crate::crashes::news`]).
-    pub works: Vec<WorkNote>,
+    /// Work that ended targets, by turns ([`crate::crashes::broadcasts`]).
+    pub works: Vec<CrashReport>,
 }
 
 /// A message between daemons.
@@ -107,7 +107,7 @@
     applied: Vec<(String, u64)>,
     engines: Vec<EngineState>,
     #[serde(default)]
-    works: Vec<WorkNote>,
+    works: Vec<CrashReport>,
 }
 
 #[derive(Deserialize, Serialize)]
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -143,12 +143,12 @@
     ) -> Result<AnswerSummary, AttemptFault> {
         match ending {
             Ok(summary) => {
-                self.context.note_completed(self.request);
+                self.context.record_completion(self.request);
                 Ok(summary)
             }
             Err(StreamBreak { cut, reason }) => {
                 if cut {
-                    self.context.note_cut(self.request, choice);
+                    self.context.record_connection_loss(self.request, choice);
                 }
                 Err(AttemptFault {
                     may_have_run: true,
@@ -228,7 +228,7 @@
         opened.map_err(|error| {
             let fault = AttemptFault::from(&error);
             if fault.cut {
-                self.context.note_cut(self.request, choice);
+                self.context.record_connection_loss(self.request, choice);
             }
             if !fault.may_have_run && !ran_before {
                 self.sink.note_not_run();
--- a/src/requests/crash_watch.rs
+++ b/src/requests/crash_watch.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use crate::clock;
-use crate::crashes::book::WorkStanding;
+use crate::crashes::tracker::WorkStatus;
 use crate::crashes::work_digest::WorkDigest;
 use crate::decide::placement::TargetChoice;
 use crate::decide::scheduler::JobRefusal;
 use crate::names::UnixTime;
 use crate::requests::request::CallerRequest;
 use crate::requests::traffic::TrafficContext;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Why held work is not run.
 const HELD: &str = "targets ended under each run of this request; correct it, or ask the operators";
@@ -26,16 +26,16 @@
     /// # Errors
     ///
     /// Returns the refusal.
-    pub fn check_held(&self, request: &CallerRequest) -> Result<bool, JobRefusal> {
+    pub fn check_quarantine(&self, request: &CallerRequest) -> Result<bool, JobRefusal> {
         if !self.is_held(request) {
             return Ok(false);
         }
         let (work, now) = (work_of(request), clock::mono_now());
         let tries = self.is_first_daemon();
         match self.crashes.lock().standing(work, tries, now) {
-            WorkStanding::Free => Ok(false),
-            WorkStanding::Trial => Ok(true),
-            WorkStanding::Held(next) => {
+            WorkStatus::Free => Ok(false),
+            WorkStatus::Trial => Ok(true),
+            WorkStatus::Held(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(JobRefusal {
                     reason: HELD.to_owned(),
@@ -62,7 +62,7 @@
     }
 
     /// Notes that a target broke its answer off and is not there to go on.
-    pub fn note_cut(&self, request: &CallerRequest, choice: &TargetChoice) {
+    pub fn record_connection_loss(&self, request: &CallerRequest, choice: &TargetChoice) {
         let work = work_of(request);
         let holds = {
             let mut crashes = self.crashes.lock();
@@ -80,7 +80,7 @@
     }
 
     /// Notes that work ran to its end.
-    pub fn note_completed(&self, request: &CallerRequest) {
+    pub fn record_completion(&self, request: &CallerRequest) {
         let mut crashes = self.crashes.lock();
         if !crashes.is_empty() {
             crashes.note_whole(work_of(request), clock::mono_now());
@@ -100,7 +100,7 @@
     WorkDigest::of(&[workspace, &request.fingerprint()])
 }
 
-fn life_of(choice: &TargetChoice) -> TargetLife {
+fn life_of(choice: &TargetChoice) -> TargetIncarnation {
     let born = choice.incarnation.map_or_else(
         || {
             let now = clock::unix_now().0;
@@ -108,5 +108,5 @@
         },
         |incarnation| incarnation.0,
     );
-    TargetLife::new(choice.target.clone(), Some(UnixTime(born)))
+    TargetIncarnation::new(choice.target.clone(), Some(UnixTime(born)))
 }
--- a/src/requests/run_call.rs
+++ b/src/requests/run_call.rs
@@ -50,7 +50,7 @@
     sink: &mut AnswerSink,
     progress: &mut RequestProgress,
 ) -> FinalOutcome {
-    let is_trial = match context.check_held(request) {
+    let is_trial = match context.check_quarantine(request) {
         Ok(is_trial) => is_trial,
         Err(refusal) => return not_run(refusal.reason, refusal.retry_after),
     };
@@ -133,8 +133,8 @@
     let reply = (context.services.call)(call).await;
     context.dispatcher.report_call(choice, reply.as_ref().err());
     match &reply {
-        Ok(_) => context.note_completed(request),
-        Err(TargetError::Lost { .. }) => context.note_cut(request, choice),
+        Ok(_) => context.record_completion(request),
+        Err(TargetError::Lost { .. }) => context.record_connection_loss(request, choice),
         Err(_) => {}
     }
     accept_reply(&reply?, &request.id, &key).map_err(|fault| TargetError::Lost {
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -92,7 +92,7 @@
     sink: &mut AnswerSink,
     cancelled: &mut watch::Receiver<bool>,
 ) -> Result<(JobSlot, DispatchPermit), FinalOutcome> {
-    if let Err(refusal) = context.check_held(request) {
+    if let Err(refusal) = context.check_quarantine(request) {
         return Err(refuse(context, request, sink, refusal).await);
     }
     let ticket = match context.dispatcher.admit(&request.id, request.job_spec()) {
--- a/src/requests/run_stream.rs
+++ b/src/requests/run_stream.rs
@@ -65,7 +65,7 @@
     pinned_model: Option<String>,
 ) -> FinalOutcome {
     let (context, request) = (state.context, state.request);
-    let is_trial = match context.check_held(request) {
+    let is_trial = match context.check_quarantine(request) {
         Ok(is_trial) => is_trial,
         Err(refusal) => return refused(&state, &refusal),
     };
--- a/src/requests/traffic.rs
+++ b/src/requests/traffic.rs
@@ -9,7 +9,7 @@
 
 use crate::clock;
 use crate::control::{ControlEvent, ControlHandle};
-use crate::crashes::SharedCrashes;
+use crate::crashes::SharedCrashTracker;
 use crate::decide::placement::{PoolKey, TargetChoice};
 use crate::decide::retry_budget::RetryBudget;
 use crate::intents::store::IntentStore;
@@ -55,7 +55,7 @@
     /// Reasons of decisions.
     pub journal: DecisionJournal,
     /// Work that ended targets.
-    pub crashes: SharedCrashes,
+    pub crashes: SharedCrashTracker,
     /// Retries allowed.
     pub budget: Mutex<RetryBudget>,
     /// Requests running in this daemon.
--- a/src/server.rs
+++ b/src/server.rs
@@ -17,7 +17,7 @@
 use crate::admin_http::{self, AdminServer};
 use crate::clock;
 use crate::control::{ControlEvent, ControlHandle, ControlInputs, start_control};
-use crate::crashes::SharedCrashes;
+use crate::crashes::SharedCrashTracker;
 use crate::decide::retry_budget::RetryBudget;
 use crate::decide::scheduler::{Scheduler, SchedulerInputs};
 use crate::intents::link::IntentLink;
@@ -104,7 +104,7 @@
     let incarnation = clock::new_incarnation();
     let platform = platform_port(&settings.platform).wrap_err("cannot call the platform")?;
     let journal = DecisionJournal::new(JOURNAL_LENGTH);
-    let crashes = SharedCrashes::default();
+    let crashes = SharedCrashTracker::default();
     let control = start_control(ControlInputs {
         settings: Arc::clone(&settings),
         platform: platform.clone(),
@@ -234,7 +234,7 @@
     journal: DecisionJournal,
     incarnation: ProcessIncarnation,
     peer_listener: StdListener,
-    crashes: SharedCrashes,
+    crashes: SharedCrashTracker,
 ) -> Result<Arc<TrafficContext>> {
     let scheduler = Scheduler::new(SchedulerInputs {
         policy: settings.policy.clone(),
--- a/src/target_life.rs
+++ b/src/target_incarnation.rs
@@ -12,9 +12,9 @@
 /// it held, ran or announced before. What is believed of a target is therefore kept by
 /// its life, here and in the messages between daemons, and ends with it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct TargetLife(TargetId, Option<UnixTime>);
+pub struct TargetIncarnation(TargetId, Option<UnixTime>);
 
-impl TargetLife {
+impl TargetIncarnation {
     /// Creates the identity from the target's name and the time of its start, where the
     /// target states it.
     #[must_use]
@@ -42,19 +42,19 @@
     }
 }
 
-impl From<&str> for TargetLife {
+impl From<&str> for TargetIncarnation {
     fn from(name: &str) -> Self {
         Self(TargetId::from(name), None)
     }
 }
 
-impl From<String> for TargetLife {
+impl From<String> for TargetIncarnation {
     fn from(name: String) -> Self {
         Self(TargetId::from(name), None)
     }
 }
 
-impl fmt::Display for TargetLife {
+impl fmt::Display for TargetIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/tests/control_authority.rs
+++ b/tests/control_authority.rs
@@ -6,7 +6,7 @@
 
 use control_fakes::{FakeEngines, FakePlatform, until};
 use pistachiowick::control::{ControlEvent, ControlHandle, ControlInputs, start_control};
-use pistachiowick::crashes::SharedCrashes;
+use pistachiowick::crashes::SharedCrashTracker;
 use pistachiowick::invariants::{Invariant, violations};
 use pistachiowick::membership::fleet::UseState;
 use pistachiowick::names::{CentreName, DaemonId, ModelName, ProcessIncarnation, TargetId};
@@ -93,7 +93,7 @@
             peer_address: "127.0.0.1:2".parse().unwrap(),
             incarnation: ProcessIncarnation(1),
             seed: 1,
-            crashes: SharedCrashes::default(),
+            crashes: SharedCrashTracker::default(),
         })
     }
 }
--- a/tests/control_membership.rs
+++ b/tests/control_membership.rs
@@ -475,7 +475,7 @@
     for _ in 0..4_000 {
         let own = DaemonId::from("d0");
         let answer = addressing::locate(&snapshot, &own, None, 1, &mut rng);
-        assert_eq!(answer.addresses.len(), addressing::MOST_ADDRESSES);
+        assert_eq!(answer.addresses.len(), addressing::MAX_ADDRESSES);
         *first
             .entry(answer.addresses[0].address.clone())
             .or_default() += 1;
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -12,7 +12,7 @@
 use pistachiowick::control::{
     ChangeReport, ControlEvent, ControlHandle, ControlInputs, ItemChange, start_control,
 };
-use pistachiowick::crashes::SharedCrashes;
+use pistachiowick::crashes::SharedCrashTracker;
 use pistachiowick::decide::shares::ShareState;
 use pistachiowick::membership::fleet::{DaemonView, FleetView, UseState};
 use pistachiowick::names::{
@@ -294,7 +294,7 @@
             peer_address: listener.local_addr().unwrap(),
             incarnation: ProcessIncarnation(1),
             seed: 1,
-            crashes: SharedCrashes::default(),
+            crashes: SharedCrashTracker::default(),
         });
         let name = id.to_owned();
         let peers = start_peers(PeerInputs {
--- a/tests/control_thread.rs
+++ b/tests/control_thread.rs
@@ -12,7 +12,7 @@
     ChangeError, ChangeReport, ControlEvent, ControlHandle, ControlInputs, ItemChange,
     start_control,
 };
-use pistachiowick::crashes::SharedCrashes;
+use pistachiowick::crashes::SharedCrashTracker;
 use pistachiowick::membership::fleet::UseState;
 use pistachiowick::names::{CentreName, DaemonId, ProcessIncarnation, TargetId, WorkspaceName};
 use pistachiowick::requests::journal::DecisionJournal;
@@ -31,7 +31,7 @@
         peer_address: "127.0.0.1:2".parse().unwrap(),
         incarnation: ProcessIncarnation(1),
         seed: 1,
-        crashes: SharedCrashes::default(),
+        crashes: SharedCrashTracker::default(),
     })
 }
 
--- a/tests/crashes_held.rs
+++ b/tests/crashes_held.rs
@@ -5,16 +5,16 @@
 use bytes::Bytes;
 use http::{HeaderMap, Method};
 use pistachiowick::access_key::KeyDigest;
-use pistachiowick::crashes::book::AnswerTimes;
-use pistachiowick::crashes::book::{CrashBook, WorkStanding};
-use pistachiowick::crashes::news::WorkNote;
+use pistachiowick::crashes::broadcasts::CrashReport;
+use pistachiowick::crashes::tracker::ExchangeTimes;
+use pistachiowick::crashes::tracker::{CrashTracker, WorkStatus};
 use pistachiowick::crashes::work_digest::WorkDigest;
 use pistachiowick::gateway::call::work_digest;
 use pistachiowick::gateway::client::OutgoingRequest;
-use pistachiowick::gateway::held_work::records::HeldRecord;
 use pistachiowick::gateway::model::CallerAccess;
+use pistachiowick::gateway::quarantine::records::QuarantineRecord;
 use pistachiowick::names::{MonoTime, TargetId, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 const SECOND: u64 = 1_000;
@@ -25,29 +25,29 @@
     text.parse().expect("a digest")
 }
 
-fn life(number: u64) -> TargetLife {
-    TargetLife::from(format!("t{number}"))
+fn life(number: u64) -> TargetIncarnation {
+    TargetIncarnation::from(format!("t{number}"))
 }
 
 fn at(ms: u64) -> MonoTime {
     MonoTime(ms)
 }
 
-fn times(opened: u64, sent: u64) -> AnswerTimes {
-    AnswerTimes {
+fn times(opened: u64, sent: u64) -> ExchangeTimes {
+    ExchangeTimes {
         opened: at(opened),
         sent: at(sent),
     }
 }
 
-fn ended(book: &mut CrashBook, ends: u64, from_ms: u64) {
+fn ended(book: &mut CrashTracker, ends: u64, from_ms: u64) {
     for number in 0..ends {
         book.note_end(work(1), &life(number), at(from_ms + number * SECOND));
     }
 }
 
-fn is_sent(book: &mut CrashBook, tries: bool, ms: u64) -> bool {
-    !matches!(book.standing(work(1), tries, at(ms)), WorkStanding::Held(_))
+fn is_sent(book: &mut CrashTracker, tries: bool, ms: u64) -> bool {
+    !matches!(book.standing(work(1), tries, at(ms)), WorkStatus::Held(_))
 }
 
 struct HoldCase {
@@ -64,7 +64,7 @@
 #[case::one_target_thrice(HoldCase { ends: &[1, 1, 1], held: false })]
 #[case::three_of_two(HoldCase { ends: &[1, 2, 1], held: false })]
 fn what_is_held(#[case] case: HoldCase) {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     let mut became_held = false;
     for (number, target) in case.ends.iter().enumerate() {
         became_held |= book.note_end(work(1), &life(*target), at(number as u64));
@@ -92,8 +92,8 @@
 #[case::old_connection(ProofCase { born: Some(UnixTime(7)), opened: 500, sent: 1_200, answered: 1_250, refutes: true })]
 #[case::new_life_of_the_name(ProofCase { born: Some(UnixTime(7)), opened: 1_100, sent: 1_200, answered: 9_000, refutes: false })]
 fn a_target_that_lives_on_was_not_ended(#[case] case: ProofCase) {
-    let mut book = CrashBook::default();
-    let target = TargetLife::new(TargetId::from("t"), case.born);
+    let mut book = CrashTracker::default();
+    let target = TargetIncarnation::new(TargetId::from("t"), case.born);
     book.note_end(work(1), &target, at(1_000));
     book.note_answer(&target, times(case.opened, case.sent), at(case.answered));
     assert_eq!(book.ends(work(1)).is_empty(), case.refutes);
@@ -102,7 +102,7 @@
 // Guards against popular work that is refused because targets ended for other reasons.
 #[test]
 fn work_that_runs_to_its_end_is_no_suspect() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     ended(&mut book, 2, 0);
     book.note_whole(work(1), at(5 * SECOND));
     assert!(!book.note_end(work(1), &life(7), at(6 * SECOND)));
@@ -112,13 +112,13 @@
 // Guards against daemons that each count only what they saw.
 #[test]
 fn what_daemons_tell_each_other_adds_up() {
-    let mut books = [0, 1, 2].map(|_| CrashBook::default());
+    let mut books = [0, 1, 2].map(|_| CrashTracker::default());
     for (number, book) in books.iter_mut().enumerate() {
         book.note_end(work(1), &life(number as u64), at(0));
     }
     for tick in 1..=10 {
         let now = at(tick * 200);
-        let words: Vec<Vec<WorkNote>> = books.iter_mut().map(|book| book.pick(now)).collect();
+        let words: Vec<Vec<CrashReport>> = books.iter_mut().map(|book| book.pick(now)).collect();
         for book in &mut books {
             for note in words.iter().flatten() {
                 book.take_note(note, false, now);
@@ -132,23 +132,23 @@
 // of work that ended more than one target.
 #[test]
 fn old_news_are_told_again() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     ended(&mut book, 3, 0);
     for tick in 0..50 {
         book.pick(at(3 * SECOND + tick * 200));
     }
-    let later: Vec<WorkNote> = (0..6)
+    let later: Vec<CrashReport> = (0..6)
         .flat_map(|tick| book.pick(at(MINUTE + tick * 200)))
         .collect();
     assert!(!later.is_empty());
-    let mut other = CrashBook::default();
+    let mut other = CrashTracker::default();
     assert!(other.take_note(&later[0], false, at(MINUTE)));
 }
 
 // Guards against words full of connections that were cut and mean nothing.
 #[test]
 fn what_is_refuted_at_once_is_not_told() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     book.note_end(work(1), &life(1), at(1_000));
     assert!(book.pick(at(1_050)).is_empty());
     book.note_answer(&life(1), times(900, 1_100), at(1_150));
@@ -159,7 +159,7 @@
 // Guards against a suspicion that stays elsewhere after its target showed that it lives.
 #[test]
 fn what_was_told_is_taken_back() {
-    let (mut book, mut other) = (CrashBook::default(), CrashBook::default());
+    let (mut book, mut other) = (CrashTracker::default(), CrashTracker::default());
     book.note_end(work(1), &life(1), at(1_000));
     for note in book.pick(at(1_300)) {
         other.take_note(&note, false, at(1_300));
@@ -189,7 +189,7 @@
 #[case::store_was_away(EntryCase { has_entry: true, heard_since: 8 * SECOND, now: 12 * SECOND, held: true })]
 #[case::store_is_back(EntryCase { has_entry: true, heard_since: 8 * SECOND, now: 18 * SECOND, held: false })]
 fn a_target_that_keeps_its_entry_was_not_ended(#[case] case: EntryCase) {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     ended(&mut book, 3, 0);
     let lapse = Duration::from_secs(10);
     book.note_entries(
@@ -218,7 +218,7 @@
 #[case::second(TrialCase { ends: 4, tries: true, after_ms: 61 * MINUTE, sent: true })]
 #[case::no_third(TrialCase { ends: 5, tries: true, after_ms: 20 * 60 * MINUTE, sent: false })]
 fn when_held_work_is_tried(#[case] case: TrialCase) {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     ended(&mut book, case.ends, 0);
     let now = case.ends * SECOND + case.after_ms;
     assert_eq!(is_sent(&mut book, case.tries, now), case.sent);
@@ -229,7 +229,7 @@
 // held.
 #[test]
 fn a_flood_does_not_push_out_held_work() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     ended(&mut book, 3, 0);
     for number in 0..40_000_u64 {
         let other = format!("{:032x}", number + 100);
@@ -243,7 +243,7 @@
 // Guards against memory that grows for ever.
 #[test]
 fn what_is_over_is_forgotten() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     ended(&mut book, 2, 0);
     book.sweep(at(5 * MINUTE));
     assert_eq!(book.ends(work(1)).len(), 2);
@@ -255,7 +255,7 @@
 // another one after it forgot them.
 #[test]
 fn what_all_have_forgotten_stays_forgotten() {
-    let mut books = [0, 1].map(|_| CrashBook::default());
+    let mut books = [0, 1].map(|_| CrashTracker::default());
     ended(&mut books[0], 2, 0);
     for tick in 0..(15 * MINUTE / 200) {
         // The second one hears and forgets a little later.
@@ -268,13 +268,13 @@
             books[number].sweep(now[number]);
         }
     }
-    assert!(books.iter().all(CrashBook::is_empty));
+    assert!(books.iter().all(CrashTracker::is_empty));
 }
 
 // Guards against popular work that is never held, as it was cut and cleared too often.
 #[test]
 fn work_that_was_often_cleared_can_be_held() {
-    let mut book = CrashBook::default();
+    let mut book = CrashTracker::default();
     for number in 100..200 {
         let ms = number * SECOND;
         book.note_end(work(1), &life(number), at(ms));
@@ -353,7 +353,7 @@
 #[case::no_json(RecordCase { name: NAME, value: "{", read: Err("cannot be read") })]
 #[case::no_ends(RecordCase { name: NAME, value: "{}", read: Err("cannot be read") })]
 fn what_the_store_keeps(#[case] case: RecordCase) {
-    let read = HeldRecord::note(case.name, case.value.as_bytes());
+    let read = QuarantineRecord::note(case.name, case.value.as_bytes());
     match (read, case.read) {
         (Ok(note), Ok(counts)) => {
             assert_eq!((note.ends.len(), note.refuted.len()), counts);
@@ -367,9 +367,9 @@
 // Guards against a record that forgets what it was kept for.
 #[test]
 fn a_record_is_read_as_it_was_written() {
-    let mut record = HeldRecord::default();
+    let mut record = QuarantineRecord::default();
     assert!(record.add(&[life(1), life(2)]));
     assert!(!record.add(&[life(2)]));
-    let read = HeldRecord::decode(NAME, &record.encode());
+    let read = QuarantineRecord::decode(NAME, &record.encode());
     assert_eq!(read, Ok(record));
 }
--- a/tests/deciding_times.rs
+++ b/tests/deciding_times.rs
@@ -7,17 +7,17 @@
 
 use gateway_samples::engine;
 use pistachiowick::gateway::deciding::affinity::part_key;
-use pistachiowick::gateway::deciding::engine_choice::{EnginePlace, PlacementWeights};
-use pistachiowick::gateway::deciding::engine_model::{EngineBook, EngineWork};
-use pistachiowick::gateway::deciding::line_fit::{LineFit, WorkLine};
-use pistachiowick::gateway::deciding::{DecisionCore, EngineChoices, PlaceOrder, TimedWork};
+use pistachiowick::gateway::deciding::engine_choice::{EnginePlacement, PlacementWeights};
+use pistachiowick::gateway::deciding::engine_model::{EngineSpeeds, EngineWork};
+use pistachiowick::gateway::deciding::line_fit::{LatencyFit, LinearLatency};
+use pistachiowick::gateway::deciding::{DecisionCore, EngineCandidates, PlacementQuery, TimedWork};
 use pistachiowick::gateway::model::{EngineStage, PromptPart, PromptShape, TargetRecord};
 use pistachiowick::names::{MonoTime, ServiceName};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 
-const PRIOR: WorkLine = WorkLine {
+const PRIOR: LinearLatency = LinearLatency {
     fixed_ms: 40.0,
     token_ms: 0.01,
 };
@@ -42,7 +42,7 @@
 #[case::with_pauses(SpeedCase { fixed_ms: 20.0, tokens_a_ms: 100.0, noise: 0.2, pause_in: 40 })]
 fn a_speed_is_learned_from_fifty_requests(#[case] case: SpeedCase) {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut fit = LineFit::new(PRIOR);
+    let mut fit = LatencyFit::new(PRIOR);
     let time = |tokens: f64| case.fixed_ms + tokens / case.tokens_a_ms;
     for number in 1..=50_u32 {
         let tokens = rng.random_range(200.0..20_000.0);
@@ -64,9 +64,9 @@
 // Engines turn four times slower. Some seconds later the line says so.
 #[test]
 fn a_slow_down_is_followed() {
-    let mut fit = LineFit::new(PRIOR);
+    let mut fit = LatencyFit::new(PRIOR);
     let mut rng = SmallRng::seed_from_u64(8);
-    let mut note = |fit: &mut LineFit, token_ms: f64, times: u32| {
+    let mut note = |fit: &mut LatencyFit, token_ms: f64, times: u32| {
         for _ in 0..times {
             let tokens = rng.random_range(500.0..10_000.0);
             fit.note(tokens, 20.0 + tokens * token_ms);
@@ -81,7 +81,7 @@
 // All requests are of one size, so nothing tells the fixed part from the tokens' one.
 #[test]
 fn times_of_one_size_are_known_at_that_size() {
-    let mut fit = LineFit::new(PRIOR);
+    let mut fit = LatencyFit::new(PRIOR);
     (0..100).for_each(|_| fit.note(3_000.0, 90.0));
     let at = fit.line().at(3_000.0);
     assert!((85.0..95.0).contains(&at), "{at}");
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_line_never_runs_downhill_nor_begins_below_zero() {
-    let mut fit = LineFit::new(PRIOR);
+    let mut fit = LatencyFit::new(PRIOR);
     for number in 0..200 {
         let tokens = f64::from(number % 10) * 1_000.0;
         fit.note(tokens, 400.0 - tokens / 30.0);
@@ -100,7 +100,7 @@
 
 #[test]
 fn services_and_kinds_of_work_are_learned_apart() {
-    let mut book = EngineBook::default();
+    let mut book = EngineSpeeds::default();
     let (fast, slow) = (ServiceName::from("fast"), ServiceName::from("slow"));
     for number in 0..60_u32 {
         let tokens = f64::from(number) * 100.0;
@@ -110,7 +110,7 @@
     let at = |service, work| book.line(service, work).at(4_000.0);
     assert!(at(&fast, EngineWork::ReadAhead) < 40.0);
     assert!(at(&slow, EngineWork::ReadAhead) > 250.0);
-    let untouched = EngineBook::default().line(&fast, EngineWork::TakeOver);
+    let untouched = EngineSpeeds::default().line(&fast, EngineWork::TakeOver);
     assert_eq!(book.line(&fast, EngineWork::TakeOver), untouched);
 }
 
@@ -131,7 +131,7 @@
         }
     }
 
-    fn place(&self, own: u32, objective_ms: u64) -> EnginePlace {
+    fn place(&self, own: u32, objective_ms: u64) -> EnginePlacement {
         let prompt = PromptShape {
             model: "m".to_owned(),
             prompt_tokens: own,
@@ -141,8 +141,8 @@
                 tokens: own,
             }],
         };
-        let order = PlaceOrder {
-            choices: EngineChoices {
+        let order = PlacementQuery {
+            choices: EngineCandidates {
                 engines: &self.engines,
                 changing: &[],
                 excluded: &[],
--- a/tests/deciding_world/mod.rs
+++ b/tests/deciding_world/mod.rs
@@ -9,12 +9,12 @@
 
 use indexmap::IndexMap;
 use pistachiowick::gateway::deciding::affinity::part_key;
-use pistachiowick::gateway::deciding::engine_choice::{EnginePlace, PlacementWeights};
+use pistachiowick::gateway::deciding::engine_choice::{EnginePlacement, PlacementWeights};
 use pistachiowick::gateway::deciding::health::SendResult;
-use pistachiowick::gateway::deciding::{DecisionCore, EngineChoices, PlaceOrder};
+use pistachiowick::gateway::deciding::{DecisionCore, EngineCandidates, PlacementQuery};
 use pistachiowick::gateway::model::{EngineStage, PromptPart, PromptShape, TargetRecord};
 use pistachiowick::names::{DaemonId, MonoTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -63,7 +63,7 @@
     end_ms: f64,
     sent_ms: f64,
     daemon: usize,
-    place: EnginePlace,
+    place: EnginePlacement,
     lost: bool,
 }
 
@@ -76,7 +76,7 @@
     plan: WorldPlan,
     cores: Vec<DecisionCore>,
     engines: Vec<Arc<TargetRecord>>,
-    free_at: IndexMap<TargetLife, f64>,
+    free_at: IndexMap<TargetIncarnation, f64>,
     reads: Vec<RunningRead>,
     tally: WorldTally,
     last_key: u64,
@@ -130,8 +130,8 @@
     fn arrive(&mut self, daemon: usize, tokens: u32, now: f64) {
         self.last_key += 1;
         let prompt = prompt(self.last_key, tokens);
-        let order = PlaceOrder {
-            choices: EngineChoices {
+        let order = PlacementQuery {
+            choices: EngineCandidates {
                 engines: &self.engines,
                 changing: &[],
                 excluded: &[],
@@ -190,7 +190,7 @@
         }
         let taken = read.end_ms - read.sent_ms;
         core.note_result(&reader.id, SendResult::Answered, at(now));
-        core.note_time(&read.place.timed_reading(reader), taken, at(now));
+        core.note_time(&read.place.timed_prefill(reader), taken, at(now));
         if taken <= self.plan.objective_ms as f64 {
             self.tally.in_time += 1;
         }
@@ -201,7 +201,7 @@
         for (own, core) in self.cores.iter_mut().enumerate() {
             for (other, work) in work.iter().enumerate().filter(|(other, _)| *other != own) {
                 let id = DaemonId::from(format!("n{other}"));
-                core.load.set_other(id, work.clone(), at(now));
+                core.load.set_peer_work(id, work.clone(), at(now));
             }
         }
     }
--- a/tests/duties_servers.rs
+++ b/tests/duties_servers.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::duties::server_plan::{CentreTargets, CentreWish, next_step, plan};
+use pistachiowick::gateway::fleet_tasks::server_plan::{
+    CentreTargets, CentreWish, next_step, plan,
+};
 use pistachiowick::gateway::model::ScalingRule;
 use pistachiowick::names::CentreName;
 use rstest::rstest;
--- a/tests/duties_usage.rs
+++ b/tests/duties_usage.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::duties::true_time::TrueClock;
-use pistachiowick::gateway::duties::usage_book::{DaemonUsage, UsageBook, WorkspaceCounts};
-use pistachiowick::gateway::duties::usage_ledger::{UsageLedger, UsageStep};
+use pistachiowick::gateway::fleet_tasks::fleet_clock::FleetClock;
+use pistachiowick::gateway::fleet_tasks::usage_counts::{
+    DaemonUsage, UsageCounts, WorkspaceCounts,
+};
+use pistachiowick::gateway::fleet_tasks::usage_ledger::{UsageLedger, UsageStep};
 use pistachiowick::names::{DaemonId, MonoTime, UnixTime, WorkspaceName};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -36,9 +38,9 @@
 fn the_middle_clock_counts(#[case] case: ClockCase) {
     let now = MonoTime(2_000);
     let wall = |off: i64| UnixTime((BEGIN_MS + now.0).saturating_add_signed(off));
-    let mut clock = TrueClock::default();
+    let mut clock = FleetClock::default();
     for (number, off) in case.off_ms.iter().enumerate().skip(1) {
-        clock.note_sample(&DaemonId::from(format!("d{number}")), wall(*off), now);
+        clock.add_sample(&DaemonId::from(format!("d{number}")), wall(*off), now);
     }
     clock.settle(wall(case.off_ms[0]), now);
     let off = clock
@@ -55,15 +57,15 @@
 // on a daemon that is cut off. The monotonic clock goes on from what was agreed.
 #[test]
 fn what_was_agreed_outlasts_a_jump() {
-    let mut clock = TrueClock::default();
-    clock.note_agreed(UnixTime(BEGIN_MS), MonoTime(0));
+    let mut clock = FleetClock::default();
+    clock.adopt_time(UnixTime(BEGIN_MS), MonoTime(0));
     clock.settle(UnixTime(BEGIN_MS + 2_400_000 + 9_000), MonoTime(9_000));
     assert_eq!(clock.at(MonoTime(9_000)), Some(UnixTime(BEGIN_MS + 9_000)));
 }
 
-fn settled() -> TrueClock {
-    let mut clock = TrueClock::default();
-    clock.note_agreed(UnixTime(BEGIN_MS), MonoTime(0));
+fn settled() -> FleetClock {
+    let mut clock = FleetClock::default();
+    clock.adopt_time(UnixTime(BEGIN_MS), MonoTime(0));
     clock
 }
 
@@ -88,12 +90,12 @@
 // counted in the windows in which they began.
 #[test]
 fn what_began_early_is_counted_where_it_began() {
-    let mut book = UsageBook::new(WINDOW);
+    let mut book = UsageCounts::new(WINDOW);
     let north = WorkspaceName::from("north");
     for moment in [100, 4_900, 5_100] {
         book.note_begun(&north, MonoTime(moment));
     }
-    book.sort_in(&TrueClock::default(), MonoTime(6_000));
+    book.sort_in(&FleetClock::default(), MonoTime(6_000));
     assert_eq!(book.total(FIRST), counts(&[]));
     book.sort_in(&settled(), MonoTime(6_100));
     assert_eq!(book.total(FIRST), counts(&[("north", 2)]));
@@ -104,7 +106,7 @@
 // and all of them once a second, so the sum is right in the end, and never too high.
 #[test]
 fn counts_survive_lost_and_doubled_words() {
-    let mut book = UsageBook::new(WINDOW);
+    let mut book = UsageCounts::new(WINDOW);
     book.note_heard(told("d1", &[(FIRST, "north", 3)]), true);
     book.note_heard(told("d1", &[(FIRST, "north", 5)]), true);
     book.note_heard(told("d1", &[(FIRST, "north", 3)]), true);
@@ -115,7 +117,7 @@
     assert_eq!(book.total(FIRST), counts(&[("north", 7), ("south", 1)]));
     // Other hubs hear of the members' counts only.
     assert_eq!(book.take_relayed().len(), 3);
-    let mut own = UsageBook::new(WINDOW);
+    let mut own = UsageCounts::new(WINDOW);
     own.note_begun(&WorkspaceName::from("north"), MonoTime(10));
     own.sort_in(&settled(), MonoTime(20));
     let cell = (FIRST, WorkspaceName::from("north"), 1);
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -4,18 +4,18 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::budget::{BudgetRule, RepeatBudget};
+use pistachiowick::gateway::budget::{BudgetRule, RetryLimiter};
 use pistachiowick::gateway::deciding::affinity::{
-    CacheBook, home_weight, part_key, shared_key, shared_tokens,
+    CacheIndex, home_weight, part_key, shared_key, shared_tokens,
 };
-use pistachiowick::gateway::deciding::health::{HealthBook, HealthChange, SendResult};
-use pistachiowick::gateway::deciding::load::LoadBook;
+use pistachiowick::gateway::deciding::health::{HealthChange, HealthTracker, SendResult};
+use pistachiowick::gateway::deciding::load::LoadTracker;
 use pistachiowick::gateway::directory::addresses_for;
 use pistachiowick::gateway::event_split::EventSplitter;
-use pistachiowick::gateway::members::{DaemonRecord, InstanceStrength};
+use pistachiowick::gateway::members::{DaemonRecord, InstanceCapacity};
 use pistachiowick::gateway::model::PromptPart;
 use pistachiowick::names::{CentreName, DaemonId, MonoTime, ServiceName};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 const RULE: BudgetRule = BudgetRule {
@@ -38,7 +38,7 @@
 #[case::large_fleet(BudgetCase { requests: 10, daemons: 100, within: (1, 2) })]
 fn repeats_stay_within_a_daemons_part(#[case] case: BudgetCase) {
     let service = ServiceName::from("ledger");
-    let mut budget = RepeatBudget::new(RULE);
+    let mut budget = RetryLimiter::new(RULE);
     let now = MonoTime(50_000);
     (0..case.requests).for_each(|_| budget.note_request(&service, now));
     let spent = (0..1_000)
@@ -53,7 +53,7 @@
 fn any_window_holds_no_more_than_the_part() {
     // Repeats are asked for all the time; windows slide over all of them.
     let service = ServiceName::from("ledger");
-    let mut budget = RepeatBudget::new(RULE);
+    let mut budget = RetryLimiter::new(RULE);
     let mut spent_at = Vec::new();
     for now in (0..60_000).step_by(50) {
         if budget.spend(&service, 1, MonoTime(now)) {
@@ -76,8 +76,8 @@
 // answers with failures may just have a bad kind of request.
 #[test]
 fn silence_in_a_row_leads_to_avoidance_and_an_answer_ends_it() {
-    let target = TargetLife::from("a");
-    let mut book = HealthBook::default();
+    let target = TargetIncarnation::from("a");
+    let mut book = HealthTracker::default();
     let first = book.note(&target, SendResult::Silent, MonoTime(0));
     assert_eq!(first, None);
     assert!(!book.view(&target, MonoTime(1)).avoided);
@@ -93,8 +93,8 @@
 
 #[test]
 fn failures_with_answers_raise_the_rate_and_do_not_avoid() {
-    let target = TargetLife::from("a");
-    let mut book = HealthBook::default();
+    let target = TargetIncarnation::from("a");
+    let mut book = HealthTracker::default();
     (0..20).for_each(|at| {
         book.note(&target, SendResult::Failed, MonoTime(at));
     });
@@ -105,20 +105,20 @@
 
 #[test]
 fn work_of_silent_daemons_is_left_out() {
-    let target = TargetLife::from("a");
-    let mut own = LoadBook::default();
-    let mut other = LoadBook::default();
+    let target = TargetIncarnation::from("a");
+    let mut own = LoadTracker::default();
+    let mut other = LoadTracker::default();
     other.begin(&target, 2, 500);
     own.begin(&target, 0, 100);
-    own.set_other(DaemonId::from("b"), other.own().clone(), MonoTime(0));
+    own.set_peer_work(DaemonId::from("b"), other.own().clone(), MonoTime(0));
     assert_eq!(own.total(&target).running, 2);
-    assert_eq!(own.total(&target).unread_before(0), 100);
-    assert_eq!(own.total(&target).unread_before(2), 600);
+    assert_eq!(own.total(&target).prefill_tokens_before(0), 100);
+    assert_eq!(own.total(&target).prefill_tokens_before(2), 600);
     own.expire(MonoTime(2_000));
     assert_eq!(own.total(&target).running, 1);
     own.end(&target, 0, 100);
     assert_eq!(own.total(&target).running, 0);
-    assert_eq!(own.total(&target).unread_before(9), 0);
+    assert_eq!(own.total(&target).prefill_tokens_before(9), 0);
 }
 
 fn part(name: &str, tokens: u32) -> PromptPart {
@@ -141,8 +141,8 @@
 #[case::on_its_way(CacheCase { held: &[("x", 100), ("y", 50)], ready: false, cached: 150, copyable: 0 })]
 #[case::gap_at_the_front(CacheCase { held: &[("y", 50)], ready: true, cached: 0, copyable: 0 })]
 fn only_leading_parts_count(#[case] case: CacheCase) {
-    let engine = TargetLife::from("e");
-    let mut book = CacheBook::default();
+    let engine = TargetIncarnation::from("e");
+    let mut book = CacheIndex::default();
     book.set_capacity(10_000);
     let held: Vec<_> = case
         .held
@@ -150,9 +150,9 @@
         .map(|(name, tokens)| part(name, *tokens))
         .collect();
     if case.ready {
-        book.note_held(&engine, &held, MonoTime(5));
+        book.note_cached(&engine, &held, MonoTime(5));
     } else {
-        book.note_coming(&engine, &held, MonoTime(5));
+        book.note_prefilling(&engine, &held, MonoTime(5));
     }
     let prompt = [part("x", 100), part("y", 50), part("own", 30)];
     assert_eq!(
@@ -167,13 +167,13 @@
 
 #[test]
 fn the_least_recently_used_part_is_forgotten_first() {
-    let engine = TargetLife::from("e");
-    let mut book = CacheBook::default();
+    let engine = TargetIncarnation::from("e");
+    let mut book = CacheIndex::default();
     book.set_capacity(250);
-    book.note_held(&engine, &[part("x", 100)], MonoTime(1));
-    book.note_held(&engine, &[part("y", 100)], MonoTime(2));
-    book.note_held(&engine, &[part("x", 100)], MonoTime(3));
-    book.note_held(&engine, &[part("z", 100)], MonoTime(4));
+    book.note_cached(&engine, &[part("x", 100)], MonoTime(1));
+    book.note_cached(&engine, &[part("y", 100)], MonoTime(2));
+    book.note_cached(&engine, &[part("x", 100)], MonoTime(3));
+    book.note_cached(&engine, &[part("z", 100)], MonoTime(4));
     assert_eq!(
         book.cached_tokens(&engine, &[part("x", 100)], MonoTime(5)),
         100
@@ -186,7 +186,9 @@
 
 #[test]
 fn homes_move_only_when_their_engine_goes() {
-    let engines: Vec<TargetLife> = (0..12).map(|n| TargetLife::from(format!("e{n}"))).collect();
+    let engines: Vec<TargetIncarnation> = (0..12)
+        .map(|n| TargetIncarnation::from(format!("e{n}")))
+        .collect();
     let home = |key: u64, without: usize| {
         let left = engines.iter().enumerate().filter(|(at, _)| *at != without);
         left.max_by_key(|(_, id)| home_weight(key, id))
@@ -247,7 +249,7 @@
         peers: ([127, 0, 0, 1], port).into(),
         centre: CentreName::from(centre),
         leaving: false,
-        strength: InstanceStrength::default(),
+        strength: InstanceCapacity::default(),
     }
 }
 
--- a/tests/gateway_engines.rs
+++ b/tests/gateway_engines.rs
@@ -7,25 +7,25 @@
 use gateway_samples::engine;
 use pistachiowick::gateway::deciding::affinity::part_key;
 use pistachiowick::gateway::deciding::engine_choice::{
-    EngineState, PlacementWeights, choose, choose_writer,
+    EngineState, PlacementWeights, choose, choose_decode_engine,
 };
-use pistachiowick::gateway::deciding::engine_model::EngineLines;
-use pistachiowick::gateway::deciding::health::{HealthBook, HealthView};
-use pistachiowick::gateway::deciding::line_fit::WorkLine;
-use pistachiowick::gateway::deciding::load::{LoadBook, TargetWork};
-use pistachiowick::gateway::deciding::stage_plan::{wanted_readers, wishes};
+use pistachiowick::gateway::deciding::engine_model::EngineLatencies;
+use pistachiowick::gateway::deciding::health::{HealthTracker, HealthView};
+use pistachiowick::gateway::deciding::line_fit::LinearLatency;
+use pistachiowick::gateway::deciding::load::{LoadTracker, TargetWork};
+use pistachiowick::gateway::deciding::stage_plan::{prefill_engine_count, wishes};
 use pistachiowick::gateway::model::{EngineStage, PromptPart, PromptShape, TargetRecord};
 use pistachiowick::names::MonoTime;
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 // Engines that read 42 tokens a ms for others and 20 beside their own requests.
-fn lines() -> EngineLines {
-    let line = |fixed_ms, tokens_a_ms: f64| WorkLine {
+fn lines() -> EngineLatencies {
+    let line = |fixed_ms, tokens_a_ms: f64| LinearLatency {
         fixed_ms,
         token_ms: 1.0 / tokens_a_ms,
     };
-    EngineLines {
+    EngineLatencies {
         read_ahead: line(95.0, 42.0),
         read_here: line(95.0, 20.0),
         take_over: line(20.0, 20.0),
@@ -44,12 +44,12 @@
 }
 
 fn healthy() -> HealthView {
-    HealthBook::default().view(&TargetLife::from("new"), MonoTime(0))
+    HealthTracker::default().view(&TargetIncarnation::from("new"), MonoTime(0))
 }
 
 fn work(running: u32, unread: u32) -> TargetWork {
-    let target = TargetLife::from("t");
-    let mut load = LoadBook::default();
+    let target = TargetIncarnation::from("t");
+    let mut load = LoadTracker::default();
     load.begin(&target, 1, unread);
     (1..running).for_each(|_| load.begin(&target, 1, 0));
     load.total(&target)
@@ -211,7 +211,7 @@
         busy,
         state("d2", EngineStage::Decode),
     ];
-    let writer = choose_writer(
+    let writer = choose_decode_engine(
         &PlacementWeights::default(),
         &lines(),
         &engines,
@@ -255,13 +255,13 @@
 #[case::no_share(12, 0.0, 1)]
 #[case::whole_share(12, 1.0, 10)]
 fn readers_wanted(#[case] engines: usize, #[case] share: f64, #[case] wanted: usize) {
-    assert_eq!(wanted_readers(engines, share), wanted);
+    assert_eq!(prefill_engine_count(engines, share), wanted);
 }
 
 #[test]
 fn changes_are_few_at_once_and_take_idle_engines() {
     let engines = fleet(2, 6);
-    let running = |id: &TargetLife| if id.as_str() == "d0" { 9 } else { 0 };
+    let running = |id: &TargetIncarnation| if id.as_str() == "d0" { 9 } else { 0 };
     let wanted = wishes(&engines, running, 5, 2);
     let ids: Vec<&str> = wanted.iter().map(|wish| wish.engine.id.as_str()).collect();
     assert_eq!(ids, ["d1", "d2"]);
--- a/tests/gateway_feeding.rs
+++ b/tests/gateway_feeding.rs
@@ -2,11 +2,13 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::peers::feeding::{FeedJoin, FeedState, FeedStock, watch_duty};
+use pistachiowick::gateway::peers::feeding::{
+    FeedState, FeedSubscription, StoreSnapshot, choose_watch_mode,
+};
 use pistachiowick::gateway::peers::hub::PeerRole;
 use pistachiowick::gateway::peers::wire::FeedObjects;
 use pistachiowick::gateway::settings::GatewaySettings;
-use pistachiowick::gateway::store_follow::{Feed, WatchDuty};
+use pistachiowick::gateway::store_follow::{Feed, WatchMode};
 use pistachiowick::names::{DaemonId, MonoTime};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
@@ -21,24 +23,24 @@
     subscribed: bool,
     current: bool,
     hub_reachable: bool,
-    starting: Option<WatchDuty>,
-    mode: WatchDuty,
+    starting: Option<WatchMode>,
+    mode: WatchMode,
 }
 
 // Guards against a burst of store calls when a hub of 39 members is replaced: if each member
 // listed everything at once, that would be 350 calls. A member keeps the objects it got until
 // a change could be overdue, and so does a hub; a daemon that starts waits for its hub first.
 #[rstest]
-#[case::small_fleet(ModeCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchDuty::Alone })]
-#[case::first_start(ModeCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), mode: WatchDuty::Gathering })]
-#[case::subscribed_member(ModeCase { role: member, subscribed: true, current: true, hub_reachable: false, starting: None, mode: WatchDuty::Fed })]
-#[case::hub_just_failed(ModeCase { role: member, subscribed: false, current: true, hub_reachable: false, starting: None, mode: WatchDuty::Fed })]
-#[case::hub_failed(ModeCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchDuty::WithoutHub })]
-#[case::hub_without_store(ModeCase { role: member, subscribed: false, current: false, hub_reachable: true, starting: None, mode: WatchDuty::BesideHub })]
-#[case::restarted(ModeCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Starting), mode: WatchDuty::Starting })]
-#[case::first_hub(ModeCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchDuty::ForOthers })]
-#[case::other_hub(ModeCase { role: || PeerRole::Hub, subscribed: true, current: true, hub_reachable: false, starting: None, mode: WatchDuty::Fed })]
-#[case::alone_so_far(ModeCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchDuty::Gathering), mode: WatchDuty::Gathering })]
+#[case::small_fleet(ModeCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchMode::Alone })]
+#[case::first_start(ModeCase { role: || PeerRole::Mesh, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchMode::Gathering), mode: WatchMode::Gathering })]
+#[case::subscribed_member(ModeCase { role: member, subscribed: true, current: true, hub_reachable: false, starting: None, mode: WatchMode::Fed })]
+#[case::hub_just_failed(ModeCase { role: member, subscribed: false, current: true, hub_reachable: false, starting: None, mode: WatchMode::Fed })]
+#[case::hub_failed(ModeCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchMode::WithoutHub })]
+#[case::hub_without_store(ModeCase { role: member, subscribed: false, current: false, hub_reachable: true, starting: None, mode: WatchMode::BesideHub })]
+#[case::restarted(ModeCase { role: member, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchMode::Starting), mode: WatchMode::Starting })]
+#[case::first_hub(ModeCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: None, mode: WatchMode::ForOthers })]
+#[case::other_hub(ModeCase { role: || PeerRole::Hub, subscribed: true, current: true, hub_reachable: false, starting: None, mode: WatchMode::Fed })]
+#[case::alone_so_far(ModeCase { role: || PeerRole::Hub, subscribed: false, current: false, hub_reachable: false, starting: Some(WatchMode::Gathering), mode: WatchMode::Gathering })]
 fn watch_mode_by_role_and_state(#[case] case: ModeCase) {
     let state = FeedState {
         subscribed: case.subscribed,
@@ -46,11 +48,11 @@
         hub_reachable: case.hub_reachable,
         starting: case.starting,
     };
-    assert_eq!(watch_duty(&(case.role)(), state), case.mode);
+    assert_eq!(choose_watch_mode(&(case.role)(), state), case.mode);
 }
 
 struct ReadCase {
-    mode: WatchDuty,
+    mode: WatchMode,
     lists: &'static [Feed],
     watches: &'static [Feed],
 }
@@ -59,13 +61,13 @@
 
 // When a whole fleet starts, listings by all daemons at once delay every daemon.
 #[rstest]
-#[case::first_start(ReadCase { mode: WatchDuty::Gathering, lists: &[Feed::Daemons], watches: &[Feed::Daemons] })]
-#[case::restart(ReadCase { mode: WatchDuty::Starting, lists: ALL, watches: &[Feed::Daemons] })]
-#[case::alone(ReadCase { mode: WatchDuty::Alone, lists: ALL, watches: ALL })]
-#[case::without_hub(ReadCase { mode: WatchDuty::WithoutHub, lists: ALL, watches: ALL })]
-#[case::beside_hub(ReadCase { mode: WatchDuty::BesideHub, lists: ALL, watches: ALL })]
-#[case::for_others(ReadCase { mode: WatchDuty::ForOthers, lists: ALL, watches: ALL })]
-#[case::subscribed_member(ReadCase { mode: WatchDuty::Fed, lists: &[], watches: &[] })]
+#[case::first_start(ReadCase { mode: WatchMode::Gathering, lists: &[Feed::Daemons], watches: &[Feed::Daemons] })]
+#[case::restart(ReadCase { mode: WatchMode::Starting, lists: ALL, watches: &[Feed::Daemons] })]
+#[case::alone(ReadCase { mode: WatchMode::Alone, lists: ALL, watches: ALL })]
+#[case::without_hub(ReadCase { mode: WatchMode::WithoutHub, lists: ALL, watches: ALL })]
+#[case::beside_hub(ReadCase { mode: WatchMode::BesideHub, lists: ALL, watches: ALL })]
+#[case::for_others(ReadCase { mode: WatchMode::ForOthers, lists: ALL, watches: ALL })]
+#[case::subscribed_member(ReadCase { mode: WatchMode::Fed, lists: &[], watches: &[] })]
 fn feeds_listed_and_watched_in_each_mode(#[case] case: ReadCase) {
     let listed: Vec<Feed> = ALL
         .iter()
@@ -87,7 +89,7 @@
 fn relayed_objects_stay_current_for_a_limited_time() {
     let hub = DaemonId::from("hub");
     let within = Duration::from_millis(1_700);
-    let mut subscription = FeedJoin::default();
+    let mut subscription = FeedSubscription::default();
     subscription.record_store_contact(Some(MonoTime(1_000)));
     assert!(
         !subscription.is_current(within, MonoTime(1_000)),
@@ -131,7 +133,7 @@
             .map(|(name, version)| ((*name).to_owned(), *version, Some(ByteBuf::from("{}"))))
             .collect(),
     };
-    let mut snapshot = FeedStock::default();
+    let mut snapshot = StoreSnapshot::default();
     if let Some(before) = case.before {
         snapshot.take(objects(before, true));
     }
@@ -185,8 +187,8 @@
 #[test]
 fn an_incomplete_snapshot_does_not_subscribe() {
     let hub = DaemonId::from("hub");
-    let mut snapshot = FeedStock::default();
-    let mut subscription = FeedJoin::default();
+    let mut snapshot = StoreSnapshot::default();
+    let mut subscription = FeedSubscription::default();
     for (number, feed) in [Feed::Daemons, Feed::Targets, Feed::Config]
         .into_iter()
         .enumerate()
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -3,17 +3,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pistachiowick::gateway::deciding::load::LoadBook;
+use pistachiowick::gateway::deciding::load::LoadTracker;
 use pistachiowick::gateway::deciding::stage_plan::WorkRate;
-use pistachiowick::gateway::members::{DaemonRecord, InstanceStrength};
-use pistachiowick::gateway::peers::PeerBook;
-use pistachiowick::gateway::peers::feeding::{FeedJoin, FeedStock};
-use pistachiowick::gateway::peers::hub::{HubBook, LinkKind, PeerRole, subtract};
-use pistachiowick::gateway::peers::seen::SeenWork;
-use pistachiowick::gateway::peers::wire::{FeedObjects, MemberNote, PeerHint, PeerMessage};
+use pistachiowick::gateway::members::{DaemonRecord, InstanceCapacity};
+use pistachiowick::gateway::peers::PeerTable;
+use pistachiowick::gateway::peers::feeding::{FeedSubscription, StoreSnapshot};
+use pistachiowick::gateway::peers::hub::{HubSelector, LinkKind, PeerRole, subtract};
+use pistachiowick::gateway::peers::seen::ObservedResults;
+use pistachiowick::gateway::peers::wire::{FeedObjects, MemberStatus, PeerHint, PeerMessage};
 use pistachiowick::gateway::store_follow::Feed;
 use pistachiowick::names::{CentreName, DaemonId, MonoTime, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
@@ -30,7 +30,7 @@
         peers: address,
         centre: CentreName::from(centre),
         leaving: false,
-        strength: InstanceStrength::default(),
+        strength: InstanceCapacity::default(),
     }
 }
 
@@ -56,7 +56,7 @@
         changing: Vec::new(),
         rate: WorkRate::default(),
         placed_through: 0,
-        seen: SeenWork::default(),
+        seen: ObservedResults::default(),
         clock: MonoTime(0),
         confirms_keys: true,
         wall: UnixTime(0),
@@ -64,8 +64,8 @@
     }
 }
 
-fn status(id: &str, age_ms: u32) -> MemberNote {
-    MemberNote {
+fn status(id: &str, age_ms: u32) -> MemberStatus {
+    MemberStatus {
         id: DaemonId::from(id),
         age_ms,
         leaving: false,
@@ -90,8 +90,8 @@
 fn roles_and_links(#[case] case: RoleCase) {
     let daemons = fleet(case.each);
     let local = DaemonId::from(case.local);
-    let mut hubs = HubBook::default();
-    let role = hubs.role(&local, &daemons, &PeerBook::default(), MonoTime(0));
+    let mut hubs = HubSelector::default();
+    let role = hubs.role(&local, &daemons, &PeerTable::default(), MonoTime(0));
     assert_eq!(role, (case.role)());
     assert_eq!(hubs.links(&role, &local, &daemons).len(), case.links);
 }
@@ -103,17 +103,17 @@
 fn a_silent_hub_is_replaced() {
     let daemons = fleet(10);
     let (member, next) = (DaemonId::from("a-03"), DaemonId::from("a-02"));
-    let mut hubs = HubBook::default();
-    let mut peers = PeerBook::default();
+    let mut hubs = HubSelector::default();
+    let mut peers = PeerTable::default();
     let first = PeerRole::Member(DaemonId::from("a-01"));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(0)), first);
     peers.record_hub(&status("a-01", 0), WorkRate::default(), MonoTime(2_000));
     assert_eq!(hubs.role(&member, &daemons, &peers, MonoTime(3_000)), first);
     let replaced = hubs.role(&member, &daemons, &peers, MonoTime(3_300));
     assert_eq!(replaced, PeerRole::Member(next.clone()));
-    let mut next_hubs = HubBook::default();
+    let mut next_hubs = HubSelector::default();
     next_hubs.record_hint(&member, MonoTime(3_400));
-    let role = next_hubs.role(&next, &daemons, &PeerBook::default(), MonoTime(3_500));
+    let role = next_hubs.role(&next, &daemons, &PeerTable::default(), MonoTime(3_500));
     assert_eq!(role, PeerRole::Hub);
     let links = next_hubs.links(&role, &next, &daemons);
     let to_member = links.iter().find(|(d, _)| d.id == member);
@@ -127,7 +127,7 @@
 #[test]
 fn a_hub_without_recent_store_contact_is_not_relied_on() {
     let hub = DaemonId::from("a-01");
-    let mut hubs = HubBook::default();
+    let mut hubs = HubSelector::default();
     assert!(!hubs.has_recent_store(&hub, STORE_TIMEOUT, MonoTime(0)));
     hubs.record_store_age(&hub, Duration::from_millis(900), MonoTime(5_000));
     assert!(hubs.has_recent_store(&hub, STORE_TIMEOUT, MonoTime(5_700)));
@@ -143,7 +143,7 @@
 #[test]
 fn a_hub_does_not_relay_the_state_of_other_hubs() {
     let now = MonoTime(1_000);
-    let mut peers = PeerBook::default();
+    let mut peers = PeerTable::default();
     peers.record_hint(&hint("a-02"), 1, now);
     peers.record_hub(&status("b-01", 0), WorkRate::default(), now);
     peers.record_member(&status("b-02", 100), WorkRate::default(), now);
@@ -155,7 +155,7 @@
 #[test]
 fn direct_state_precedes_relayed_state() {
     let daemons = fleet(10);
-    let mut peers = PeerBook::default();
+    let mut peers = PeerTable::default();
     let local = DaemonId::from("a-01");
     peers.set_known(&local, &daemons, MonoTime(0));
     let peer = DaemonId::from("a-02");
@@ -172,17 +172,17 @@
 
 #[test]
 fn a_member_subtracts_its_own_work_from_the_sum() {
-    let target = TargetLife::from("e");
-    let mut local = LoadBook::default();
+    let target = TargetIncarnation::from("e");
+    let mut local = LoadTracker::default();
     local.begin(&target, 1, 300);
-    let mut all = LoadBook::default();
+    let mut all = LoadTracker::default();
     all.begin(&target, 1, 300);
     all.begin(&target, 1, 500);
     let mut sum = all.summed(|_| true);
     subtract(&mut sum, local.own());
-    local.set_other(DaemonId::from("hub"), sum, MonoTime(0));
+    local.set_peer_work(DaemonId::from("hub"), sum, MonoTime(0));
     assert_eq!(local.total(&target).running, 2);
-    assert_eq!(local.total(&target).unread_before(1), 800);
+    assert_eq!(local.total(&target).prefill_tokens_before(1), 800);
 }
 
 #[test]
@@ -201,7 +201,7 @@
             })
             .collect(),
     };
-    let mut snapshot = FeedStock::default();
+    let mut snapshot = StoreSnapshot::default();
     snapshot.take(objects(true, &[("gone", Some(b"1")), ("old", Some(b"2"))]));
     snapshot.take(objects(true, &[("a", Some(b"1")), ("b", Some(b"2"))]));
     snapshot.take(objects(false, &[("b", None), ("c", Some(b"3"))]));
@@ -233,7 +233,7 @@
     let snapshot = |objects: &[(&str, u64)]| {
         let objects = objects.iter();
         let value = || Some(ByteBuf::from(b"1".to_vec()));
-        let mut snapshot = FeedStock::default();
+        let mut snapshot = StoreSnapshot::default();
         snapshot.take(FeedObjects {
             feed: Feed::Targets,
             whole: true,
@@ -284,7 +284,7 @@
 #[case::other_hub(SubscriptionCase { sources: &[Some("hub"), Some("next")], responses: &[("hub", 1)], subscribed: false })]
 #[case::other_hub_responded(SubscriptionCase { sources: &[Some("hub"), Some("next")], responses: &[("next", 2)], subscribed: true })]
 fn a_member_subscribes_by_the_response_to_its_latest_request(#[case] case: SubscriptionCase) {
-    let mut subscription = FeedJoin::default();
+    let mut subscription = FeedSubscription::default();
     for (second, hub) in case.sources.iter().enumerate() {
         let now = MonoTime(10_000 + 1_000 * second as u64);
         subscription.subscribe(hub.map(DaemonId::from).as_ref(), now);
@@ -301,7 +301,7 @@
 #[test]
 fn a_lost_hub_or_a_new_link_ends_the_subscription() {
     let hub = DaemonId::from("hub");
-    let mut subscription = FeedJoin::default();
+    let mut subscription = FeedSubscription::default();
     assert_eq!(subscription.subscribe(Some(&hub), MonoTime(1_000)), Some(1));
     assert_eq!(subscription.subscribe(Some(&hub), MonoTime(1_200)), None);
     assert!(subscription.awaits(&hub, 1));
@@ -338,7 +338,7 @@
     record.expect("it is there").strength.core_thousandths = 500;
     let role = |local: &str, daemons: &[DaemonRecord]| {
         let local = DaemonId::from(local);
-        HubBook::default().role(&local, daemons, &PeerBook::default(), MonoTime(0))
+        HubSelector::default().role(&local, daemons, &PeerTable::default(), MonoTime(0))
     };
     assert_eq!(role("a-01", &daemons), PeerRole::Member(strong.clone()));
     assert_eq!(role("a-07", &daemons), PeerRole::Hub);
@@ -366,11 +366,11 @@
 fn one_hub_watches_the_store(#[case] case: StoreHubCase) {
     let daemons = fleet(10);
     let local = DaemonId::from(case.local);
-    let mut peers = PeerBook::default();
+    let mut peers = PeerTable::default();
     for (hub, at) in case.last_messages {
         peers.record_hub(&status(hub, 0), WorkRate::default(), MonoTime(*at));
     }
-    let mut hubs = HubBook::default();
+    let mut hubs = HubSelector::default();
     hubs.role(&local, &daemons, &peers, MonoTime(5_000));
     let watched_by = hubs.store_hub(&local, &daemons, &peers, MonoTime(5_000));
     assert_eq!(watched_by, case.watched_by.map(DaemonId::from));
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use pistachiowick::gateway::deciding::load::LoadBook;
-use pistachiowick::gateway::peers::placing::PlacingDesk;
-use pistachiowick::gateway::peers::wire::{PlaceAnswer, PlaceQuestion, PlacedEngines};
+use pistachiowick::gateway::deciding::load::LoadTracker;
+use pistachiowick::gateway::peers::placing::PlacementClient;
+use pistachiowick::gateway::peers::wire::{PlacedEngines, PlacementRequest, PlacementResponse};
 use pistachiowick::names::{DaemonId, MonoTime, ServiceName};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 const NOW: MonoTime = MonoTime(10_000);
@@ -15,8 +15,8 @@
     NOW.plus(Duration::from_millis(ms))
 }
 
-fn request() -> PlaceQuestion {
-    PlaceQuestion {
+fn request() -> PlacementRequest {
+    PlacementRequest {
         from: DaemonId::from("member"),
         life: 1,
         number: 0,
@@ -33,7 +33,7 @@
 fn engines(writer: &str) -> PlacedEngines {
     PlacedEngines {
         reader: None,
-        writer: TargetLife::from(writer),
+        writer: TargetIncarnation::from(writer),
         fetch_from: None,
         rank: 1,
         expected_ms: 100.0,
@@ -64,19 +64,21 @@
 #[case::reported_and_prefilled(PlacementCase { reported: Some(5), reported_tokens: 0, wait_ms: 100, unread: 0 })]
 #[case::member_is_gone(PlacementCase { reported: None, reported_tokens: 0, wait_ms: 1_000, unread: 0 })]
 fn a_placement_counts_once(#[case] case: PlacementCase) {
-    let (member, engine) = (DaemonId::from("member"), TargetLife::from("e1"));
-    let mut load = LoadBook::default();
+    let (member, engine) = (DaemonId::from("member"), TargetIncarnation::from("e1"));
+    let mut load = LoadTracker::default();
     load.promise((&member, 4), &engine, (1, 1_000), NOW);
     if let Some(through) = case.reported {
-        let mut own = LoadBook::default();
+        let mut own = LoadTracker::default();
         own.begin(&engine, 1, case.reported_tokens);
-        load.settle_promises(&member, through);
-        load.set_other(member, own.own().clone(), after(50));
+        load.release_reservations(&member, through);
+        load.set_peer_work(member, own.own().clone(), after(50));
     }
     load.expire(after(case.wait_ms));
-    assert_eq!(load.total(&engine).unread_before(1), case.unread);
+    assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
     let summed = load.summed(|_| true);
-    let summed = summed.get(&engine).map_or(0, |work| work.unread_before(1));
+    let summed = summed
+        .get(&engine)
+        .map_or(0, |work| work.prefill_tokens_before(1));
     assert_eq!(summed, case.unread);
 }
 
@@ -94,22 +96,22 @@
 #[case::newer(LatePlacementCase { through: 4, number: 5, unread: 1_500 })]
 #[case::of_the_next_incarnation(LatePlacementCase { through: 0, number: 1, unread: 1_500 })]
 fn a_placement_after_its_sum_does_not_count_twice(#[case] case: LatePlacementCase) {
-    let (hub, engine) = (DaemonId::from("hub"), TargetLife::from("e1"));
-    let mut load = LoadBook::default();
-    load.settle_promises(&hub, 90);
-    load.settle_promises(&hub, case.through);
-    let mut reported = LoadBook::default();
+    let (hub, engine) = (DaemonId::from("hub"), TargetIncarnation::from("e1"));
+    let mut load = LoadTracker::default();
+    load.release_reservations(&hub, 90);
+    load.release_reservations(&hub, case.through);
+    let mut reported = LoadTracker::default();
     reported.begin(&engine, 1, 500);
-    load.set_other(hub.clone(), reported.own().clone(), NOW);
+    load.set_peer_work(hub.clone(), reported.own().clone(), NOW);
     load.promise((&hub, case.number), &engine, (1, 1_000), NOW);
     load.expire(after(50));
-    assert_eq!(load.total(&engine).unread_before(1), case.unread);
+    assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
 }
 
 #[test]
 fn a_response_reaches_its_own_request() {
     let hub = DaemonId::from("hub");
-    let mut client = PlacingDesk::default();
+    let mut client = PlacementClient::default();
     let mut queue = client.open_link(&hub);
     assert!(
         client.send_request(request(), NOW).is_none(),
@@ -126,19 +128,19 @@
         (99, "stray"),
     ] {
         let engines = Some(engines(writer));
-        client.deliver_response(PlaceAnswer { number, engines });
+        client.deliver_response(PlacementResponse { number, engines });
     }
     let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.writer);
     let first = first_wait.try_recv().expect("an answer");
     let second = second_wait.try_recv().expect("an answer");
-    assert_eq!(writer(first), Some(TargetLife::from("e1")));
-    assert_eq!(writer(second), Some(TargetLife::from("e2")));
+    assert_eq!(writer(first), Some(TargetIncarnation::from("e1")));
+    assert_eq!(writer(second), Some(TargetIncarnation::from("e2")));
 }
 
 // When the hub hangs, one request waits for its response; the next ones do not.
 #[test]
 fn an_unresponsive_hub_gets_no_requests_for_a_while() {
-    let mut client = PlacingDesk::default();
+    let mut client = PlacementClient::default();
     let _queue = client.open_link(&DaemonId::from("hub"));
     client.set_placement_hub(Some(DaemonId::from("hub")));
     let (number, _wait) = client.send_request(request(), NOW).expect("a request");
@@ -154,7 +156,7 @@
 #[test]
 fn no_request_is_sent_on_a_closed_link() {
     let hub = DaemonId::from("hub");
-    let mut client = PlacingDesk::default();
+    let mut client = PlacementClient::default();
     client.set_placement_hub(Some(hub.clone()));
     assert!(client.send_request(request(), NOW).is_none(), "no link yet");
     drop(client.open_link(&hub));
--- a/tests/gateway_proofs.rs
+++ b/tests/gateway_proofs.rs
@@ -1,6 +1,6 @@
 //! Until when a daemon's configuration is confirmed to be the newest one.
 
-use pistachiowick::gateway::peers::proofs::{ClockEcho, ProofBook, ProofNote};
+use pistachiowick::gateway::peers::freshness::{ClockEcho, ConfigFreshness, FreshnessTracker};
 use pistachiowick::names::{DaemonId, MonoTime};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -29,7 +29,7 @@
 #[case::older_than_this_incarnation(ReportCase { version: 20, age_ms: Some(9_000), received: ("own", 7, 5_000), confirmed: Some(0) })]
 fn what_a_report_confirms(#[case] case: ReportCase) {
     let (daemon, life, clock) = case.received;
-    let freshness = ProofNote {
+    let freshness = ConfigFreshness {
         clock: MonoTime(1),
         version: case.version,
         age_ms: case.age_ms,
@@ -39,7 +39,7 @@
             clock: MonoTime(clock),
         }),
     };
-    let mut tracker = ProofBook::default();
+    let mut tracker = FreshnessTracker::default();
     tracker.apply(
         &freshness,
         (&DaemonId::from("own"), LOCAL_INCARNATION),
@@ -83,17 +83,17 @@
         local_ahead in 0..50_000_u64,
     ) {
         let local = DaemonId::from("own");
-        let mut tracker = ProofBook::default();
+        let mut tracker = FreshnessTracker::default();
         for report in &reports {
             let by = report.sent;
             // What the hub knows when it sends its report, in real time.
             let responded = answers.iter().filter(|a| a.sent + a.transit <= by).map(|a| a.sent).max();
             let received = hints.iter().filter(|h| h.sent + h.transit <= by).map(|h| h.sent).max();
-            let mut hub = ProofBook::default();
+            let mut hub = FreshnessTracker::default();
             if let Some(received) = received {
                 hub.record_clock(&local, LOCAL_INCARNATION, MonoTime(received + local_ahead));
             }
-            let freshness = ProofNote {
+            let freshness = ConfigFreshness {
                 clock: MonoTime(by + hub_ahead),
                 version: LOCAL_VERSION,
                 age_ms: responded.map(|responded| by - responded),
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -3,16 +3,16 @@
 mod gateway_samples;
 
 use gateway_samples::{SERVICE, config, engine, engine_config, route, target};
-use pistachiowick::gateway::fleet::leave_out_strangers;
+use pistachiowick::gateway::fleet::remove_unconfigured;
 use pistachiowick::gateway::model::{EngineStage, TargetRecord};
-use pistachiowick::gateway::peers::entry_turns::EntryTurns;
-use pistachiowick::gateway::port::WireFault;
+use pistachiowick::gateway::peers::entry_broadcasts::EntryBroadcasts;
+use pistachiowick::gateway::port::WireError;
 use pistachiowick::gateway::registry::{
-    EntryContent, EntryNews, EntryNote, EntrySource, KeptNote, TargetRegistry,
+    EntryChange, EntryContent, EntrySource, EntryUpdate, RecentUpdate, TargetRegistry,
 };
 use pistachiowick::gateway::routes::RouteTable;
 use pistachiowick::names::{MonoTime, ServiceName, TargetId, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 
@@ -118,10 +118,10 @@
 fn a_departure_noticed_by_an_answer_counts_like_an_announced_one() {
     let mut registry = TargetRegistry::default();
     take(&mut registry, named(record("a"), 0), 1);
-    registry.depart(&TargetLife::from("a"), MonoTime(2));
+    registry.depart(&TargetIncarnation::from("a"), MonoTime(2));
     take(&mut registry, named(record("a"), 0), 3);
     assert!(left(&registry).is_empty());
-    assert!(registry.has_departed(&TargetLife::from("a")));
+    assert!(registry.has_departed(&TargetIncarnation::from("a")));
 }
 
 fn apply(registry: &mut TargetRegistry, step: &Step, now: MonoTime) {
@@ -158,7 +158,7 @@
 
 struct LifeCase {
     // What the store or a daemon shows, in order, by revision.
-    news: fn() -> Vec<EntryNews>,
+    news: fn() -> Vec<EntryChange>,
     // Start of the life that gets work at the end.
     serving: Option<u64>,
 }
@@ -227,11 +227,11 @@
 
 struct EndCase {
     // What this daemon saw of entry "a", by revision, while the store answered or not.
-    news: fn() -> Vec<EntryNews>,
+    news: fn() -> Vec<EntryChange>,
     missing: bool,
     // Revision up to which another daemon tells that the entry is over.
     told: u64,
-    late: fn() -> Vec<EntryNews>,
+    late: fn() -> Vec<EntryChange>,
     left: &'static [&'static str],
 }
 
@@ -310,8 +310,8 @@
     let late = MonoTime(95_000);
     registry.expire(late);
     assert!(!registry.take_end(&name, 11, late));
-    let kept: Vec<KeptNote> = registry.notes().cloned().collect();
-    assert!(EntryTurns::default().pick(&kept, late).is_empty());
+    let kept: Vec<RecentUpdate> = registry.notes().cloned().collect();
+    assert!(EntryBroadcasts::default().pick(&kept, late).is_empty());
 }
 
 // Guards against an end that members of a hub never hear which were cut off: the hub has it
@@ -390,15 +390,15 @@
 #[case::one_told_for_long(TurnCase { at: 21_100, told: &[2] })]
 #[case::both_told_for_long(TurnCase { at: 40_000, told: &[] })]
 fn which_ends_a_word_carries(#[case] case: TurnCase) {
-    let noted = |revision: u64, at: u64| KeptNote {
-        note: EntryNote {
+    let noted = |revision: u64, at: u64| RecentUpdate {
+        note: EntryUpdate {
             name: TargetId::from("a"),
             revision,
             value: None,
         },
         at: MonoTime(at),
     };
-    let mut turns = EntryTurns::default();
+    let mut turns = EntryBroadcasts::default();
     let first = [noted(1, 0)];
     assert_eq!(turns.pick(&first, MonoTime(9_000)).len(), 1);
     let all = [noted(1, 0), noted(2, 9_300)];
@@ -411,16 +411,16 @@
 // and against begins that are never told then.
 #[test]
 fn begins_go_into_words_by_turns() {
-    let begun = |number: usize| KeptNote {
-        note: EntryNote {
+    let begun = |number: usize| RecentUpdate {
+        note: EntryUpdate {
             name: TargetId::from(format!("t{number}")),
             revision: 1 + number as u64,
             value: Some(ByteBuf::from(vec![b' '; 300])),
         },
         at: MonoTime(9_000),
     };
-    let begins: Vec<KeptNote> = (0..40).map(begun).collect();
-    let mut turns = EntryTurns::default();
+    let begins: Vec<RecentUpdate> = (0..40).map(begun).collect();
+    let mut turns = EntryBroadcasts::default();
     let mut told: Vec<u64> = Vec::new();
     for tick in 0..75 {
         let word = turns.pick(&begins, MonoTime(9_000 + 40 * tick));
@@ -495,44 +495,44 @@
         config(1, routes)
     };
     let mut targets = registry.by_service();
-    leave_out_strangers(&mut targets, &RouteTable::from(routes));
+    remove_unconfigured(&mut targets, &RouteTable::from(routes));
     let left: Vec<&str> = targets.values().flatten().map(|r| r.id.as_str()).collect();
     assert_eq!(left, case.left);
 }
 
-fn take(registry: &mut TargetRegistry, news: EntryNews, at: u64) {
+fn take(registry: &mut TargetRegistry, news: EntryChange, at: u64) {
     registry.take(news, EntrySource::Store, MonoTime(at));
 }
 
-fn named(record: TargetRecord, revision: u64) -> EntryNews {
-    EntryNews {
+fn named(record: TargetRecord, revision: u64) -> EntryChange {
+    EntryChange {
         name: record.id.name().clone(),
         revision,
         content: EntryContent::Named(record),
     }
 }
 
-fn gone(name: &str, revision: u64) -> EntryNews {
-    EntryNews {
+fn gone(name: &str, revision: u64) -> EntryChange {
+    EntryChange {
         name: TargetId::from(name),
         revision,
         content: EntryContent::Gone,
     }
 }
 
-fn unreadable(name: &str, revision: u64) -> EntryNews {
-    EntryNews {
+fn unreadable(name: &str, revision: u64) -> EntryChange {
+    EntryChange {
         name: TargetId::from(name),
         revision,
-        content: EntryContent::Unreadable(WireFault::new("state", "asleep", "ready or draining")),
+        content: EntryContent::Unreadable(WireError::new("state", "asleep", "ready or draining")),
     }
 }
 
-fn life_of(born: u64) -> TargetLife {
-    TargetLife::new(TargetId::from("a"), Some(UnixTime(born)))
+fn life_of(born: u64) -> TargetIncarnation {
+    TargetIncarnation::new(TargetId::from("a"), Some(UnixTime(born)))
 }
 
-fn life(born: u64, revision: u64) -> EntryNews {
+fn life(born: u64, revision: u64) -> EntryChange {
     let record = TargetRecord {
         id: life_of(born),
         ..record("a")
@@ -540,7 +540,7 @@
     named(record, revision)
 }
 
-fn leaving(born: u64, revision: u64) -> EntryNews {
+fn leaving(born: u64, revision: u64) -> EntryChange {
     let record = TargetRecord {
         id: life_of(born),
         leaving: true,
--- a/tests/gateway_samples/mod.rs
+++ b/tests/gateway_samples/mod.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use pistachiowick::gateway::model::{
-    CallerLimits, EngineLimits, EngineStage, FleetConfig, RepeatRule, RouteRule, ServiceRule,
+    CallerLimits, EngineLimits, EngineStage, FleetConfig, RetryRule, RouteRule, ServiceRule,
     ServiceShare, TargetRecord,
 };
 use pistachiowick::names::{CentreName, ServiceName};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 
 /// Service of the sample routes.
 pub const SERVICE: &str = "ledger";
@@ -19,12 +19,12 @@
         name: name.to_owned(),
         host: host.to_owned(),
         path_prefix: path_prefix.to_owned(),
-        repeat: RepeatRule::Idempotent,
+        repeat: RetryRule::Idempotent,
         time_limit: Duration::from_secs(4),
         objective: Duration::from_millis(400),
         gap_objective: Some(Duration::from_millis(300)),
         urgency: 1,
-        most_targets: 2,
+        max_targets: 2,
         shares: vec![ServiceShare {
             service: ServiceName::from(SERVICE),
             weight: 1,
@@ -40,15 +40,15 @@
         routes,
         services: vec![ServiceRule {
             name: ServiceName::from(SERVICE),
-            most_connections: 100,
+            max_connections: 100,
             engine: None,
             scaling: None,
         }],
         limits: CallerLimits {
             head_bytes: 16_384,
             body_bytes: 65_536,
-            head_time: Duration::from_secs(1),
-            idle_time: Duration::from_secs(5),
+            header_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(5),
         },
         workspaces: None,
     }
@@ -67,7 +67,7 @@
 /// A target of [`SERVICE`] that stays.
 pub fn target(id: &str, address: &str) -> TargetRecord {
     TargetRecord {
-        id: TargetLife::from(id),
+        id: TargetIncarnation::from(id),
         service: ServiceName::from(SERVICE),
         address: address.parse().expect("an address"),
         centre: CentreName::from("hall-a"),
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -5,11 +5,11 @@
 
 use pistachiowick::gateway::deciding::engine_model::EngineWork;
 use pistachiowick::gateway::deciding::health::SendResult;
-use pistachiowick::gateway::deciding::{DecisionCore, EngineChoices, PlaceOrder, TimedWork};
+use pistachiowick::gateway::deciding::{DecisionCore, EngineCandidates, PlacementQuery, TimedWork};
 use pistachiowick::gateway::model::{EngineStage, PromptShape, TargetRecord};
-use pistachiowick::gateway::peers::seen::SeenWork;
+use pistachiowick::gateway::peers::seen::ObservedResults;
 use pistachiowick::names::MonoTime;
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 mod gateway_samples;
@@ -30,9 +30,9 @@
 #[case::silent_twice(ResultsCase { results: &[("a", SendResult::Silent), ("a", SendResult::Silent)], conclusive: &[("a", SendResult::Silent)] })]
 #[case::cut_off(ResultsCase { results: &[("a", SendResult::Silent), ("b", SendResult::Silent), ("c", SendResult::Silent), ("d", SendResult::Answered)], conclusive: &[("d", SendResult::Answered)] })]
 fn results_of_a_member_that_is_cut_off_are_ignored(#[case] case: ResultsCase) {
-    let mut seen = SeenWork::default();
+    let mut seen = ObservedResults::default();
     for (target, result) in case.results {
-        seen.note_result(&TargetLife::from(*target), *result);
+        seen.note_result(&TargetIncarnation::from(*target), *result);
     }
     let reported: Vec<(&str, SendResult)> = seen
         .conclusive_results()
@@ -41,14 +41,14 @@
     assert_eq!(reported, case.conclusive);
 }
 
-fn chosen(core: &DecisionCore, engines: &[Arc<TargetRecord>], now: MonoTime) -> TargetLife {
+fn chosen(core: &DecisionCore, engines: &[Arc<TargetRecord>], now: MonoTime) -> TargetIncarnation {
     let prompt = PromptShape {
         prompt_tokens: 1_460,
         output_tokens: 25,
         ..PromptShape::default()
     };
-    let order = PlaceOrder {
-        choices: EngineChoices {
+    let order = PlacementQuery {
+        choices: EngineCandidates {
             engines,
             changing: &[],
             excluded: &[],
@@ -84,7 +84,7 @@
     let first = chosen(&core, &engines, now);
     let faulty = engines.iter().find(|e| e.id == first).expect("one of them");
     for _member in 0..2 {
-        let mut seen = SeenWork::default();
+        let mut seen = ObservedResults::default();
         if let Some(result) = case.reported {
             seen.note_result(&faulty.id, result);
         }
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -3,10 +3,10 @@
 use indexmap::IndexSet;
 use pistachiowick::gateway::deciding::load::TargetWork;
 use pistachiowick::gateway::deciding::stage_plan::WorkRate;
-use pistachiowick::gateway::peers::note_turns::NoteTurns;
-use pistachiowick::gateway::peers::wire::{MemberNote, PeerMessage, PeerSummary};
+use pistachiowick::gateway::peers::member_broadcasts::MemberBroadcasts;
+use pistachiowick::gateway::peers::wire::{MemberStatus, PeerMessage, PeerSummary};
 use pistachiowick::names::{DaemonId, TargetId, UnixTime};
-use pistachiowick::target_life::TargetLife;
+use pistachiowick::target_incarnation::TargetIncarnation;
 use rstest::rstest;
 
 /// Daemons of a large fleet, in three data centres.
@@ -17,8 +17,8 @@
 /// summaries a second to each, and half of the link is for callers.
 const MAX_BYTES: usize = 25_000;
 
-fn status(index: usize) -> MemberNote {
-    MemberNote {
+fn status(index: usize) -> MemberStatus {
+    MemberStatus {
         id: DaemonId::from(format!("gateway-{index:03}").as_str()),
         age_ms: 180,
         leaving: false,
@@ -28,13 +28,13 @@
     }
 }
 
-fn fleet(count: usize) -> Vec<MemberNote> {
+fn fleet(count: usize) -> Vec<MemberStatus> {
     (0..count).map(status).collect()
 }
 
-fn work(index: usize) -> (TargetLife, TargetWork) {
+fn work(index: usize) -> (TargetIncarnation, TargetWork) {
     let started = UnixTime(1_790_000_000_000 + index as u64);
-    let life = TargetLife::new(
+    let life = TargetIncarnation::new(
         TargetId::from(format!("llm-pool-{index:04}").as_str()),
         Some(started),
     );
@@ -47,7 +47,7 @@
     (life, work)
 }
 
-fn summary(broadcasts: &mut NoteTurns) -> PeerMessage {
+fn summary(broadcasts: &mut MemberBroadcasts) -> PeerMessage {
     let mut members = broadcasts.due_members(fleet(DAEMONS - 1));
     members.push(status(DAEMONS));
     PeerMessage::Summary(PeerSummary {
@@ -73,7 +73,7 @@
 // changes of the configuration would wait behind summaries, and callers behind both.
 #[test]
 fn summaries_of_a_large_fleet_leave_half_of_the_hubs_link() {
-    let mut broadcasts = NoteTurns::default();
+    let mut broadcasts = MemberBroadcasts::default();
     // The first summary contains all daemons, the next ones a part in rotation.
     let _ = summary(&mut broadcasts);
     for _ in 0..4 {
@@ -84,7 +84,7 @@
 
 #[test]
 fn each_daemon_is_included_within_two_summaries() {
-    let mut broadcasts = NoteTurns::default();
+    let mut broadcasts = MemberBroadcasts::default();
     let _ = broadcasts.due_members(fleet(DAEMONS));
     for _ in 0..3 {
         let summaries = [
@@ -101,7 +101,7 @@
 }
 
 struct ChangeCase {
-    change: fn(&mut MemberNote),
+    change: fn(&mut MemberStatus),
     at_once: bool,
 }
 
@@ -111,11 +111,11 @@
 #[rstest]
 #[case::leaving(ChangeCase { change: |status| status.leaving = true, at_once: true })]
 #[case::keys_not_confirmed(ChangeCase { change: |status| status.confirms_keys = false, at_once: true })]
-#[case::changing_a_stage(ChangeCase { change: |status| status.changing = vec![TargetLife::from("engine")], at_once: true })]
+#[case::changing_a_stage(ChangeCase { change: |status| status.changing = vec![TargetIncarnation::from("engine")], at_once: true })]
 #[case::new_contact(ChangeCase { change: |status| status.age_ms = 20, at_once: false })]
 fn changes_that_are_sent_at_once(#[case] case: ChangeCase) {
     for summaries in 0..2 {
-        let mut broadcasts = NoteTurns::default();
+        let mut broadcasts = MemberBroadcasts::default();
         for _ in 0..=summaries {
             let _ = broadcasts.due_members(fleet(DAEMONS));
         }
@@ -129,7 +129,7 @@
 #[test]
 fn a_daemon_that_comes_back_is_included_at_once() {
     for summaries in 0..2 {
-        let mut broadcasts = NoteTurns::default();
+        let mut broadcasts = MemberBroadcasts::default();
         for _ in 0..=summaries {
             let _ = broadcasts.due_members(fleet(DAEMONS));
         }
