--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -363,7 +363,7 @@
     supervise("held work", quarantine::run(gateway.clone()));
     supervise("stages", stage_control::run(gateway.clone()));
     if let Some(duties) = gateway.settings().duties {
-        supervise("duties", duties::run(gateway.clone(), duties));
+        supervise("duties", fleet_tasks::run(gateway.clone(), duties));
     }
     let reloading = reload::run(gateway.clone(), signals.settings_path, signals.reload);
     supervise("settings", reloading);
