--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -65,15 +65,15 @@
     /// The other daemons.
     pub peers: RefCell<PeerTable>,
     /// As of when the configuration is known to be the newest one.
-    pub proofs: RefCell<FreshnessTracker>,
+    pub freshness: RefCell<FreshnessTracker>,
     /// Usage counted here and heard, and true time.
     pub duties: RefCell<UsageMeter>,
     /// Whom to ask for places on engines.
-    pub placing: RefCell<PlacementClient>,
+    pub placement_client: RefCell<PlacementClient>,
     /// What this daemon has placed as a hub.
     pub placements: RefCell<PlacementOutbox>,
     /// Wakes up who tells the other hubs of it.
-    pub placed: Notify,
+    pub placements_changed: Notify,
     /// Hubs that are told of it.
     pub other_hubs: RefCell<Vec<DaemonId>>,
     /// Who is whose hub.
@@ -81,15 +81,15 @@
     /// Whether a hub is relied on for the store's objects.
     pub feed_subscription: RefCell<FeedSubscription>,
     /// What is passed on by a hub: what engines came to hold, whom it tells of when.
-    pub relayed: RefCell<RelayQueue>,
+    pub relay_queue: RefCell<RelayQueue>,
     /// Which notes on entries were told when.
     pub entry_broadcasts: RefCell<EntryBroadcasts>,
     /// What own sends showed, to be told to the hub.
-    pub seen: RefCell<ObservedResults>,
+    pub observed_results: RefCell<ObservedResults>,
     /// Own work as last told.
     pub last_sent_work: RefCell<WorkByTarget>,
     /// The store's objects, to be passed on by a hub.
-    pub stock: RefCell<StoreSnapshot>,
+    pub store_snapshot: RefCell<StoreSnapshot>,
     /// Changes of the store's objects for links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
@@ -206,19 +206,19 @@
             fleet,
             pool: Rc::default(),
             peers: RefCell::default(),
-            proofs: RefCell::default(),
+            freshness: RefCell::default(),
             duties: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
-            placing: RefCell::default(),
+            placement_client: RefCell::default(),
             placements: RefCell::default(),
-            placed: Notify::new(),
+            placements_changed: Notify::new(),
             other_hubs: RefCell::default(),
             hubs: RefCell::default(),
             feed_subscription: RefCell::default(),
-            relayed: RefCell::default(),
+            relay_queue: RefCell::default(),
             entry_broadcasts: RefCell::default(),
-            seen: RefCell::default(),
+            observed_results: RefCell::default(),
             last_sent_work: RefCell::default(),
-            stock: RefCell::default(),
+            store_snapshot: RefCell::default(),
             feed_changes: ChangeSenders::default(),
             duty: Cell::new(duty),
             started: clock::mono_now(),
--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -29,7 +29,7 @@
 
 impl EntryBroadcasts {
     /// Returns the changes that go into a message now, out of all recorded ones.
-    pub fn pick(&mut self, notes: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
+    pub fn due_changes(&mut self, notes: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
         let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
         let is_full = !self.last_full_at.is_some_and(is_recent);
         let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -344,10 +344,10 @@
 
     // Other hubs rely only on a hub that watches the store itself; members rely on any hub
     // that knows when the store last responded.
-    pub(super) fn store_age_ms(&self, whole: bool, now: MonoTime) -> u32 {
+    pub(super) fn store_age_ms(&self, whole_fleet: bool, now: MonoTime) -> u32 {
         let age = match self.duty.get() {
             WatchMode::ForOthers => self.pulse.age(now),
-            WatchMode::Fed if whole => self.feed_subscription.borrow().store_age(now),
+            WatchMode::Fed if whole_fleet => self.feed_subscription.borrow().store_age(now),
             _ => Duration::MAX,
         };
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
@@ -355,7 +355,7 @@
 
     // Stores objects for daemons that connect, and relays the changes to connected ones.
     fn update_snapshot(&self, objects: FeedObjects) {
-        if let Some(changes) = self.stock.borrow_mut().take(objects) {
+        if let Some(changes) = self.store_snapshot.borrow_mut().take(objects) {
             let feed = changes.feed;
             self.feed_changes
                 .send(feed, PeerMessage::Objects(changes).encode());
@@ -367,33 +367,35 @@
         let (Some(hub), Some(number)) = (hub, number) else {
             return;
         };
-        let request = PeerMessage::WantStock(SnapshotRequest {
+        let request = PeerMessage::SnapshotRequest(SnapshotRequest {
             from: self.daemon.clone(),
-            life: self.life,
+            incarnation: self.life,
             number,
-            known: self.stock.borrow().digests(),
+            known: self.store_snapshot.borrow().digests(),
         });
         // Without a link, the request is sent again a second later.
-        self.placing.borrow().send(hub, &request);
+        self.placement_client.borrow().send(hub, &request);
     }
 
     pub(super) fn answer_snapshot_request(&self, request: &SnapshotRequest) {
         let view = self.view();
-        let requester = (&request.from, request.life);
+        let requester = (&request.from, request.incarnation);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == requester) {
             return;
         }
-        if !self.stock.borrow().is_complete() {
+        if !self.store_snapshot.borrow().is_complete() {
             // The requester asks again a second later.
             return;
         }
-        let response = PeerMessage::Stock(SnapshotResponse {
+        let response = PeerMessage::SnapshotResponse(SnapshotResponse {
             from: self.daemon.clone(),
             number: request.number,
-            feeds: self.stock.borrow().missing(&request.known),
+            feeds: self.store_snapshot.borrow().missing(&request.known),
         });
         // A requester whose link is not up yet asks again.
-        self.placing.borrow().send(&request.from, &response);
+        self.placement_client
+            .borrow()
+            .send(&request.from, &response);
     }
 
     pub(super) fn apply_snapshot(&self, response: SnapshotResponse) {
@@ -407,7 +409,7 @@
         for objects in response.feeds {
             self.apply_objects(objects);
         }
-        let complete = self.stock.borrow().is_complete();
+        let complete = self.store_snapshot.borrow().is_complete();
         self.feed_subscription
             .borrow_mut()
             .apply_snapshot(&response.from, complete);
--- a/src/gateway/peers/freshness.rs
+++ b/src/gateway/peers/freshness.rs
@@ -19,7 +19,8 @@
     /// The daemon.
     pub daemon: DaemonId,
     /// Its incarnation; each has its own clock.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Its clock when it sent the message.
     pub clock: MonoTime,
 }
@@ -46,8 +47,8 @@
 
 impl FreshnessTracker {
     /// Records the clock of a daemon, as received from it.
-    pub fn record_clock(&mut self, daemon: &DaemonId, life: u64, clock: MonoTime) {
-        self.clocks.insert(daemon.clone(), (life, clock));
+    pub fn record_clock(&mut self, daemon: &DaemonId, incarnation: u64, clock: MonoTime) {
+        self.clocks.insert(daemon.clone(), (incarnation, clock));
     }
 
     /// Removes the clocks of daemons that are not `known`.
@@ -58,10 +59,10 @@
     /// Returns the clock last received from a daemon.
     #[must_use]
     pub fn echo(&self, daemon: &DaemonId) -> Option<ClockEcho> {
-        let (life, clock) = self.clocks.get(daemon)?;
+        let (incarnation, clock) = self.clocks.get(daemon)?;
         Some(ClockEcho {
             daemon: daemon.clone(),
-            life: *life,
+            incarnation: *incarnation,
             clock: *clock,
         })
     }
@@ -73,7 +74,7 @@
         let Some(age_ms) = report.age_ms.filter(|_| report.version <= local_version) else {
             return;
         };
-        let is_own = |echo: &&ClockEcho| (&echo.daemon, echo.life) == local;
+        let is_own = |echo: &&ClockEcho| (&echo.daemon, echo.incarnation) == local;
         if let Some(echo) = report.echo.as_ref().filter(is_own) {
             let at = MonoTime(echo.clock.0.saturating_sub(age_ms));
             self.confirmed_at = self.confirmed_at.max(Some(at));
@@ -93,7 +94,7 @@
     /// If read before the configuration itself, the value holds for that configuration too.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
-        let by_peers = self.proofs.borrow().confirmed_at();
+        let by_peers = self.freshness.borrow().confirmed_at();
         self.pulse.confirmed_at().max(by_peers)
     }
 
@@ -123,27 +124,27 @@
         let confirmed = self.confirmed_at();
         let view = self.view();
         let routes = view.routes.as_ref().filter(|r| r.requires_keys())?;
-        Some(PeerMessage::Proof(FreshnessUpdate {
+        Some(PeerMessage::Freshness(FreshnessUpdate {
             from: self.daemon.clone(),
-            life: self.life,
-            proof: ConfigFreshness {
+            incarnation: self.life,
+            freshness: ConfigFreshness {
                 clock: now,
                 version: routes.version,
                 age_ms: confirmed.map(|at| millis(now.since(at))),
-                echo: self.proofs.borrow().echo(receiver),
+                echo: self.freshness.borrow().echo(receiver),
             },
         }))
     }
 
     pub(super) fn apply_freshness(&self, update: &FreshnessUpdate) {
         let view = self.view();
-        let sender = (&update.from, update.life);
+        let sender = (&update.from, update.incarnation);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
             return;
         }
         let version = view.routes.as_ref().map_or(0, |r| r.version);
-        let mut proofs = self.proofs.borrow_mut();
-        proofs.record_clock(&update.from, update.life, update.proof.clock);
-        proofs.apply(&update.proof, (&self.daemon, self.life), version);
+        let mut tracker = self.freshness.borrow_mut();
+        tracker.record_clock(&update.from, update.incarnation, update.freshness.clock);
+        tracker.apply(&update.freshness, (&self.daemon, self.life), version);
     }
 }
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -108,7 +108,7 @@
     mut link: Link,
     status: watch::Receiver<OutgoingStatus>,
 ) {
-    let urgent = gateway.placing.borrow_mut().open_link(&daemon.id);
+    let urgent = gateway.placement_client.borrow_mut().open_link(&daemon.id);
     let mut queue = if kind == LinkKind::Hint {
         LinkQueue::without_changes(status, urgent)
     } else {
@@ -187,7 +187,7 @@
 }
 
 async fn send_snapshot(gateway: &Gateway, link: &mut Link) -> bool {
-    let stock = gateway.stock.borrow().all();
+    let stock = gateway.store_snapshot.borrow().all();
     for objects in stock {
         if !send(link, PeerMessage::Objects(objects).encode()).await {
             return false;
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -153,21 +153,21 @@
         let mut peers = self.peers.borrow_mut();
         PeerHint {
             from: self.daemon.clone(),
-            life: self.life,
+            incarnation: self.life,
             leaving: self.stopping.get(),
             config_version: view.routes.as_ref().map_or(0, |routes| routes.version),
             work: work.collect(),
-            held: peers.take_cached_updates(),
+            cached_parts: peers.take_cached_updates(),
             departed: view.departed.clone(),
             entries: self.due_entries(role),
-            works: self.crashes.borrow_mut().pick(clock::mono_now()),
+            crash_reports: self.crashes.borrow_mut().pick(clock::mono_now()),
             changing: self.local_stage_changes.borrow().clone(),
             rate,
-            placed_through: self.placing.borrow().used_through(),
-            seen: self.seen.take(),
+            placed_through: self.placement_client.borrow().used_through(),
+            observed: self.observed_results.take(),
             clock: clock::mono_now(),
             confirms_keys: self.confirms_keys(clock::mono_now()),
-            wall: clock::unix_now(),
+            wall_clock: clock::unix_now(),
             usage: self.take_usage_updates(),
         }
     }
@@ -177,7 +177,7 @@
     fn due_entries(&self, role: &PeerRole) -> Vec<EntryUpdate> {
         let view = self.view();
         let mut broadcasts = self.entry_broadcasts.borrow_mut();
-        let mut changes = broadcasts.pick(&view.entry_notes, clock::mono_now());
+        let mut changes = broadcasts.due_changes(&view.entry_notes, clock::mono_now());
         if *role != PeerRole::Mesh {
             changes.retain(|change| change.value.is_none());
         }
@@ -190,13 +190,13 @@
         let hint = self.hint(role);
         let (centre, fleet) = match role {
             PeerRole::Hub => {
-                let (from_members, from_hubs) = self.relayed.borrow_mut().take_cached_updates();
-                let mut held = hint.held.clone();
-                held.extend(from_members);
-                let mut centre = self.summary(&hint, false, held.clone());
+                let (from_members, from_hubs) = self.relay_queue.borrow_mut().take_cached_updates();
+                let mut cached_parts = hint.cached_parts.clone();
+                cached_parts.extend(from_members);
+                let mut centre = self.summary(&hint, false, cached_parts.clone());
                 centre.usage = self.take_centre_usage(&hint);
-                held.extend(from_hubs);
-                let fleet = self.summary(&hint, true, held);
+                cached_parts.extend(from_hubs);
+                let fleet = self.summary(&hint, true, cached_parts);
                 (Some(centre), Some(fleet))
             }
             PeerRole::Mesh | PeerRole::Member(_) => (None, None),
@@ -209,39 +209,48 @@
         }
     }
 
-    fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<CachedPartsUpdate>) -> PeerSummary {
+    fn summary(
+        &self,
+        hint: &PeerHint,
+        whole_fleet: bool,
+        cached_parts: Vec<CachedPartsUpdate>,
+    ) -> PeerSummary {
         let now = clock::mono_now();
         let peers = self.peers.borrow();
-        let status = if whole {
+        let status = if whole_fleet {
             peers.all_status(now)
         } else {
             peers.direct_status(now)
         };
         let direct: IndexSet<DaemonId> = status.iter().map(|member| member.id.clone()).collect();
         let mut members = self
-            .relayed
+            .relay_queue
             .borrow_mut()
-            .broadcasts(whole)
+            .broadcasts(whole_fleet)
             .due_members(status);
         members.push(hub::local_status(hint));
-        let counts = |id: &DaemonId| whole || *id == hint.from || direct.contains(id);
+        let counts = |id: &DaemonId| whole_fleet || *id == hint.from || direct.contains(id);
         // Placements made from now on get a higher number than this summary contains.
         let placed_through = self.announce_placements();
         let work = self.core.borrow().load.summed(counts);
         PeerSummary {
             from: hint.from.clone(),
-            life: hint.life,
-            whole,
+            incarnation: hint.incarnation,
+            whole_fleet,
             work: work.into_iter().collect(),
-            held,
+            cached_parts,
             departed: hint.departed.clone(),
             entries: hint.entries.clone(),
-            works: hint.works.clone(),
-            store_age_ms: self.store_age_ms(whole, now),
-            rate: if whole { self.work_rate() } else { hint.rate },
+            crash_reports: hint.crash_reports.clone(),
+            store_age_ms: self.store_age_ms(whole_fleet, now),
+            rate: if whole_fleet {
+                self.work_rate()
+            } else {
+                hint.rate
+            },
             placed_through,
             members,
-            true_time: self.duties.borrow().clock.at(now),
+            fleet_time: self.duties.borrow().clock.at(now),
             usage: Vec::new(),
         }
     }
@@ -252,14 +261,16 @@
         let mut peers = self.peers.borrow_mut();
         peers.set_known(&self.daemon, &view.daemons, now);
         let known = |id: &DaemonId| view.daemons.iter().any(|d| d.id == *id);
-        self.proofs.borrow_mut().retain(known);
+        self.freshness.borrow_mut().retain(known);
         let mut hubs = self.hubs.borrow_mut();
         let role = hubs.role(&self.daemon, &view.daemons, &peers, now);
         let placement_hub = match &role {
             PeerRole::Member(hub) => Some(hub.clone()),
             PeerRole::Hub | PeerRole::Mesh => None,
         };
-        self.placing.borrow_mut().set_placement_hub(placement_hub);
+        self.placement_client
+            .borrow_mut()
+            .set_placement_hub(placement_hub);
         drop(peers);
         drop(hubs);
         self.update_watch_mode(&role, now);
@@ -294,12 +305,12 @@
             PeerMessage::NewLink { from } => {
                 self.feed_subscription.borrow_mut().handle_new_link(&from)
             }
-            PeerMessage::WantStock(request) => self.answer_snapshot_request(&request),
-            PeerMessage::Stock(response) => self.apply_snapshot(response),
-            PeerMessage::Place(request) => self.answer_placement_request(&request),
-            PeerMessage::Placed(response) => self.handle_placement_response(response),
+            PeerMessage::SnapshotRequest(request) => self.answer_snapshot_request(&request),
+            PeerMessage::SnapshotResponse(response) => self.apply_snapshot(response),
+            PeerMessage::PlacementRequest(request) => self.answer_placement_request(&request),
+            PeerMessage::PlacementResponse(response) => self.handle_placement_response(response),
             PeerMessage::Placements(batch) => self.apply_placements(&batch),
-            PeerMessage::Proof(update) => self.apply_freshness(&update),
+            PeerMessage::Freshness(update) => self.apply_freshness(&update),
             PeerMessage::Config { revision, value } => {
                 // The control thread runs until the process ends.
                 let _ = self.news.send(ControlInput::PeerConfig { revision, value });
@@ -314,7 +325,7 @@
         let known = view
             .daemons
             .iter()
-            .any(|d| d.id == hint.from && d.life == hint.life);
+            .any(|d| d.id == hint.from && d.life == hint.incarnation);
         if !known {
             return;
         }
@@ -323,17 +334,19 @@
         self.peers
             .borrow_mut()
             .record_hint(&hint, local_version, now);
-        self.proofs
+        self.freshness
             .borrow_mut()
-            .record_clock(&hint.from, hint.life, hint.clock);
+            .record_clock(&hint.from, hint.incarnation, hint.clock);
         self.apply_member_usage(&hint, now);
-        self.apply_cached_updates(&hint.held);
+        self.apply_cached_updates(&hint.cached_parts);
         self.hubs.borrow_mut().record_hint(&hint.from, now);
-        self.relayed.borrow_mut().queue_from_member(&hint.held);
+        self.relay_queue
+            .borrow_mut()
+            .queue_from_member(&hint.cached_parts);
         self.apply_departures(&hint.departed);
         self.apply_entry_changes(hint.entries);
-        self.apply_crash_reports(&hint.works);
-        self.apply_results(&hint.seen);
+        self.apply_crash_reports(&hint.crash_reports);
+        self.apply_results(&hint.observed);
         let work = hint.work.into_iter().collect();
         let load = &mut self.core.borrow_mut().load;
         load.release_reservations(&hint.from, hint.placed_through);
@@ -376,11 +389,11 @@
 
     fn handle_summary(&self, summary: PeerSummary) {
         let view = self.view();
-        let sender = (&summary.from, summary.life);
+        let sender = (&summary.from, summary.incarnation);
         let known = view.daemons.iter().any(|d| (&d.id, d.life) == sender);
         let is_hub = self.hubs.borrow().is_hub();
         // A hub sums up its members itself; a summary for members would count them twice.
-        if !known || (summary.whole && is_hub) {
+        if !known || (summary.whole_fleet && is_hub) {
             return;
         }
         let now = clock::mono_now();
@@ -406,19 +419,21 @@
                 peers.record_member(status, rate, now);
             }
         }
-        self.apply_cached_updates(&summary.held);
-        if !summary.whole {
-            self.relayed.borrow_mut().queue_from_hub(&summary.held);
+        self.apply_cached_updates(&summary.cached_parts);
+        if !summary.whole_fleet {
+            self.relay_queue
+                .borrow_mut()
+                .queue_from_hub(&summary.cached_parts);
         }
         self.apply_departures(&summary.departed);
         self.apply_entry_changes(summary.entries);
-        self.apply_crash_reports(&summary.works);
+        self.apply_crash_reports(&summary.crash_reports);
         let mut work: WorkByTarget = summary.work.into_iter().collect();
-        if summary.whole {
+        if summary.whole_fleet {
             hub::subtract(&mut work, &self.last_sent_work.borrow());
         }
         let load = &mut self.core.borrow_mut().load;
-        if !summary.whole {
+        if !summary.whole_fleet {
             load.release_reservations(&summary.from, summary.placed_through);
         }
         load.set_peer_work(summary.from, work, now);
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -135,7 +135,7 @@
         }
         let number = self.last_number + 1;
         let request = PlacementRequest { number, ..request };
-        if !self.send(&placement_hub, &PeerMessage::Place(request)) {
+        if !self.send(&placement_hub, &PeerMessage::PlacementRequest(request)) {
             return None;
         }
         self.last_number = number;
@@ -193,9 +193,12 @@
     ) -> Option<EnginePlacement> {
         let now = clock::mono_now();
         let request = self.placement_request(call, trail);
-        let (number, response) = self.placing.borrow_mut().send_request(request, now)?;
+        let (number, response) = self
+            .placement_client
+            .borrow_mut()
+            .send_request(request, now)?;
         let response = timeout(RESPONSE_TIMEOUT, response).await;
-        let mut placing = self.placing.borrow_mut();
+        let mut placing = self.placement_client.borrow_mut();
         let Ok(Ok(engines)) = response else {
             placing.record_timeout(number, clock::mono_now());
             metrics::counter!("pistachiowick_place_questions_total", "outcome" => "silence")
@@ -216,7 +219,7 @@
         let avoided = engines.filter(|e| trail.has(&e.id) || core.health.view(&e.id, now).avoided);
         PlacementRequest {
             from: self.daemon.clone(),
-            life: self.life,
+            incarnation: self.life,
             number: 0,
             service: call.service.name.clone(),
             avoided: avoided.map(|engine| engine.id.clone()).collect(),
@@ -237,28 +240,28 @@
             let found = known.iter().find(|engine| engine.id == *id)?;
             newest.holds(id).then(|| found.clone())
         };
-        let reader = match &engines.reader {
+        let reader = match &engines.prefill_engine {
             Some(id) => Some(find(id)?),
             None => None,
         };
         Some(EnginePlacement {
             reader,
-            writer: find(&engines.writer)?,
+            writer: find(&engines.decode_engine)?,
             fetch_from: engines.fetch_from.as_ref().and_then(find),
             rank: engines.rank,
             expected_ms: engines.expected_ms,
-            own_ms: engines.own_ms,
-            unread_tokens: engines.unread_tokens,
-            reread_tokens: engines.reread_tokens,
-            waiting_tokens: engines.waiting_tokens,
-            gives_way: engines.gives_way,
+            own_ms: engines.own_prefill_ms,
+            unread_tokens: engines.pending_prefill_tokens,
+            reread_tokens: engines.recomputed_tokens,
+            waiting_tokens: engines.queued_ahead_tokens,
+            gives_way: engines.deprioritized,
         })
     }
 
     /// Answers a placement request of another daemon.
     pub fn answer_placement_request(&self, request: &PlacementRequest) {
         let view = self.view();
-        let requester = (&request.from, request.life);
+        let requester = (&request.from, request.incarnation);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == requester) {
             return;
         }
@@ -283,12 +286,14 @@
             self.count_placement(request, &prompt, place);
             self.queue_placement(&prompt, place);
         }
-        let response = PeerMessage::Placed(PlacementResponse {
+        let response = PeerMessage::PlacementResponse(PlacementResponse {
             number: request.number,
             engines: place.map(|place| PlacedEngines::from(&place)),
         });
         // A requester whose link is not up yet chooses by itself.
-        self.placing.borrow().send(&request.from, &response);
+        self.placement_client
+            .borrow()
+            .send(&request.from, &response);
     }
 
     /// Queues a placement of this daemon for the other hubs, if it is a hub.
@@ -299,28 +304,28 @@
         let reader = place.reader.as_ref().unwrap_or(&place.writer);
         let writer = place.reader.as_ref().map(|_| place.writer.id.clone());
         self.placements.borrow_mut().push(PlacementRecord {
-            reader: reader.id.clone(),
-            writer,
+            prefill_engine: reader.id.clone(),
+            decode_engine: writer,
             rank: place.rank,
-            unread_tokens: place.unread_tokens,
+            pending_prefill_tokens: place.unread_tokens,
             parts: prompt.parts.iter().map(|p| (p.key, p.tokens)).collect(),
         });
-        self.placed.notify_one();
+        self.placements_changed.notify_one();
     }
 
     /// Announces the queued placements to the other hubs; returns the number of the last
     /// batch that was sent.
     pub fn announce_placements(&self) -> u64 {
         let mut outbox = self.placements.borrow_mut();
-        if let Some((number, placed)) = outbox.take() {
+        if let Some((number, placements)) = outbox.take() {
             let batch = PeerMessage::Placements(PlacementBatch {
                 from: self.daemon.clone(),
-                life: self.life,
+                incarnation: self.life,
                 number,
-                placed,
+                placements,
             });
             let hubs = self.other_hubs.borrow();
-            self.placing.borrow().send_to(&hubs, &batch);
+            self.placement_client.borrow().send_to(&hubs, &batch);
         }
         outbox.last_number
     }
@@ -328,24 +333,24 @@
     /// Applies the placements of another hub.
     pub fn apply_placements(&self, batch: &PlacementBatch) {
         let view = self.view();
-        let sender = (&batch.from, batch.life);
+        let sender = (&batch.from, batch.incarnation);
         if !view.daemons.iter().any(|d| (&d.id, d.life) == sender) {
             return;
         }
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
         let numbered = (&batch.from, batch.number);
-        for record in &batch.placed {
+        for record in &batch.placements {
             core.load.promise(
                 numbered,
-                &record.reader,
-                (record.rank, record.unread_tokens),
+                &record.prefill_engine,
+                (record.rank, record.pending_prefill_tokens),
                 now,
             );
-            if let Some(writer) = &record.writer {
+            if let Some(writer) = &record.decode_engine {
                 core.load.promise(numbered, writer, (record.rank, 0), now);
             }
-            core.note_parts(&record.reader, &parts_of(&record.parts), false, now);
+            core.note_parts(&record.prefill_engine, &parts_of(&record.parts), false, now);
         }
     }
 
@@ -375,7 +380,9 @@
 
     /// Passes a response to the request that waits for it.
     pub fn handle_placement_response(&self, response: PlacementResponse) {
-        self.placing.borrow_mut().deliver_response(response);
+        self.placement_client
+            .borrow_mut()
+            .deliver_response(response);
     }
 }
 
@@ -383,7 +390,7 @@
 /// there are none.
 pub async fn announce_regularly(gateway: Rc<Gateway>) {
     loop {
-        gateway.placed.notified().await;
+        gateway.placements_changed.notified().await;
         sleep(ANNOUNCE_DELAY).await;
         gateway.announce_placements();
     }
@@ -400,16 +407,16 @@
 impl From<&EnginePlacement> for PlacedEngines {
     fn from(place: &EnginePlacement) -> Self {
         Self {
-            reader: place.reader.as_ref().map(|reader| reader.id.clone()),
-            writer: place.writer.id.clone(),
+            prefill_engine: place.reader.as_ref().map(|reader| reader.id.clone()),
+            decode_engine: place.writer.id.clone(),
             fetch_from: place.fetch_from.as_ref().map(|holder| holder.id.clone()),
             rank: place.rank,
             expected_ms: place.expected_ms,
-            own_ms: place.own_ms,
-            unread_tokens: place.unread_tokens,
-            reread_tokens: place.reread_tokens,
-            waiting_tokens: place.waiting_tokens,
-            gives_way: place.gives_way,
+            own_prefill_ms: place.own_ms,
+            pending_prefill_tokens: place.unread_tokens,
+            recomputed_tokens: place.reread_tokens,
+            queued_ahead_tokens: place.waiting_tokens,
+            deprioritized: place.gives_way,
         }
     }
 }
--- a/src/gateway/peers/seen.rs
+++ b/src/gateway/peers/seen.rs
@@ -75,13 +75,13 @@
 impl Gateway {
     /// Whether a hub chooses engines for this daemon's requests, and needs their results.
     pub fn uses_remote_placement(&self) -> bool {
-        self.placing.borrow().has_placement_hub()
+        self.placement_client.borrow().has_placement_hub()
     }
 
     /// Applies a member's results as if they were those of this daemon.
-    pub(super) fn apply_results(&self, seen: &ObservedResults) {
+    pub(super) fn apply_results(&self, results: &ObservedResults) {
         let view = self.view();
-        for observed in seen.conclusive_results() {
+        for observed in results.conclusive_results() {
             if let Some(target) = view.find(&observed.target) {
                 self.note_result(target, observed.result);
             }
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -36,15 +36,15 @@
 
     pub(super) fn apply_member_usage(&self, hint: &PeerHint, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
-        book.clock.add_sample(&hint.from, hint.wall, now);
+        book.clock.add_sample(&hint.from, hint.wall_clock, now);
         book.usage.note_heard(usage_of(hint), true);
     }
 
     // Members adopt the time of their hub; between hubs, it counts as one more sample.
     pub(super) fn apply_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
         let mut book = self.duties.borrow_mut();
-        if let Some(time) = summary.true_time {
-            if summary.whole {
+        if let Some(time) = summary.fleet_time {
+            if summary.whole_fleet {
                 book.clock.adopt_time(time, now);
             } else {
                 book.clock.add_sample(&summary.from, time, now);
@@ -59,7 +59,7 @@
 fn usage_of(hint: &PeerHint) -> DaemonUsage {
     DaemonUsage {
         daemon: hint.from.clone(),
-        life: hint.life,
+        life: hint.incarnation,
         cells: hint.usage.clone(),
     }
 }
--- a/src/gateway/peers/wire.rs
+++ b/src/gateway/peers/wire.rs
@@ -36,7 +36,8 @@
     /// The sender.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Whether it is stopping.
     pub leaving: bool,
     /// Version of the configuration that it runs.
@@ -44,15 +45,16 @@
     /// Its running and queued work at targets.
     pub work: Vec<(TargetIncarnation, TargetWork)>,
     /// Prompt parts newly cached at engines by its requests since the last hint.
-    pub held: Vec<CachedPartsUpdate>,
+    #[serde(rename = "held")]
+    pub cached_parts: Vec<CachedPartsUpdate>,
     /// Targets that it knows to be leaving the fleet.
     pub departed: Vec<TargetIncarnation>,
     /// Added or removed entries of targets, as due ([`super::entry_broadcasts`]).
     #[serde(default)]
     pub entries: Vec<EntryUpdate>,
     /// Work that crashed targets, as due ([`crate::crashes::broadcasts`]).
-    #[serde(default)]
-    pub works: Vec<CrashReport>,
+    #[serde(default, rename = "works")]
+    pub crash_reports: Vec<CrashReport>,
     /// Engines whose stage it is changing.
     pub changing: Vec<TargetIncarnation>,
     /// Work that it places on engines per second.
@@ -60,13 +62,15 @@
     /// Number of the last placement request whose work this hint contains.
     pub placed_through: u64,
     /// Results of its sends, if a hub chooses engines for its requests.
-    pub seen: ObservedResults,
+    #[serde(rename = "seen")]
+    pub observed: ObservedResults,
     /// Its monotonic clock.
     pub clock: MonoTime,
     /// Whether it knows which keys are in force.
     pub confirms_keys: bool,
     /// Its wall clock.
-    pub wall: UnixTime,
+    #[serde(rename = "wall")]
+    pub wall_clock: UnixTime,
     /// New counts of requests started here, by window and workspace.
     pub usage: Vec<UsageCount>,
 }
@@ -94,17 +98,22 @@
         from: DaemonId,
     },
     /// A request for the store snapshot of a hub.
-    WantStock(SnapshotRequest),
+    #[serde(rename = "WantStock")]
+    SnapshotRequest(SnapshotRequest),
     /// The response to it.
-    Stock(SnapshotResponse),
+    #[serde(rename = "Stock")]
+    SnapshotResponse(SnapshotResponse),
     /// A request to choose the engines for a caller's request.
-    Place(PlacementRequest),
+    #[serde(rename = "Place")]
+    PlacementRequest(PlacementRequest),
     /// The response to it.
-    Placed(PlacementResponse),
+    #[serde(rename = "Placed")]
+    PlacementResponse(PlacementResponse),
     /// Placements of a hub since its last announcement.
     Placements(PlacementBatch),
     /// The age of a hub's configuration, for one receiver.
-    Proof(FreshnessUpdate),
+    #[serde(rename = "Proof")]
+    Freshness(FreshnessUpdate),
 }
 
 /// Age of a hub's configuration, for one receiver.
@@ -113,22 +122,24 @@
     /// The hub.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The report.
-    pub proof: ConfigFreshness,
+    #[serde(rename = "proof")]
+    pub freshness: ConfigFreshness,
 }
 
 /// Engines that a hub has chosen for a request.
 #[derive(Clone, Debug, Deserialize_tuple, Serialize_tuple)]
 pub struct PlacementRecord {
     /// Engine that prefills the prompt.
-    pub reader: TargetIncarnation,
+    pub prefill_engine: TargetIncarnation,
     /// Engine that decodes, if it is another one.
-    pub writer: Option<TargetIncarnation>,
+    pub decode_engine: Option<TargetIncarnation>,
     /// Scheduling rank at the engines.
     pub rank: u8,
     /// Tokens that the prefill engine still has to prefill.
-    pub unread_tokens: u32,
+    pub pending_prefill_tokens: u32,
     /// Keys and tokens of the prompt's parts, in order.
     pub parts: Vec<(u64, u32)>,
 }
@@ -139,11 +150,13 @@
     /// The hub.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of this batch within that incarnation.
     pub number: u64,
     /// The placements.
-    pub placed: Vec<PlacementRecord>,
+    #[serde(rename = "placed")]
+    pub placements: Vec<PlacementRecord>,
 }
 
 /// A request for the store snapshot of a hub.
@@ -152,7 +165,8 @@
     /// The requester.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of the request within that incarnation.
     pub number: u64,
     /// Digests of the requester's own objects.
@@ -176,7 +190,8 @@
     /// The requester.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of the request within that incarnation.
     pub number: u64,
     /// Service that the request is for.
@@ -199,9 +214,11 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlacedEngines {
     /// Engine that prefills the prompt for the other one, if any.
-    pub reader: Option<TargetIncarnation>,
+    #[serde(rename = "reader")]
+    pub prefill_engine: Option<TargetIncarnation>,
     /// Engine that decodes.
-    pub writer: TargetIncarnation,
+    #[serde(rename = "writer")]
+    pub decode_engine: TargetIncarnation,
     /// Engine that the prefill engine copies shared parts from.
     pub fetch_from: Option<TargetIncarnation>,
     /// Scheduling rank that they were chosen for.
@@ -209,15 +226,20 @@
     /// Expected time to the first token, in milliseconds.
     pub expected_ms: f64,
     /// Part of it that the request's own prefill takes.
-    pub own_ms: f64,
+    #[serde(rename = "own_ms")]
+    pub own_prefill_ms: f64,
     /// Tokens that the prefill engine still has to prefill.
-    pub unread_tokens: u32,
+    #[serde(rename = "unread_tokens")]
+    pub pending_prefill_tokens: u32,
     /// Tokens among them that belong to shared parts.
-    pub reread_tokens: u32,
+    #[serde(rename = "reread_tokens")]
+    pub recomputed_tokens: u32,
     /// Tokens of other requests that it prefills first.
-    pub waiting_tokens: u32,
+    #[serde(rename = "waiting_tokens")]
+    pub queued_ahead_tokens: u32,
     /// Whether the request is queued behind all that can still meet their objective.
-    pub gives_way: bool,
+    #[serde(rename = "gives_way")]
+    pub deprioritized: bool,
 }
 
 /// The response to a placement request.
@@ -252,23 +274,26 @@
     /// The hub.
     pub from: DaemonId,
     /// Its incarnation, as in its record in the store.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Whether this covers the whole fleet.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub whole_fleet: bool,
     /// Status of the daemons that are due in this message ([`super::member_broadcasts`]).
     pub members: Vec<MemberStatus>,
     /// Work of all covered daemons at targets, summed.
     pub work: Vec<(TargetIncarnation, TargetWork)>,
     /// Prompt parts newly cached at engines since the last summary.
-    pub held: Vec<CachedPartsUpdate>,
+    #[serde(rename = "held")]
+    pub cached_parts: Vec<CachedPartsUpdate>,
     /// Targets known to be leaving the fleet.
     pub departed: Vec<TargetIncarnation>,
     /// Removed entries of targets, as due.
     #[serde(default)]
     pub entries: Vec<EntryUpdate>,
     /// Work that crashed targets, as due.
-    #[serde(default)]
-    pub works: Vec<CrashReport>,
+    #[serde(default, rename = "works")]
+    pub crash_reports: Vec<CrashReport>,
     /// Work that the covered daemons place on engines per second.
     pub rate: WorkRate,
     /// Milliseconds since the hub's last response from the store.
@@ -276,7 +301,8 @@
     /// Number of the last placement batch whose work this contains.
     pub placed_through: u64,
     /// Fleet time, as this hub and its members agree on it.
-    pub true_time: Option<UnixTime>,
+    #[serde(rename = "true_time")]
+    pub fleet_time: Option<UnixTime>,
     /// Usage counts of the hub and its members, for other hubs.
     pub usage: Vec<DaemonUsage>,
 }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -335,7 +335,9 @@
     pub fn note_result(&self, target: &TargetRecord, result: SendResult) {
         let now = clock::mono_now();
         if self.uses_remote_placement() {
-            self.seen.borrow_mut().note_result(&target.id, result);
+            self.observed_results
+                .borrow_mut()
+                .note_result(&target.id, result);
         }
         let changed = self.core.borrow_mut().note_result(&target.id, result, now);
         match changed {
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -45,21 +45,21 @@
 fn hint(from: &str) -> PeerHint {
     PeerHint {
         from: DaemonId::from(from),
-        life: 1,
+        incarnation: 1,
         leaving: false,
         config_version: 1,
         work: Vec::new(),
-        held: Vec::new(),
+        cached_parts: Vec::new(),
         departed: Vec::new(),
         entries: Vec::new(),
-        works: Vec::new(),
+        crash_reports: Vec::new(),
         changing: Vec::new(),
         rate: WorkRate::default(),
         placed_through: 0,
-        seen: ObservedResults::default(),
+        observed: ObservedResults::default(),
         clock: MonoTime(0),
         confirms_keys: true,
-        wall: UnixTime(0),
+        wall_clock: UnixTime(0),
         usage: Vec::new(),
     }
 }
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -18,7 +18,7 @@
 fn request() -> PlacementRequest {
     PlacementRequest {
         from: DaemonId::from("member"),
-        life: 1,
+        incarnation: 1,
         number: 0,
         service: ServiceName::from("engines"),
         avoided: Vec::new(),
@@ -32,16 +32,16 @@
 
 fn engines(writer: &str) -> PlacedEngines {
     PlacedEngines {
-        reader: None,
-        writer: TargetIncarnation::from(writer),
+        prefill_engine: None,
+        decode_engine: TargetIncarnation::from(writer),
         fetch_from: None,
         rank: 1,
         expected_ms: 100.0,
-        own_ms: 10.0,
-        unread_tokens: 1_000,
-        reread_tokens: 0,
-        waiting_tokens: 0,
-        gives_way: false,
+        own_prefill_ms: 10.0,
+        pending_prefill_tokens: 1_000,
+        recomputed_tokens: 0,
+        queued_ahead_tokens: 0,
+        deprioritized: false,
     }
 }
 
@@ -130,7 +130,7 @@
         let engines = Some(engines(writer));
         client.deliver_response(PlacementResponse { number, engines });
     }
-    let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.writer);
+    let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.decode_engine);
     let first = first_wait.try_recv().expect("an answer");
     let second = second_wait.try_recv().expect("an answer");
     assert_eq!(writer(first), Some(TargetIncarnation::from("e1")));
--- a/tests/gateway_proofs.rs
+++ b/tests/gateway_proofs.rs
@@ -35,7 +35,7 @@
         age_ms: case.age_ms,
         echo: Some(ClockEcho {
             daemon: DaemonId::from(daemon),
-            life,
+            incarnation: life,
             clock: MonoTime(clock),
         }),
     };
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -311,7 +311,11 @@
     registry.expire(late);
     assert!(!registry.take_end(&name, 11, late));
     let kept: Vec<RecentUpdate> = registry.notes().cloned().collect();
-    assert!(EntryBroadcasts::default().pick(&kept, late).is_empty());
+    assert!(
+        EntryBroadcasts::default()
+            .due_changes(&kept, late)
+            .is_empty()
+    );
 }
 
 // Guards against an end that members of a hub never hear which were cut off: the hub has it
@@ -400,9 +404,9 @@
     };
     let mut turns = EntryBroadcasts::default();
     let first = [noted(1, 0)];
-    assert_eq!(turns.pick(&first, MonoTime(9_000)).len(), 1);
+    assert_eq!(turns.due_changes(&first, MonoTime(9_000)).len(), 1);
     let all = [noted(1, 0), noted(2, 9_300)];
-    let told = turns.pick(&all, MonoTime(9_000 + case.at));
+    let told = turns.due_changes(&all, MonoTime(9_000 + case.at));
     let told: Vec<u64> = told.iter().map(|end| end.revision).collect();
     assert_eq!(told, case.told);
 }
@@ -423,7 +427,7 @@
     let mut turns = EntryBroadcasts::default();
     let mut told: Vec<u64> = Vec::new();
     for tick in 0..75 {
-        let word = turns.pick(&begins, MonoTime(9_000 + 40 * tick));
+        let word = turns.due_changes(&begins, MonoTime(9_000 + 40 * tick));
         assert!(word.len() <= 16, "{} begins in a word", word.len());
         told.extend(word.iter().map(|note| note.revision));
     }
--- a/tests/gateway_words.rs
+++ b/tests/gateway_words.rs
@@ -52,18 +52,18 @@
     members.push(status(DAEMONS));
     PeerMessage::Summary(PeerSummary {
         from: DaemonId::from("gateway-300"),
-        life: 1_790_000_000_000,
-        whole: true,
+        incarnation: 1_790_000_000_000,
+        whole_fleet: true,
         members,
         work: (0..WORKING).map(work).collect(),
-        held: Vec::new(),
+        cached_parts: Vec::new(),
         departed: Vec::new(),
         entries: Vec::new(),
-        works: Vec::new(),
+        crash_reports: Vec::new(),
         rate: WorkRate::default(),
         store_age_ms: 40,
         placed_through: 9_000,
-        true_time: Some(UnixTime(1_790_000_000_000)),
+        fleet_time: Some(UnixTime(1_790_000_000_000)),
         usage: Vec::new(),
     })
 }
