--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -29,18 +29,18 @@
 
 impl EntryBroadcasts {
     /// Returns the changes that go into a message now, out of all recorded ones.
-    pub fn due_changes(&mut self, notes: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
+    pub fn due_changes(&mut self, updates: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
         let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
         let is_full = !self.last_full_at.is_some_and(is_recent);
         let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
-        let fresh = notes.iter().filter(|kept| now.since(kept.at) < longest);
+        let fresh = updates.iter().filter(|update| now.since(update.at) < longest);
         let (mut due, additions): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
-            fresh.partition(|kept| kept.note.value.is_none());
+            fresh.partition(|update| update.note.value.is_none());
         if is_full {
             self.last_full_at = Some(now);
             due.extend(self.next_additions(&additions));
         }
-        due.into_iter().map(|kept| kept.note.clone()).collect()
+        due.into_iter().map(|update| update.note.clone()).collect()
     }
 
     fn next_additions<'a>(&mut self, additions: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -309,8 +309,8 @@
         )
     }
 
-    /// Returns the broadcast schedule for members, which get the status of the `whole`
-    /// fleet, or the one for other hubs.
+    /// Returns the broadcast schedule for members, which get the status of the whole fleet,
+    /// or the one for other hubs.
     pub fn broadcasts(&mut self, whole_fleet: bool) -> &mut MemberBroadcasts {
         if whole_fleet {
             &mut self.fleet_broadcasts
