--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -33,7 +33,9 @@
         let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
         let is_full = !self.last_full_at.is_some_and(is_recent);
         let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
-        let fresh = updates.iter().filter(|update| now.since(update.at) < longest);
+        let fresh = updates
+            .iter()
+            .filter(|update| now.since(update.at) < longest);
         let (mut due, additions): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
             fresh.partition(|update| update.note.value.is_none());
         if is_full {
