--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -303,7 +303,7 @@
             PeerMessage::Summary(summary) => self.handle_summary(summary),
             PeerMessage::Objects(objects) => self.handle_objects(objects),
             PeerMessage::NewLink { from } => {
-                self.feed_subscription.borrow_mut().handle_new_link(&from)
+                self.feed_subscription.borrow_mut().handle_new_link(&from);
             }
             PeerMessage::SnapshotRequest(request) => self.answer_snapshot_request(&request),
             PeerMessage::SnapshotResponse(response) => self.apply_snapshot(response),
