--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -175,7 +175,7 @@
     ///
     /// A listing in which nothing is missing is relayed as the objects that changed: a
     /// complete one fills a slow link for a part of a second, once for each member.
-    pub fn take(&mut self, read: FeedObjects) -> Option<FeedObjects> {
+    pub fn update(&mut self, read: FeedObjects) -> Option<FeedObjects> {
         let changes = self.changed_objects(&read);
         self.record(&read);
         match changes {
@@ -355,7 +355,7 @@
 
     // Stores objects for daemons that connect, and relays the changes to connected ones.
     fn update_snapshot(&self, objects: FeedObjects) {
-        if let Some(changes) = self.store_snapshot.borrow_mut().take(objects) {
+        if let Some(changes) = self.store_snapshot.borrow_mut().update(objects) {
             let feed = changes.feed;
             self.feed_changes
                 .send(feed, PeerMessage::Objects(changes).encode());
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -18,8 +18,8 @@
 
 use crate::gateway::deciding::load::WorkByTarget;
 use crate::gateway::members::{DaemonRecord, InstanceCapacity};
-use crate::gateway::peers::book::PeerTable;
 use crate::gateway::peers::member_broadcasts::MemberBroadcasts;
+use crate::gateway::peers::peer_table::PeerTable;
 use crate::gateway::peers::wire::{CachedPartsUpdate, MemberStatus, PeerHint};
 use crate::names::{CentreName, DaemonId, MonoTime};
 
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -9,7 +9,6 @@
 //! In large fleets one daemon of each data centre is its hub ([`hub`]): the others
 //! exchange messages with their hub only, and hubs with each other.
 
-pub mod book;
 pub mod entry_broadcasts;
 pub mod feeding;
 pub mod freshness;
@@ -17,6 +16,7 @@
 pub mod link_queue;
 mod links;
 pub mod member_broadcasts;
+pub mod peer_table;
 pub mod placing;
 pub mod seen;
 mod usage;
@@ -31,7 +31,7 @@
 use tokio::task::spawn_local;
 use tokio_tungstenite::tungstenite::Message;
 
-pub use crate::gateway::peers::book::PeerTable;
+pub use crate::gateway::peers::peer_table::PeerTable;
 
 use crate::clock;
 use crate::gateway::control::ControlInput;
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -170,16 +170,20 @@
     pub async fn place_request(
         &self,
         call: &RoutedRequest,
-        trail: &SendHistory,
+        history: &SendHistory,
     ) -> Option<EnginePlacement> {
-        match self.request_placement(call, trail).await {
+        match self.request_placement(call, history).await {
             Some(place) => Some(place),
-            None => self.place_locally(call, trail),
+            None => self.place_locally(call, history),
         }
     }
 
-    fn place_locally(&self, call: &RoutedRequest, trail: &SendHistory) -> Option<EnginePlacement> {
-        let place = self.place(call, trail)?;
+    fn place_locally(
+        &self,
+        call: &RoutedRequest,
+        history: &SendHistory,
+    ) -> Option<EnginePlacement> {
+        let place = self.place(call, history)?;
         if let Some(prompt) = &call.caller.prompt {
             self.queue_placement(prompt, &place);
         }
@@ -189,10 +193,10 @@
     async fn request_placement(
         &self,
         call: &RoutedRequest,
-        trail: &SendHistory,
+        history: &SendHistory,
     ) -> Option<EnginePlacement> {
         let now = clock::mono_now();
-        let request = self.placement_request(call, trail);
+        let request = self.placement_request(call, history);
         let (number, response) = self
             .placement_client
             .borrow_mut()
@@ -211,12 +215,13 @@
         self.resolve(call, &engines?)
     }
 
-    fn placement_request(&self, call: &RoutedRequest, trail: &SendHistory) -> PlacementRequest {
+    fn placement_request(&self, call: &RoutedRequest, history: &SendHistory) -> PlacementRequest {
         let prompt = call.caller.prompt.clone().unwrap_or_default();
         let now = clock::mono_now();
         let core = self.core.borrow();
         let engines = call.view.service_targets(&call.service.name).iter();
-        let avoided = engines.filter(|e| trail.has(&e.id) || core.health.view(&e.id, now).avoided);
+        let avoided =
+            engines.filter(|e| history.has(&e.id) || core.health.view(&e.id, now).avoided);
         PlacementRequest {
             from: self.daemon.clone(),
             incarnation: self.life,
@@ -271,7 +276,7 @@
             output_tokens: request.output_tokens,
             parts: parts_of(&request.parts),
         };
-        let order = PlacementQuery {
+        let query = PlacementQuery {
             choices: EngineCandidates {
                 engines: view.service_targets(&request.service),
                 changing: &self.changing(),
@@ -281,7 +286,7 @@
             urgency: request.urgency,
             objective_left: Duration::from_millis(u64::from(request.objective_left_ms)),
         };
-        let place = self.core.borrow().place(&order, clock::mono_now());
+        let place = self.core.borrow().place(&query, clock::mono_now());
         if let Some(place) = &place {
             self.count_placement(request, &prompt, place);
             self.queue_placement(&prompt, place);
--- a/tests/gateway_feeding.rs
+++ b/tests/gateway_feeding.rs
@@ -135,9 +135,9 @@
     };
     let mut snapshot = StoreSnapshot::default();
     if let Some(before) = case.before {
-        snapshot.take(objects(before, true));
+        snapshot.update(objects(before, true));
     }
-    let relayed = snapshot.take(objects(case.read, case.whole));
+    let relayed = snapshot.update(objects(case.read, case.whole));
     let found = relayed.map(|r| {
         let names: Vec<String> = r.objects.into_iter().map(|(name, ..)| name).collect();
         (r.whole, names)
@@ -195,7 +195,7 @@
     {
         let requested = subscription.subscribe(Some(&hub), MonoTime(1_000 + 2_000 * number as u64));
         assert_eq!(requested, Some(number as u64 + 1), "requested again");
-        snapshot.take(FeedObjects {
+        snapshot.update(FeedObjects {
             feed,
             whole: true,
             objects: Vec::new(),
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -202,9 +202,9 @@
             .collect(),
     };
     let mut snapshot = StoreSnapshot::default();
-    snapshot.take(objects(true, &[("gone", Some(b"1")), ("old", Some(b"2"))]));
-    snapshot.take(objects(true, &[("a", Some(b"1")), ("b", Some(b"2"))]));
-    snapshot.take(objects(false, &[("b", None), ("c", Some(b"3"))]));
+    snapshot.update(objects(true, &[("gone", Some(b"1")), ("old", Some(b"2"))]));
+    snapshot.update(objects(true, &[("a", Some(b"1")), ("b", Some(b"2"))]));
+    snapshot.update(objects(false, &[("b", None), ("c", Some(b"3"))]));
     let all = snapshot.all();
     assert_eq!(all.len(), 1);
     let names: Vec<&str> = all[0]
@@ -234,7 +234,7 @@
         let objects = objects.iter();
         let value = || Some(ByteBuf::from(b"1".to_vec()));
         let mut snapshot = StoreSnapshot::default();
-        snapshot.take(FeedObjects {
+        snapshot.update(FeedObjects {
             feed: Feed::Targets,
             whole: true,
             objects: objects
