--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,5 +1,5 @@
-//! Takes one caller's request through routing to its answer; plain services here,
-//! model engines in [`crate::gateway::generate`].
+//! Routes one caller's request and returns its answer. Requests to plain services are
+//! forwarded here, generation requests in [`crate::gateway::generate`].
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -27,18 +27,19 @@
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 use crate::names::ServiceName;
 
-/// Time to come back after a refusal for want of a configuration or a target.
-const NOTHING_YET_WAIT: Duration = Duration::from_millis(250);
-/// Largest answer of a plain service that is held until it is whole, in bytes.
-const MOST_ANSWER_BYTES: usize = 4 << 20;
-/// Answer times above which an idempotent request is asked for elsewhere, as a
-/// multiple of the route's objective: late already, and still in time to be served.
-const HEDGE_OBJECTIVES: u32 = 3;
-/// Sends that may fail before their first byte, for one request.
-const MOST_NOT_SENT: usize = 3;
+/// Retry time after a refusal because no configuration or target is available.
+const NOT_READY_WAIT: Duration = Duration::from_millis(250);
+/// Largest answer of a plain service, in bytes; it is buffered until complete.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
+/// Time after which an unanswered idempotent request is sent to another target, as a
+/// multiple of the route's latency objective: it is late by then, and can still be served
+/// before its deadline.
+const HEDGE_AFTER_OBJECTIVES: u32 = 3;
+/// Most targets of one request that may be unreachable or misdirect it.
+const MAX_UNSENT_ATTEMPTS: usize = 3;
 
 impl Gateway {
-    /// Serves one request and logs how it ended.
+    /// Serves one request and logs a failure.
     pub async fn serve(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
@@ -82,7 +83,7 @@
             reason = failure.reason.as_str(),
             retry_after_ms = failure.retry_after.map_or(0, |w| w.as_millis() as u64),
             took_ms = arrived.elapsed().as_millis() as u64;
-            "request failed"
+            "request failed in the gateway"
         );
     }
 
@@ -93,19 +94,19 @@
         arrived: Instant,
     ) -> Result<RoutedRequest, Failure> {
         let caller = (self.ports.wire.decode_caller)(&head.headers)
-            .map_err(|fault| Failure::new(FailureKind::BadRequest, fault.to_string()))?;
+            .map_err(|error| Failure::new(FailureKind::BadRequest, error.to_string()))?;
         let view = self.view();
         let routes = view
             .routes
             .clone()
             .filter(|_| view.targets_known)
-            .ok_or_else(|| Failure::refused("no configuration yet", NOTHING_YET_WAIT))?;
+            .ok_or_else(|| Failure::refused("no configuration yet; retry later", NOT_READY_WAIT))?;
         let host = host_of(&head)?;
         let (mut route, service) = self.route(&routes, &host, &head)?;
         let access = self.check_access(&routes, &mut route, &caller)?;
-        let patience = caller.patience.unwrap_or(route.time_limit);
-        let due = arrived + patience.min(route.time_limit);
-        let body = read_request_body(body, &routes, due).await?;
+        let timeout = caller.patience.unwrap_or(route.time_limit);
+        let deadline = arrived + timeout.min(route.time_limit);
+        let body = read_request_body(body, &routes, deadline).await?;
         let mut headers = head.headers;
         strip_connection_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
@@ -124,9 +125,9 @@
             },
             host,
             digest: OnceCell::new(),
-            on_trial: Cell::new(false),
+            is_probe: Cell::new(false),
             arrived,
-            due,
+            deadline,
         })
     }
 
@@ -139,7 +140,7 @@
         let path = head.uri.path();
         let no_route = || {
             let version = routes.version;
-            let reason = format!("no route for {path} in configuration {version}");
+            let reason = format!("no route matches path {path} in configuration version {version}");
             Failure::new(FailureKind::NoRoute, reason)
         };
         let route = routes.find(host, path).ok_or_else(no_route)?;
@@ -150,40 +151,43 @@
     }
 
     async fn forward_plain(self: &Rc<Self>, call: &RoutedRequest) -> Result<Reply, Failure> {
-        let mut trail = SendHistory::default();
-        let mut begun = false;
-        let mut last = Err(Failure::refused("no target is known", NOTHING_YET_WAIT));
-        while let Some(target) = self.choose_plain(&call.view, &call.service.name, &trail) {
-            let more = trail.may_add(call) && call.route.repeat.may_retry();
-            let end = self.send_plain(&target, call, more).await;
-            let again = match &end {
-                PlainEnd::Whole(_) => false,
-                PlainEnd::FailedWhole(_) | PlainEnd::Unclear(_) => {
-                    trail.sent.push(target.id.clone());
-                    trail.may_have_run = true;
-                    more && self.may_retry(call)
+        let mut history = SendHistory::default();
+        let mut started = false;
+        let mut last = Err(Failure::refused(
+            "no target of the service is available; retry later",
+            NOT_READY_WAIT,
+        ));
+        while let Some(target) = self.choose_plain(&call.view, &call.service.name, &history) {
+            let can_retry = history.may_send_after_next(call) && call.route.repeat.may_retry();
+            let attempt = self.send_plain(&target, call, can_retry).await;
+            let retry = match &attempt {
+                PlainOutcome::Whole(_) => false,
+                PlainOutcome::FailedWhole(_) | PlainOutcome::Unclear(_) => {
+                    history.sent.push(target.id.clone());
+                    history.may_have_run = true;
+                    can_retry && self.may_retry(call)
                 }
-                PlainEnd::Refused(_) => {
-                    trail.sent.push(target.id.clone());
-                    trail.may_send(call) && self.may_retry(call)
+                PlainOutcome::Refused(_) => {
+                    history.sent.push(target.id.clone());
+                    history.may_send(call) && self.may_retry(call)
                 }
-                PlainEnd::NotSent(_) => {
-                    trail.unreached.push(target.id.clone());
-                    trail.unreached.len() < MOST_NOT_SENT && Instant::now() < call.due
+                PlainOutcome::NotSent(_) => {
+                    history.unreached.push(target.id.clone());
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && Instant::now() < call.deadline
                 }
-                // It is no target of the request, but the request arrived there.
-                PlainEnd::Astray(_) => {
-                    trail.unreached.push(target.id.clone());
-                    trail.unreached.len() < MOST_NOT_SENT && self.may_retry(call)
+                // Another target received the request, so the next send is a retry.
+                PlainOutcome::Misdirected(_) => {
+                    history.unreached.push(target.id.clone());
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_retry(call)
                 }
             };
-            if !end.says_not_run() && !std::mem::replace(&mut begun, true) {
+            if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
                 self.note_begun(&call.access);
             }
-            if !(trail.may_have_run && end.says_not_run()) {
-                last = end.into_result(call);
+            if !(history.may_have_run && attempt.did_not_run()) {
+                last = attempt.into_result(call);
             }
-            if !again {
+            if !retry {
                 break;
             }
         }
@@ -194,23 +198,24 @@
         self: &Rc<Self>,
         target: &TargetRecord,
         call: &RoutedRequest,
-        more: bool,
-    ) -> PlainEnd {
+        can_retry: bool,
+    ) -> PlainOutcome {
         let sent = Instant::now();
-        let until = if more {
-            sent + call.route.objective * HEDGE_OBJECTIVES
+        let deadline = if can_retry {
+            sent + call.route.objective * HEDGE_AFTER_OBJECTIVES
         } else {
-            call.due
+            call.deadline
         };
         let order = plain_order(target, call);
-        let _work = InFlightGuard::begin(self, &target.id, 0, 0);
-        let outcome = self.send(target, call.plan(until), &order).await;
-        let end = self.finish_plain(target, call, outcome).await;
-        call.log_send(target, "run", end.as_str(), sent);
-        end
+        let _in_flight = InFlightGuard::begin(self, &target.id, 0, 0);
+        let outcome = self.send(target, call.plan(deadline), &order).await;
+        let attempt = self.finish_plain(target, call, outcome).await;
+        call.log_send(target, "run", attempt.as_str(), sent);
+        attempt
     }
 
-    /// Takes a repeat from the budget for a request that has time left and is not held.
+    /// Takes a retry from the budget for a request that has time left and is not quarantined.
+    /// Returns whether it may be sent again.
     #[must_use]
     pub fn may_retry(&self, call: &RoutedRequest) -> bool {
         if self.is_held(call) {
@@ -219,7 +224,7 @@
         let daemons = self.daemon_count();
         let mut budget = self.budget.borrow_mut();
         let service = &call.service.name;
-        Instant::now() < call.due && budget.spend(service, daemons, clock::mono_now())
+        Instant::now() < call.deadline && budget.spend(service, daemons, clock::mono_now())
     }
 
     async fn finish_plain(
@@ -227,29 +232,35 @@
         target: &TargetRecord,
         call: &RoutedRequest,
         outcome: SendOutcome,
-    ) -> PlainEnd {
+    ) -> PlainOutcome {
         let answer = match outcome {
             SendOutcome::Answered(answer) => answer,
-            SendOutcome::Refused(reason) => return PlainEnd::Refused(reason),
+            SendOutcome::Refused(reason) => return PlainOutcome::Refused(reason),
             SendOutcome::WrongTarget => {
-                return PlainEnd::Astray(format!("{} left its address", target.id));
+                return PlainOutcome::Misdirected(format!(
+                    "{} no longer has its address",
+                    target.id
+                ));
             }
             SendOutcome::WrongWork => {
-                return PlainEnd::Astray(format!("{} does other work now", target.id));
+                return PlainOutcome::Misdirected(format!(
+                    "{} no longer does this kind of work",
+                    target.id
+                ));
             }
-            SendOutcome::NotSent(reason) => return PlainEnd::NotSent(reason),
-            SendOutcome::Unclear(reason) => return PlainEnd::Unclear(reason),
+            SendOutcome::NotSent(reason) => return PlainOutcome::NotSent(reason),
+            SendOutcome::Unclear(reason) => return PlainOutcome::Unclear(reason),
         };
         let TargetAnswer {
             head,
             body,
-            lease,
+            connection,
             times,
         } = *answer;
-        match client::read_body(body, MOST_ANSWER_BYTES, call.due).await {
-            Err(fault) => {
-                self.record_body_error(call, target, &fault);
-                PlainEnd::Unclear(format!("{}: {fault}", target.id))
+        match client::read_body(body, MAX_ANSWER_BYTES, call.deadline).await {
+            Err(error) => {
+                self.record_body_error(call, target, &error);
+                PlainOutcome::Unclear(format!("{}: {error}", target.id))
             }
             Ok(body) => {
                 let failed = head.status.is_server_error();
@@ -263,12 +274,12 @@
                 if head.status.is_success() {
                     self.record_completion(call, &head.headers);
                 }
-                lease.give_back(&head);
+                connection.return_to_pool(&head);
                 let reply = whole_reply(head, body);
                 if failed {
-                    PlainEnd::FailedWhole(reply)
+                    PlainOutcome::FailedWhole(reply)
                 } else {
-                    PlainEnd::Whole(reply)
+                    PlainOutcome::Whole(reply)
                 }
             }
         }
@@ -278,14 +289,14 @@
         &self,
         view: &FleetView,
         service: &ServiceName,
-        trail: &SendHistory,
+        history: &SendHistory,
     ) -> Option<Arc<TargetRecord>> {
-        let newest = self.view();
+        let current = self.view();
         let mut rng = self.rng.borrow_mut();
         let untried = view
             .service_targets(service)
             .iter()
-            .filter(|t| !trail.has(&t.id) && newest.holds(&t.id));
+            .filter(|t| !history.has(&t.id) && current.holds(&t.id));
         let core = self.core.borrow();
         core.plain_target(untried, || rng.random(), clock::mono_now())
     }
@@ -303,28 +314,31 @@
     }
 }
 
-enum PlainEnd {
+enum PlainOutcome {
     Whole(Reply),
     FailedWhole(Reply),
     Refused(String),
     NotSent(String),
-    // Another target answered at the address and did not run it.
-    Astray(String),
+    // Another target, or an engine in another stage, refused the request.
+    Misdirected(String),
     Unclear(String),
 }
 
-impl PlainEnd {
-    fn says_not_run(&self) -> bool {
-        matches!(self, Self::Refused(_) | Self::NotSent(_) | Self::Astray(_))
+impl PlainOutcome {
+    fn did_not_run(&self) -> bool {
+        matches!(
+            self,
+            Self::Refused(_) | Self::NotSent(_) | Self::Misdirected(_)
+        )
     }
 
     fn into_result(self, call: &RoutedRequest) -> Result<Reply, Failure> {
         match self {
             Self::Whole(reply) | Self::FailedWhole(reply) => Ok(reply),
-            Self::Refused(reason) | Self::NotSent(reason) | Self::Astray(reason) => {
-                Err(Failure::refused(reason, NOTHING_YET_WAIT))
+            Self::Refused(reason) | Self::NotSent(reason) | Self::Misdirected(reason) => {
+                Err(Failure::refused(reason, NOT_READY_WAIT))
             }
-            Self::Unclear(reason) => Err(lost(call, reason)),
+            Self::Unclear(reason) => Err(lost_answer(call, reason)),
         }
     }
 
@@ -334,16 +348,16 @@
             Self::FailedWhole(_) => "failed",
             Self::Refused(_) => "refused",
             Self::NotSent(_) => "not_sent",
-            Self::Astray(_) => "wrong_target",
+            Self::Misdirected(_) => "wrong_target",
             Self::Unclear(_) => "unclear",
         }
     }
 }
 
-/// Failure for a request that may have run.
+/// Returns the failure of a request that may have run.
 #[must_use]
-pub fn lost(call: &RoutedRequest, reason: String) -> Failure {
-    if Instant::now() >= call.due {
+pub fn lost_answer(call: &RoutedRequest, reason: String) -> Failure {
+    if Instant::now() >= call.deadline {
         Failure::new(FailureKind::OutOfTime, reason)
     } else {
         Failure::new(FailureKind::Unclear, reason)
@@ -354,7 +368,7 @@
     let mut hosts = head.headers.get_all(HOST).iter();
     let host = hosts.next().and_then(|value| value.to_str().ok());
     let (Some(host), None) = (host, hosts.next()) else {
-        let reason = "the request needs exactly one host header";
+        let reason = "the request must have exactly one Host header";
         return Err(Failure::new(FailureKind::BadRequest, reason));
     };
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -364,7 +378,7 @@
 async fn read_request_body(
     body: Incoming,
     routes: &RouteTable,
-    due: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, Failure> {
     let limit = routes.limits.body_bytes;
     if http_body::Body::is_end_stream(&body) {
@@ -374,10 +388,10 @@
     if announced > limit as u64 {
         return Err(too_large(limit));
     }
-    match client::read_body(body, limit, due).await {
+    match client::read_body(body, limit, deadline).await {
         Ok(bytes) => Ok(bytes),
-        Err(fault @ BodyError::Slow) => {
-            Err(Failure::new(FailureKind::SlowCaller, fault.to_string()))
+        Err(error @ BodyError::Slow) => {
+            Err(Failure::new(FailureKind::SlowCaller, error.to_string()))
         }
         Err(BodyError::TooLong(_)) => Err(too_large(limit)),
         Err(BodyError::Cut(reason)) => Err(Failure::new(FailureKind::BadRequest, reason)),
@@ -385,6 +399,7 @@
 }
 
 fn too_large(limit: usize) -> Failure {
-    let reason = format!("the body is larger than {limit} bytes");
+    let reason =
+        format!("the request body is larger than the limit of {limit} bytes; send a smaller one");
     Failure::new(FailureKind::TooLarge, reason)
 }
--- a/src/gateway/head_clock.rs
+++ b/src/gateway/head_clock.rs
@@ -1,9 +1,9 @@
-//! Bounds the time in which a caller sends the head of a request.
+//! Time limit for receiving the head of a request.
 //!
-//! The HTTP library has one limit for waiting and for reading a head. Callers may
-//! leave a connection idle for long but, once they begin, have to send the head
-//! soon: a connection that trickles bytes would otherwise be held for the whole
-//! idle time, and a few thousand of them take all descriptors.
+//! The HTTP library applies a single time-out to idle waiting and to reading a head.
+//! Callers may leave a connection idle for long, but must send a head quickly once they
+//! have started it. Otherwise a connection that trickles bytes stays open for the whole
+//! idle time-out, and a few thousand of them exhaust the file descriptors.
 
 use std::cell::Cell;
 use std::io;
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// What a connection is doing.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum HeadPhase {
     Idle,
@@ -25,63 +25,63 @@
     Serving,
 }
 
-/// Clock of one connection.
+/// Measures how long one connection takes to send a request head.
 #[derive(Debug)]
 pub struct HeaderTimer {
     phase: Cell<HeadPhase>,
-    begun: Notify,
+    head_started: Notify,
 }
 
 impl Default for HeaderTimer {
     fn default() -> Self {
         Self {
             phase: Cell::new(HeadPhase::Idle),
-            begun: Notify::new(),
+            head_started: Notify::new(),
         }
     }
 }
 
 impl HeaderTimer {
-    /// Notes that a head was read and its request is served.
-    pub fn note_head(&self) {
+    /// Records that a whole head was received and its request is being served.
+    pub fn head_received(&self) {
         self.phase.set(HeadPhase::Serving);
     }
 
-    /// Notes that a request was answered.
-    pub fn note_answered(&self) {
+    /// Records that the response was sent and the connection is idle.
+    pub fn answer_sent(&self) {
         self.phase.set(HeadPhase::Idle);
     }
 
-    fn note_bytes(&self) {
+    fn bytes_received(&self) {
         if self.phase.get() == HeadPhase::Idle {
             self.phase.set(HeadPhase::ReadingHead(Instant::now()));
-            self.begun.notify_one();
+            self.head_started.notify_one();
         }
     }
 
-    /// Completes when a head has been on its way for longer than `limit`.
-    pub async fn overdue(&self, limit: Duration) {
+    /// Completes when a head has been incomplete for longer than `limit`.
+    pub async fn timed_out(&self, limit: Duration) {
         loop {
             match self.phase.get() {
                 HeadPhase::ReadingHead(since) if since.elapsed() >= limit => return,
                 HeadPhase::ReadingHead(since) => sleep_until(since + limit).await,
-                HeadPhase::Idle | HeadPhase::Serving => self.begun.notified().await,
+                HeadPhase::Idle | HeadPhase::Serving => self.head_started.notified().await,
             }
         }
     }
 }
 
-/// A caller's connection that tells its clock of each byte.
+/// A caller's connection that reports received bytes to its [`HeaderTimer`].
 pub struct TimedStream {
     inner: TcpStream,
-    clock: Rc<HeaderTimer>,
+    timer: Rc<HeaderTimer>,
 }
 
 impl TimedStream {
-    /// Wraps a connection.
+    /// Wraps `inner`.
     #[must_use]
-    pub fn new(inner: TcpStream, clock: Rc<HeaderTimer>) -> Self {
-        Self { inner, clock }
+    pub fn new(inner: TcpStream, timer: Rc<HeaderTimer>) -> Self {
+        Self { inner, timer }
     }
 }
 
@@ -94,7 +94,7 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.clock.note_bytes();
+            self.timer.bytes_received();
         }
         polled
     }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -1,4 +1,4 @@
-//! Reads a prompt at one engine for another one that makes the tokens.
+//! Prefills a prompt on one engine for another one that generates the tokens.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,57 +13,57 @@
 use crate::gateway::deciding::EngineCandidates;
 use crate::gateway::deciding::engine_choice::EnginePlacement;
 use crate::gateway::deciding::health::SendResult;
-use crate::gateway::generate::ENGINE_BUSY_WAIT;
+use crate::gateway::generate::ENGINE_BUSY_RETRY_AFTER;
 use crate::gateway::model::TargetRecord;
 use crate::gateway::port::{KvCacheHandle, SendMode};
 use crate::gateway::reply::Failure;
 use crate::gateway::sending::SendOutcome;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Largest answer to a reading of a prompt, in bytes.
-const MOST_READ_ANSWER: usize = 64 * 1024;
-/// Shortest wait for a reading before it is asked for elsewhere.
-const SHORTEST_READ_WAIT: Duration = Duration::from_millis(1_500);
-/// Longest time, in expected times, for a reading.
-const READ_PATIENCE: f64 = 4.0;
-/// Readings asked for before the decode engine reads itself.
-const MOST_READINGS: u32 = 2;
+/// Largest answer to a prefill request, in bytes.
+const MAX_PREFILL_ANSWER_BYTES: usize = 64 * 1024;
+/// Shortest time before an unanswered prefill is requested from another engine.
+const MIN_PREFILL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Longest time for a prefill, as a multiple of the expected time.
+const PREFILL_TIMEOUT_FACTOR: f64 = 4.0;
+/// Prefill engines to try before the decode engine prefills the prompt itself.
+const MAX_PREFILL_ATTEMPTS: u32 = 2;
 
 impl Gateway {
-    // Reads the prompt where that pays. One reading that an engine takes up is no
-    // repeat. Any send after one that came to nothing is, also the run: without a
-    // repeat left the request is refused, or failing readers would have the fleet
-    // send every request twice.
-    pub(super) async fn read_ahead(
+    // Prefills the prompt on another engine if the placement says so. The first prefill
+    // that an engine accepts is not a retry. Any send after a failed one is, including
+    // the run itself: without a retry left the request is refused, since otherwise failing
+    // prefill engines would make the fleet send every request twice.
+    pub(super) async fn prefill_remotely(
         self: &Rc<Self>,
         call: &Rc<RoutedRequest>,
         place: &EnginePlacement,
-        trail: &mut SendHistory,
+        history: &mut SendHistory,
     ) -> Result<Option<CacheHandleGuard>, Failure> {
-        let Some(mut reader) = place.reader.clone() else {
+        let Some(mut prefill_engine) = place.reader.clone() else {
             return Ok(None);
         };
-        if trail.prompt_read && !self.may_retry(call) {
+        if history.prompt_prefilled && !self.may_retry(call) {
             return Ok(None);
         }
         let mut tried: Vec<TargetIncarnation> = Vec::new();
-        for _ in 0..MOST_READINGS {
-            match self.read_prompt(call, &reader, place).await {
-                Reading::Kept(handle) => {
-                    trail.prompt_read = true;
+        for _ in 0..MAX_PREFILL_ATTEMPTS {
+            match self.send_prefill(call, &prefill_engine, place).await {
+                PrefillResult::Cached(handle) => {
+                    history.prompt_prefilled = true;
                     return Ok(Some(handle));
                 }
-                Reading::NotSent => {}
-                Reading::Failed(reason) if !self.may_retry(call) => {
-                    return Err(Failure::refused(reason, ENGINE_BUSY_WAIT));
+                PrefillResult::NotSent => {}
+                PrefillResult::Failed(reason) if !self.may_retry(call) => {
+                    return Err(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
                 }
-                Reading::Failed(_) => {}
+                PrefillResult::Failed(_) => {}
             }
-            tried.push(reader.id.clone());
+            tried.push(prefill_engine.id.clone());
             let Some(next) = self.choose_other_prefill_engine(call, &tried) else {
                 break;
             };
-            reader = next;
+            prefill_engine = next;
         }
         Ok(None)
     }
@@ -74,7 +74,7 @@
         tried: &[TargetIncarnation],
     ) -> Option<Arc<TargetRecord>> {
         let choices = EngineCandidates {
-            engines: &self.staying(call.view.service_targets(&call.service.name)),
+            engines: &self.eligible(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: tried,
         };
@@ -83,130 +83,145 @@
         core.choose_other_prefill_engine(&choices, &prompt, urgency, clock::mono_now())
     }
 
-    async fn read_prompt(
+    async fn send_prefill(
         self: &Rc<Self>,
         call: &Rc<RoutedRequest>,
-        reader: &Arc<TargetRecord>,
+        prefill_engine: &Arc<TargetRecord>,
         place: &EnginePlacement,
-    ) -> Reading {
+    ) -> PrefillResult {
         let sent = Instant::now();
-        let _work = InFlightGuard::begin(self, &reader.id, place.rank, place.unread_tokens);
-        let patience = Duration::from_secs_f64(place.expected_ms * READ_PATIENCE / 1_000.0);
-        let until = sent + patience.max(SHORTEST_READ_WAIT);
+        let _in_flight =
+            InFlightGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
+        let timeout = Duration::from_secs_f64(place.expected_ms * PREFILL_TIMEOUT_FACTOR / 1_000.0);
+        let deadline = sent + timeout.max(MIN_PREFILL_TIMEOUT);
         let fetch_from = place.fetch_from.as_deref();
         let order = self.order(
             call,
-            reader,
+            prefill_engine,
             SendMode::ReadPrompt,
             None,
             fetch_from,
             place.rank,
         );
-        let outcome = self.send(reader, call.plan(until), &order).await;
-        let until = until.min(call.due);
-        let reading = self.finish_reading(call, reader, outcome, until).await;
-        call.log_send(reader, "read_prompt", reading.as_str(), sent);
-        if let Reading::Kept(_) = reading {
-            self.note_cached(call, reader);
-            // What waits at a reader that was not chosen first is not known here.
-            if place.reader.as_ref().is_some_and(|r| r.id == reader.id) {
-                self.note_time(&place.timed_prefill(reader), sent.elapsed());
+        let outcome = self.send(prefill_engine, call.plan(deadline), &order).await;
+        let deadline = deadline.min(call.deadline);
+        let prefill = self
+            .finish_prefill(call, prefill_engine, outcome, deadline)
+            .await;
+        call.log_send(prefill_engine, "read_prompt", prefill.as_str(), sent);
+        if let PrefillResult::Cached(_) = prefill {
+            self.note_cached(call, prefill_engine);
+            // The work queued at a prefill engine other than the first choice is unknown here.
+            if place
+                .reader
+                .as_ref()
+                .is_some_and(|r| r.id == prefill_engine.id)
+            {
+                self.note_time(&place.timed_prefill(prefill_engine), sent.elapsed());
             }
         }
-        reading
+        prefill
     }
 
-    async fn finish_reading(
+    async fn finish_prefill(
         self: &Rc<Self>,
         call: &RoutedRequest,
-        reader: &Arc<TargetRecord>,
+        prefill_engine: &Arc<TargetRecord>,
         outcome: SendOutcome,
-        until: Instant,
-    ) -> Reading {
+        deadline: Instant,
+    ) -> PrefillResult {
         let answer = match outcome {
             SendOutcome::Answered(answer) => answer,
-            SendOutcome::NotSent(_) => return Reading::NotSent,
+            SendOutcome::NotSent(_) => return PrefillResult::NotSent,
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                let reason = "left its address or does other work now";
-                return Reading::Failed(format!("{} {reason}", reader.id));
+                let reason = "left its address or changed its stage";
+                return PrefillResult::Failed(format!("{} {reason}", prefill_engine.id));
             }
             SendOutcome::Refused(reason) | SendOutcome::Unclear(reason) => {
-                return Reading::Failed(reason);
+                return PrefillResult::Failed(reason);
             }
         };
         if !answer.head.status.is_success() {
-            self.note_result(reader, SendResult::Failed);
-            return Reading::Failed(format!("{} said {}", reader.id, answer.head.status));
+            self.note_result(prefill_engine, SendResult::Failed);
+            return PrefillResult::Failed(format!(
+                "{} answered the prefill with status {}",
+                prefill_engine.id, answer.head.status
+            ));
         }
-        let read = client::read_body(answer.body, MOST_READ_ANSWER, until).await;
+        let read = client::read_body(answer.body, MAX_PREFILL_ANSWER_BYTES, deadline).await;
         let body = match read {
             Ok(body) => body,
-            Err(fault) => {
-                self.record_body_error(call, reader, &fault);
-                return Reading::Failed(fault.to_string());
+            Err(error) => {
+                self.record_body_error(call, prefill_engine, &error);
+                return PrefillResult::Failed(error.to_string());
             }
         };
         let name = match (self.ports.wire.decode_read)(&body) {
             Ok(name) => name,
-            Err(fault) => {
-                self.note_result(reader, SendResult::Failed);
-                return Reading::Failed(fault.to_string());
+            Err(error) => {
+                self.note_result(prefill_engine, SendResult::Failed);
+                return PrefillResult::Failed(error.to_string());
             }
         };
-        self.note_result(reader, SendResult::Answered);
-        self.note_answered(reader, answer.times);
-        answer.lease.give_back(&answer.head);
+        self.note_result(prefill_engine, SendResult::Answered);
+        self.note_answered(prefill_engine, answer.times);
+        answer.connection.return_to_pool(&answer.head);
         let handle = KvCacheHandle {
-            holder: reader.address,
+            holder: prefill_engine.address,
             name,
         };
-        Reading::Kept(CacheHandleGuard::new(self.clone(), reader.clone(), handle))
+        PrefillResult::Cached(CacheHandleGuard::new(
+            self.clone(),
+            prefill_engine.clone(),
+            handle,
+        ))
     }
 }
 
-// What became of the reading of a prompt; nothing has run in any case.
-enum Reading {
-    Kept(CacheHandleGuard),
-    // No byte left.
+// Outcome of a prefill. No generation has started in any case.
+enum PrefillResult {
+    Cached(CacheHandleGuard),
+    // No byte of the request was sent.
     NotSent,
-    // It arrived at an engine and came to nothing.
+    // An engine received the request, but the prefill failed.
     Failed(String),
 }
 
-impl Reading {
+impl PrefillResult {
     fn as_str(&self) -> &'static str {
         match self {
-            Self::Kept(_) => "read",
+            Self::Cached(_) => "read",
             Self::NotSent => "not_sent",
             Self::Failed(_) => "not_read",
         }
     }
 }
 
-/// A kept prompt that is freed unless another engine took it.
+/// A KV cache handle that is released on drop unless another engine took it.
 pub struct CacheHandleGuard {
     gateway: Rc<Gateway>,
-    reader: Arc<TargetRecord>,
+    prefill_engine: Arc<TargetRecord>,
     handle: Option<KvCacheHandle>,
 }
 
 impl CacheHandleGuard {
-    fn new(gateway: Rc<Gateway>, reader: Arc<TargetRecord>, handle: KvCacheHandle) -> Self {
+    fn new(gateway: Rc<Gateway>, prefill_engine: Arc<TargetRecord>, handle: KvCacheHandle) -> Self {
         Self {
             gateway,
-            reader,
+            prefill_engine,
             handle: Some(handle),
         }
     }
 
-    /// How the prompt is sent to the engine that takes it.
+    /// Returns how the request is sent to the decode engine.
     #[must_use]
     pub fn mode(&self) -> SendMode {
         let handle = self.handle.clone();
         handle.map_or(SendMode::Run, SendMode::TakeOver)
     }
 
-    /// Leaves the prompt to the engine that took it, or that found it gone.
+    /// Drops the handle without releasing it, after the decode engine took it or found it
+    /// gone.
     pub fn forget(&mut self) {
         self.handle = None;
     }
@@ -218,9 +233,9 @@
             return;
         };
         let gateway = self.gateway.clone();
-        let reader = self.reader.clone();
+        let engine = self.prefill_engine.clone();
         tokio::task::spawn_local(
-            async move { gateway.release_handle(&reader, &handle.name).await },
+            async move { gateway.release_handle(&engine, &handle.name).await },
         );
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Passes a stream of events on to the caller, and continues it elsewhere when
-//! its engine breaks it off and the route allows that.
+//! Forwards a stream of events to the caller, and resumes it on another engine if its
+//! engine fails and the route allows it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,22 +22,23 @@
 use crate::gateway::reply::{AnswerTruncated, FrameStream};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 
-/// Silence of an engine after which a resumable stream is continued elsewhere, in
-/// longest allowed pauses. Callers give up after two seconds or more.
-const STALL_GAPS: u32 = 4;
-/// Longest allowed pause where the route states none.
-const DEFAULT_GAP: Duration = Duration::from_millis(300);
+/// Silence of an engine after which a resumable stream is resumed on another one, in gap
+/// objectives. Callers time out after two seconds or more.
+const STALL_TIMEOUT_GAPS: u32 = 4;
+/// Gap objective of routes that state none.
+const DEFAULT_GAP_OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// Takes the time to the first event of a stream.
+/// Measures the time to the first event of a stream.
 #[derive(Debug)]
 pub struct FirstEventTimer {
     /// When the request was sent to the engine.
     pub sent: Instant,
-    /// What the time is of; `None` where it tells nothing of the engine.
+    /// Work that the time is recorded for; `None` if it says nothing about the engine's
+    /// speed.
     pub timed: Option<TimedWork>,
 }
 
-/// A stream on its way to the caller. Dropping it ends the engine's work.
+/// A stream that is being forwarded. Dropping it cancels the work on the engine.
 pub struct EventRelay {
     gateway: Rc<Gateway>,
     call: Rc<RoutedRequest>,
@@ -45,9 +46,9 @@
     answer: Option<TargetAnswer>,
     splitter: EventSplitter,
     last_id: Option<u64>,
-    trail: SendHistory,
-    work: Option<InFlightGuard>,
-    watch: FirstEventTimer,
+    history: SendHistory,
+    in_flight: Option<InFlightGuard>,
+    first_event_timer: FirstEventTimer,
     first_event: Option<Instant>,
     ended: bool,
 }
@@ -56,23 +57,23 @@
     Bytes(Bytes),
     Partial,
     Ended,
-    // The engine ended the connection.
+    // The engine closed the connection.
     Cut(String),
     Broken(String),
     OutOfTime,
 }
 
 impl EventRelay {
-    /// Starts passing on an answer of `engine`.
+    /// Creates a relay for an answer of `engine`.
     #[must_use]
     pub fn new(
         gateway: Rc<Gateway>,
         call: Rc<RoutedRequest>,
         engine: Arc<TargetRecord>,
         answer: TargetAnswer,
-        trail: SendHistory,
-        work: InFlightGuard,
-        watch: FirstEventTimer,
+        history: SendHistory,
+        in_flight: InFlightGuard,
+        first_event_timer: FirstEventTimer,
     ) -> Self {
         let last_id = call.caller.resume_after;
         Self {
@@ -82,15 +83,15 @@
             answer: Some(answer),
             splitter: EventSplitter::default(),
             last_id,
-            trail,
-            work: Some(work),
-            watch,
+            history,
+            in_flight: Some(in_flight),
+            first_event_timer,
             first_event: None,
             ended: false,
         }
     }
 
-    /// Turns the relay into frames of a body.
+    /// Returns the events as frames of a body.
     #[must_use]
     pub fn into_frames(self) -> FrameStream {
         Box::pin(stream::unfold(Some(self), |relay| async move {
@@ -119,7 +120,9 @@
                 }
                 RelayStep::OutOfTime => {
                     self.end("out_of_time", SendResult::Failed);
-                    return Err(AnswerTruncated("its time is up".to_owned()));
+                    return Err(AnswerTruncated(
+                        "the deadline of the request has passed".to_owned(),
+                    ));
                 }
                 RelayStep::Cut(reason) | RelayStep::Broken(reason) => {
                     if !self.resume(&reason).await {
@@ -132,30 +135,34 @@
     }
 
     async fn step(&mut self) -> RelayStep {
-        let stall = self.stall_limit();
+        let stall_deadline = self.stall_deadline();
         let Some(answer) = &mut self.answer else {
-            return RelayStep::Broken("the engine is gone".to_owned());
+            return RelayStep::Broken("no engine is serving the stream".to_owned());
         };
-        let until = self.call.due.min(stall);
-        match timeout_at(until, answer.body.frame()).await {
-            Err(_) if Instant::now() >= self.call.due => RelayStep::OutOfTime,
-            Err(_) => RelayStep::Broken("the engine stalled".to_owned()),
-            Ok(None) => self.take_end(),
+        let deadline = self.call.deadline.min(stall_deadline);
+        match timeout_at(deadline, answer.body.frame()).await {
+            Err(_) if Instant::now() >= self.call.deadline => RelayStep::OutOfTime,
+            Err(_) => RelayStep::Broken("the engine sent nothing within the time limit".to_owned()),
+            Ok(None) => self.finish_body(),
             Ok(Some(Err(error))) if is_timeout(&error) => RelayStep::Broken(error.to_string()),
             Ok(Some(Err(error))) => RelayStep::Cut(error.to_string()),
             Ok(Some(Ok(frame))) => self.take_frame(frame),
         }
     }
 
-    fn stall_limit(&self) -> Instant {
+    fn stall_deadline(&self) -> Instant {
         let now = Instant::now();
         if !self.may_resume() {
-            return self.call.due;
+            return self.call.deadline;
         }
-        let gap = self.call.route.gap_objective.unwrap_or(DEFAULT_GAP);
+        let gap = self
+            .call
+            .route
+            .gap_objective
+            .unwrap_or(DEFAULT_GAP_OBJECTIVE);
         let wait = match self.first_event {
-            Some(_) => gap * STALL_GAPS,
-            None => (gap * STALL_GAPS).max(self.call.route.objective * 2),
+            Some(_) => gap * STALL_TIMEOUT_GAPS,
+            None => (gap * STALL_TIMEOUT_GAPS).max(self.call.route.objective * 2),
         };
         now + wait
     }
@@ -166,7 +173,7 @@
         };
         let Some(batch) = self.splitter.push(&data) else {
             return if self.splitter.is_overlong() {
-                RelayStep::Broken("an event is too long".to_owned())
+                RelayStep::Broken("the engine sent an event that is too long".to_owned())
             } else {
                 RelayStep::Partial
             };
@@ -174,8 +181,9 @@
         if self.first_event.is_none() {
             self.first_event = Some(Instant::now());
             self.gateway.note_begun(&self.call.access);
-            if let Some(timed) = self.watch.timed.take() {
-                self.gateway.note_time(&timed, self.watch.sent.elapsed());
+            if let Some(timed) = self.first_event_timer.timed.take() {
+                self.gateway
+                    .note_time(&timed, self.first_event_timer.sent.elapsed());
             }
             let waited = self.call.arrived.elapsed();
             metrics::histogram!("pistachiowick_gateway_first_event_seconds", "route" => self.call.route.name.clone())
@@ -185,38 +193,38 @@
         RelayStep::Bytes(batch.bytes)
     }
 
-    fn take_end(&mut self) -> RelayStep {
+    fn finish_body(&mut self) -> RelayStep {
         let rest = self.splitter.take_rest();
         if rest.is_empty() {
             return RelayStep::Ended;
         }
-        RelayStep::Cut("the engine stopped in the middle of an event".to_owned())
+        RelayStep::Cut("the engine ended the stream in the middle of an event".to_owned())
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RetryRule::ResumableStream && self.trail.may_send(&self.call)
+        self.call.route.repeat == RetryRule::ResumableStream && self.history.may_send(&self.call)
     }
 
-    // Continues after the last whole event that the caller has. The answer keeps
-    // the head of its first engine.
+    // Resumes after the last event forwarded to the caller. The answer keeps the head from
+    // the first engine.
     async fn resume(&mut self, reason: &str) -> bool {
         if !self.may_resume() {
             return false;
         }
         self.gateway.note_result(&self.engine, SendResult::Failed);
         self.answer = None;
-        self.watch.timed = None;
-        self.work = None;
+        self.first_event_timer.timed = None;
+        self.in_flight = None;
         self.splitter.clear();
-        let Some(place) = self.gateway.place(&self.call, &self.trail) else {
+        let Some(place) = self.gateway.place(&self.call, &self.history) else {
             return false;
         };
         if !self.gateway.may_retry(&self.call) {
             return false;
         }
         let engine = place.writer;
-        self.trail.sent.push(engine.id.clone());
-        let mut work =
+        self.history.sent.push(engine.id.clone());
+        let mut in_flight =
             InFlightGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
         let order = self.gateway.order(
             &self.call,
@@ -227,7 +235,7 @@
             place.rank,
         );
         let sent = Instant::now();
-        let plan = self.call.plan(self.call.due);
+        let plan = self.call.plan(self.call.deadline);
         let outcome = self.gateway.send(&engine, plan, &order).await;
         log::info!(
             request = self.call.caller.id.as_str(),
@@ -236,7 +244,7 @@
             target_id = engine.id.as_str(),
             outcome = outcome.as_str(),
             took_ms = sent.elapsed().as_millis() as u64;
-            "stream continued"
+            "tried to resume the stream on another engine"
         );
         let SendOutcome::Answered(answer) = outcome else {
             return false;
@@ -244,8 +252,8 @@
         if !answer.head.status.is_success() {
             return false;
         }
-        work.note_read();
-        self.work = Some(work);
+        in_flight.note_prefilled();
+        self.in_flight = Some(in_flight);
         self.engine = engine;
         self.answer = Some(*answer);
         true
@@ -272,7 +280,7 @@
         self.gateway.note_result(&self.engine, result);
         self.log_end(outcome);
         self.ended = true;
-        self.work = None;
+        self.in_flight = None;
         let Some(answer) = self.answer.take() else {
             return;
         };
@@ -280,7 +288,7 @@
             self.gateway.note_answered(&self.engine, answer.times);
             self.gateway
                 .record_completion(&self.call, &answer.head.headers);
-            answer.lease.give_back(&answer.head);
+            answer.connection.return_to_pool(&answer.head);
         }
     }
 }
