--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -14,15 +14,15 @@
             && self.ports.duties.is_some()
         {
             let mut book = self.duties.borrow_mut();
-            book.usage.note_begun(name, clock::mono_now());
+            book.usage.record_start(name, clock::mono_now());
         }
     }
 
     pub(super) fn take_usage_updates(&self) -> Vec<UsageCount> {
         let now = clock::mono_now();
         let mut book = self.duties.borrow_mut();
-        book.settle(now);
-        book.usage.take_news(now)
+        book.refresh(now);
+        book.usage.take_updates(now)
     }
 
     // Returns the usage sent to other hubs: of the members, and of this daemon's hint.
