--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -160,7 +160,7 @@
             cached_parts: peers.take_cached_updates(),
             departed: view.departed.clone(),
             entries: self.due_entries(role),
-            crash_reports: self.crashes.borrow_mut().pick(clock::mono_now()),
+            crash_reports: self.crashes.borrow_mut().due_reports(clock::mono_now()),
             changing: self.local_stage_changes.borrow().clone(),
             rate,
             placed_through: self.placement_client.borrow().used_through(),
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -9,20 +9,20 @@
 
 impl Gateway {
     /// Counts a request that started to run at a target.
-    pub fn note_begun(&self, access: &CallerAccess) {
+    pub fn record_start(&self, access: &CallerAccess) {
         if let CallerAccess::Workspace { name, .. } = access
             && self.ports.duties.is_some()
         {
-            let mut book = self.duties.borrow_mut();
-            book.usage.record_start(name, clock::mono_now());
+            let mut meter = self.duties.borrow_mut();
+            meter.usage.record_start(name, clock::mono_now());
         }
     }
 
     pub(super) fn take_usage_updates(&self) -> Vec<UsageCount> {
         let now = clock::mono_now();
-        let mut book = self.duties.borrow_mut();
-        book.refresh(now);
-        book.usage.take_updates(now)
+        let mut meter = self.duties.borrow_mut();
+        meter.refresh(now);
+        meter.usage.take_updates(now)
     }
 
     // Returns the usage sent to other hubs: of the members, and of this daemon's hint.
@@ -35,23 +35,23 @@
     }
 
     pub(super) fn apply_member_usage(&self, hint: &PeerHint, now: MonoTime) {
-        let mut book = self.duties.borrow_mut();
-        book.clock.add_sample(&hint.from, hint.wall_clock, now);
-        book.usage.note_heard(usage_of(hint), true);
+        let mut meter = self.duties.borrow_mut();
+        meter.clock.add_sample(&hint.from, hint.wall_clock, now);
+        meter.usage.merge_remote(usage_of(hint), true);
     }
 
     // Members adopt the time of their hub; between hubs, it counts as one more sample.
     pub(super) fn apply_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
-        let mut book = self.duties.borrow_mut();
+        let mut meter = self.duties.borrow_mut();
         if let Some(time) = summary.fleet_time {
             if summary.whole_fleet {
-                book.clock.adopt_time(time, now);
+                meter.clock.adopt_time(time, now);
             } else {
-                book.clock.add_sample(&summary.from, time, now);
+                meter.clock.add_sample(&summary.from, time, now);
             }
         }
         for counts in &summary.usage {
-            book.usage.note_heard(counts.clone(), false);
+            meter.usage.merge_remote(counts.clone(), false);
         }
     }
 }
@@ -59,7 +59,7 @@
 fn usage_of(hint: &PeerHint) -> DaemonUsage {
     DaemonUsage {
         daemon: hint.from.clone(),
-        life: hint.incarnation,
-        cells: hint.usage.clone(),
+        incarnation: hint.incarnation,
+        counts: hint.usage.clone(),
     }
 }
