--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -234,7 +234,7 @@
         times: ExchangeTimes,
         now: MonoTime,
     ) {
-        let keeps_id = target.born().is_some();
+        let keeps_id = target.started_at().is_some();
         self.refute_crashes(target, now, |crash| {
             if !crash.local {
                 false
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -1,11 +1,11 @@
-//! Which engine reads a prompt and which one makes the tokens: a pure choice.
+//! Choice of the prefill engine and the decode engine for a prompt, free of side effects.
 //!
-//! Prefill engines read fast and cannot generate; decode engines do both and read
-//! slowly beside their other requests. A prompt may be read on a prefill engine
-//! and handed over, or read where its tokens are made. Either engine can copy
-//! shared parts from one that holds them, which takes milliseconds where reading
-//! them again takes hundreds. The choice is the way with the least expected time
-//! to the first token, with a price on what costs others.
+//! Prefill engines prefill fast and cannot generate; decode engines do both, but prefill
+//! slowly next to their running requests. A prompt is prefilled on a prefill engine and
+//! its KV cache transferred, or it is prefilled on its decode engine. Either engine can
+//! copy shared parts from one that caches them, which takes milliseconds where
+//! recomputing takes hundreds. The option with the least expected time to the first
+//! token wins; costs imposed on other requests are added to that time.
 
 use std::sync::Arc;
 
@@ -18,315 +18,331 @@
 use crate::gateway::deciding::load::TargetWork;
 use crate::gateway::model::{EngineStage, PromptShape, TargetRecord};
 
-/// What a request waits for each one beyond an engine's places, in milliseconds.
-const OVERFULL_MS: f64 = 50.0;
-/// Cost of an engine that gave no answers lately, in milliseconds.
-const AVOIDED_MS: f64 = 20_000.0;
-/// Cost of an engine that was avoided and has not answered since.
-const UNPROVED_MS: f64 = 300.0;
-/// Cost of certain failure, in milliseconds.
-const FAILURE_MS: f64 = 1_000.0;
+/// Wait expected for each running request in excess of an engine's slots, in milliseconds.
+const OVERLOAD_PENALTY_MS: f64 = 50.0;
+/// Cost of an engine that recently did not answer, in milliseconds.
+const AVOIDED_PENALTY_MS: f64 = 20_000.0;
+/// Cost of an engine that was avoided and has not answered since, in milliseconds.
+const UNVERIFIED_PENALTY_MS: f64 = 300.0;
+/// Cost of an engine whose sends all fail, in milliseconds; scaled by the failure rate.
+const FAILURE_PENALTY_MS: f64 = 1_000.0;
 
-/// Weights of the choice. Times are in milliseconds.
+/// Weights of the placement costs. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlacementWeights {
-    /// Cost of a copied token: its transfer, its price, and the place that the copy
-    /// takes in the cache.
+    /// Cost of a copied token: its transfer, its price, and the cache space that the
+    /// copy takes.
     pub copy_ms: f64,
-    /// Weight of shared tokens that are read again, in reading times: they also take
-    /// the place of other parts in the cache.
-    pub reread_weight: f64,
-    /// Part of the cost of reading a shared part that its home is spared, so that
-    /// daemons that do not know of each other's choice yet make the same one.
+    /// Cost of recomputed shared tokens, as a multiple of their prefill time: they also
+    /// evict other parts from the cache.
+    #[serde(rename = "reread_weight")]
+    pub recompute_weight: f64,
+    /// Share of the cost of recomputing a shared part that is waived for its home, so
+    /// that daemons that have not yet learned of each other's choices agree.
     pub home_discount: f64,
-    /// What one more running request costs the next one.
+    /// Cost of each request that already runs on the engine.
     pub running_ms: f64,
-    /// What a reading beside running requests costs each of them, as a share of its
-    /// time: all their tokens wait for its pieces.
-    pub disturbance: f64,
+    /// Cost of a prefill to each request that runs on the same engine, as a share of the
+    /// prefill time: their tokens wait for its chunks.
+    #[serde(rename = "disturbance")]
+    pub interference: f64,
 }
 
 impl Default for PlacementWeights {
     fn default() -> Self {
         Self {
             copy_ms: 0.002,
-            reread_weight: 4.0,
+            recompute_weight: 4.0,
             home_discount: 0.5,
             running_ms: 2.0,
-            disturbance: 0.2,
+            interference: 0.2,
         }
     }
 }
 
-/// One engine as a choice sees it.
+/// State of an engine as used for a choice.
 #[derive(Clone, Debug)]
 pub struct EngineState {
     /// The engine.
     pub record: Arc<TargetRecord>,
-    /// Leading tokens of the prompt that it is believed to hold.
-    pub held_tokens: u32,
+    /// Leading tokens of the prompt that it probably caches.
+    pub cached_tokens: u32,
     /// Leading tokens of the prompt that another engine could copy from it.
-    pub ready_tokens: u32,
-    /// Work outstanding at it.
+    pub copyable_tokens: u32,
+    /// Outstanding work.
     pub work: TargetWork,
-    /// How it answers.
+    /// How reliably and fast it answers.
     pub health: HealthView,
     /// Whether another request may be sent to it.
-    pub may_get_work: bool,
+    pub available: bool,
 }
 
 impl EngineState {
-    fn is_reader(&self) -> bool {
+    fn is_prefill_engine(&self) -> bool {
         self.record.stage == Some(EngineStage::Prefill)
     }
 
-    fn trouble_ms(&self) -> f64 {
-        let avoided = if self.health.avoided { AVOIDED_MS } else { 0.0 };
-        let unproved = if self.health.unproved {
-            UNPROVED_MS
+    fn health_penalty_ms(&self) -> f64 {
+        let avoided = if self.health.avoided {
+            AVOIDED_PENALTY_MS
         } else {
             0.0
         };
-        avoided + unproved + FAILURE_MS * self.health.failure_rate
+        let unverified = if self.health.unverified {
+            UNVERIFIED_PENALTY_MS
+        } else {
+            0.0
+        };
+        avoided + unverified + FAILURE_PENALTY_MS * self.health.failure_rate
     }
 
     fn running_ms(&self, each_ms: f64) -> f64 {
         let running = self.work.running;
         let beyond = running.saturating_sub(self.record.slots);
-        f64::from(running) * each_ms + f64::from(beyond) * OVERFULL_MS
+        f64::from(running) * each_ms + f64::from(beyond) * OVERLOAD_PENALTY_MS
     }
 }
 
 /// Engines chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePlacement {
-    /// Engine that reads the prompt for the other; `None` where one does both.
-    pub reader: Option<Arc<TargetRecord>>,
-    /// Engine that makes the tokens.
-    pub writer: Arc<TargetRecord>,
-    /// Engine that the reading one copies shared parts from.
+    /// Prefill engine; `None` where the decode engine prefills the prompt itself.
+    pub prefill_engine: Option<Arc<TargetRecord>>,
+    /// Engine that generates the tokens.
+    pub decode_engine: Arc<TargetRecord>,
+    /// Engine that the prefilling engine copies shared parts from.
     pub fetch_from: Option<Arc<TargetRecord>>,
-    /// Rank that it was chosen for.
+    /// Rank of the request in engines' queues.
     pub rank: u8,
     /// Expected time to the first token, in milliseconds.
     pub expected_ms: f64,
-    /// Part of it that the request's own reading takes.
-    pub own_ms: f64,
-    /// Tokens that the reading engine still has to read.
-    pub unread_tokens: u32,
-    /// Tokens among them that requests share.
-    pub reread_tokens: u32,
-    /// Tokens of other requests that it reads before.
-    pub waiting_tokens: u32,
-    /// Whether it gives way to all requests that can still be in time.
-    pub gives_way: bool,
+    /// Part of the expected time that prefilling the request itself takes.
+    pub own_prefill_ms: f64,
+    /// Tokens of the prompt that the engine still has to prefill.
+    pub pending_prefill_tokens: u32,
+    /// Shared tokens among them, which are recomputed.
+    pub recomputed_tokens: u32,
+    /// Tokens of other requests that the engine prefills before.
+    pub queued_ahead_tokens: u32,
+    /// Whether it is queued behind all requests that can still meet their objective.
+    pub deprioritized: bool,
 }
 
 impl EnginePlacement {
-    /// The reading of the prompt at `engine`, as work whose time is taken.
+    /// Returns the prefill of the prompt at `engine` as work whose time is measured.
     #[must_use]
     pub fn timed_prefill(&self, engine: &Arc<TargetRecord>) -> TimedWork {
-        let work = match (self.reader.is_some(), self.gives_way) {
-            (true, false) => EngineWork::ReadAhead,
-            (true, true) => EngineWork::ReadAheadLate,
-            (false, false) => EngineWork::ReadHere,
-            (false, true) => EngineWork::ReadHereLate,
+        let work = match (self.prefill_engine.is_some(), self.deprioritized) {
+            (true, false) => EngineWork::RemotePrefill,
+            (true, true) => EngineWork::RemotePrefillLate,
+            (false, false) => EngineWork::LocalPrefill,
+            (false, true) => EngineWork::LocalPrefillLate,
         };
         TimedWork {
             engine: engine.clone(),
             work,
-            tokens: f64::from(self.unread_tokens) + f64::from(self.waiting_tokens),
+            tokens: f64::from(self.pending_prefill_tokens) + f64::from(self.queued_ahead_tokens),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ReadWay<'a> {
+struct PrefillOption<'a> {
     engine: &'a EngineState,
     fetch_from: Option<&'a EngineState>,
-    // What the choice goes by: the time and a price on what costs others.
+    // Expected time plus the cost to other requests; the option with the least is chosen.
     cost_ms: f64,
     expected_ms: f64,
-    own_ms: f64,
-    unread_tokens: u32,
-    reread_tokens: u32,
-    waiting_tokens: u32,
+    own_prefill_ms: f64,
+    pending_prefill_tokens: u32,
+    recomputed_tokens: u32,
+    queued_ahead_tokens: u32,
 }
 
-/// Chooses engines for a prompt of a rank; `None` without an engine that generates.
+/// Chooses engines for a prompt of a rank; `None` if no decode engine is available.
 #[must_use]
-pub fn choose(
+pub fn choose_engines(
     weights: &PlacementWeights,
-    lines: &EngineLatencies,
+    latencies: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
 ) -> Option<EnginePlacement> {
-    let scene = Scene::new(weights, lines, engines, prompt, rank);
-    let direct = scene.cheapest(|e| !e.is_reader() && e.may_get_work)?;
-    let Some(read) = scene.cheapest(|e| e.is_reader() && e.may_get_work) else {
-        return Some(direct_place(&direct, rank));
+    let context = ChoiceContext::new(weights, latencies, engines, prompt, rank);
+    let local = context.cheapest(|e| !e.is_prefill_engine() && e.available)?;
+    let Some(remote) = context.cheapest(|e| e.is_prefill_engine() && e.available) else {
+        return Some(local_placement(&local, rank));
     };
-    let Some((writer, writer_ms)) = scene.writer() else {
-        return Some(direct_place(&direct, rank));
+    let Some((decode_engine, decode)) = context.decode_engine() else {
+        return Some(local_placement(&local, rank));
     };
-    if read.cost_ms + writer_ms.cost >= direct.cost_ms {
-        return Some(direct_place(&direct, rank));
+    if remote.cost_ms + decode.cost >= local.cost_ms {
+        return Some(local_placement(&local, rank));
     }
     Some(EnginePlacement {
-        reader: Some(read.engine.record.clone()),
-        writer: writer.record.clone(),
-        fetch_from: read.fetch_from.map(|holder| holder.record.clone()),
+        prefill_engine: Some(remote.engine.record.clone()),
+        decode_engine: decode_engine.record.clone(),
+        fetch_from: remote.fetch_from.map(|source| source.record.clone()),
         rank,
-        expected_ms: read.expected_ms + writer_ms.expected,
-        own_ms: read.own_ms,
-        unread_tokens: read.unread_tokens,
-        reread_tokens: read.reread_tokens,
-        waiting_tokens: read.waiting_tokens,
-        gives_way: false,
+        expected_ms: remote.expected_ms + decode.expected,
+        own_prefill_ms: remote.own_prefill_ms,
+        pending_prefill_tokens: remote.pending_prefill_tokens,
+        recomputed_tokens: remote.recomputed_tokens,
+        queued_ahead_tokens: remote.queued_ahead_tokens,
+        deprioritized: false,
     })
 }
 
-/// Chooses the engine that takes over a prompt which was read elsewhere.
+/// Chooses the decode engine for a prompt that was prefilled elsewhere.
 ///
-/// Reading takes up to seconds, in which engines leave and loads change, so this is
-/// asked again once the prompt is read.
+/// A prefill takes up to seconds, in which engines leave and loads change, so the decode
+/// engine is chosen again once it is done.
 #[must_use]
 pub fn choose_decode_engine(
     weights: &PlacementWeights,
-    lines: &EngineLatencies,
+    latencies: &EngineLatencies,
     engines: &[EngineState],
     prompt: &PromptShape,
     rank: u8,
 ) -> Option<Arc<TargetRecord>> {
-    let scene = Scene::new(weights, lines, engines, prompt, rank);
-    scene.writer().map(|(engine, _)| engine.record.clone())
+    let context = ChoiceContext::new(weights, latencies, engines, prompt, rank);
+    context
+        .decode_engine()
+        .map(|(engine, _)| engine.record.clone())
 }
 
-fn direct_place(way: &ReadWay<'_>, rank: u8) -> EnginePlacement {
+fn local_placement(option: &PrefillOption<'_>, rank: u8) -> EnginePlacement {
     EnginePlacement {
-        reader: None,
-        writer: way.engine.record.clone(),
-        fetch_from: way.fetch_from.map(|holder| holder.record.clone()),
+        prefill_engine: None,
+        decode_engine: option.engine.record.clone(),
+        fetch_from: option.fetch_from.map(|source| source.record.clone()),
         rank,
-        expected_ms: way.expected_ms,
-        own_ms: way.own_ms,
-        unread_tokens: way.unread_tokens,
-        reread_tokens: way.reread_tokens,
-        waiting_tokens: way.waiting_tokens,
-        gives_way: false,
+        expected_ms: option.expected_ms,
+        own_prefill_ms: option.own_prefill_ms,
+        pending_prefill_tokens: option.pending_prefill_tokens,
+        recomputed_tokens: option.recomputed_tokens,
+        queued_ahead_tokens: option.queued_ahead_tokens,
+        deprioritized: false,
     }
 }
 
-// What it costs to make the tokens at an engine, in milliseconds.
+// Cost of decoding at an engine, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-struct WriteTime {
-    // To the first event.
+struct DecodeCost {
+    // Time to the first event.
     expected: f64,
-    // With a price on what it costs others.
+    // Expected time plus the cost to other requests.
     cost: f64,
 }
 
-struct Scene<'a> {
+struct ChoiceContext<'a> {
     weights: &'a PlacementWeights,
-    lines: &'a EngineLatencies,
+    latencies: &'a EngineLatencies,
     engines: &'a [EngineState],
     prompt: &'a PromptShape,
     rank: u8,
     shared_tokens: u32,
     home: Option<&'a EngineState>,
-    holder: Option<&'a EngineState>,
+    source: Option<&'a EngineState>,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> ChoiceContext<'a> {
     fn new(
         weights: &'a PlacementWeights,
-        lines: &'a EngineLatencies,
+        latencies: &'a EngineLatencies,
         engines: &'a [EngineState],
         prompt: &'a PromptShape,
         rank: u8,
     ) -> Self {
         let key = affinity::shared_key(&prompt.parts);
         let home = key.and_then(|key| {
-            let sound = engines.iter().filter(|e| !e.health.avoided);
-            sound.max_by_key(|e| affinity::home_weight(key, &e.record.id))
+            let healthy = engines.iter().filter(|e| !e.health.avoided);
+            healthy.max_by_key(|e| affinity::home_weight(key, &e.record.id))
         });
-        let holders = engines.iter().filter(|e| !e.health.avoided);
-        let holder = holders
-            .filter(|e| e.ready_tokens > 0)
-            .max_by_key(|e| e.ready_tokens);
+        let sources = engines.iter().filter(|e| !e.health.avoided);
+        let source = sources
+            .filter(|e| e.copyable_tokens > 0)
+            .max_by_key(|e| e.copyable_tokens);
         Self {
             weights,
-            lines,
+            latencies,
             engines,
             prompt,
             rank,
             shared_tokens: affinity::shared_tokens(&prompt.parts),
             home,
-            holder,
+            source,
         }
     }
 
-    fn cheapest(&self, fits: impl Fn(&EngineState) -> bool) -> Option<ReadWay<'a>> {
-        let ways = self.engines.iter().filter(|e| fits(e));
-        ways.map(|engine| self.way(engine))
+    fn cheapest(&self, fits: impl Fn(&EngineState) -> bool) -> Option<PrefillOption<'a>> {
+        let candidates = self.engines.iter().filter(|e| fits(e));
+        candidates
+            .map(|engine| self.option(engine))
             .min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms))
     }
 
-    fn way(&self, engine: &'a EngineState) -> ReadWay<'a> {
-        let held = engine.held_tokens;
-        let most = self.shared_tokens;
-        let copyable = self
-            .holder
-            .map_or(0, |holder| holder.ready_tokens.min(most));
-        let copied = copyable.saturating_sub(held);
-        let fetch_from = self.holder.filter(|_| copied > 0);
-        let unread = self.prompt.prompt_tokens.saturating_sub(held + copied);
-        let reread = self.shared_tokens.saturating_sub(held + copied);
+    fn option(&self, engine: &'a EngineState) -> PrefillOption<'a> {
+        let cached = engine.cached_tokens;
+        let shared = self.shared_tokens;
+        let from_source = self
+            .source
+            .map_or(0, |source| source.copyable_tokens.min(shared));
+        let copied = from_source.saturating_sub(cached);
+        let fetch_from = self.source.filter(|_| copied > 0);
+        let pending_prefill = self.prompt.prompt_tokens.saturating_sub(cached + copied);
+        let recomputed = self.shared_tokens.saturating_sub(cached + copied);
         let is_home = self
             .home
             .is_some_and(|home| home.record.id == engine.record.id);
         let weights = self.weights;
         let discount = if is_home { weights.home_discount } else { 0.0 };
-        let reread_cost = weights.reread_weight * f64::from(reread) * (1.0 - discount);
-        let pace = engine.health.pace;
+        let recompute_tokens = weights.recompute_weight * f64::from(recomputed) * (1.0 - discount);
+        let slowdown = engine.health.slowdown;
         let waiting = engine.work.prefill_tokens_before(self.rank);
-        let (line, disturbed, running) = if engine.is_reader() {
-            (self.lines.read_ahead, 1.0, 0.0)
+        let (latency, interference_factor, running) = if engine.is_prefill_engine() {
+            (self.latencies.remote_prefill, 1.0, 0.0)
         } else {
-            let disturbed = 1.0 + weights.disturbance * f64::from(engine.work.running);
+            let interference_factor = 1.0 + weights.interference * f64::from(engine.work.running);
             let running = engine.running_ms(weights.running_ms);
-            (self.lines.read_here, disturbed, running)
+            (self.latencies.local_prefill, interference_factor, running)
         };
-        let own_ms = f64::from(unread) * line.token_ms * pace;
-        let waiting_ms = f64::from(waiting) * line.token_ms * pace;
-        let expected_ms = line.fixed_ms * pace + own_ms + waiting_ms + engine.trouble_ms();
-        let others_ms = (own_ms + reread_cost * pace * line.token_ms) * disturbed - own_ms;
-        let copying = f64::from(copied) * weights.copy_ms;
-        ReadWay {
+        let own_prefill_ms = f64::from(pending_prefill) * latency.token_ms * slowdown;
+        let waiting_ms = f64::from(waiting) * latency.token_ms * slowdown;
+        let expected_ms =
+            latency.fixed_ms * slowdown + own_prefill_ms + waiting_ms + engine.health_penalty_ms();
+        let cost_to_others_ms = (own_prefill_ms + recompute_tokens * slowdown * latency.token_ms)
+            * interference_factor
+            - own_prefill_ms;
+        let copying_ms = f64::from(copied) * weights.copy_ms;
+        PrefillOption {
             engine,
             fetch_from,
-            cost_ms: expected_ms + others_ms + running + copying,
+            cost_ms: expected_ms + cost_to_others_ms + running + copying_ms,
             expected_ms,
-            own_ms,
-            unread_tokens: unread,
-            reread_tokens: reread,
-            waiting_tokens: waiting,
+            own_prefill_ms,
+            pending_prefill_tokens: pending_prefill,
+            recomputed_tokens: recomputed,
+            queued_ahead_tokens: waiting,
         }
     }
 
-    // The decode engine that disturbs a handed-over request least.
-    fn writer(&self) -> Option<(&'a EngineState, WriteTime)> {
-        let fits = |e: &&EngineState| !e.is_reader() && e.may_get_work;
+    // Returns the decode engine with the least cost for a prompt prefilled elsewhere.
+    fn decode_engine(&self) -> Option<(&'a EngineState, DecodeCost)> {
+        let fits = |e: &&EngineState| !e.is_prefill_engine() && e.available;
         let costs = self.engines.iter().filter(fits).map(|engine| {
             let waiting = f64::from(engine.work.prefill_tokens_before(self.rank));
-            let pace = engine.health.pace;
-            let expected = self.lines.take_over.at(waiting) * pace + engine.trouble_ms();
-            let copied = self.prompt.prompt_tokens.saturating_sub(engine.held_tokens);
+            let slowdown = engine.health.slowdown;
+            let expected =
+                self.latencies.kv_transfer.at(waiting) * slowdown + engine.health_penalty_ms();
+            let copied = self
+                .prompt
+                .prompt_tokens
+                .saturating_sub(engine.cached_tokens);
             let copy_ms = f64::from(copied) * self.weights.copy_ms;
             let cost = expected + copy_ms + engine.running_ms(self.weights.running_ms);
-            (engine, WriteTime { expected, cost })
+            (engine, DecodeCost { expected, cost })
         });
         costs.min_by(|a, b| a.1.cost.total_cmp(&b.1.cost))
     }
--- a/src/gateway/deciding/line_fit.rs
+++ b/src/gateway/deciding/line_fit.rs
@@ -1,26 +1,26 @@
-//! Time as a line over the size of the work, learned from what was seen.
+//! Linear latency model: time as a function of work size, fitted to observations.
 
-/// Part of the earlier observations that a new one leaves: about the last seventy
-/// count, which daemons see within some seconds of load.
-const KEPT_SHARE: f64 = 0.985;
-/// Weight of each of the two points that stand for the line known beforehand.
+/// Factor by which each new observation decays the weight of earlier ones: about the last
+/// seventy count, which a daemon makes within some seconds of load.
+const DECAY_FACTOR: f64 = 0.985;
+/// Weight of each of the two points that represent the prior.
 const PRIOR_WEIGHT: f64 = 1.0;
-/// Size of the farther of these points, in tokens: a prompt of middling length.
+/// Size of the larger of these points: a prompt of medium length.
 const PRIOR_TOKENS: f64 = 8_000.0;
-/// Observations farther from the line than so many mean distances are taken as far.
-const OUTLIER_SPREADS: f64 = 4.0;
-/// Weight of the newest distance in the mean distance.
-const SPREAD_WEIGHT: f64 = 0.05;
-/// Shortest times of a line: no engine reads a million tokens in ten milliseconds.
-const LEAST_TOKEN_MS: f64 = 1e-5;
-const LEAST_FIXED_MS: f64 = 0.5;
+/// Observations that deviate by more than this many mean deviations are clamped.
+const OUTLIER_DEVIATIONS: f64 = 4.0;
+/// Weight of the newest deviation in the moving mean of the deviation.
+const DEVIATION_WEIGHT: f64 = 0.05;
+/// Lower bounds of the fitted times: no engine prefills a million tokens in 10 ms.
+const MIN_TOKEN_MS: f64 = 1e-5;
+const MIN_FIXED_MS: f64 = 0.5;
 
-/// Time of work: a fixed part and one that grows with its tokens, in milliseconds.
+/// Latency of work: a fixed time plus a time per token, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearLatency {
-    /// Beside the tokens.
+    /// Time independent of the number of tokens.
     pub fixed_ms: f64,
-    /// Per token.
+    /// Time per token.
     pub token_ms: f64,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// A line fitted to observations by least squares.
+/// Linear latency fitted to observations by least squares.
 ///
-/// Old observations fade, so that it follows engines that turn slow; single ones far
-/// off, as after a pause of the whole instance, are cut to the usual distance.
+/// The weight of old observations decays, so that the fit follows engines that become
+/// slow. Outliers, such as after a pause of the whole instance, are clamped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyFit {
     prior: LinearLatency,
@@ -44,12 +44,12 @@
     sum_y: f64,
     sum_xx: f64,
     sum_xy: f64,
-    spread: f64,
-    line: LinearLatency,
+    mean_deviation: f64,
+    latency: LinearLatency,
 }
 
 impl LatencyFit {
-    /// Starts from what is known beforehand.
+    /// Creates a fit without observations, which returns `prior`.
     #[must_use]
     pub fn new(prior: LinearLatency) -> Self {
         Self {
@@ -59,23 +59,24 @@
             sum_y: 0.0,
             sum_xx: 0.0,
             sum_xy: 0.0,
-            spread: prior.at(PRIOR_TOKENS),
-            line: prior,
+            mean_deviation: prior.at(PRIOR_TOKENS),
+            latency: prior,
         }
     }
 
-    /// Returns the line as known now.
+    /// Returns the current estimate.
     #[must_use]
-    pub fn line(&self) -> LinearLatency {
-        self.line
+    pub fn latency(&self) -> LinearLatency {
+        self.latency
     }
 
-    /// Takes the time that work on `tokens` took.
+    /// Records the time that work on `tokens` took.
     pub fn note(&mut self, tokens: f64, taken_ms: f64) {
-        let expected = self.line.at(tokens);
-        let reach = OUTLIER_SPREADS * self.spread;
-        let taken = taken_ms.clamp(expected - reach, expected + reach);
-        self.spread += SPREAD_WEIGHT * ((taken_ms - expected).abs() - self.spread);
+        let expected = self.latency.at(tokens);
+        let max_deviation = OUTLIER_DEVIATIONS * self.mean_deviation;
+        let taken = taken_ms.clamp(expected - max_deviation, expected + max_deviation);
+        self.mean_deviation +=
+            DEVIATION_WEIGHT * ((taken_ms - expected).abs() - self.mean_deviation);
         for sum in [
             &mut self.weight,
             &mut self.sum_x,
@@ -83,14 +84,14 @@
             &mut self.sum_xx,
             &mut self.sum_xy,
         ] {
-            *sum *= KEPT_SHARE;
+            *sum *= DECAY_FACTOR;
         }
         self.weight += 1.0;
         self.sum_x += tokens;
         self.sum_y += taken;
         self.sum_xx += tokens * tokens;
         self.sum_xy += tokens * taken;
-        self.line = self.fitted();
+        self.latency = self.fitted();
     }
 
     fn fitted(&self) -> LinearLatency {
@@ -100,19 +101,19 @@
         let sum_y = self.sum_y + PRIOR_WEIGHT * (near + far);
         let sum_xx = self.sum_xx + PRIOR_WEIGHT * PRIOR_TOKENS * PRIOR_TOKENS;
         let sum_xy = self.sum_xy + PRIOR_WEIGHT * PRIOR_TOKENS * far;
-        // Two points at different sizes keep this above zero.
-        let spread = weight * sum_xx - sum_x * sum_x;
-        let slope = (weight * sum_xy - sum_x * sum_y) / spread;
-        let token_ms = slope.max(LEAST_TOKEN_MS);
+        // Positive, because the prior has points at two different sizes.
+        let determinant = weight * sum_xx - sum_x * sum_x;
+        let slope = (weight * sum_xy - sum_x * sum_y) / determinant;
+        let token_ms = slope.max(MIN_TOKEN_MS);
         let fixed_ms = (sum_y - token_ms * sum_x) / weight;
-        if fixed_ms >= LEAST_FIXED_MS {
+        if fixed_ms >= MIN_FIXED_MS {
             return LinearLatency { fixed_ms, token_ms };
         }
-        // The best line through the least fixed time.
-        let token_ms = (sum_xy - LEAST_FIXED_MS * sum_x) / sum_xx;
+        // Best fit with the fixed time at its lower bound.
+        let token_ms = (sum_xy - MIN_FIXED_MS * sum_x) / sum_xx;
         LinearLatency {
-            fixed_ms: LEAST_FIXED_MS,
-            token_ms: token_ms.max(LEAST_TOKEN_MS),
+            fixed_ms: MIN_FIXED_MS,
+            token_ms: token_ms.max(MIN_TOKEN_MS),
         }
     }
 }
--- a/src/gateway/fleet_tasks/server_plan.rs
+++ b/src/gateway/fleet_tasks/server_plan.rs
@@ -73,14 +73,17 @@
     if f64::from(per_centre * count) * price >= f64::from(provided) {
         return None;
     }
-    let minimum = rule.fewest;
+    let minimum = rule.min_per_centre;
     let mut desired: Vec<DesiredCounts> = centres
         .iter()
         .map(|centre| DesiredCounts {
             centre: centre.centre.clone(),
             on_demand: minimum,
             // Both kinds together stay within the maximum that is allowed.
-            reclaimable: per_centre.min(rule.most.saturating_sub(centre.on_demand.max(minimum))),
+            reclaimable: per_centre.min(
+                rule.max_per_centre
+                    .saturating_sub(centre.on_demand.max(minimum)),
+            ),
         })
         .collect();
     substitute_on_demand(rule, provided, centres, &mut desired);
@@ -117,7 +120,7 @@
     for index in cheapest {
         let (centre, desired) = (&centres[index], &mut desired[index]);
         let occupied = desired.on_demand + desired.reclaimable.max(centre.reclaimable);
-        let extra = rule.most.saturating_sub(occupied).min(missing);
+        let extra = rule.max_per_centre.saturating_sub(occupied).min(missing);
         desired.on_demand += extra;
         missing -= extra;
     }
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -207,7 +207,7 @@
             reclaimable: true,
         };
         let last = self.orders.get(&key);
-        let starting = |last: &&LastOrder| now.since(last.at) < rule.boot + REGISTRATION_SLACK;
+        let starting = |last: &&LastOrder| now.since(last.at) < rule.boot_time + REGISTRATION_SLACK;
         last.filter(starting).map_or(0, |last| last.count)
     }
 
@@ -235,7 +235,7 @@
             let due = match last {
                 None => next != count,
                 Some(last) if last.count != next => true,
-                Some(last) => next > count && now.since(last.at) > rule.boot + OVERDUE_TIME,
+                Some(last) => next > count && now.since(last.at) > rule.boot_time + OVERDUE_TIME,
             };
             (due && !delayed).then_some((key, next))
         })
--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -37,12 +37,14 @@
             .iter()
             .filter(|update| now.since(update.at) < longest);
         let (mut due, additions): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
-            fresh.partition(|update| update.note.value.is_none());
+            fresh.partition(|update| update.update.value.is_none());
         if is_full {
             self.last_full_at = Some(now);
             due.extend(self.next_additions(&additions));
         }
-        due.into_iter().map(|update| update.note.clone()).collect()
+        due.into_iter()
+            .map(|update| update.update.clone())
+            .collect()
     }
 
     fn next_additions<'a>(&mut self, additions: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -110,8 +110,8 @@
         let local = self.core.borrow_mut().work.rate(now);
         let peers = self.peers.borrow().work_rate(now);
         WorkRate {
-            read_tokens: local.read_tokens + peers.read_tokens,
-            written_tokens: local.written_tokens + peers.written_tokens,
+            prefill_tokens: local.prefill_tokens + peers.prefill_tokens,
+            decode_tokens: local.decode_tokens + peers.decode_tokens,
         }
     }
 
@@ -119,7 +119,7 @@
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let rate = self.work_rate();
-        rate.read_tokens + rate.written_tokens < 1.0
+        rate.prefill_tokens + rate.decode_tokens < 1.0
     }
 
     /// Returns the rank of this daemon among those that are reachable, by name; 0 is the first.
@@ -142,14 +142,18 @@
     }
 
     fn has_new_work(&self) -> bool {
-        *self.core.borrow().load.own() != *self.last_sent_work.borrow()
+        *self.core.borrow().load.local() != *self.last_sent_work.borrow()
     }
 
     fn hint(&self, role: &PeerRole) -> PeerHint {
         let view = self.view();
         let mut core = self.core.borrow_mut();
         let rate = core.work.rate(clock::mono_now());
-        let work = core.load.own().iter().map(|(id, work)| (id.clone(), *work));
+        let work = core
+            .load
+            .local()
+            .iter()
+            .map(|(id, work)| (id.clone(), *work));
         let mut peers = self.peers.borrow_mut();
         PeerHint {
             from: self.daemon.clone(),
@@ -232,7 +236,7 @@
         let counts = |id: &DaemonId| whole_fleet || *id == hint.from || direct.contains(id);
         // Placements made from now on get a higher number than this summary contains.
         let placed_through = self.announce_placements();
-        let work = self.core.borrow().load.summed(counts);
+        let work = self.core.borrow().load.sum_with(counts);
         PeerSummary {
             from: hint.from.clone(),
             incarnation: hint.incarnation,
@@ -379,7 +383,7 @@
     fn apply_entry_changes(&self, mut changes: Vec<EntryUpdate>) {
         let view = self.view();
         let is_kept =
-            |change: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.note == *change);
+            |change: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.update == *change);
         changes.retain(|change| !is_kept(change));
         if !changes.is_empty() {
             // The control thread runs until the process ends.
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -245,21 +245,21 @@
             let found = known.iter().find(|engine| engine.id == *id)?;
             newest.holds(id).then(|| found.clone())
         };
-        let reader = match &engines.prefill_engine {
+        let prefill_engine = match &engines.prefill_engine {
             Some(id) => Some(find(id)?),
             None => None,
         };
         Some(EnginePlacement {
-            reader,
-            writer: find(&engines.decode_engine)?,
+            prefill_engine,
+            decode_engine: find(&engines.decode_engine)?,
             fetch_from: engines.fetch_from.as_ref().and_then(find),
             rank: engines.rank,
             expected_ms: engines.expected_ms,
-            own_ms: engines.own_prefill_ms,
-            unread_tokens: engines.pending_prefill_tokens,
-            reread_tokens: engines.recomputed_tokens,
-            waiting_tokens: engines.queued_ahead_tokens,
-            gives_way: engines.deprioritized,
+            own_prefill_ms: engines.own_prefill_ms,
+            pending_prefill_tokens: engines.pending_prefill_tokens,
+            recomputed_tokens: engines.recomputed_tokens,
+            queued_ahead_tokens: engines.queued_ahead_tokens,
+            deprioritized: engines.deprioritized,
         })
     }
 
@@ -306,13 +306,19 @@
         if !self.hubs.borrow().is_hub() {
             return;
         }
-        let reader = place.reader.as_ref().unwrap_or(&place.writer);
-        let writer = place.reader.as_ref().map(|_| place.writer.id.clone());
+        let prefill_engine = place
+            .prefill_engine
+            .as_ref()
+            .unwrap_or(&place.decode_engine);
+        let decode_engine = place
+            .prefill_engine
+            .as_ref()
+            .map(|_| place.decode_engine.id.clone());
         self.placements.borrow_mut().push(PlacementRecord {
-            prefill_engine: reader.id.clone(),
-            decode_engine: writer,
+            prefill_engine: prefill_engine.id.clone(),
+            decode_engine,
             rank: place.rank,
-            pending_prefill_tokens: place.unread_tokens,
+            pending_prefill_tokens: place.pending_prefill_tokens,
             parts: prompt.parts.iter().map(|p| (p.key, p.tokens)).collect(),
         });
         self.placements_changed.notify_one();
@@ -346,14 +352,15 @@
         let mut core = self.core.borrow_mut();
         let numbered = (&batch.from, batch.number);
         for record in &batch.placements {
-            core.load.promise(
+            core.load.reserve(
                 numbered,
                 &record.prefill_engine,
                 (record.rank, record.pending_prefill_tokens),
                 now,
             );
-            if let Some(writer) = &record.decode_engine {
-                core.load.promise(numbered, writer, (record.rank, 0), now);
+            if let Some(decode_engine) = &record.decode_engine {
+                core.load
+                    .reserve(numbered, decode_engine, (record.rank, 0), now);
             }
             core.note_parts(&record.prefill_engine, &parts_of(&record.parts), false, now);
         }
@@ -367,20 +374,23 @@
         place: &EnginePlacement,
     ) {
         let now = clock::mono_now();
-        let reader = place.reader.as_ref().unwrap_or(&place.writer);
+        let prefill_engine = place
+            .prefill_engine
+            .as_ref()
+            .unwrap_or(&place.decode_engine);
         let mut core = self.core.borrow_mut();
         let requester = (&request.from, request.number);
-        core.load.promise(
+        core.load.reserve(
             requester,
-            &reader.id,
-            (place.rank, place.unread_tokens),
+            &prefill_engine.id,
+            (place.rank, place.pending_prefill_tokens),
             now,
         );
-        if place.reader.is_some() {
+        if place.prefill_engine.is_some() {
             core.load
-                .promise(requester, &place.writer.id, (place.rank, 0), now);
+                .reserve(requester, &place.decode_engine.id, (place.rank, 0), now);
         }
-        core.note_parts(&reader.id, &prompt.parts, false, now);
+        core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
     }
 
     /// Passes a response to the request that waits for it.
@@ -412,16 +422,19 @@
 impl From<&EnginePlacement> for PlacedEngines {
     fn from(place: &EnginePlacement) -> Self {
         Self {
-            prefill_engine: place.reader.as_ref().map(|reader| reader.id.clone()),
-            decode_engine: place.writer.id.clone(),
+            prefill_engine: place
+                .prefill_engine
+                .as_ref()
+                .map(|prefill_engine| prefill_engine.id.clone()),
+            decode_engine: place.decode_engine.id.clone(),
             fetch_from: place.fetch_from.as_ref().map(|holder| holder.id.clone()),
             rank: place.rank,
             expected_ms: place.expected_ms,
-            own_prefill_ms: place.own_ms,
-            pending_prefill_tokens: place.unread_tokens,
-            recomputed_tokens: place.reread_tokens,
-            queued_ahead_tokens: place.waiting_tokens,
-            deprioritized: place.gives_way,
+            own_prefill_ms: place.own_prefill_ms,
+            pending_prefill_tokens: place.pending_prefill_tokens,
+            recomputed_tokens: place.recomputed_tokens,
+            queued_ahead_tokens: place.queued_ahead_tokens,
+            deprioritized: place.deprioritized,
         }
     }
 }
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -40,7 +40,7 @@
         place: &EnginePlacement,
         history: &mut SendHistory,
     ) -> Result<Option<CacheHandleGuard>, Failure> {
-        let Some(mut prefill_engine) = place.reader.clone() else {
+        let Some(mut prefill_engine) = place.prefill_engine.clone() else {
             return Ok(None);
         };
         if history.prompt_prefilled && !self.may_retry(call) {
@@ -90,8 +90,12 @@
         place: &EnginePlacement,
     ) -> PrefillResult {
         let sent = Instant::now();
-        let _in_flight =
-            InFlightGuard::begin(self, &prefill_engine.id, place.rank, place.unread_tokens);
+        let _in_flight = InFlightGuard::begin(
+            self,
+            &prefill_engine.id,
+            place.rank,
+            place.pending_prefill_tokens,
+        );
         let timeout = Duration::from_secs_f64(place.expected_ms * PREFILL_TIMEOUT_FACTOR / 1_000.0);
         let deadline = sent + timeout.max(MIN_PREFILL_TIMEOUT);
         let fetch_from = place.fetch_from.as_deref();
@@ -113,7 +117,7 @@
             self.note_cached(call, prefill_engine);
             // The work queued at a prefill engine other than the first choice is unknown here.
             if place
-                .reader
+                .prefill_engine
                 .as_ref()
                 .is_some_and(|r| r.id == prefill_engine.id)
             {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -202,7 +202,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat == RetryRule::ResumableStream && self.history.may_send(&self.call)
+        self.call.route.retry == RetryRule::ResumableStream && self.history.may_send(&self.call)
     }
 
     // Resumes after the last event forwarded to the caller. The answer keeps the head from
@@ -222,10 +222,14 @@
         if !self.gateway.may_retry(&self.call) {
             return false;
         }
-        let engine = place.writer;
+        let engine = place.decode_engine;
         self.history.sent.push(engine.id.clone());
-        let mut in_flight =
-            InFlightGuard::begin(&self.gateway, &engine.id, place.rank, place.unread_tokens);
+        let mut in_flight = InFlightGuard::begin(
+            &self.gateway,
+            &engine.id,
+            place.rank,
+            place.pending_prefill_tokens,
+        );
         let order = self.gateway.order(
             &self.call,
             &engine,
--- a/tests/gateway_hubs.rs
+++ b/tests/gateway_hubs.rs
@@ -178,8 +178,8 @@
     let mut all = LoadTracker::default();
     all.begin(&target, 1, 300);
     all.begin(&target, 1, 500);
-    let mut sum = all.summed(|_| true);
-    subtract(&mut sum, local.own());
+    let mut sum = all.sum_with(|_| true);
+    subtract(&mut sum, local.local());
     local.set_peer_work(DaemonId::from("hub"), sum, MonoTime(0));
     assert_eq!(local.total(&target).running, 2);
     assert_eq!(local.total(&target).prefill_tokens_before(1), 800);
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -58,7 +58,7 @@
         objective_left: Duration::from_millis(500),
     };
     let place = core.place(&order, now).expect("engines that generate");
-    place.writer.id.clone()
+    place.decode_engine.id.clone()
 }
 
 /// Results of sends to an engine.
