--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -310,11 +310,11 @@
     assert!(registry.apply_removal(&name, 11, MonoTime(60_100)));
     let late = MonoTime(95_000);
     registry.expire(late);
-    assert!(!registry.take_end(&name, 11, late));
-    let kept: Vec<RecentUpdate> = registry.notes().cloned().collect();
+    assert!(!registry.apply_removal(&name, 11, late));
+    let recent: Vec<RecentUpdate> = registry.recent_updates().cloned().collect();
     assert!(
         EntryBroadcasts::default()
-            .due_changes(&kept, late)
+            .due_changes(&recent, late)
             .is_empty()
     );
 }
@@ -403,12 +403,12 @@
         at: MonoTime(at),
     };
     let mut turns = EntryBroadcasts::default();
-    let first = [noted(1, 0)];
+    let first = [update_at(1, 0)];
     assert_eq!(turns.due_changes(&first, MonoTime(9_000)).len(), 1);
-    let all = [noted(1, 0), noted(2, 9_300)];
-    let told = turns.due_changes(&all, MonoTime(9_000 + case.at));
-    let told: Vec<u64> = told.iter().map(|end| end.revision).collect();
-    assert_eq!(told, case.told);
+    let all = [update_at(1, 0), update_at(2, 9_300)];
+    let announced = turns.due_changes(&all, MonoTime(9_000 + case.at));
+    let announced: Vec<u64> = announced.iter().map(|update| update.revision).collect();
+    assert_eq!(announced, case.announced);
 }
 
 // Guards against messages that saturate the links when a fleet starts or many entries
@@ -427,9 +427,13 @@
     let mut turns = EntryBroadcasts::default();
     let mut announced: Vec<u64> = Vec::new();
     for tick in 0..75 {
-        let word = turns.due_changes(&begins, MonoTime(9_000 + 40 * tick));
-        assert!(word.len() <= 16, "{} begins in a word", word.len());
-        told.extend(word.iter().map(|note| note.revision));
+        let message = turns.due_changes(&additions, MonoTime(9_000 + 40 * tick));
+        assert!(
+            message.len() <= 16,
+            "{} additions in a message",
+            message.len()
+        );
+        announced.extend(message.iter().map(|update| update.revision));
     }
     assert_eq!(announced.len(), 48);
     announced.sort_unstable();
--- a/tests/gateway_seen.rs
+++ b/tests/gateway_seen.rs
@@ -95,7 +95,7 @@
     for taken_ms in case.own_ms {
         let timed = TimedWork {
             engine: faulty.clone(),
-            work: EngineWork::ReadHere,
+            work: EngineWork::LocalPrefill,
             tokens: 1_460.0,
         };
         core.note_time(&timed, *taken_ms, now);
