--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -1,53 +1,57 @@
-//! Which notes on entries go into a word between daemons.
+//! Which changes of targets' entries go into a message between daemons.
 //!
-//! The end of an entry goes into each word for a while, so that it does not hang on one
-//! word. All go into one word a second, for whoever linked up or was cut off meanwhile.
-//! Begins bring values, many at once where a fleet starts; some go into that word by turns.
+//! The removal of an entry is repeated in each message for a while, so that no single lost
+//! message matters. Once a second, a message contains all recent removals, for daemons that
+//! connected or were cut off in the meantime. Additions contain values, many at once when a
+//! fleet starts; that message contains some of them, in rotation.
 
 use std::time::Duration;
 
 use crate::gateway::registry::{EntryUpdate, RecentUpdate};
 use crate::names::MonoTime;
 
-/// How long a note is told: longer than a daemon that does not hear of the change otherwise
-/// is usually cut off.
-const TOLD_TIME: Duration = Duration::from_secs(30);
-/// How long an end goes into each word.
-const NEWS_TIME: Duration = Duration::from_millis(600);
-/// Time between two words with all ends.
-const ALL_EVERY: Duration = Duration::from_millis(1_000);
-/// Most begins in a word.
-const MOST_BEGINS: usize = 16;
+/// How long a change is sent: longer than a daemon that depends on it is usually cut off.
+const RETENTION_TIME: Duration = Duration::from_secs(30);
+/// How long a removal goes into each message.
+const REPEAT_TIME: Duration = Duration::from_millis(600);
+/// Time between two messages with all recent removals.
+const FULL_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Most additions in a message.
+const MAX_ADDITIONS: usize = 16;
 
-/// What the words before contained.
+/// Schedule of the changes that go into the next messages.
 #[derive(Debug, Default)]
 pub struct EntryBroadcasts {
-    told_all_at: Option<MonoTime>,
-    // Place of the next begin among those that are told.
-    next_begin: usize,
+    last_full_at: Option<MonoTime>,
+    // Index of the next addition to send.
+    next_addition: usize,
 }
 
 impl EntryBroadcasts {
-    /// Returns what goes into a word now, of all notes kept.
-    pub fn pick(&mut self, notes: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
-        let told = |at: MonoTime| now.since(at) < ALL_EVERY;
-        let tells_all = !self.told_all_at.is_some_and(told);
-        let longest = if tells_all { TOLD_TIME } else { NEWS_TIME };
-        let fresh = notes.iter().filter(|kept| now.since(kept.at) < longest);
-        let (mut due, begins): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
-            fresh.partition(|kept| kept.update.value.is_none());
-        if tells_all {
-            self.told_all_at = Some(now);
-            due.extend(self.turn_of(&begins));
+    /// Returns the changes that go into a message now, out of all recorded ones.
+    pub fn due_changes(&mut self, updates: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
+        let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
+        let is_full = !self.last_full_at.is_some_and(is_recent);
+        let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
+        let fresh = updates
+            .iter()
+            .filter(|update| now.since(update.at) < longest);
+        let (mut due, additions): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
+            fresh.partition(|update| update.update.value.is_none());
+        if is_full {
+            self.last_full_at = Some(now);
+            due.extend(self.next_additions(&additions));
         }
-        due.into_iter().map(|kept| kept.update.clone()).collect()
+        due.into_iter()
+            .map(|update| update.update.clone())
+            .collect()
     }
 
-    fn turn_of<'a>(&mut self, begins: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
-        let count = begins.len().min(MOST_BEGINS);
-        let from = self.next_begin;
-        self.next_begin = (from + count) % begins.len().max(1);
-        let ring = begins.iter().cycle().skip(from % begins.len().max(1));
-        ring.take(count).copied().collect()
+    fn next_additions<'a>(&mut self, additions: &[&'a RecentUpdate]) -> Vec<&'a RecentUpdate> {
+        let count = additions.len().min(MAX_ADDITIONS);
+        let from = self.next_addition;
+        self.next_addition = (from + count) % additions.len().max(1);
+        let rotation = additions.iter().cycle().skip(from % additions.len().max(1));
+        rotation.take(count).copied().collect()
     }
 }
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -1,15 +1,14 @@
-//! Links between gateway daemons: hints on work and caches, and the configuration
-//! for a daemon that the store does not serve.
+//! Links between gateway daemons: hints about load and KV caches, and the configuration
+//! for a daemon that cannot read it from the store.
 //!
-//! Each daemon opens one link to every other one and sends on it; what it hears
-//! comes over the links that the others open. So each direction is judged alone:
-//! a sender notices by the acknowledgements, a receiver by silence. No promise
-//! rests on what is heard; a daemon cut off decides by what it sees itself.
+//! Each daemon opens one link to every other daemon, on which it only sends; it receives
+//! over the links that the others open. The two directions therefore fail independently:
+//! a sender detects a failure by missing acknowledgements, a receiver by silence. No
+//! guarantee depends on these messages; a daemon that is cut off decides by local state.
 //!
 //! In large fleets one daemon of each data centre is its hub ([`hub`]): the others
-//! talk to it only, and hubs talk to each other.
+//! exchange messages with their hub only, and hubs with each other.
 
-pub mod book;
 pub mod entry_broadcasts;
 pub mod feeding;
 pub mod freshness;
@@ -17,6 +16,7 @@
 pub mod link_queue;
 mod links;
 pub mod member_broadcasts;
+pub mod peer_table;
 pub mod placing;
 pub mod seen;
 mod usage;
@@ -31,7 +31,7 @@
 use tokio::task::spawn_local;
 use tokio_tungstenite::tungstenite::Message;
 
-pub use crate::gateway::peers::book::PeerTable;
+pub use crate::gateway::peers::peer_table::PeerTable;
 
 use crate::clock;
 use crate::gateway::control::ControlInput;
@@ -47,24 +47,24 @@
 use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
-/// Time between two looks at the own role, and between two hints that tell nothing new.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Time between two hints of a daemon whose work at targets changed, where each daemon
-/// hears each other one. Engines read a prompt in 50 to 400 ms; with hints every 200 ms,
-/// one in ten that seemed free had 12,000 tokens waiting, read off a day's log, and
-/// daemons took the same one. It costs eight daemons 0.8% of a core each, measured on a
-/// calm day. Hubs tell each other of placements instead.
-const HINT_EVERY: Duration = Duration::from_millis(40);
+/// Time between two updates of this daemon's role, and between two hints without changes.
+const ROLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two hints of a daemon whose work at targets changed, in a fleet without
+/// hubs. Engines prefill a prompt in 50 to 400 ms; with hints every 200 ms, one in ten
+/// engines that seemed free had 12,000 tokens queued, as several daemons chose it at once.
+/// In a fleet of eight, this costs each daemon 0.8% of a core without load. Hubs announce
+/// their placements to each other instead.
+const HINT_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What goes out at a tick, encoded once for all links.
+/// Messages of one broadcast interval, encoded once for all links.
 #[derive(Clone)]
-struct OutgoingWord {
+struct OutgoingStatus {
     hint: Message,
     centre: Option<Message>,
     fleet: Option<Message>,
 }
 
-impl OutgoingWord {
+impl OutgoingStatus {
     fn for_link(&self, kind: LinkKind) -> Option<&Message> {
         match kind {
             LinkKind::Hint => Some(&self.hint),
@@ -75,63 +75,64 @@
 }
 
 /// Runs the links of a daemon until the process ends.
-pub async fn run(gateway: Rc<Gateway>, listener: TcpListener, relays: feeding::RelayInbox) {
+pub async fn run(gateway: Rc<Gateway>, listener: TcpListener, relays: feeding::RelayReceiver) {
     spawn_local(links::accept(gateway.clone(), listener));
-    spawn_local(feeding::stock_up(gateway.clone(), relays));
-    spawn_local(placing::tell_regularly(gateway.clone()));
-    let (words, word) = watch::channel(gateway.word(&PeerRole::Mesh));
+    spawn_local(feeding::maintain_snapshot(gateway.clone(), relays));
+    spawn_local(placing::announce_regularly(gateway.clone()));
+    let (status_sender, outgoing_status) = watch::channel(gateway.outgoing_status(&PeerRole::Mesh));
     let timer = TimerService::start();
-    let mut ticks = timer.every(HINT_EVERY);
-    let mut looks = timer.every(LOOK_EVERY);
+    let mut hint_ticks = timer.every(HINT_INTERVAL);
+    let mut role_ticks = timer.every(ROLE_INTERVAL);
     let mut senders = links::LinkSenders::default();
     let mut role = PeerRole::Mesh;
     loop {
         tokio::select! {
-            Some(_) = looks.next() => {
+            Some(_) = role_ticks.next() => {
                 role = gateway.update_role();
-                senders.adjust(&gateway, &role, &word);
+                senders.adjust(&gateway, &role, &outgoing_status);
             }
-            Some(_) = ticks.next() => {
+            Some(_) = hint_ticks.next() => {
                 if role != PeerRole::Mesh || !gateway.has_new_work() {
                     continue;
                 }
             }
             else => return,
         }
-        words.send_replace(gateway.word(&role));
+        status_sender.send_replace(gateway.outgoing_status(&role));
     }
 }
 
 impl Gateway {
-    /// Work that all daemons place on engines, as far as heard.
+    /// Returns the rate of work that all daemons place on engines, as far as known here.
     #[must_use]
     pub fn work_rate(&self) -> WorkRate {
         let now = clock::mono_now();
-        let own = self.core.borrow_mut().work.rate(now);
-        let others = self.peers.borrow().work_rate(now);
+        let local = self.core.borrow_mut().work.rate(now);
+        let peers = self.peers.borrow().work_rate(now);
         WorkRate {
-            prefill_tokens: own.prefill_tokens + others.prefill_tokens,
-            decode_tokens: own.decode_tokens + others.decode_tokens,
+            prefill_tokens: local.prefill_tokens + peers.prefill_tokens,
+            decode_tokens: local.decode_tokens + peers.decode_tokens,
         }
     }
 
-    /// Whether no daemon has work on engines, as far as heard.
+    /// Whether no daemon places work on engines, as far as known here.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let rate = self.work_rate();
         rate.prefill_tokens + rate.decode_tokens < 1.0
     }
 
-    /// Place of this daemon in an order that all daemons share; 0 is the first.
+    /// Returns the rank of this daemon among those that are reachable, by name; 0 is the first.
     #[must_use]
     pub fn rank(&self) -> usize {
         let view = self.view();
-        let own = &self.daemon;
-        let before = view.daemons.iter().filter(|d| d.id < *own && !d.leaving);
+        let local = &self.daemon;
+        let before = view.daemons.iter().filter(|d| d.id < *local && !d.leaving);
         before.filter(|d| self.is_usable(&d.id)).count()
     }
 
-    /// Place of this daemon among those that hear the whole fleet; `None` where it does not.
+    /// Returns the rank of this daemon among those that receive the state of the whole
+    /// fleet; `None` if it does not.
     #[must_use]
     pub fn full_view_rank(&self, now: MonoTime) -> Option<usize> {
         let view = self.view();
@@ -156,90 +157,104 @@
         let mut peers = self.peers.borrow_mut();
         PeerHint {
             from: self.daemon.clone(),
-            life: self.incarnation,
+            incarnation: self.incarnation,
             leaving: self.stopping.get(),
             config_version: view.routes.as_ref().map_or(0, |routes| routes.version),
             work: work.collect(),
-            held: peers.take_held(),
+            cached_parts: peers.take_cached_updates(),
             departed: view.departed.clone(),
-            entries: self.entry_notes(role),
-            works: self.crashes.borrow_mut().due_reports(clock::mono_now()),
+            entries: self.due_entries(role),
+            crash_reports: self.crashes.borrow_mut().due_reports(clock::mono_now()),
             changing: self.local_stage_changes.borrow().clone(),
             rate,
-            placed_through: self.placing.borrow().taken_through(),
-            seen: self.seen.take(),
+            placed_through: self.placement_client.borrow().used_through(),
+            observed: self.observed_results.take(),
             clock: clock::mono_now(),
             confirms_keys: self.confirms_keys(clock::mono_now()),
-            wall: clock::unix_now(),
-            usage: self.take_usage_news(),
+            wall_clock: clock::unix_now(),
+            usage: self.take_usage_updates(),
         }
     }
 
-    // In a fleet with hubs the entries themselves reach each daemon; only ends are told.
-    fn entry_notes(&self, role: &PeerRole) -> Vec<EntryUpdate> {
+    // In a fleet with hubs the entries themselves are relayed to each daemon, so only
+    // removals are sent.
+    fn due_entries(&self, role: &PeerRole) -> Vec<EntryUpdate> {
         let view = self.view();
-        let mut turns = self.entry_broadcasts.borrow_mut();
-        let mut notes = turns.pick(&view.entry_notes, clock::mono_now());
+        let mut broadcasts = self.entry_broadcasts.borrow_mut();
+        let mut changes = broadcasts.due_changes(&view.entry_notes, clock::mono_now());
         if *role != PeerRole::Mesh {
-            notes.retain(|note| note.value.is_none());
+            changes.retain(|change| change.value.is_none());
         }
-        notes
+        changes
     }
 
-    // The word of this tick. What engines came to hold goes out once, to whoever
-    // this daemon talks to.
-    fn word(&self, role: &PeerRole) -> OutgoingWord {
+    // Builds the messages of this interval. Newly cached parts are sent once, to all daemons
+    // that this one has a link to.
+    fn outgoing_status(&self, role: &PeerRole) -> OutgoingStatus {
         let hint = self.hint(role);
         let (centre, fleet) = match role {
             PeerRole::Hub => {
-                let (from_members, from_hubs) = self.relayed.borrow_mut().take_held();
-                let mut held = hint.held.clone();
-                held.extend(from_members);
-                let mut centre = self.summary(&hint, false, held.clone());
+                let (from_members, from_hubs) = self.relay_queue.borrow_mut().take_cached_updates();
+                let mut cached_parts = hint.cached_parts.clone();
+                cached_parts.extend(from_members);
+                let mut centre = self.summary(&hint, false, cached_parts.clone());
                 centre.usage = self.take_centre_usage(&hint);
-                held.extend(from_hubs);
-                let fleet = self.summary(&hint, true, held);
+                cached_parts.extend(from_hubs);
+                let fleet = self.summary(&hint, true, cached_parts);
                 (Some(centre), Some(fleet))
             }
             PeerRole::Mesh | PeerRole::Member(_) => (None, None),
         };
         *self.last_sent_work.borrow_mut() = hint.work.iter().cloned().collect();
-        OutgoingWord {
+        OutgoingStatus {
             hint: PeerMessage::Hint(hint).encode(),
             centre: centre.map(|summary| PeerMessage::Summary(summary).encode()),
             fleet: fleet.map(|summary| PeerMessage::Summary(summary).encode()),
         }
     }
 
-    fn summary(&self, hint: &PeerHint, whole: bool, held: Vec<CachedPartsUpdate>) -> PeerSummary {
+    fn summary(
+        &self,
+        hint: &PeerHint,
+        whole_fleet: bool,
+        cached_parts: Vec<CachedPartsUpdate>,
+    ) -> PeerSummary {
         let now = clock::mono_now();
         let peers = self.peers.borrow();
-        let notes = if whole {
-            peers.all_notes(now)
+        let status = if whole_fleet {
+            peers.all_status(now)
         } else {
-            peers.direct_notes(now)
+            peers.direct_status(now)
         };
-        let direct: IndexSet<DaemonId> = notes.iter().map(|note| note.id.clone()).collect();
-        let mut members = self.relayed.borrow_mut().turns(whole).pick(notes);
-        members.push(hub::own_note(hint));
-        let counts = |id: &DaemonId| whole || *id == hint.from || direct.contains(id);
-        // What is placed from now on is told after this.
-        let placed_through = self.tell_placements();
+        let direct: IndexSet<DaemonId> = status.iter().map(|member| member.id.clone()).collect();
+        let mut members = self
+            .relay_queue
+            .borrow_mut()
+            .broadcasts(whole_fleet)
+            .due_members(status);
+        members.push(hub::local_status(hint));
+        let counts = |id: &DaemonId| whole_fleet || *id == hint.from || direct.contains(id);
+        // Placements made from now on get a higher number than this summary contains.
+        let placed_through = self.announce_placements();
         let work = self.core.borrow().load.sum_with(counts);
         PeerSummary {
             from: hint.from.clone(),
-            life: hint.life,
-            whole,
+            incarnation: hint.incarnation,
+            whole_fleet,
             work: work.into_iter().collect(),
-            held,
+            cached_parts,
             departed: hint.departed.clone(),
             entries: hint.entries.clone(),
-            works: hint.works.clone(),
-            store_age_ms: self.store_age_ms(whole, now),
-            rate: if whole { self.work_rate() } else { hint.rate },
+            crash_reports: hint.crash_reports.clone(),
+            store_age_ms: self.store_age_ms(whole_fleet, now),
+            rate: if whole_fleet {
+                self.work_rate()
+            } else {
+                hint.rate
+            },
             placed_through,
             members,
-            true_time: self.fleet_tasks.borrow().clock.at(now),
+            fleet_time: self.fleet_tasks.borrow().clock.at(now),
             usage: Vec::new(),
         }
     }
@@ -250,21 +265,23 @@
         let mut peers = self.peers.borrow_mut();
         peers.set_known(&self.daemon, &view.daemons, now);
         let known = |id: &DaemonId| view.daemons.iter().any(|d| d.id == *id);
-        self.proofs.borrow_mut().retain(known);
+        self.freshness.borrow_mut().retain(known);
         let mut hubs = self.hubs.borrow_mut();
         let role = hubs.role(&self.daemon, &view.daemons, &peers, now);
-        let placer = match &role {
+        let placement_hub = match &role {
             PeerRole::Member(hub) => Some(hub.clone()),
             PeerRole::Hub | PeerRole::Mesh => None,
         };
-        self.placing.borrow_mut().set_placer(placer);
+        self.placement_client
+            .borrow_mut()
+            .set_placement_hub(placement_hub);
         drop(peers);
         drop(hubs);
-        self.update_duty(&role, now);
+        self.update_watch_mode(&role, now);
         role
     }
 
-    fn wanted_links(&self, role: &PeerRole) -> Vec<(DaemonRecord, LinkKind)> {
+    fn needed_links(&self, role: &PeerRole) -> Vec<(DaemonRecord, LinkKind)> {
         let view = self.view();
         self.hubs.borrow().links(role, &self.daemon, &view.daemons)
     }
@@ -284,22 +301,22 @@
         })
     }
 
-    fn take_message(&self, message: PeerMessage) {
+    fn handle_message(&self, message: PeerMessage) {
         match message {
-            PeerMessage::Hint(hint) => self.take_hint(hint),
-            PeerMessage::Summary(summary) => self.take_summary(summary),
-            PeerMessage::Objects(objects) => self.take_objects(objects),
+            PeerMessage::Hint(hint) => self.handle_hint(hint),
+            PeerMessage::Summary(summary) => self.handle_summary(summary),
+            PeerMessage::Objects(objects) => self.handle_objects(objects),
             PeerMessage::NewLink { from } => {
-                self.feed_subscription.borrow_mut().note_new_link(&from);
+                self.feed_subscription.borrow_mut().handle_new_link(&from);
             }
-            PeerMessage::WantStock(question) => self.answer_stock(&question),
-            PeerMessage::Stock(answer) => self.take_stock(answer),
-            PeerMessage::Place(question) => self.answer_place(&question),
-            PeerMessage::Placed(answer) => self.take_place(answer),
-            PeerMessage::Placements(notes) => self.take_placements(&notes),
-            PeerMessage::Proof(word) => self.take_proof(&word),
+            PeerMessage::SnapshotRequest(request) => self.answer_snapshot_request(&request),
+            PeerMessage::SnapshotResponse(response) => self.apply_snapshot(response),
+            PeerMessage::PlacementRequest(request) => self.answer_placement_request(&request),
+            PeerMessage::PlacementResponse(response) => self.handle_placement_response(response),
+            PeerMessage::Placements(batch) => self.apply_placements(&batch),
+            PeerMessage::Freshness(update) => self.apply_freshness(&update),
             PeerMessage::Config { revision, value } => {
-                // The control thread ends only with the process.
+                // The control thread runs until the process ends.
                 let _ = self
                     .control_inputs
                     .send(ControlInput::PeerConfig { revision, value });
@@ -307,42 +324,46 @@
         }
     }
 
-    // The life in a hint stands in the sender's record in the store, which only
-    // daemons read: a process that does not know it is not listened to.
-    fn take_hint(&self, hint: PeerHint) {
+    // The incarnation in a hint has to match the sender's record in the store, which only
+    // daemons can read; messages of any other process are ignored.
+    fn handle_hint(&self, hint: PeerHint) {
         let view = self.view();
         let known = view
             .daemons
             .iter()
-            .any(|d| d.id == hint.from && d.incarnation == hint.life);
+            .any(|d| d.id == hint.from && d.incarnation == hint.incarnation);
         if !known {
             return;
         }
         let now = clock::mono_now();
-        let own_version = view.routes.as_ref().map_or(0, |routes| routes.version);
-        self.peers.borrow_mut().note_hint(&hint, own_version, now);
-        self.proofs
+        let local_version = view.routes.as_ref().map_or(0, |routes| routes.version);
+        self.peers
             .borrow_mut()
-            .note_clock(&hint.from, hint.life, hint.clock);
-        self.take_member_usage(&hint, now);
-        self.take_held_notes(&hint.held);
-        self.hubs.borrow_mut().note_hint(&hint.from, now);
-        self.relayed.borrow_mut().keep_member(&hint.held);
-        self.take_departed(&hint.departed);
-        self.take_entry_notes(hint.entries);
-        self.apply_crash_reports(&hint.works);
-        self.take_seen(&hint.seen);
+            .record_hint(&hint, local_version, now);
+        self.freshness
+            .borrow_mut()
+            .record_clock(&hint.from, hint.incarnation, hint.clock);
+        self.apply_member_usage(&hint, now);
+        self.apply_cached_updates(&hint.cached_parts);
+        self.hubs.borrow_mut().record_hint(&hint.from, now);
+        self.relay_queue
+            .borrow_mut()
+            .queue_from_member(&hint.cached_parts);
+        self.apply_departures(&hint.departed);
+        self.apply_entry_changes(hint.entries);
+        self.apply_crash_reports(&hint.crash_reports);
+        self.apply_results(&hint.observed);
         let work = hint.work.into_iter().collect();
         let load = &mut self.core.borrow_mut().load;
         load.release_reservations(&hint.from, hint.placed_through);
         load.set_peer_work(hint.from, work, now);
     }
 
-    fn take_held_notes(&self, notes: &[CachedPartsUpdate]) {
+    fn apply_cached_updates(&self, updates: &[CachedPartsUpdate]) {
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
-        for note in notes {
-            let parts: Vec<PromptPart> = note
+        for update in updates {
+            let parts: Vec<PromptPart> = update
                 .parts
                 .iter()
                 .map(|(key, tokens)| PromptPart {
@@ -350,71 +371,78 @@
                     tokens: *tokens,
                 })
                 .collect();
-            core.note_parts(&note.engine, &parts, note.ready, now);
+            core.note_parts(&update.engine, &parts, update.ready, now);
         }
     }
 
-    fn take_departed(&self, departed: &[TargetIncarnation]) {
+    fn apply_departures(&self, departed: &[TargetIncarnation]) {
         let view = self.view();
         for target in departed.iter().filter(|target| view.has_target(target)) {
             self.notify_departed(target);
         }
     }
 
-    fn take_entry_notes(&self, mut notes: Vec<EntryUpdate>) {
+    fn apply_entry_changes(&self, mut changes: Vec<EntryUpdate>) {
         let view = self.view();
-        let is_kept = |note: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.update == *note);
-        notes.retain(|note| !is_kept(note));
-        if !notes.is_empty() {
-            // The control thread ends only with the process.
-            let _ = self.control_inputs.send(ControlInput::EntryNotes(notes));
+        let is_kept =
+            |change: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.update == *change);
+        changes.retain(|change| !is_kept(change));
+        if !changes.is_empty() {
+            // The control thread runs until the process ends.
+            let _ = self.control_inputs.send(ControlInput::EntryNotes(changes));
         }
     }
 
-    fn take_summary(&self, summary: PeerSummary) {
+    fn handle_summary(&self, summary: PeerSummary) {
         let view = self.view();
-        let sender = (&summary.from, summary.life);
+        let sender = (&summary.from, summary.incarnation);
         let known = view
             .daemons
             .iter()
             .any(|d| (&d.id, d.incarnation) == sender);
         let is_hub = self.hubs.borrow().is_hub();
-        // A hub adds up its members itself: the sum for members would count twice.
-        if !known || (summary.whole && is_hub) {
+        // A hub sums up its members itself; a summary for members would count them twice.
+        if !known || (summary.whole_fleet && is_hub) {
             return;
         }
         let now = clock::mono_now();
         let store_age = Duration::from_millis(u64::from(summary.store_age_ms));
         self.hubs
             .borrow_mut()
-            .note_store(&summary.from, store_age, now);
-        self.take_hub_usage(&summary, now);
-        for note in summary.members.iter().filter(|note| note.id != self.daemon) {
-            let rate = if note.id == summary.from {
+            .record_store_age(&summary.from, store_age, now);
+        self.apply_hub_usage(&summary, now);
+        for status in summary
+            .members
+            .iter()
+            .filter(|status| status.id != self.daemon)
+        {
+            let rate = if status.id == summary.from {
                 summary.rate
             } else {
                 WorkRate::default()
             };
             let mut peers = self.peers.borrow_mut();
-            if note.id == summary.from {
-                peers.note_hub(note, rate, now);
+            if status.id == summary.from {
+                peers.record_hub(status, rate, now);
             } else {
-                peers.note_member(note, rate, now);
+                peers.record_member(status, rate, now);
             }
         }
-        self.take_held_notes(&summary.held);
-        if !summary.whole {
-            self.relayed.borrow_mut().keep_hub(&summary.held);
+        self.apply_cached_updates(&summary.cached_parts);
+        if !summary.whole_fleet {
+            self.relay_queue
+                .borrow_mut()
+                .queue_from_hub(&summary.cached_parts);
         }
-        self.take_departed(&summary.departed);
-        self.take_entry_notes(summary.entries);
-        self.apply_crash_reports(&summary.works);
+        self.apply_departures(&summary.departed);
+        self.apply_entry_changes(summary.entries);
+        self.apply_crash_reports(&summary.crash_reports);
         let mut work: WorkByTarget = summary.work.into_iter().collect();
-        if summary.whole {
+        if summary.whole_fleet {
             hub::subtract(&mut work, &self.last_sent_work.borrow());
         }
         let load = &mut self.core.borrow_mut().load;
-        if !summary.whole {
+        if !summary.whole_fleet {
             load.release_reservations(&summary.from, summary.placed_through);
         }
         load.set_peer_work(summary.from, work, now);
--- a/tests/gateway_registry.rs
+++ b/tests/gateway_registry.rs
@@ -312,7 +312,11 @@
     registry.expire(late);
     assert!(!registry.apply_removal(&name, 11, late));
     let recent: Vec<RecentUpdate> = registry.recent_updates().cloned().collect();
-    assert!(EntryBroadcasts::default().pick(&recent, late).is_empty());
+    assert!(
+        EntryBroadcasts::default()
+            .due_changes(&recent, late)
+            .is_empty()
+    );
 }
 
 // Guards against a removal that disconnected members of a hub never receive, because the
@@ -400,9 +404,9 @@
     };
     let mut turns = EntryBroadcasts::default();
     let first = [update_at(1, 0)];
-    assert_eq!(turns.pick(&first, MonoTime(9_000)).len(), 1);
+    assert_eq!(turns.due_changes(&first, MonoTime(9_000)).len(), 1);
     let all = [update_at(1, 0), update_at(2, 9_300)];
-    let announced = turns.pick(&all, MonoTime(9_000 + case.at));
+    let announced = turns.due_changes(&all, MonoTime(9_000 + case.at));
     let announced: Vec<u64> = announced.iter().map(|update| update.revision).collect();
     assert_eq!(announced, case.announced);
 }
@@ -423,7 +427,7 @@
     let mut turns = EntryBroadcasts::default();
     let mut announced: Vec<u64> = Vec::new();
     for tick in 0..75 {
-        let message = turns.pick(&additions, MonoTime(9_000 + 40 * tick));
+        let message = turns.due_changes(&additions, MonoTime(9_000 + 40 * tick));
         assert!(
             message.len() <= 16,
             "{} additions in a message",
