--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -370,7 +370,7 @@
         }
         let late_s = (millis(ready_at.since(queued.latest_start))) as f64 / 1_000.0;
         let reason = format!(
-            "the deadline cannot be met: after an expected wait of {wait_s:.2} s, the request \
+            "the deadline cannot be met: after a wait of about {wait_s:.2} s, the request \
              would start {late_s:.2} s too late"
         );
         Err(self.refusal(reason, late_s))
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -153,7 +153,7 @@
         let target = self.select_engine(pool, best.from, now)?;
         self.changed_at.insert(target.clone(), now);
         let reason = format!(
-            "{:?} -> {:?}: gains {:.1} engine-seconds within {:.0} s, {:.1} required",
+            "{:?} -> {:?}: gains {:.1} engine-seconds, {:.1} required, within {:.0} s",
             best.from,
             best.to,
             best.gain,
