--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread holds, and the life of the process.
+//! State of the traffic thread, and start and stop of the process.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,7 +20,7 @@
 use crate::clock;
 use crate::crashes::tracker::CrashTracker;
 use crate::gateway::budget::RetryLimiter;
-use crate::gateway::control::{self, ControlInput, ControlLink, ControlSetup};
+use crate::gateway::control::{self, ControlInput, ControlSetup, ControlThread};
 use crate::gateway::deciding::DecisionCore;
 use crate::gateway::deciding::load::WorkByTarget;
 use crate::gateway::entry::{self, ListenerKind};
@@ -48,76 +48,76 @@
 use crate::telemetry;
 use crate::timer::TimerService;
 
-/// State of the traffic thread. Each part is borrowed for one step and never
-/// across a wait.
+/// State of the traffic thread. Each `RefCell` is borrowed for one step and never
+/// across an `await`.
 pub struct Gateway {
     settings: RefCell<Rc<GatewaySettings>>,
     /// Name of this daemon.
     pub daemon: DaemonId,
-    /// Adapter.
+    /// Ports of the adapter.
     pub ports: GatewayPorts,
-    /// What the control thread published.
+    /// Fleet view published by the control thread.
     pub fleet: FleetCell,
-    /// Kept connections.
+    /// Idle connections to targets.
     pub pool: Rc<RefCell<ConnectionPool>>,
-    /// What decisions rest on.
+    /// State that decisions are based on.
     pub core: RefCell<DecisionCore>,
     /// The other daemons.
     pub peers: RefCell<PeerTable>,
-    /// As of when the configuration is known to be the newest one.
+    /// Time at which the configuration was last confirmed to be the newest one.
     pub proofs: RefCell<FreshnessTracker>,
-    /// Usage counted here and heard, and true time.
-    pub duties: RefCell<UsageMeter>,
-    /// Whom to ask for places on engines.
+    /// Usage counted locally and by peers, and true time.
+    pub fleet_tasks: RefCell<UsageMeter>,
+    /// Client for placement requests to hubs.
     pub placing: RefCell<PlacementClient>,
-    /// What this daemon has placed as a hub.
+    /// Placements that this daemon has made as a hub.
     pub placements: RefCell<PlacementOutbox>,
-    /// Wakes up who tells the other hubs of it.
+    /// Wakes up the task that reports new placements to the other hubs.
     pub placed: Notify,
-    /// Hubs that are told of it.
+    /// Hubs that placements are reported to.
     pub other_hubs: RefCell<Vec<DaemonId>>,
-    /// Who is whose hub.
+    /// Which daemons are hubs, and of which members.
     pub hubs: RefCell<HubSelector>,
-    /// Whether a hub is relied on for the store's objects.
+    /// Whether this daemon relies on a hub for the store's objects, and on which.
     pub feed_subscription: RefCell<FeedSubscription>,
-    /// What is passed on by a hub: what engines came to hold, whom it tells of when.
+    /// Newly cached prompt parts that a hub relays, and their broadcast schedule.
     pub relayed: RefCell<RelayQueue>,
-    /// Which notes on entries were told when.
+    /// Broadcast schedule of entry changes.
     pub entry_broadcasts: RefCell<EntryBroadcasts>,
-    /// What own sends showed, to be told to the hub.
+    /// Work observed by local sends, to be reported to the hub.
     pub seen: RefCell<ObservedResults>,
-    /// Own work as last told.
+    /// Local work as last sent to other daemons.
     pub last_sent_work: RefCell<WorkByTarget>,
-    /// The store's objects, to be passed on by a hub.
+    /// Objects of the store as last read, for a hub to relay.
     pub stock: RefCell<StoreSnapshot>,
-    /// Changes of the store's objects for links to members.
+    /// Senders of the store's changes to the links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
-    pub duty: Cell<WatchMode>,
+    pub watch_mode: Cell<WatchMode>,
     /// When this daemon started.
     pub started: MonoTime,
-    /// When the store was last heard.
-    pub pulse: Arc<StoreLiveness>,
-    /// Distinguishes this life of the daemon from others under its name.
-    pub life: u64,
-    /// Engines that this daemon is changing.
+    /// When the store last answered.
+    pub store_liveness: Arc<StoreLiveness>,
+    /// Identifies this run of the daemon among all runs under its name.
+    pub incarnation: u64,
+    /// Engines whose stage this daemon is changing.
     pub local_stage_changes: RefCell<Vec<TargetIncarnation>>,
-    /// Work that ended targets.
+    /// Work that crashed targets.
     pub crashes: RefCell<CrashTracker>,
-    /// Held work as the store has it.
-    pub held: RefCell<QuarantineStore>,
-    /// Wakes up requests that wait for a target, where work is held.
+    /// Quarantined work as recorded in the store.
+    pub quarantine: RefCell<QuarantineStore>,
+    /// Wakes up requests that wait for a target when work is newly quarantined.
     pub newly_quarantined: Notify,
-    /// Repeats.
+    /// Budget of retries.
     pub budget: RefCell<RetryLimiter>,
-    /// Draws.
+    /// Random number generator.
     pub rng: RefCell<SmallRng>,
     /// Whether the process is stopping.
     pub stopping: Cell<bool>,
-    /// Callers' connections that are open.
-    pub serving: Cell<usize>,
-    /// Where the control thread hears what traffic noticed.
-    pub news: mpsc::UnboundedSender<ControlInput>,
+    /// Number of open connections from callers.
+    pub open_connections: Cell<usize>,
+    /// Sends messages to the control thread.
+    pub control_inputs: mpsc::UnboundedSender<ControlInput>,
 }
 
 impl Gateway {
@@ -133,57 +133,59 @@
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// Returns the newest picture of the fleet.
+    /// Returns the newest snapshot of the fleet.
     #[must_use]
     pub fn view(&self) -> Arc<FleetView> {
         self.fleet.load_full()
     }
 
-    /// Tells the control thread that a target is no longer at its address.
+    /// Notifies the control thread that a target is no longer at its address.
     pub fn notify_departed(&self, target: &TargetIncarnation) {
         // The control thread ends only with the process.
-        let _ = self.news.send(ControlInput::TargetDeparted(target.clone()));
+        let _ = self
+            .control_inputs
+            .send(ControlInput::TargetDeparted(target.clone()));
     }
 
-    /// Daemons that share the fleet's budgets, this one included.
+    /// Returns the number of daemons that share the fleet's budgets, this one included.
     #[must_use]
     pub fn daemon_count(&self) -> usize {
         self.view().daemons.len().max(1)
     }
 }
 
-/// Why a daemon could not run.
+/// Error that kept a daemon from starting.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// A socket or a thread could not be had.
-    #[error("{what}: {error}; free the address or raise the limit")]
+    /// A socket or a thread could not be created.
+    #[error("cannot start {what}: {error}; free the address or raise the limit")]
     Start {
-        /// What was tried.
+        /// What could not be started.
         what: String,
-        /// What happened.
+        /// Error of the operating system.
         error: io::Error,
     },
     /// The metrics recorder could not be installed.
-    #[error("metrics: {0}")]
+    #[error("metrics recorder could not be installed: {0}")]
     Metrics(#[from] metrics_exporter_prometheus::BuildError),
 }
 
 /// Time after the request to stop during which connections are still accepted:
-/// callers keep the directory's answer for up to two seconds, and one that finds
-/// a closed port loses a try.
+/// callers cache the directory's answer for up to two seconds, and one that finds
+/// a closed port wastes an attempt.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
-/// Time before the end of the grace at which the process ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
-/// How often idle connections and old counts are swept.
-const SWEEP: Duration = Duration::from_millis(500);
-/// How often the end of running requests is looked for while stopping.
-const END_CHECK: Duration = Duration::from_millis(50);
-/// Exit code of a process of which a part panicked.
-const EXIT_PART_FAILED: i32 = 70;
-/// How often records of daemons that are gone are looked for.
-const RECORD_SWEEP: Duration = Duration::from_secs(20);
-/// How often recorded samples are compacted.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
+/// Time before the end of the grace period at which the process exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Interval at which idle connections and old counts are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a stopping daemon checks whether its running requests have ended.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Exit code of a process in which a task panicked.
+const EXIT_TASK_PANICKED: i32 = 70;
+/// Interval at which records of daemons that are gone are removed.
+const RECORD_SWEEP_INTERVAL: Duration = Duration::from_secs(20);
+/// Interval at which recorded metric samples are compacted.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Gateway {
     /// Creates the state of the traffic thread.
@@ -192,12 +194,12 @@
         settings: GatewaySettings,
         ports: GatewayPorts,
         fleet: FleetCell,
-        life: u64,
-        news: mpsc::UnboundedSender<ControlInput>,
+        incarnation: u64,
+        control_inputs: mpsc::UnboundedSender<ControlInput>,
     ) -> Self {
         let window = settings.duties.map(|duties| duties.usage_window());
         let budget = RetryLimiter::new(settings.budget_rule());
-        let duty = WatchMode::at_start(settings.first_start);
+        let watch_mode = WatchMode::initial(settings.first_start);
         Self {
             daemon: settings.daemon.clone(),
             core: RefCell::new(DecisionCore::new(settings.placement)),
@@ -207,7 +209,7 @@
             pool: Rc::default(),
             peers: RefCell::default(),
             proofs: RefCell::default(),
-            duties: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
+            fleet_tasks: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
             placing: RefCell::default(),
             placements: RefCell::default(),
             placed: Notify::new(),
@@ -220,23 +222,23 @@
             last_sent_work: RefCell::default(),
             stock: RefCell::default(),
             feed_changes: ChangeSenders::default(),
-            duty: Cell::new(duty),
+            watch_mode: Cell::new(watch_mode),
             started: clock::mono_now(),
-            pulse: Arc::default(),
-            life,
+            store_liveness: Arc::default(),
+            incarnation,
             local_stage_changes: RefCell::default(),
             crashes: RefCell::default(),
-            held: RefCell::default(),
+            quarantine: RefCell::default(),
             newly_quarantined: Notify::new(),
             budget: RefCell::new(budget),
             rng: RefCell::new(SmallRng::from_os_rng()),
             stopping: Cell::new(false),
-            serving: Cell::new(0),
-            news,
+            open_connections: Cell::new(0),
+            control_inputs,
         }
     }
 
-    /// Whether callers may be sent to a daemon.
+    /// Returns whether callers may be directed to a daemon.
     #[must_use]
     pub fn is_usable(&self, daemon: &DaemonId) -> bool {
         if *daemon == self.daemon {
@@ -245,7 +247,7 @@
         self.peers.borrow().is_usable(daemon, clock::mono_now())
     }
 
-    /// Whether a daemon knows which keys are in force, as far as heard.
+    /// Returns whether a daemon knows which keys are in force, by its last report.
     #[must_use]
     pub fn daemon_confirms_keys(&self, daemon: &DaemonId) -> bool {
         if *daemon == self.daemon {
@@ -254,17 +256,17 @@
         self.peers.borrow().confirms_keys(daemon)
     }
 
-    // Instances are replaced for good, and nothing in the store expires by itself.
-    // One daemon removes the records of those that nobody heard for long; one that
-    // lives after all writes its record anew when it sees it gone.
-    async fn remove_left_records(&self) {
+    // Replaced instances never return, and nothing in the store expires by itself. One
+    // daemon removes the records of daemons that have been unreachable for long. A daemon
+    // that is alive after all writes its record again when it finds it gone.
+    async fn remove_stale_records(&self) {
         if self.rank() != 0 || self.stopping.get() {
             return;
         }
         let view = self.view();
-        let silent = self.peers.borrow().unreachable_daemons(clock::mono_now());
-        let left = view.daemons.iter().filter(|d| silent.contains(&d.id));
-        for record in left {
+        let unreachable = self.peers.borrow().unreachable_daemons(clock::mono_now());
+        let stale = view.daemons.iter().filter(|d| unreachable.contains(&d.id));
+        for record in stale {
             self.remove_record(record).await;
         }
     }
@@ -278,10 +280,11 @@
             return;
         };
         let value = stored.value.unwrap_or_default();
-        let same = DaemonRecord::decode(&object.name, &value).is_ok_and(|r| r.life == record.life);
-        if same {
+        let same_incarnation = DaemonRecord::decode(&object.name, &value)
+            .is_ok_and(|r| r.incarnation == record.incarnation);
+        if same_incarnation {
             let removed = (self.ports.remove)((object, stored.version)).await;
-            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "record of a daemon that is gone");
+            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removal of the record of a daemon that is gone");
         }
     }
 
@@ -295,7 +298,7 @@
         self.refute_registered_targets(now);
         let view = self.view();
         let mut core = self.core.borrow_mut();
-        core.sweep(|target| view.holds(target), now);
+        core.sweep(|target| view.has_target(target), now);
         let engines = view.routes.iter().flat_map(|routes| routes.services());
         let tokens = engines
             .filter_map(|s| s.engine.as_ref())
@@ -306,21 +309,21 @@
     }
 }
 
-/// What a daemon is told from outside while it runs.
+/// Signals from outside to a running daemon.
 pub struct DaemonSignals<S> {
     /// Completes when the daemon is to stop.
     pub stop: S,
-    /// Asks for a look at the settings.
+    /// Requests a reload of the settings.
     pub reload: mpsc::UnboundedReceiver<()>,
-    /// Where the settings are.
+    /// Path of the settings file.
     pub settings_path: String,
 }
 
-/// Runs a gateway until its stop is asked for and its requests have ended.
+/// Runs a gateway until it is told to stop and its requests have ended.
 ///
 /// # Errors
 ///
-/// Returns what kept it from starting.
+/// Returns an error when the gateway cannot start.
 pub async fn run(
     settings: GatewaySettings,
     ports: GatewayPorts,
@@ -332,21 +335,21 @@
     let grace = Duration::from_secs_f64(settings.bounds.stop_grace_s);
     let listeners = open_listeners(&settings, &metrics).await?;
     let peer_listener = listen("peers", settings.peer_address()).await?;
-    let life = rand::rng().random();
-    let record = own_record(&settings, &listeners, &peer_listener, life);
-    let pulse = Arc::new(StoreLiveness::default());
-    let duty = WatchMode::at_start(settings.first_start);
+    let incarnation = rand::rng().random();
+    let record = build_record(&settings, &listeners, &peer_listener, incarnation);
+    let store_liveness = Arc::new(StoreLiveness::default());
+    let watch_mode = WatchMode::initial(settings.first_start);
     let setup = ControlSetup {
         ports: ports.clone(),
         cell: fleet.clone(),
-        pulse: pulse.clone(),
+        store_liveness: store_liveness.clone(),
         record,
-        duty,
-        pace: settings.follow_pace(),
+        watch_mode,
+        config_waits: settings.config_watch_waits(),
     };
     let control = start_control(setup)?;
-    let mut gateway = Gateway::new(settings, ports, fleet, life, control.news);
-    gateway.pulse = pulse;
+    let mut gateway = Gateway::new(settings, ports, fleet, incarnation, control.messages);
+    gateway.store_liveness = store_liveness;
     let gateway = Rc::new(gateway);
     let (close, closing) = watch::channel(false);
     for open in listeners {
@@ -358,9 +361,9 @@
             closing,
         ));
     }
-    let linking = peers::run(gateway.clone(), peer_listener, control.relays);
-    supervise("peers", linking);
-    supervise("held work", quarantine::run(gateway.clone()));
+    let peer_links = peers::run(gateway.clone(), peer_listener, control.relays);
+    supervise("peers", peer_links);
+    supervise("quarantined work", quarantine::run(gateway.clone()));
     supervise("stages", stage_control::run(gateway.clone()));
     if let Some(duties) = gateway.settings().duties {
         supervise("duties", fleet_tasks::run(gateway.clone(), duties));
@@ -374,49 +377,49 @@
     Ok(())
 }
 
-// Callers that still hold this address are served and told to close; the others
-// have a new answer of the directory by the time the port closes.
-// A part that panics would leave a daemon that looks alive and decides without it,
-// for instance without knowing the other daemons' work. Ending the process is
-// enough: it is started again within seconds and keeps nothing that could be lost.
-fn supervise(part: &'static str, task: impl Future<Output = ()> + 'static) {
+// Without this, a daemon in which a task has panicked would look alive and decide
+// without that task's state, for instance without the other daemons' work. Exiting is
+// safe: the process is restarted within seconds and has no state that could be lost.
+fn supervise(task_name: &'static str, task: impl Future<Output = ()> + 'static) {
     let running = spawn_local(task);
     spawn_local(async move {
         if let Err(error) = running.await {
-            eprintln!("{part} ended ({error}); ending the process, to be started again");
-            std::process::exit(EXIT_PART_FAILED);
+            eprintln!("task {task_name} ended unexpectedly ({error}); exiting to be restarted");
+            std::process::exit(EXIT_TASK_PANICKED);
         }
     });
 }
 
+// Callers that still use this address are served, with `Connection: close`; the others
+// have received a new directory answer by the time the port closes.
 async fn stop_gracefully(gateway: &Gateway, close: &watch::Sender<bool>, grace: Duration) {
     let began = tokio::time::Instant::now();
-    log::info!(grace_ms = grace.as_millis() as u64; "stopping: running requests end first");
+    log::info!(grace_ms = grace.as_millis() as u64; "stopping after running requests have ended");
     gateway.stopping.set(true);
     // The control thread ends only with the process.
-    let _ = gateway.news.send(ControlInput::Stopping);
-    let latest = began + grace.saturating_sub(END_MARGIN);
+    let _ = gateway.control_inputs.send(ControlInput::Stopping);
+    let latest = began + grace.saturating_sub(EXIT_MARGIN);
     tokio::time::sleep_until((began + ACCEPT_AFTER_STOP).min(latest)).await;
     close.send_replace(true);
-    while gateway.serving.get() > 0 && tokio::time::Instant::now() < latest {
-        tokio::time::sleep(END_CHECK).await;
+    while gateway.open_connections.get() > 0 && tokio::time::Instant::now() < latest {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    let left = gateway.serving.get();
-    log::info!(unfinished = left, took_ms = began.elapsed().as_millis() as u64; "stopped");
+    let unfinished = gateway.open_connections.get();
+    log::info!(unfinished = unfinished, took_ms = began.elapsed().as_millis() as u64; "stopped");
 }
 
-fn start_control(setup: ControlSetup) -> Result<ControlLink, DaemonError> {
+fn start_control(setup: ControlSetup) -> Result<ControlThread, DaemonError> {
     control::start(setup).map_err(|error| DaemonError::Start {
         what: "the control thread".to_owned(),
         error,
     })
 }
 
-fn own_record(
+fn build_record(
     settings: &GatewaySettings,
-    listeners: &[OpenListener],
+    listeners: &[PageListener],
     peers: &TcpListener,
-    life: u64,
+    incarnation: u64,
 ) -> DaemonRecord {
     let bound = |listener: &TcpListener| listener.local_addr().ok();
     let callers = listeners
@@ -426,16 +429,16 @@
     let peers = bound(peers).unwrap_or_else(|| settings.peer_address());
     DaemonRecord {
         id: settings.daemon.clone(),
-        life,
+        incarnation,
         callers: callers.unwrap_or(peers),
         peers,
         centre: settings.centre.clone(),
         leaving: false,
-        strength: settings.limits.strength(),
+        capacity: settings.limits.capacity(),
     }
 }
 
-struct OpenListener {
+struct PageListener {
     listener: TcpListener,
     kind: ListenerKind,
 }
@@ -443,46 +446,46 @@
 async fn open_listeners(
     settings: &GatewaySettings,
     metrics: &PrometheusHandle,
-) -> Result<Vec<OpenListener>, DaemonError> {
+) -> Result<Vec<PageListener>, DaemonError> {
     let addresses = &settings.listen;
     let pages = || ListenerKind::Pages(metrics.clone());
-    let wanted = [
+    let configured = [
         ("metrics", Some(settings.metrics_address()), pages()),
         ("callers", addresses.callers, ListenerKind::Callers),
         ("readiness", addresses.readiness, pages()),
         ("directory", addresses.directory, pages()),
     ];
     let mut listeners = Vec::new();
-    for (name, address, kind) in wanted {
+    for (name, address, kind) in configured {
         if let Some(address) = address {
             let listener = listen(name, address).await?;
-            listeners.push(OpenListener { listener, kind });
+            listeners.push(PageListener { listener, kind });
         }
     }
     Ok(listeners)
 }
 
 async fn listen(name: &str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
-    let fault = |error| DaemonError::Start {
-        what: format!("listening on {address}"),
+    let start_error = |error| DaemonError::Start {
+        what: format!("the listener on {address}"),
         error,
     };
-    let listener = TcpListener::bind(address).await.map_err(fault)?;
-    let bound = listener.local_addr().map_err(fault)?;
+    let listener = TcpListener::bind(address).await.map_err(start_error)?;
+    let bound = listener.local_addr().map_err(start_error)?;
     log::info!(pages = name, address = bound.to_string(); "listening");
     Ok(listener)
 }
 
 async fn upkeep(gateway: Rc<Gateway>, metrics: PrometheusHandle) {
     let timer = TimerService::start();
-    let mut removals = timer.every(RECORD_SWEEP);
-    let mut sweeps = timer.every(SWEEP);
-    let mut compactions = timer.every(METRICS_UPKEEP);
+    let mut removals = timer.every(RECORD_SWEEP_INTERVAL);
+    let mut sweeps = timer.every(SWEEP_INTERVAL);
+    let mut compactions = timer.every(METRICS_UPKEEP_INTERVAL);
     loop {
         tokio::select! {
             _ = sweeps.next() => gateway.sweep(),
             _ = compactions.next() => metrics.run_upkeep(),
-            _ = removals.next() => gateway.remove_left_records().await,
+            _ = removals.next() => gateway.remove_stale_records().await,
         }
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -296,7 +296,7 @@
         let untried = view
             .service_targets(service)
             .iter()
-            .filter(|t| !history.has(&t.id) && current.holds(&t.id));
+            .filter(|t| !history.has(&t.id) && current.has_target(&t.id));
         let core = self.core.borrow();
         core.choose_plain_target(untried, || rng.random(), clock::mono_now())
     }
