--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -65,15 +65,15 @@
     /// The other daemons.
     pub peers: RefCell<PeerTable>,
     /// Time at which the configuration was last confirmed to be the newest one.
-    pub proofs: RefCell<FreshnessTracker>,
+    pub freshness: RefCell<FreshnessTracker>,
     /// Usage counted locally and by peers, and true time.
     pub fleet_tasks: RefCell<UsageMeter>,
     /// Client for placement requests to hubs.
-    pub placing: RefCell<PlacementClient>,
+    pub placement_client: RefCell<PlacementClient>,
     /// Placements that this daemon has made as a hub.
     pub placements: RefCell<PlacementOutbox>,
     /// Wakes up the task that reports new placements to the other hubs.
-    pub placed: Notify,
+    pub placements_changed: Notify,
     /// Hubs that placements are reported to.
     pub other_hubs: RefCell<Vec<DaemonId>>,
     /// Which daemons are hubs, and of which members.
@@ -81,15 +81,15 @@
     /// Whether this daemon relies on a hub for the store's objects, and on which.
     pub feed_subscription: RefCell<FeedSubscription>,
     /// Newly cached prompt parts that a hub relays, and their broadcast schedule.
-    pub relayed: RefCell<RelayQueue>,
+    pub relay_queue: RefCell<RelayQueue>,
     /// Broadcast schedule of entry changes.
     pub entry_broadcasts: RefCell<EntryBroadcasts>,
     /// Work observed by local sends, to be reported to the hub.
-    pub seen: RefCell<ObservedResults>,
+    pub observed_results: RefCell<ObservedResults>,
     /// Local work as last sent to other daemons.
     pub last_sent_work: RefCell<WorkByTarget>,
     /// Objects of the store as last read, for a hub to relay.
-    pub stock: RefCell<StoreSnapshot>,
+    pub store_snapshot: RefCell<StoreSnapshot>,
     /// Senders of the store's changes to the links to members.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
@@ -208,19 +208,19 @@
             fleet,
             pool: Rc::default(),
             peers: RefCell::default(),
-            proofs: RefCell::default(),
+            freshness: RefCell::default(),
             fleet_tasks: RefCell::new(UsageMeter::new(window.unwrap_or_default())),
-            placing: RefCell::default(),
+            placement_client: RefCell::default(),
             placements: RefCell::default(),
-            placed: Notify::new(),
+            placements_changed: Notify::new(),
             other_hubs: RefCell::default(),
             hubs: RefCell::default(),
             feed_subscription: RefCell::default(),
-            relayed: RefCell::default(),
+            relay_queue: RefCell::default(),
             entry_broadcasts: RefCell::default(),
-            seen: RefCell::default(),
+            observed_results: RefCell::default(),
             last_sent_work: RefCell::default(),
-            stock: RefCell::default(),
+            store_snapshot: RefCell::default(),
             feed_changes: ChangeSenders::default(),
             watch_mode: Cell::new(watch_mode),
             started: clock::mono_now(),
--- a/src/gateway/peers/usage.rs
+++ b/src/gateway/peers/usage.rs
@@ -1,4 +1,4 @@
-//! Usage and wall clocks on their way between daemons.
+//! Exchange of usage counts and wall clock times between daemons.
 
 use crate::clock;
 use crate::gateway::daemon::Gateway;
@@ -8,24 +8,24 @@
 use crate::names::MonoTime;
 
 impl Gateway {
-    /// Counts a request that began to run at a target.
+    /// Counts a request that started to run at a target.
     pub fn record_start(&self, access: &CallerAccess) {
         if let CallerAccess::Workspace { name, .. } = access
             && self.ports.fleet_tasks.is_some()
         {
-            let mut book = self.fleet_tasks.borrow_mut();
-            book.usage.record_start(name, clock::mono_now());
+            let mut meter = self.fleet_tasks.borrow_mut();
+            meter.usage.record_start(name, clock::mono_now());
         }
     }
 
-    pub(super) fn take_usage_news(&self) -> Vec<UsageCount> {
+    pub(super) fn take_usage_updates(&self) -> Vec<UsageCount> {
         let now = clock::mono_now();
-        let mut book = self.fleet_tasks.borrow_mut();
-        book.refresh(now);
-        book.usage.take_updates(now)
+        let mut meter = self.fleet_tasks.borrow_mut();
+        meter.refresh(now);
+        meter.usage.take_updates(now)
     }
 
-    // What goes to other hubs: what the members told, and the own counts of this word.
+    // Returns the usage sent to other hubs: of the members, and of this daemon's hint.
     pub(super) fn take_centre_usage(&self, hint: &PeerHint) -> Vec<DaemonUsage> {
         let mut usage = self.fleet_tasks.borrow_mut().usage.take_relayed();
         if !hint.usage.is_empty() {
@@ -34,24 +34,24 @@
         usage
     }
 
-    pub(super) fn take_member_usage(&self, hint: &PeerHint, now: MonoTime) {
-        let mut book = self.fleet_tasks.borrow_mut();
-        book.clock.add_sample(&hint.from, hint.wall, now);
-        book.usage.merge_remote(usage_of(hint), true);
+    pub(super) fn apply_member_usage(&self, hint: &PeerHint, now: MonoTime) {
+        let mut meter = self.fleet_tasks.borrow_mut();
+        meter.clock.add_sample(&hint.from, hint.wall_clock, now);
+        meter.usage.merge_remote(usage_of(hint), true);
     }
 
-    // What a hub tells its members is agreed on; hubs take each other's for one clock more.
-    pub(super) fn take_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
-        let mut book = self.fleet_tasks.borrow_mut();
-        if let Some(time) = summary.true_time {
-            if summary.whole {
-                book.clock.adopt_time(time, now);
+    // Members adopt the time of their hub; between hubs, it counts as one more sample.
+    pub(super) fn apply_hub_usage(&self, summary: &PeerSummary, now: MonoTime) {
+        let mut meter = self.fleet_tasks.borrow_mut();
+        if let Some(time) = summary.fleet_time {
+            if summary.whole_fleet {
+                meter.clock.adopt_time(time, now);
             } else {
-                book.clock.add_sample(&summary.from, time, now);
+                meter.clock.add_sample(&summary.from, time, now);
             }
         }
-        for told in &summary.usage {
-            book.usage.merge_remote(told.clone(), false);
+        for counts in &summary.usage {
+            meter.usage.merge_remote(counts.clone(), false);
         }
     }
 }
@@ -59,7 +59,7 @@
 fn usage_of(hint: &PeerHint) -> DaemonUsage {
     DaemonUsage {
         daemon: hint.from.clone(),
-        incarnation: hint.life,
+        incarnation: hint.incarnation,
         counts: hint.usage.clone(),
     }
 }
--- a/tests/gateway_placing.rs
+++ b/tests/gateway_placing.rs
@@ -1,4 +1,4 @@
-//! Places on engines that one daemon gives out for others.
+//! Choice of engines by one daemon for others.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
     NOW.plus(Duration::from_millis(ms))
 }
 
-fn question() -> PlacementRequest {
+fn request() -> PlacementRequest {
     PlacementRequest {
         from: DaemonId::from("member"),
-        life: 1,
+        incarnation: 1,
         number: 0,
         service: ServiceName::from("engines"),
         avoided: Vec::new(),
@@ -32,44 +32,44 @@
 
 fn engines(writer: &str) -> PlacedEngines {
     PlacedEngines {
-        reader: None,
-        writer: TargetIncarnation::from(writer),
+        prefill_engine: None,
+        decode_engine: TargetIncarnation::from(writer),
         fetch_from: None,
         rank: 1,
         expected_ms: 100.0,
-        own_ms: 10.0,
-        unread_tokens: 1_000,
-        reread_tokens: 0,
-        waiting_tokens: 0,
-        gives_way: false,
+        own_prefill_ms: 10.0,
+        pending_prefill_tokens: 1_000,
+        recomputed_tokens: 0,
+        queued_ahead_tokens: 0,
+        deprioritized: false,
     }
 }
 
-struct PromiseCase {
-    // Number of the last question that the member's own word contains, if it comes.
-    told: Option<u64>,
-    // Unread tokens in that word.
-    told_tokens: u32,
+struct PlacementCase {
+    // Number of the last placement request that the member's hint contains, if one arrives.
+    reported: Option<u64>,
+    // Pending prefill tokens in that hint.
+    reported_tokens: u32,
     wait_ms: u64,
     unread: u32,
 }
 
-// A hub gives a member a place (question 4) and hears of the work itself by the member's
-// next hint. In between the place counts, so that the next request is put elsewhere;
-// afterwards it must not count twice, and a member that is gone leaves nothing behind.
+// A hub answers placement request 4 of a member, whose next hint reports the work itself.
+// Until then the placement counts, so that the next request goes elsewhere. Afterwards it must
+// not count twice, and the placement of a member that is gone must expire.
 #[rstest]
-#[case::not_told_yet(PromiseCase { told: None, told_tokens: 0, wait_ms: 100, unread: 1_000 })]
-#[case::older_word(PromiseCase { told: Some(3), told_tokens: 500, wait_ms: 100, unread: 1_500 })]
-#[case::told(PromiseCase { told: Some(4), told_tokens: 1_000, wait_ms: 100, unread: 1_000 })]
-#[case::told_and_read(PromiseCase { told: Some(5), told_tokens: 0, wait_ms: 100, unread: 0 })]
-#[case::member_is_gone(PromiseCase { told: None, told_tokens: 0, wait_ms: 1_000, unread: 0 })]
-fn a_place_counts_once(#[case] case: PromiseCase) {
+#[case::not_reported_yet(PlacementCase { reported: None, reported_tokens: 0, wait_ms: 100, unread: 1_000 })]
+#[case::older_hint(PlacementCase { reported: Some(3), reported_tokens: 500, wait_ms: 100, unread: 1_500 })]
+#[case::reported(PlacementCase { reported: Some(4), reported_tokens: 1_000, wait_ms: 100, unread: 1_000 })]
+#[case::reported_and_prefilled(PlacementCase { reported: Some(5), reported_tokens: 0, wait_ms: 100, unread: 0 })]
+#[case::member_is_gone(PlacementCase { reported: None, reported_tokens: 0, wait_ms: 1_000, unread: 0 })]
+fn a_placement_counts_once(#[case] case: PlacementCase) {
     let (member, engine) = (DaemonId::from("member"), TargetIncarnation::from("e1"));
     let mut load = LoadTracker::default();
     load.reserve((&member, 4), &engine, (1, 1_000), NOW);
-    if let Some(through) = case.told {
+    if let Some(through) = case.reported {
         let mut own = LoadTracker::default();
-        own.begin(&engine, 1, case.told_tokens);
+        own.begin(&engine, 1, case.reported_tokens);
         load.release_reservations(&member, through);
         load.set_peer_work(member, own.local().clone(), after(50));
     }
@@ -82,41 +82,44 @@
     assert_eq!(summed, case.unread);
 }
 
-struct LateNoteCase {
+struct LatePlacementCase {
     through: u64,
     number: u64,
     unread: u32,
 }
 
-// Hubs tell each other of placements at once and of their sums later. A note that comes
-// after a sum which contains it must not count a second time; a hub that was started
-// again numbers from the beginning.
+// Hubs announce placements to each other at once, and sums of their work later. A placement
+// that arrives after a sum which contains it must not count twice; a hub that was restarted
+// numbers its announcements from the beginning.
 #[rstest]
-#[case::after_its_sum(LateNoteCase { through: 4, number: 4, unread: 500 })]
-#[case::newer(LateNoteCase { through: 4, number: 5, unread: 1_500 })]
-#[case::of_the_next_life(LateNoteCase { through: 0, number: 1, unread: 1_500 })]
-fn a_note_after_its_sum_does_not_count_twice(#[case] case: LateNoteCase) {
+#[case::after_its_sum(LatePlacementCase { through: 4, number: 4, unread: 500 })]
+#[case::newer(LatePlacementCase { through: 4, number: 5, unread: 1_500 })]
+#[case::of_the_next_incarnation(LatePlacementCase { through: 0, number: 1, unread: 1_500 })]
+fn a_placement_after_its_sum_does_not_count_twice(#[case] case: LatePlacementCase) {
     let (hub, engine) = (DaemonId::from("hub"), TargetIncarnation::from("e1"));
     let mut load = LoadTracker::default();
     load.release_reservations(&hub, 90);
     load.release_reservations(&hub, case.through);
-    let mut told = LoadTracker::default();
-    told.begin(&engine, 1, 500);
-    load.set_peer_work(hub.clone(), told.local().clone(), NOW);
+    let mut reported = LoadTracker::default();
+    reported.begin(&engine, 1, 500);
+    load.set_peer_work(hub.clone(), reported.local().clone(), NOW);
     load.reserve((&hub, case.number), &engine, (1, 1_000), NOW);
     load.expire(after(50));
     assert_eq!(load.total(&engine).prefill_tokens_before(1), case.unread);
 }
 
 #[test]
-fn an_answer_reaches_its_own_question() {
+fn a_response_reaches_its_own_request() {
     let hub = DaemonId::from("hub");
-    let mut desk = PlacementClient::default();
-    let mut queue = desk.open_link(&hub);
-    assert!(desk.ask(question(), NOW).is_none(), "nobody to ask");
-    desk.set_placer(Some(hub));
-    let (first, mut first_wait) = desk.ask(question(), NOW).expect("a question");
-    let (second, mut second_wait) = desk.ask(question(), NOW).expect("a question");
+    let mut client = PlacementClient::default();
+    let mut queue = client.open_link(&hub);
+    assert!(
+        client.send_request(request(), NOW).is_none(),
+        "no hub to ask"
+    );
+    client.set_placement_hub(Some(hub));
+    let (first, mut first_wait) = client.send_request(request(), NOW).expect("a request");
+    let (second, mut second_wait) = client.send_request(request(), NOW).expect("a request");
     assert!(queue.try_recv().is_ok() && queue.try_recv().is_ok());
     for (number, writer) in [
         (second, "e2"),
@@ -125,37 +128,40 @@
         (99, "stray"),
     ] {
         let engines = Some(engines(writer));
-        desk.take_answer(PlacementResponse { number, engines });
+        client.deliver_response(PlacementResponse { number, engines });
     }
-    let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.writer);
+    let writer = |placed: Option<PlacedEngines>| placed.map(|p| p.decode_engine);
     let first = first_wait.try_recv().expect("an answer");
     let second = second_wait.try_recv().expect("an answer");
     assert_eq!(writer(first), Some(TargetIncarnation::from("e1")));
     assert_eq!(writer(second), Some(TargetIncarnation::from("e2")));
 }
 
-// The hub stands still. One request waits for it, the others do not.
+// When the hub hangs, one request waits for its response; the next ones do not.
 #[test]
-fn a_silent_placer_is_not_asked_for_a_while() {
-    let mut desk = PlacementClient::default();
-    let _queue = desk.open_link(&DaemonId::from("hub"));
-    desk.set_placer(Some(DaemonId::from("hub")));
-    let (number, _wait) = desk.ask(question(), NOW).expect("a question");
-    desk.note_silence(number, NOW);
-    assert!(desk.ask(question(), after(500)).is_none());
-    assert!(desk.ask(question(), after(1_100)).is_some());
-    desk.note_silence(number, after(1_100));
-    let _other = desk.open_link(&DaemonId::from("other"));
-    desk.set_placer(Some(DaemonId::from("other")));
-    assert!(desk.ask(question(), after(1_200)).is_some());
+fn an_unresponsive_hub_gets_no_requests_for_a_while() {
+    let mut client = PlacementClient::default();
+    let _queue = client.open_link(&DaemonId::from("hub"));
+    client.set_placement_hub(Some(DaemonId::from("hub")));
+    let (number, _wait) = client.send_request(request(), NOW).expect("a request");
+    client.record_timeout(number, NOW);
+    assert!(client.send_request(request(), after(500)).is_none());
+    assert!(client.send_request(request(), after(1_100)).is_some());
+    client.record_timeout(number, after(1_100));
+    let _other = client.open_link(&DaemonId::from("other"));
+    client.set_placement_hub(Some(DaemonId::from("other")));
+    assert!(client.send_request(request(), after(1_200)).is_some());
 }
 
 #[test]
-fn a_link_that_ended_is_not_asked_over() {
+fn no_request_is_sent_on_a_closed_link() {
     let hub = DaemonId::from("hub");
-    let mut desk = PlacementClient::default();
-    desk.set_placer(Some(hub.clone()));
-    assert!(desk.ask(question(), NOW).is_none(), "no link yet");
-    drop(desk.open_link(&hub));
-    assert!(desk.ask(question(), NOW).is_none(), "the link is lost");
+    let mut client = PlacementClient::default();
+    client.set_placement_hub(Some(hub.clone()));
+    assert!(client.send_request(request(), NOW).is_none(), "no link yet");
+    drop(client.open_link(&hub));
+    assert!(
+        client.send_request(request(), NOW).is_none(),
+        "the link is lost"
+    );
 }
