--- a/src/authority/orders.rs
+++ b/src/authority/orders.rs
@@ -9,10 +9,10 @@
 //! One gap cannot be closed here: the process may be paused after
 //! [`OrderManager::begin_send`] has checked the lease and before the bytes are sent. A
 //! holder stops ordering a guard time before the lease expires, and a successor waits
-//! until one order flight after it, so only a pause longer than both together does harm.
-//! An engine that ignores fences then obeys the late order; only an engine that checks
-//! them closes the gap. The next read of the engine's state shows the role that it took
-//! on, and planning continues from there.
+//! until an order's longest flight time after that, so only a pause longer than both
+//! together does harm. An engine that ignores fences then obeys the late order; only an
+//! engine that checks them closes the gap. The next read of the engine's state shows
+//! the role that it took on, and planning continues from there.
 
 use std::time::Duration;
 
