--- a/benches/intents.rs
+++ b/benches/intents.rs
@@ -1,4 +1,4 @@
-//! Cost of one commit to a shard: applying, encoding and decoding its ledger.
+//! Benchmarks of one commit to a shard: applying claims, encoding and decoding the ledger.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Answered entries, as most of a shard's are.
+/// Returns a ledger of answered entries, the most common kind.
 fn filled(entries: u64) -> ShardLedger {
     let mut ledger = ShardLedger::default();
     for number in 0..entries {
--- a/src/intents/driver.rs
+++ b/src/intents/driver.rs
@@ -1,4 +1,4 @@
-//! The task of one shard: carries out what the shard's writer decides.
+//! The task of one shard: executes the actions of the shard's [`ShardWriter`].
 
 use std::collections::BTreeSet;
 use std::future;
@@ -22,7 +22,7 @@
     StoredObject,
 };
 
-/// Time to come back after a wait that ended undecided.
+/// Time after which callers should retry an operation that timed out undecided.
 pub(crate) const UNDECIDED_RETRY: Duration = Duration::from_secs(1);
 
 /// Starts the task of a shard on the current runtime.
@@ -56,7 +56,7 @@
     sender
 }
 
-/// Returns the result of a wait that ended undecided.
+/// Returns the result of an operation that timed out undecided.
 pub(crate) fn undecided_result() -> OpResult {
     OpResult::GivenUp {
         reason: "the platform did not confirm the record in time".to_owned(),
@@ -65,23 +65,23 @@
     }
 }
 
-/// What a shard's task is asked.
+/// A message to a shard's task.
 pub(crate) enum ShardMessage {
-    /// Carries out an operation.
+    /// Submits an operation.
     Submit(ShardOp, Option<OpWaiter>),
-    /// Tells the newest version known of the shard.
+    /// Requests the newest known version of the shard.
     Floor(oneshot::Sender<ObjectVersion>),
-    /// Takes no state older than this for the shard's.
+    /// Makes the task ignore states of the shard older than this version.
     RaiseFloor(ObjectVersion),
-    /// Tells when no operation is open.
+    /// Requests a notification once no operation is pending.
     Drain(oneshot::Sender<()>),
 }
 
-/// Whoever waits for an operation, and until when.
+/// The recipient of an operation's result.
 pub(crate) struct OpWaiter {
-    /// When to give up.
+    /// When the operation is abandoned.
     pub(crate) deadline: Instant,
-    /// Takes the result.
+    /// Receives the result.
     pub(crate) reply: Box<dyn FnOnce(OpResult) + Send>,
 }
 
@@ -90,7 +90,7 @@
     Write(Result<ObjectVersion, PlatformError>),
 }
 
-/// Carries out what one shard's writer decides.
+/// Executes the actions of one shard's writer.
 struct ShardDriver {
     writer: ShardWriter,
     forward: ForwardStage,
@@ -126,8 +126,9 @@
         }
     }
 
-    /// Reads both clocks; never earlier than the event they are used for, so that a
-    /// pause cannot make a key look younger than the copy it is checked against.
+    /// Reads both clocks. Called only after the event that the time is used for, so that a
+    /// pause of the process cannot make a key look younger than the copy of the shard that
+    /// it is checked against.
     fn now(&self) -> WriterTime {
         WriterTime {
             mono: MonoTime(millis(self.started.elapsed())),
@@ -156,7 +157,8 @@
         }
     }
 
-    /// While the platform is down for this daemon, it refuses claims at once by itself.
+    /// Returns whether an operation goes to the shard's owner. While this daemon cannot reach
+    /// the platform, nothing is forwarded, and the local writer refuses claims at once.
     fn is_forwarded(&self, op: &ShardOp) -> bool {
         !self.writer.is_down(self.now()) && self.forward.takes(op)
     }
@@ -204,8 +206,8 @@
         }
     }
 
-    /// Does by itself what the owner did not confirm. The owner may do it as well, and
-    /// later: the claim's identity makes that one effect.
+    /// Executes locally what the owner did not confirm. The owner may execute it too, even
+    /// later: the claim's identity makes the operation idempotent.
     fn retry_directly(&mut self, sent: ForwardOp) {
         match sent.op {
             ShardOp::Claim(claim) => {
@@ -235,8 +237,8 @@
         }
     }
 
-    /// Abandons an operation first and tells its waiter then, so that nothing can
-    /// grant a claim that its claimant was told is given up.
+    /// Ends the operations whose deadline has passed. Each is abandoned before its waiter is
+    /// notified, so that a claim reported as given up cannot be granted afterwards.
     fn give_up_late(&mut self) {
         let now = Instant::now();
         while let Some((deadline, number)) = self.deadlines.first().copied() {
--- a/src/intents/forward.rs
+++ b/src/intents/forward.rs
@@ -1,4 +1,4 @@
-//! Operations on their way to the owner of a shard, one message at a time.
+//! Forwards operations to the owner of a shard, with one message in flight at a time.
 
 use std::future;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::intents::writer::ShardOp;
 use crate::ports::{ObjectVersion, PortFuture};
 
-/// An operation that goes to the owner: a claim or a close of this daemon's own.
+/// An operation for the owner of the shard: a claim or a close made by this daemon.
 pub(crate) struct ForwardOp {
-    /// The operation as this daemon would carry it out.
+    /// The operation in the form that this daemon executes itself.
     pub(crate) op: ShardOp,
-    /// Whoever waits for it.
+    /// Recipient of the result.
     pub(crate) waiter: Option<OpWaiter>,
 }
 
@@ -34,15 +34,15 @@
     }
 }
 
-/// What became of a message.
+/// Result of one message to the owner.
 pub(crate) struct ForwardResult {
-    /// A version at which the recorded operations are recorded.
+    /// Version of the shard that contains all recorded operations.
     pub(crate) version: ObjectVersion,
     /// The operations and their outcomes.
     pub(crate) ops: Vec<(ForwardOp, LinkOutcome)>,
 }
 
-/// Operations of one shard on their way to its owner.
+/// Queue of operations on one shard for its owner.
 pub(crate) struct ForwardStage {
     link: Option<IntentLink>,
     shard: u32,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Returns the number of operations under way.
+    /// Returns the number of operations queued or in flight.
     pub(crate) fn len(&self) -> usize {
         self.outbox.len() + self.sent.len()
     }
 
-    /// Tells whether an operation is for the owner.
+    /// Returns whether an operation is to be sent to the owner.
     pub(crate) fn takes(&self, op: &ShardOp) -> bool {
         matches!(op, ShardOp::Claim(_) | ShardOp::Close { .. }) && self.open_link().is_some()
     }
@@ -80,7 +80,8 @@
         self.outbox.push(op);
     }
 
-    /// Sends the operations that wait. Returns those that no owner is there for any more.
+    /// Sends the queued operations. Returns them instead when there is no owner to send them
+    /// to any more.
     pub(crate) fn start(&mut self, known_at: ObjectVersion) -> Vec<ForwardOp> {
         if self.flight.is_some() || self.outbox.is_empty() {
             return Vec::new();
@@ -109,7 +110,7 @@
         Vec::new()
     }
 
-    /// Waits for the reply to the message under way.
+    /// Waits for the reply to the message in flight.
     pub(crate) async fn next(&mut self) -> Result<LinkReply, LinkError> {
         match &mut self.flight {
             Some(call) => call.await,
@@ -117,8 +118,9 @@
         }
     }
 
-    /// Ends the message under way. After a failure the shard is written directly for a
-    /// while, so that an owner that is gone doesn't delay each claim.
+    /// Applies the reply to the message in flight. After a failure, this daemon writes the
+    /// shard directly for [`LINK_PAUSE`], so that an owner that is gone does not delay
+    /// every claim.
     pub(crate) fn finish(&mut self, reply: Result<LinkReply, LinkError>) -> ForwardResult {
         self.flight = None;
         let sent = std::mem::take(&mut self.sent);
@@ -149,7 +151,8 @@
     }
 }
 
-/// Leaves every waiter half of its time for the direct way.
+/// Returns how long to wait for the owner. Every waiter keeps half of its remaining time
+/// for a direct write.
 fn longest_wait(ops: &[ForwardOp]) -> Duration {
     let now = Instant::now();
     let waiters = ops.iter().filter_map(|op| op.waiter.as_ref());
--- a/src/intents/link.rs
+++ b/src/intents/link.rs
@@ -1,10 +1,11 @@
-//! Hands operations on a shard to the daemon that writes it for all.
+//! Sends operations on a shard to the daemon that owns it.
 //!
-//! Hundreds of daemons that each write the same few objects would refuse one
-//! another's updates most of the time. So the live daemons agree, without a word, on
-//! one owner per shard, and its group commit carries the others' operations. They
-//! may disagree on the owner, or two may own a shard: an operation is carried under
-//! its claimant's identity, so that it has one effect whoever writes it, and only the
+//! If hundreds of daemons wrote the same few objects, most of their conditional updates
+//! would conflict. Each daemon therefore computes the same owner per shard from the live
+//! daemons, without communication, and the owner's group commit includes the others'
+//! operations. Correctness does not depend on the owner being unique: daemons may
+//! disagree on it, or two may own a shard. An operation is written under its claimant's
+//! claim identity, so it takes effect once whichever daemon writes it, and only the
 //! claimant dispatches, closes or abandons the claim.
 
 use std::fmt;
@@ -21,18 +22,18 @@
 use crate::names::DaemonId;
 use crate::ports::{ObjectVersion, PortCall};
 
-/// Longest wait for the owner of a shard.
+/// Maximum wait for the owner of a shard to reply.
 pub const LINK_WAIT: Duration = Duration::from_millis(250);
 
-/// Time for which a daemon writes a shard by itself after its owner did not answer.
+/// Time for which a daemon writes a shard directly after the owner failed to reply.
 pub const LINK_PAUSE: Duration = Duration::from_secs(1);
 
-/// Operations in one message.
+/// Maximum number of operations in one message.
 pub const MAX_LINK_OPS: usize = 1_024;
 
 const LINK_VERSION: u8 = 1;
 
-/// Why operations were not carried.
+/// Why operations were not executed by the owner.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum LinkError {
     /// The other daemon did not answer.
@@ -41,27 +42,29 @@
         /// What happened.
         reason: String,
     },
-    /// The message is not one of this protocol.
-    #[error("a message about intents cannot be read; run the same version on all daemons")]
+    /// The message is not valid in this protocol.
+    #[error(
+        "a message with operations on intents cannot be decoded; run the same version on all daemons"
+    )]
     Malformed,
-    /// The daemons spread the records differently.
+    /// The daemons have different numbers of shards.
     #[error("the daemons disagree on intents.shards; set the same number on all daemons")]
     Shards,
 }
 
-/// A call to another daemon: its name, and a message to be answered by
-/// [`crate::intents::store::IntentStore::serve`] there.
+/// A call to another daemon, with its name and a message that
+/// [`crate::intents::store::IntentStore::serve`] answers there.
 pub type LinkCall = PortCall<(DaemonId, Vec<u8>), Result<Vec<u8>, LinkError>>;
 
 /// Returns the owner of a shard, or `None` when this daemon writes it directly.
 pub type ShardOwner = Arc<dyn Fn(u32) -> Option<DaemonId> + Send + Sync>;
 
-/// How a store reaches the owners of shards.
+/// Connects a store to the owners of shards.
 #[derive(Clone)]
 pub struct IntentLink {
-    /// Who owns a shard.
+    /// Returns the owner of a shard.
     pub owner: ShardOwner,
-    /// Asks another daemon.
+    /// Sends a message to another daemon and returns the reply.
     pub call: LinkCall,
 }
 
@@ -71,8 +74,8 @@
     }
 }
 
-/// Returns the owner of a shard among live daemons, by rendezvous hashing: when one
-/// leaves, only its own shards move.
+/// Returns the owner of a shard among the live daemons, by rendezvous hashing: when a
+/// daemon leaves, only the shards it owned move.
 #[must_use]
 pub fn shard_owner<'a>(
     shard: u32,
@@ -88,38 +91,38 @@
     hash.digest()
 }
 
-/// Operations that one daemon asks the owner of a shard to write.
+/// Operations that a daemon sends to the owner of a shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LinkRequest {
     /// The shard.
     pub shard: u32,
-    /// Number of shards in the settings of the asking daemon.
+    /// Number of shards in the settings of the sending daemon.
     pub shards: u32,
-    /// A version at which every claim closed here was recorded.
+    /// Version of the shard that contains every claim closed by these operations.
     pub known_at: ObjectVersion,
     /// The operations: [`ShardOp::Carry`] and [`ShardOp::CarryClose`].
     pub ops: Vec<ShardOp>,
 }
 
-/// What became of the operations.
+/// Reply of the owner of a shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LinkReply {
-    /// A version at which they are recorded.
+    /// Version of the shard that contains the recorded operations.
     pub version: ObjectVersion,
     /// Outcome of each operation, in order.
     pub outcomes: Vec<LinkOutcome>,
 }
 
-/// What became of one operation. The asking daemon does itself what is not recorded.
+/// Outcome of one operation. The sending daemon executes itself what was not recorded.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LinkOutcome {
-    /// The platform has it.
+    /// The platform has stored it.
     #[serde(rename = "r")]
     Recorded,
-    /// It may take effect, now or later.
+    /// It may have taken effect, or may do so later.
     #[serde(rename = "u")]
     Unsure,
-    /// It is certain to have no effect by way of the owner.
+    /// The owner will certainly never write it.
     #[serde(rename = "n")]
     Untouched,
 }
@@ -151,7 +154,7 @@
 }
 
 impl LinkOpWire {
-    /// Returns `None` for operations that a daemon only carries out for itself.
+    /// Returns `None` for operations that are never forwarded.
     fn from_op(op: &ShardOp) -> Option<Self> {
         match op {
             ShardOp::Carry(claim) => Some(Self::Claim(IntentWire::from(claim))),
@@ -176,7 +179,7 @@
 }
 
 impl LinkRequest {
-    /// Returns the request's form between daemons.
+    /// Encodes the request for sending.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let ops = self.ops.iter().filter_map(LinkOpWire::from_op).collect();
@@ -189,11 +192,12 @@
         ))
     }
 
-    /// Reads a request.
+    /// Decodes a request.
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError::Malformed`] when the message is not one, or too large.
+    /// Returns [`LinkError::Malformed`] when the message is not a valid request, or has more
+    /// than [`MAX_LINK_OPS`] operations.
     pub fn decode(message: &[u8]) -> Result<Self, LinkError> {
         let RequestWire(version, shard, shards, known_at, ops) =
             ciborium::from_reader(message).map_err(|_| LinkError::Malformed)?;
@@ -210,7 +214,7 @@
 }
 
 impl LinkReply {
-    /// Returns the reply's form between daemons.
+    /// Encodes the reply for sending.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         encode(&ReplyWire(
@@ -220,11 +224,11 @@
         ))
     }
 
-    /// Reads the reply to a request of `ops` operations.
+    /// Decodes the reply to a request with `ops` operations.
     ///
     /// # Errors
     ///
-    /// Returns [`LinkError::Malformed`] when the message is not one.
+    /// Returns [`LinkError::Malformed`] when the message is not a valid reply to that request.
     pub fn decode(message: &[u8], ops: usize) -> Result<Self, LinkError> {
         let ReplyWire(version, at, outcomes) =
             ciborium::from_reader(message).map_err(|_| LinkError::Malformed)?;
@@ -240,6 +244,7 @@
 
 fn encode(wire: &impl Serialize) -> Vec<u8> {
     let mut message = Vec::new();
-    ciborium::into_writer(wire, &mut message).expect("a message's fields have a CBOR form");
+    ciborium::into_writer(wire, &mut message)
+        .expect("every field of a message can be encoded as CBOR");
     message
 }
--- a/src/intents/mod.rs
+++ b/src/intents/mod.rs
@@ -1,8 +1,9 @@
-//! The ledger of requests that may not be repeated: pure, one value per shard.
+//! The ledger of run-once requests, which may be executed at most once: pure logic, one
+//! value per shard.
 //!
 //! A shard's ledger is one object of the platform and changes only by conditional
-//! update. An entry is there from before the dispatch until its key is too old to
-//! be accepted, so whoever asks finds it, or finds that the key may not be used.
+//! update. An entry exists from before the dispatch until its key is too old to be
+//! accepted, so a lookup either finds the entry or is refused because of the key's age.
 
 pub mod driver;
 pub mod forward;
@@ -28,28 +29,30 @@
 use crate::names::{UnixTime, millis};
 use crate::settings::IntentSettings;
 
-/// Share of the shard size that is kept for settling once claims are refused: 1/16.
+/// Divisor of the shard size that gives the room on top of it for settlements and results
+/// once claims are refused.
 const SETTLE_RESERVE: usize = 16;
 
-/// Share of the shard size below which free room counts as little: 1/8.
+/// Divisor of the shard size; with less than this share free, expired entries are dropped
+/// before operations are applied.
 const CROWDED_SHARE: usize = 8;
 
-/// Encoded size of an entry without target, claimant and result, at most.
+/// Maximum encoded size in bytes of an entry without target, claimant and result.
 const ENTRY_BYTES: usize = 116;
 
-/// Encoded size of a ledger without its entries, at most.
+/// Maximum encoded size in bytes of a ledger without its entries.
 const LEDGER_BYTES: usize = 16;
 
-/// Bounds that every daemon applies alike.
+/// Limits that must be the same on every daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LedgerLimits {
-    /// How long a key stays known.
+    /// How long records of a key are kept.
     pub retention: Duration,
-    /// Largest difference of two daemons' wall clocks.
+    /// Maximum difference between two daemons' wall clocks.
     pub skew: Duration,
     /// Size at which claims are refused, in bytes.
     pub shard_bytes: usize,
-    /// Largest result kept, in bytes.
+    /// Maximum size of a stored result, in bytes.
     pub result_bytes: usize,
 }
 
@@ -65,7 +68,7 @@
 }
 
 impl LedgerLimits {
-    /// Returns the size up to which keys are settled.
+    /// Returns the size in bytes up to which settlements are accepted.
     fn settle_bytes(&self) -> usize {
         self.shard_bytes + self.shard_bytes / SETTLE_RESERVE
     }
@@ -74,9 +77,9 @@
 /// Result of applying a claim to a ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimStep {
-    /// The ledger now holds the claim; it counts once the platform has the ledger.
+    /// The claim was added; it takes effect once the platform has stored the ledger.
     Added,
-    /// The ledger held this very claim.
+    /// The ledger already contained this claim.
     Owned,
     /// The key is taken.
     Present(RecordView),
@@ -89,7 +92,7 @@
 /// Result of settling a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SettleStep {
-    /// The ledger now holds the key as not run; it counts once the platform has it.
+    /// The key was added as not run; this takes effect once the platform has stored the ledger.
     Added,
     /// The key is taken.
     Present(RecordView),
@@ -104,9 +107,9 @@
 pub enum CloseStep {
     /// The ledger changed.
     Changed,
-    /// The ledger says so already.
+    /// The entry is already closed.
     Unchanged,
-    /// The claim is not in the ledger: it never arrived, or has expired.
+    /// The claim is not in the ledger: it was never stored, or has expired.
     Missing,
 }
 
@@ -119,7 +122,7 @@
 }
 
 impl ShardLedger {
-    /// Creates a ledger from its parts.
+    /// Creates a ledger from decoded entries.
     pub(crate) fn from_parts(horizon: UnixTime, entries: IndexMap<EntryId, IntentEntry>) -> Self {
         let weight = entries.values().map(entry_weight).sum();
         Self {
@@ -140,7 +143,7 @@
         self.entries.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Returns whether the ledger has no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -152,7 +155,7 @@
         LEDGER_BYTES + self.weight
     }
 
-    /// Returns the newest time of minting of which entries may be gone.
+    /// Returns the expiry horizon: entries whose keys were created at or before it are gone.
     #[must_use]
     pub fn horizon(&self) -> UnixTime {
         self.horizon
@@ -183,9 +186,10 @@
         ClaimStep::Added
     }
 
-    /// Closes an open key as not run, in the name of `claim`.
+    /// Closes an unused key as not run, with `claim` as the identity of the entry.
     ///
-    /// A paused claimant then finds its conditional update refused and the key taken.
+    /// The conditional update of a claimant that was paused meanwhile then fails, and the
+    /// claimant finds the key taken.
     pub fn settle(
         &mut self,
         key: &IntentKey,
@@ -210,7 +214,7 @@
     ///
     /// # Panics
     ///
-    /// Panics where invariants are fatal when a final record would change.
+    /// Panics when a final record would change and invariant violations are fatal.
     pub fn close(
         &mut self,
         id: EntryId,
@@ -234,10 +238,10 @@
         CloseStep::Changed
     }
 
-    /// Closes an abandoned claim that another daemon may yet record for its claimant.
+    /// Closes an abandoned claim that another daemon may still record for the claimant.
     ///
-    /// An absent key is closed whatever its age by this daemon's clock: the other's
-    /// clock may still accept it. Below the horizon nobody does.
+    /// An absent key is closed regardless of its age by this daemon's clock, as the other
+    /// daemon's clock may still accept it. At or below the horizon no daemon accepts it.
     pub fn void(&mut self, key: &IntentKey, claim: ClaimId, limits: &LedgerLimits) -> CloseStep {
         let id = key.entry_id();
         if self.entries.contains_key(&id) {
@@ -252,12 +256,12 @@
         CloseStep::Changed
     }
 
-    /// Returns what is recorded of a key.
+    /// Returns what is recorded for a key.
     ///
     /// # Errors
     ///
-    /// Returns a [`KeyFault`] when the key does not match its record, or is absent
-    /// and so old that its record may have expired.
+    /// Returns a [`KeyFault`] when the key does not match its record, or is absent and
+    /// not acceptable, for example so old that its record may have expired.
     pub fn view(
         &self,
         key: &IntentKey,
@@ -273,13 +277,14 @@
         }
     }
 
-    /// Drops the entries whose keys nobody accepts any more.
+    /// Drops the entries whose keys no daemon accepts any more. Returns whether the ledger
+    /// changed.
     ///
-    /// The horizon rises with it and is part of the value, and keys at or below it are
-    /// refused whatever any clock says: otherwise a daemon whose clock is behind could
-    /// take an expired key for a new one and run its request again. The newest key
-    /// bounds the horizon, so that one clock far ahead cannot close the shard to all.
-    /// Returns whether the ledger changed.
+    /// This raises the horizon, which is stored with the ledger. Keys at or below it are
+    /// refused regardless of any clock: otherwise a daemon whose clock is behind could
+    /// take an expired key for a new one and run its request again. The horizon is
+    /// bounded by the newest key, so that a single clock that is far ahead cannot make
+    /// the shard refuse every key.
     pub fn expire(&mut self, limits: &LedgerLimits, now: UnixTime) -> bool {
         let newest = self.entries.values().map(|e| e.minted_at).max();
         let latest = newest.unwrap_or_default().min(now);
@@ -294,13 +299,13 @@
         true
     }
 
-    /// Tells whether little room is left for claims.
+    /// Returns whether the space for claims is nearly used up.
     #[must_use]
     pub fn is_crowded(&self, limits: &LedgerLimits) -> bool {
         self.weight() > limits.shard_bytes - limits.shard_bytes / CROWDED_SHARE
     }
 
-    /// Refuses absent keys that are too old, too new or out of form.
+    /// Refuses keys that are too old, lie too far in the future or have an invalid length.
     fn check_key(
         &self,
         key: &IntentKey,
@@ -358,7 +363,7 @@
     }
 }
 
-/// Asserts that a close which changes nothing doesn't contradict the record either.
+/// Asserts that a close without effect does not contradict the record.
 fn check_final(id: EntryId, state: &IntentState, record: &CloseRecord) {
     let agrees = matches!(
         (state, record),
@@ -369,7 +374,7 @@
             | (IntentState::Unknown, CloseRecord::Unknown)
     );
     invariants::check(agrees, Invariant::NotRunIsTrue, || {
-        format!("entry {id:?} is {state:?} and was to become {record:?}")
+        format!("entry {id:?} is {state:?}, but a close tried to make it {record:?}")
     });
 }
 
@@ -391,7 +396,7 @@
     }
 }
 
-/// Returns an upper bound of the size an entry is encoded in, now and once closed.
+/// Returns an upper bound of an entry's encoded size in bytes.
 fn entry_weight(entry: &IntentEntry) -> usize {
     ENTRY_BYTES
         + match &entry.state {
--- a/src/intents/ops.rs
+++ b/src/intents/ops.rs
@@ -1,4 +1,4 @@
-//! Operations on a shard of intents, and what applying them comes to.
+//! Operations on a shard of intents, and how they are applied.
 
 use std::time::Duration;
 
@@ -11,27 +11,27 @@
 use crate::names::{MonoTime, UnixTime};
 use crate::ports::{ObjectVersion, StoredObject};
 
-/// Wait before a full shard is asked again.
+/// Time after which callers should retry an operation on a full shard.
 const FULL_RETRY: Duration = Duration::from_secs(1);
 
-/// Both clocks at the moment of an event.
+/// Readings of both clocks for an event.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WriterTime {
-    /// Monotonic clock, for waits.
+    /// Monotonic clock, used for waits.
     pub mono: MonoTime,
-    /// Wall clock, for the age of keys.
+    /// Wall clock, used for the age of keys.
     pub unix: UnixTime,
 }
 
-/// Numbers the operations of one writer.
+/// Sequence number of an operation in one writer.
 pub type OpNumber = u64;
 
 /// An operation on a shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ShardOp {
-    /// Records another daemon's claim for it; whether it is granted is that daemon's to say.
+    /// Records a claim on behalf of another daemon, which alone decides whether it is granted.
     Carry(ClaimEntry),
-    /// Closes another daemon's granted claim for it.
+    /// Closes a granted claim on behalf of another daemon.
     CarryClose {
         /// Identity of the request.
         key: IntentKey,
@@ -42,7 +42,7 @@
     },
     /// Records a claim.
     Claim(ClaimEntry),
-    /// Closes a granted claim; has no result.
+    /// Closes a granted claim; returns no result.
     Close {
         /// Identity of the request.
         key: IntentKey,
@@ -53,22 +53,23 @@
     },
     /// Reads a record.
     Lookup(IntentKey),
-    /// Closes an open key as not run.
+    /// Closes an unused key as not run.
     Settle {
         /// Identity of the request.
         key: IntentKey,
         /// Identity of the settlement.
         claim: ClaimId,
     },
-    /// Closes an abandoned claim as not run, if it ever arrives; has no result.
+    /// Closes an abandoned claim as not run if its write takes effect after all; returns no
+    /// result.
     Release {
         /// Identity of the request.
         key: IntentKey,
         /// Claim that was abandoned.
         claim: ClaimId,
     },
-    /// Closes an abandoned claim that another daemon may record at any time, and closes
-    /// its key where it isn't recorded yet; has no result.
+    /// Closes an abandoned claim that another daemon may record at any time, or closes its
+    /// key if the claim is not recorded yet; returns no result.
     Void {
         /// Identity of the request.
         key: IntentKey,
@@ -78,7 +79,7 @@
 }
 
 impl ShardOp {
-    /// Tells whether somebody waits for a result.
+    /// Returns whether a caller waits for a result.
     pub(crate) fn has_result(&self) -> bool {
         match self {
             Self::Carry(_)
@@ -94,38 +95,38 @@
 /// Result of an operation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OpResult {
-    /// The close is recorded, or its key is too old to matter.
+    /// The close is recorded, or its key has expired.
     Closed,
-    /// The claim is recorded; its claimant may dispatch once.
+    /// The claim is recorded; its claimant may dispatch the request once.
     Granted,
-    /// The key is recorded so, or absent where that was asked.
+    /// What is recorded for the key; absent only as the result of a lookup.
     Record(RecordView),
     /// The key is not acceptable.
     Invalid(KeyFault),
-    /// Nothing was decided.
+    /// The operation ended undecided.
     GivenUp {
         /// Why.
         reason: String,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
-        /// Whether the operation is certain to have no effect later.
+        /// Whether the operation certainly has no effect, now or later.
         untouched: bool,
     },
 }
 
-/// What the driver does next.
+/// An action for the driver to execute.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriterAction {
     /// Reads the shard's object.
     Read,
     /// Writes the shard's object.
     Write {
-        /// Version it must have.
+        /// Version that the object must have.
         expected: ObjectVersion,
         /// New value.
         value: Vec<u8>,
     },
-    /// Hands a result to whoever waits for it.
+    /// Sends a result to the caller that waits for it.
     Reply {
         /// Operation.
         number: OpNumber,
@@ -134,22 +135,22 @@
     },
 }
 
-/// How a writer works.
+/// Configuration of a writer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WriterRules {
-    /// Bounds of the ledger.
+    /// Limits of the ledger.
     pub limits: LedgerLimits,
-    /// Shortest time between two writes.
+    /// Minimum time between two writes.
     pub commit: Duration,
-    /// Seed of the waits after conflicts.
+    /// Seed for the random waits after conflicts.
     pub seed: u64,
 }
 
-/// What applying an operation came to.
+/// Outcome of applying an operation to the local copy of the shard.
 pub(crate) enum OpStep {
-    /// Decided by the copy at hand, once a write before it is confirmed.
+    /// Decided by the copy; if the copy has unconfirmed changes, once their write is confirmed.
     Decided(Option<OpResult>),
-    /// Decided, but for a copy from after the operation's submission.
+    /// Decided only when the copy has been read after the operation was submitted.
     Stale(Option<OpResult>),
     /// Decided once the platform confirms the write.
     Changed(Option<OpResult>),
@@ -162,8 +163,8 @@
     }
 }
 
-/// Lets a record that may still change be answered only from a copy that was read
-/// after the question; an older one would show a request as open that ended long ago.
+/// Requires a copy that was read after the operation was submitted, unless the result is
+/// final. An older copy could show a request as unfinished that ended long ago.
 fn decide(result: OpResult, fresh: bool) -> OpStep {
     let lasting = match &result {
         OpResult::Record(view) => view.is_final(),
@@ -179,7 +180,7 @@
 
 fn full_result() -> OpResult {
     OpResult::GivenUp {
-        reason: "the shard of the key is full; wait for older keys to expire, or raise \
+        reason: "the shard that records the key is full; wait for older keys to expire, or raise \
                  intents.shards"
             .to_owned(),
         retry_after: FULL_RETRY,
@@ -213,19 +214,19 @@
     }
 }
 
-/// The shard as the platform has it.
+/// Local copy of the shard.
 #[derive(Debug)]
 pub(crate) struct ShardCopy {
     pub(crate) version: ObjectVersion,
     pub(crate) ledger: ShardLedger,
-    /// Operations below this number were submitted before the copy was current.
+    /// Operations with a lower number were submitted before the copy was read or written.
     pub(crate) as_of: OpNumber,
 }
 
 /// Applies an operation to the copy.
 ///
-/// `fresh` tells whether the copy is from after the operation's submission, `lost_at`
-/// the newest version that a write with a lost answer expected.
+/// `fresh` says whether the copy was read after the operation was submitted. `lost_at` is
+/// the newest expected version of a write whose response was lost.
 pub(crate) fn apply_op(
     op: &ShardOp,
     copy: &mut ShardCopy,
@@ -258,7 +259,7 @@
     }
 }
 
-/// Closes a granted claim and asserts that it was in its shard, unless its key is too old.
+/// Closes a granted claim and asserts that it is in its shard, unless its key has expired.
 fn close_granted(
     ledger: &mut ShardLedger,
     key: &IntentKey,
@@ -269,14 +270,15 @@
     let step = ledger.close(key.entry_id(), claim, record, limits);
     let lost = step == CloseStep::Missing && key.minted_at > ledger.horizon();
     invariants::check(!lost, Invariant::AtMostOnce, || {
-        format!("granted claim {claim} is gone from its shard before its key expired")
+        format!("granted claim {claim} is missing from its shard although its key has not expired")
     });
     step
 }
 
-/// Concludes nothing from the claim's absence while the shard stands at a version
-/// that a lost write expected: that write may take effect after the read. Writing
-/// the shard again settles it, as whichever write comes first refuses the other.
+/// Does not rely on the claim's absence while the shard has a version that a write with
+/// a lost response expected: that write may still take effect after the read. Writing the
+/// shard again resolves this, as only one of two writes with the same expected version
+/// succeeds.
 fn release_step(step: CloseStep, version: ObjectVersion, lost_at: Option<ObjectVersion>) -> OpStep {
     match step {
         CloseStep::Missing if lost_at >= Some(version) => OpStep::Changed(None),
@@ -284,15 +286,15 @@
     }
 }
 
-/// A shard that was deleted has lost its records: taking it for empty would let
-/// every recorded request run again.
+/// Decodes the ledger of a shard. A deleted shard is an error: treating it as empty would
+/// let every recorded request run again.
 pub(crate) fn read_ledger(found: Option<StoredObject>) -> Result<ShardLedger, String> {
     let Some(object) = found else {
         return Ok(ShardLedger::default());
     };
     let value = object.value.ok_or_else(|| {
         format!(
-            "the object {}/{} was deleted; restore it",
+            "the platform object {}/{} was deleted; restore it",
             object.object.kind, object.object.name
         )
     })?;
--- a/src/intents/permit.rs
+++ b/src/intents/permit.rs
@@ -1,18 +1,18 @@
-//! Tokens of a granted claim: what may be done with it is what its type lets be done.
+//! Types for the stages of a granted claim; each offers only what is allowed in its stage.
 //!
-//! A permit becomes a dispatched claim, and that becomes an end. None can be
-//! copied. One that is dropped, with its caller's task for example, records the
-//! end that is true of it: "not run" before the dispatch, "unknown" after.
+//! A permit becomes a dispatched claim, which is then closed with an outcome. None of the
+//! types can be copied. A value that is dropped, for example because the caller's task was
+//! cancelled, records the correct outcome: "not run" before the dispatch, "unknown" after it.
 
 use std::fmt;
 
 use crate::intents::{AnswerRecord, ClaimId, CloseRecord, IntentKey};
 use crate::ports::TargetError;
 
-/// Takes the end of a claim; never waits.
+/// Records the outcome of a claim; never blocks.
 pub(crate) type ClaimCloser = Box<dyn Fn(&IntentKey, ClaimId, CloseRecord) + Send + Sync>;
 
-/// A claim whose end is recorded when it is dropped, at the latest.
+/// A claim whose outcome is recorded at the latest when the handle is dropped.
 struct ClaimHandle {
     key: IntentKey,
     claim: ClaimId,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Proof that this daemon, and no other, may dispatch once.
+/// Proof that this daemon, and no other, may dispatch the request once.
 #[derive(Debug)]
 pub struct DispatchPermit {
     handle: ClaimHandle,
@@ -74,7 +74,7 @@
         self.handle.claim
     }
 
-    /// Gives the permit up for one dispatch; called right before the call to the target.
+    /// Uses the permit for one dispatch; called right before the call to the target.
     #[must_use]
     pub fn dispatch(mut self) -> DispatchedClaim {
         self.handle.at_drop = Some(CloseRecord::Unknown);
@@ -83,18 +83,18 @@
         }
     }
 
-    /// Records that the request was not run and never will be under this key.
+    /// Records that the request was not run and will never run under this key.
     pub fn release(mut self) {
         self.handle.close(CloseRecord::NotRun);
     }
 }
 
-/// Proof that a call had no effect: the target was not reached, or refused.
+/// Proof that a call had no effect: the target was not reached, or refused it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct UndeliveredProof(());
 
 impl UndeliveredProof {
-    /// Returns the proof when the error is one.
+    /// Returns a proof if the error implies that the call had no effect.
     #[must_use]
     pub fn from_error(error: &TargetError) -> Option<Self> {
         match error {
@@ -117,20 +117,21 @@
         &self.handle.key
     }
 
-    /// Records the whole answer.
+    /// Records the complete answer.
     pub fn answered(mut self, answer: AnswerRecord) {
         self.handle.close(CloseRecord::Answered(answer));
     }
 
-    /// Records that the call had no effect and is not made again under this key.
+    /// Records that the call had no effect and that the request will never run under this key.
     pub fn not_run(mut self, _proof: UndeliveredProof) {
         self.handle.close(CloseRecord::NotRun);
     }
 
-    /// Returns the permit, for a call that had no effect: the next goes elsewhere.
+    /// Returns the permit after a call that had no effect, so that the request can be sent
+    /// to another target.
     ///
-    /// The record goes on naming the first target. Whoever looks for the stream
-    /// there finds none and answers that the outcome is unknown, which is true.
+    /// The record keeps naming the first target. A daemon that looks for the stream there
+    /// finds none and correctly answers that the outcome is unknown.
     #[must_use]
     pub fn withdraw(mut self, _proof: UndeliveredProof) -> DispatchPermit {
         self.handle.at_drop = Some(CloseRecord::NotRun);
@@ -139,9 +140,9 @@
         }
     }
 
-    /// Records that the end was lost, and keeps the right to record an answer that
-    /// comes after all.
-    #[must_use = "the answer may come after all; drop the late claim when it cannot"]
+    /// Records that the outcome is unknown, and keeps the right to record an answer that
+    /// arrives later.
+    #[must_use = "the answer may still arrive; drop the late claim when it cannot"]
     pub fn unknown(mut self) -> LateClaim {
         self.handle.close(CloseRecord::Unknown);
         LateClaim {
@@ -150,14 +151,14 @@
     }
 }
 
-/// A dispatched claim whose end was recorded as unknown.
+/// A dispatched claim whose outcome was recorded as unknown.
 #[derive(Debug)]
 pub struct LateClaim {
     handle: ClaimHandle,
 }
 
 impl LateClaim {
-    /// Records the whole answer.
+    /// Records the complete answer.
     pub fn answered(mut self, answer: AnswerRecord) {
         self.handle.close(CloseRecord::Answered(answer));
     }
--- a/src/intents/queue.rs
+++ b/src/intents/queue.rs
@@ -1,20 +1,20 @@
-//! The operations on one shard that are not decided yet, in the order they came.
+//! Pending operations on one shard, in order of submission.
 
 use indexmap::IndexMap;
 
 use crate::intents::ops::{OpNumber, ShardOp};
 
-/// Operations that may wait for one shard.
+/// Maximum number of pending operations on one shard.
 const MAX_OPEN_OPS: usize = 16_384;
 
-/// How far an operation may have come.
+/// Where an operation may be known, which decides how it can be abandoned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OpReach {
-    /// Known here alone.
+    /// Only in this writer.
     Local,
-    /// In a write that was sent.
+    /// In a write that was sent to the platform.
     Sent,
-    /// With another daemon, which may write it whenever it gets to it.
+    /// At another daemon, which may write it at any time.
     Carried,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Operations that are not decided yet.
+/// Operations without a decided result.
 #[derive(Debug, Default)]
 pub(crate) struct OpQueue {
     open: IndexMap<OpNumber, OpenOp>,
@@ -41,7 +41,7 @@
 }
 
 impl OpQueue {
-    /// Returns the number of the next operation.
+    /// Returns the sequence number that the next operation will get.
     pub(crate) fn next_number(&self) -> OpNumber {
         self.next_number
     }
@@ -76,14 +76,14 @@
         self.open.shift_remove(&number)
     }
 
-    /// Notes that a write with the operation was sent.
+    /// Records that a write with the operation was sent.
     pub(crate) fn mark_sent(&mut self, number: OpNumber) {
         if let Some(open) = self.open.get_mut(&number) {
             open.reach = open.reach.after_write();
         }
     }
 
-    /// Takes the operations that somebody waits for.
+    /// Removes and returns the operations that a caller waits for.
     pub(crate) fn take_waited(&mut self) -> IndexMap<OpNumber, OpenOp> {
         let all = std::mem::take(&mut self.open).into_iter();
         let (waited, kept) = all.partition(|(_, open)| open.op.has_result());
@@ -91,8 +91,8 @@
         waited
     }
 
-    /// Makes room for a close: its entry then stays as it is recorded, which callers
-    /// see as an unknown outcome and never as "not run".
+    /// Drops the oldest close to make room for another. The entry then keeps its recorded
+    /// state, which callers see as an unknown outcome and never as "not run".
     pub(crate) fn drop_oldest_close(&mut self) {
         let oldest = self.iter().find(|(_, open)| !open.op.has_result());
         if let Some(number) = oldest.map(|(number, _)| number) {
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Keeps watch over an abandoned claim if it may arrive yet.
+    /// Queues the close of an abandoned claim if the claim may still be recorded.
     ///
-    /// Another daemon's claim is dropped and never closed: that daemon may have been
-    /// granted it by way of its own write, and have dispatched it.
+    /// A claim of another daemon is dropped and never closed: that daemon may have written
+    /// the claim itself, been granted it and dispatched the request.
     pub(crate) fn release(&mut self, open: OpenOp) {
         let ShardOp::Claim(claim) = open.op else {
             return;
--- a/src/intents/records.rs
+++ b/src/intents/records.rs
@@ -1,4 +1,4 @@
-//! What is recorded of requests that may not be repeated, and of their keys.
+//! Records of run-once requests, and their keys.
 
 use std::fmt;
 
@@ -8,10 +8,10 @@
 
 use crate::names::{RequestKey, TargetId, UnixTime, WorkspaceName};
 
-/// Longest key in bytes.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Identity of a request that may not be repeated.
+/// Identity of a run-once request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct IntentKey {
     /// Workspace of the caller.
@@ -25,8 +25,8 @@
 impl IntentKey {
     /// Returns the shard that records the key.
     ///
-    /// The time of minting takes no part: a key used twice with two times must meet
-    /// its first record.
+    /// The creation time is not hashed: a key that is reused with another time must map to
+    /// the shard of its first record.
     #[must_use]
     pub fn shard(&self, shards: u32) -> u32 {
         let mut hash = Xxh3::new();
@@ -53,17 +53,17 @@
 
 /// First half of the SHA-256 of workspace and key.
 ///
-/// Rivals share a shard, so the hash must be one for which nobody can make up a
-/// second key of somebody else's entry.
+/// Competing workspaces share a shard, so the hash has to be cryptographic: nobody may be
+/// able to construct a key that collides with an entry of another workspace.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct EntryId(pub [u8; 16]);
 
-/// Identifies one claim among all that any process ever makes.
+/// Identifies a claim uniquely among the claims of all processes.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct ClaimId {
-    /// Drawn at random by each process at its start.
+    /// Random number that each process chooses when it starts.
     pub process: u64,
-    /// Counts the process's claims.
+    /// Sequence number of the claim in its process.
     pub number: u64,
 }
 
@@ -73,32 +73,32 @@
     }
 }
 
-/// The whole answer to a request, or what is kept of it.
+/// Summary of the complete answer to a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AnswerRecord {
-    /// Length of the whole answer.
+    /// Length of the complete answer in bytes.
     pub length: u64,
-    /// SHA-256 of the whole answer.
+    /// SHA-256 of the complete answer.
     pub digest: [u8; 32],
-    /// The answer, when small enough to keep.
+    /// The answer, if it is small enough to store.
     pub result: Option<Vec<u8>>,
 }
 
-/// How far a request has come.
+/// State of a run-once request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum IntentState {
-    /// Recorded for dispatch; whether it ran is not known.
+    /// Claimed for dispatch; whether it ran is not known.
     Intended {
         /// Daemon that claimed it.
         claimant: String,
         /// Target chosen.
         target: TargetId,
     },
-    /// Closed without running, for good.
+    /// Closed without running; final.
     NotRun,
-    /// Ran and answered, for good.
+    /// Ran and answered; final.
     Answered(AnswerRecord),
-    /// Dispatched, and its end was lost.
+    /// Dispatched; the outcome is unknown.
     Unknown,
 }
 
@@ -107,43 +107,43 @@
 pub struct IntentEntry {
     /// Claim that wrote it.
     pub claim: ClaimId,
-    /// Digest of class and body; `None` when somebody settled the key unclaimed.
+    /// Digest of class and body; `None` if the key was settled before it was claimed.
     pub fingerprint: Option<[u8; 16]>,
     /// When the caller made the key.
     pub minted_at: UnixTime,
-    /// How far it has come.
+    /// Its state.
     pub state: IntentState,
 }
 
-/// What is recorded of a request.
+/// What is recorded for a key, as callers see it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RecordView {
-    /// Nothing recorded; the key is open.
+    /// Nothing is recorded; the key is unused.
     Absent,
-    /// Recorded for dispatch by a claimant; whether it ran is not known.
+    /// Claimed for dispatch; whether it ran is not known yet.
     Intended {
         /// Daemon that claimed it.
         claimant: String,
         /// Target chosen.
         target: TargetId,
     },
-    /// Closed without running, for good.
+    /// Closed without running; final.
     NotRun,
-    /// Ran and answered.
+    /// Ran and answered; final.
     Answered {
-        /// Length of the whole answer.
+        /// Length of the complete answer in bytes.
         length: u64,
-        /// SHA-256 of the whole answer.
+        /// SHA-256 of the complete answer.
         digest: Vec<u8>,
-        /// The answer, when small enough to keep.
+        /// The answer, if it is small enough to store.
         result: Option<Vec<u8>>,
     },
-    /// Dispatched, and its end was lost.
+    /// Dispatched; the outcome is unknown.
     Unknown,
 }
 
 impl RecordView {
-    /// Tells whether the record can never change again.
+    /// Returns whether the record can never change again.
     #[must_use]
     pub fn is_final(&self) -> bool {
         matches!(self, Self::Answered { .. } | Self::NotRun)
@@ -173,31 +173,31 @@
 pub enum KeyFault {
     /// The key's record may have expired.
     #[error(
-        "the key is older than intents.retention_ms, so its record may be gone; find out \
+        "the key is older than intents.retention_ms, so its record may have expired; find out \
          whether the first request ran, then use a new key"
     )]
     Expired,
-    /// The key comes from the future.
+    /// The key's creation time lies in the future.
     #[error(
         "key_minted_at_ms lies in the future; correct the caller's clock and send the time \
-         at which the key was made"
+         at which the key was created"
     )]
     Future,
-    /// The key was recorded with another time.
+    /// The key was recorded with another creation time.
     #[error(
         "the key was used before with another key_minted_at_ms; send the time at which the key \
-         was made, or use a new key"
+         was created, or use a new key"
     )]
     Reused,
-    /// The key was recorded with another content.
+    /// The key was recorded with another class or body.
     #[error("the key was used before for another class or body; use a new key")]
     OtherContent,
     /// The key is empty or too long.
-    #[error("a key has 1 to {MAX_KEY_BYTES} bytes; use a shorter one, not empty")]
+    #[error("a key must have 1 to {MAX_KEY_BYTES} bytes; use a key of that length")]
     Length,
 }
 
-/// A claim as it is applied.
+/// A claim of a key, to be applied to a ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimEntry {
     /// Identity of the request.
@@ -206,19 +206,19 @@
     pub claim: ClaimId,
     /// Digest of class and body.
     pub fingerprint: [u8; 16],
-    /// Daemon that claims.
+    /// Daemon that makes the claim.
     pub claimant: String,
     /// Target chosen.
     pub target: TargetId,
 }
 
-/// How a claimant closes its own entry.
+/// The outcome with which a claimant closes its entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CloseRecord {
-    /// It was never dispatched, or certainly not taken.
+    /// It was never dispatched, or the target certainly did not accept it.
     NotRun,
     /// It ran and was answered.
     Answered(AnswerRecord),
-    /// It was dispatched and its end was lost.
+    /// It was dispatched; the outcome is unknown.
     Unknown,
 }
--- a/src/intents/store.rs
+++ b/src/intents/store.rs
@@ -1,4 +1,4 @@
-//! Runs the ledger of requests that may not be repeated against the platform.
+//! The store of run-once records: keeps the ledgers of all shards in the platform.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,48 +26,48 @@
 /// Kind of the platform objects that hold the records.
 pub const INTENT_KIND: &str = "intents";
 
-/// Longest wait for a lookup.
+/// Maximum duration of a lookup.
 const LOOKUP_WAIT: Duration = Duration::from_secs(5);
 
-/// Reads the wall clock.
+/// Returns the time of the wall clock.
 pub type UnixClock = Arc<dyn Fn() -> UnixTime + Send + Sync>;
 
-/// A wish to run a request once.
+/// A request for the permission to run a request once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IntentClaim {
     /// Identity of the request.
     pub key: IntentKey,
-    /// Digest of class and body; a key used with another digest is refused.
+    /// Digest of class and body; reuse of a key with another digest is refused.
     pub fingerprint: [u8; 16],
-    /// Target chosen, so that others can find a stream.
+    /// Target chosen; recorded so that other daemons can find the stream.
     pub target: TargetId,
-    /// When to give up on recording it; measured from now.
+    /// Maximum time until the claim must be recorded.
     pub patience: Duration,
 }
 
 /// Result of a claim.
 #[derive(Debug)]
 pub enum ClaimResult {
-    /// This daemon may dispatch once.
+    /// This daemon may dispatch the request once.
     Granted(DispatchPermit),
-    /// Somebody recorded the key before.
+    /// The key was recorded before.
     Present(RecordView),
-    /// The claim was given up before its record was certain; it will never be dispatched.
+    /// The claim was abandoned before its record was confirmed; it will never be dispatched.
     GivenUp {
         /// Why.
         reason: String,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
         /// Whether another claim of the key may exist.
         ///
-        /// Always, for a key that was sent before: a read that shows no record proves
-        /// nothing, as the other claim's write may still be under way. For such a key
-        /// only [`IntentStore::lookup`] with `settle` makes "not run" true.
+        /// Always true, as the key may have been sent before: a read without a record proves
+        /// nothing, as the write of the other claim may still be in flight. For such a key
+        /// only [`IntentStore::lookup`] with `settle` guarantees "not run".
         key_may_exist: bool,
     },
-    /// The key or its content is not acceptable.
+    /// The key, or the request sent under it, is not acceptable.
     Invalid {
-        /// What to correct.
+        /// The fault and its remedy.
         reason: String,
     },
 }
@@ -78,34 +78,34 @@
     /// The key is not acceptable.
     #[error("{reason}")]
     Invalid {
-        /// What to correct.
+        /// The fault and its remedy.
         reason: String,
     },
-    /// The platform cannot tell now.
-    #[error("{reason}; ask again after {}", humantime::format_duration(*retry_after))]
+    /// The record cannot be read or settled at present.
+    #[error("{reason}; retry the lookup after {}", humantime::format_duration(*retry_after))]
     Unavailable {
         /// What happened.
         reason: String,
-        /// When to ask again.
+        /// When to retry.
         retry_after: Duration,
     },
 }
 
-/// What a store is built from.
+/// Inputs for building a store.
 pub struct StoreInputs<'a> {
-    /// Bounds and times.
+    /// Limits and times.
     pub settings: &'a IntentSettings,
     /// The platform.
     pub platform: PlatformPort,
     /// This daemon.
     pub daemon: DaemonId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
     /// Wall clock, which decides the age of keys.
     pub unix_now: UnixClock,
 }
 
-/// The records of requests that may not be repeated.
+/// The records of run-once requests.
 #[derive(Clone)]
 pub struct IntentStore {
     shards: Arc<Vec<mpsc::UnboundedSender<ShardMessage>>>,
@@ -126,7 +126,7 @@
         Self::build(inputs, None)
     }
 
-    /// Creates a store that hands claims and their ends to the owners of shards.
+    /// Creates a store that sends claims and their outcomes to the owners of shards.
     ///
     /// # Panics
     ///
@@ -137,8 +137,9 @@
     }
 
     fn build(inputs: &StoreInputs<'_>, link: Option<&IntentLink>) -> Self {
-        // The clock alone doesn't tell two lives of a process apart for sure; two that
-        // shared claim identities would each take the other's record for their own.
+        // The incarnation comes from the clock and may be the same for two runs of a
+        // process. If they shared claim identities, each would take the other's record for
+        // its own, so the identity is random.
         let process = rand::random();
         let shards = (0..inputs.settings.shards.max(1))
             .map(|shard| start_shard(inputs, link.cloned(), shard, process))
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Records a claim, or finds what was recorded before.
+    /// Records a claim, or returns what was recorded before.
     pub async fn claim(&self, claim: IntentClaim) -> ClaimResult {
         let shard = self.shard(&claim.key);
         let id = self.next_id();
@@ -172,8 +173,8 @@
             deadline: Instant::now() + claim.patience,
             reply: Box::new(move |result| {
                 let permit = || DispatchPermit::new(claim.key, id, new_closer(closer));
-                // A claimant that is gone leaves the result here, and the permit in it
-                // is dropped, which closes the claim as not run.
+                // If the claimant is gone, sending fails and drops the permit, which closes
+                // the claim as not run.
                 let _ = reply.send(claim_result(result, permit));
             }),
         };
@@ -181,13 +182,13 @@
         result.await.unwrap_or_else(|_| stopped_claim())
     }
 
-    /// Reads what is recorded of a key. With `settle`, closes an open key for good, so
-    /// that "not run" is final.
+    /// Returns what is recorded for a key. With `settle`, first closes an unused key
+    /// permanently, so that "not run" is final.
     ///
     /// # Errors
     ///
-    /// Returns a [`LookupError`] when the key is not acceptable, or the platform
-    /// cannot tell now.
+    /// Returns a [`LookupError`] when the key is not acceptable, or the record cannot be
+    /// read or settled at present.
     pub async fn lookup(&self, key: &IntentKey, settle: bool) -> Result<RecordView, LookupError> {
         let op = if settle {
             ShardOp::Settle {
@@ -208,12 +209,13 @@
         lookup_result(result.await.unwrap_or_else(|_| undecided_result()))
     }
 
-    /// Answers another daemon's message: writes its operations with this daemon's own.
+    /// Handles another daemon's message: executes its operations together with this daemon's
+    /// own, and returns the encoded reply.
     ///
     /// # Errors
     ///
-    /// Returns a [`LinkError`] when the message cannot be read, or comes from a daemon
-    /// that spreads the records differently.
+    /// Returns a [`LinkError`] when the message cannot be decoded, or comes from a daemon
+    /// with another number of shards.
     pub async fn serve(&self, message: &[u8]) -> Result<Vec<u8>, LinkError> {
         let request = LinkRequest::decode(message)?;
         if request.shards as usize != self.shards.len() {
@@ -238,7 +240,8 @@
         Ok(LinkReply { version, outcomes }.encode())
     }
 
-    /// Waits until every end handed in is recorded, for a planned stop; true when all are.
+    /// Waits until all pending operations are done, for a planned stop. Returns false when
+    /// they are not within `wait`.
     pub async fn drain(&self, wait: Duration) -> bool {
         let until = Instant::now() + wait;
         for shard in self.shards.iter() {
@@ -264,7 +267,7 @@
     }
 }
 
-/// Submits an operation that another daemon waits for.
+/// Submits an operation of another daemon.
 fn submit(shard: &mpsc::UnboundedSender<ShardMessage>, op: ShardOp) -> oneshot::Receiver<OpResult> {
     let (reply, result) = oneshot::channel();
     let waiter = OpWaiter {
@@ -319,10 +322,11 @@
     }
 }
 
-/// The task is gone, with its runtime, before it could have granted anything.
+/// Returns the result for a claim whose shard task ended with its runtime before it could
+/// grant anything.
 fn stopped_claim() -> ClaimResult {
     ClaimResult::GivenUp {
-        reason: "this daemon is stopping; use another address".to_owned(),
+        reason: "this daemon is stopping; send the request to another daemon".to_owned(),
         retry_after: Duration::ZERO,
         key_may_exist: true,
     }
@@ -343,7 +347,7 @@
             retry_after,
         }),
         OpResult::Closed | OpResult::Granted => Err(LookupError::Unavailable {
-            reason: "the lookup was taken for a claim".to_owned(),
+            reason: "the lookup was answered as if it were a claim".to_owned(),
             retry_after: UNDECIDED_RETRY,
         }),
     }
--- a/src/intents/wire.rs
+++ b/src/intents/wire.rs
@@ -1,4 +1,5 @@
-//! The stored form of a shard's ledger: CBOR, compact, with a version of its own.
+//! Compact CBOR encoding of a shard's ledger, with its own format version, and of
+//! operations sent between daemons.
 
 use std::fmt;
 
@@ -15,40 +16,42 @@
 
 const LEDGER_VERSION: u8 = 1;
 
-/// Why a stored value is not a ledger.
+/// Why a stored value cannot be decoded as a ledger.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum LedgerError {
-    /// The value does not have the form.
+    /// The value is not a valid encoding.
     #[error(
-        "a shard of intents cannot be read ({reason}); restore the object, or delete nothing \
-         and wait intents.retention_ms before writing an empty one"
+        "a shard of intents cannot be decoded ({reason}); restore the object, or keep it and \
+         wait for intents.retention_ms before you write an empty one in its place"
     )]
     Malformed {
         /// What is wrong.
         reason: String,
     },
-    /// A newer program wrote the value.
-    #[error("a shard of intents has format {found}, this program reads {LEDGER_VERSION}; upgrade")]
+    /// The value was written by a newer version of the program.
+    #[error(
+        "a shard of intents has format {found}, but this program reads format {LEDGER_VERSION}; upgrade it"
+    )]
     Version {
         /// Version found.
         found: u8,
     },
 }
 
-/// Returns the stored form of a ledger.
+/// Encodes a ledger for storage.
 ///
 /// # Panics
 ///
-/// Never: a ledger's fields always have a CBOR form, and memory takes any length.
+/// Never: every field of a ledger can be encoded as CBOR, and a `Vec` takes any length.
 #[must_use]
 pub fn encode_ledger(ledger: &ShardLedger) -> Vec<u8> {
     let mut value = Vec::with_capacity(ledger.weight());
     ciborium::into_writer(&LedgerWire::from(ledger), &mut value)
-        .expect("a ledger's fields have a CBOR form");
+        .expect("every field of a ledger can be encoded as CBOR");
     value
 }
 
-/// Returns the ledger in a stored value.
+/// Decodes a stored ledger.
 ///
 /// # Errors
 ///
@@ -64,7 +67,7 @@
 #[derive(Deserialize, Serialize)]
 struct LedgerWire(u8, u64, Vec<EntryWire>);
 
-/// Identity, process and number of the claim, fingerprint, time of minting, state.
+/// Entry id, process and number of the claim, fingerprint, creation time of the key, state.
 #[derive(Deserialize, Serialize)]
 struct EntryWire(
     ByteArray<16>,
@@ -169,8 +172,8 @@
     }
 }
 
-/// A claim between daemons: workspace, key, time of minting, process and number of the
-/// claim, fingerprint, claimant, target.
+/// A claim as sent between daemons: workspace, key, creation time of the key, process and
+/// number of the claim, fingerprint, claimant, target.
 #[derive(Deserialize, Serialize)]
 pub(crate) struct IntentWire(
     WorkspaceName,
@@ -183,8 +186,8 @@
     TargetId,
 );
 
-/// A close between daemons: workspace, key, time of minting, process and number of the
-/// claim, end.
+/// A close as sent between daemons: workspace, key, creation time of the key, process and
+/// number of the claim, outcome.
 #[derive(Deserialize, Serialize)]
 pub(crate) struct CloseWire(WorkspaceName, RequestKey, u64, u64, u64, EndWire);
 
@@ -273,7 +276,7 @@
     }
 }
 
-/// A byte string of fixed length; serde would write an array of numbers, twice as long.
+/// A byte string of fixed length. Serde would encode an array of integers, about twice as long.
 #[derive(Clone, Copy)]
 struct ByteArray<const N: usize>([u8; N]);
 
--- a/src/intents/writer.rs
+++ b/src/intents/writer.rs
@@ -1,10 +1,10 @@
-//! Commits the operations on one shard in groups: a pure state machine between
-//! the operations and the platform's conditional update.
+//! Group commit of the operations on one shard: a pure state machine that turns
+//! operations into conditional updates of the shard's object in the platform.
 //!
-//! At most one call to the platform is under way. Operations that arrive meanwhile
-//! join the next write. Whatever goes wrong with a write, the writer reads the shard
-//! again and applies every open operation anew; only a write that the platform
-//! confirmed, or a copy read from it, decides an operation.
+//! At most one call to the platform is in flight. Operations that arrive meanwhile are
+//! included in the next write. When a write fails for any reason, the writer reads the
+//! shard again and applies every pending operation anew. An operation is decided only by a
+//! write that the platform confirmed, or by a copy read from the platform.
 
 use std::time::Duration;
 
@@ -22,13 +22,13 @@
 use crate::names::MonoTime;
 use crate::ports::{ObjectVersion, PlatformError, StoredObject};
 
-/// Calls in a row without an answer after which the platform counts as down.
+/// Number of consecutive calls without a response after which the platform counts as down.
 const LOST_CALLS: u32 = 3;
 
-/// Wait after a failure that names none.
+/// Wait after a failure that gives no retry time.
 const DEFAULT_RETRY: Duration = Duration::from_secs(1);
 
-/// Wait before a read is repeated that was lost or older than a state seen before.
+/// Wait before retrying a read that was lost, or returned a state older than one seen before.
 const READ_RETRY: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
@@ -37,7 +37,7 @@
         as_of: OpNumber,
     },
     Write {
-        /// The copy as it is once the write is confirmed.
+        /// The copy that becomes current once the write is confirmed.
         copy: ShardCopy,
         batch: Vec<(OpNumber, Option<OpResult>)>,
         started: MonoTime,
@@ -51,9 +51,9 @@
     open: OpQueue,
     copy: Option<ShardCopy>,
     flight: Option<WriterFlight>,
-    /// Oldest version that a read may show.
+    /// Newest known version of the shard; reads that return an older one are ignored.
     floor: ObjectVersion,
-    /// Newest version that a write with a lost answer expected.
+    /// Newest expected version of a write whose response was lost.
     lost_at: Option<ObjectVersion>,
     next_commit: MonoTime,
     retry_at: MonoTime,
@@ -67,7 +67,7 @@
 }
 
 impl ShardWriter {
-    /// Creates a writer that knows nothing of its shard.
+    /// Creates a writer without a copy of its shard.
     #[must_use]
     pub fn new(rules: WriterRules) -> Self {
         Self {
@@ -89,24 +89,24 @@
         }
     }
 
-    /// Takes the actions to carry out, in order.
+    /// Removes and returns the actions to execute, in order.
     pub fn take_actions(&mut self) -> Vec<WriterAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the number of operations not yet decided.
+    /// Returns the number of pending operations.
     #[must_use]
     pub fn open_ops(&self) -> usize {
         self.open.len()
     }
 
-    /// Tells whether the platform counts as down.
+    /// Returns whether the platform counts as down.
     #[must_use]
     pub fn is_down(&self, now: WriterTime) -> bool {
         now.mono < self.down_until
     }
 
-    /// Returns when to call [`ShardWriter::wake`], unless something happens before.
+    /// Returns when to call [`ShardWriter::wake`] if no other event comes first.
     #[must_use]
     pub fn wake_at(&self) -> Option<MonoTime> {
         if self.flight.is_some() || self.open.is_empty() {
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Takes an operation in.
+    /// Submits an operation.
     pub fn submit(&mut self, op: ShardOp, now: WriterTime) -> OpNumber {
         let number = self.open.take_number();
         if op.has_result() {
@@ -134,7 +134,7 @@
         number
     }
 
-    /// Takes a claim in that was handed to another daemon, which did not confirm it.
+    /// Submits a claim that was sent to another daemon, which did not confirm it.
     pub fn submit_carried(&mut self, claim: ClaimEntry, now: WriterTime) -> OpNumber {
         let number = self.open.take_number();
         let op = ShardOp::Claim(claim);
@@ -149,34 +149,34 @@
         number
     }
 
-    /// Notes that another daemon recorded this daemon's claim, in a state up to `version`.
+    /// Records that another daemon recorded this daemon's claim, at `version` or earlier.
     pub fn grant_carried(&mut self, claim: ClaimId, version: ObjectVersion) {
         self.raise_floor(version);
         self.check_grant(claim);
     }
 
-    /// Notes that another daemon closed this daemon's claim.
+    /// Records that another daemon closed this daemon's claim.
     pub fn close_carried(&mut self, claim: ClaimId) {
         self.granted.swap_remove(&claim);
     }
 
-    /// Takes no state older than `version` for the shard's from now on.
+    /// Ignores states of the shard older than `version` from now on.
     pub fn raise_floor(&mut self, version: ObjectVersion) {
         self.floor = self.floor.max(version);
         let floor = self.floor;
         self.copy = self.copy.take().filter(|copy| copy.version >= floor);
     }
 
-    /// Returns the newest version known of the shard.
+    /// Returns the newest known version of the shard.
     #[must_use]
     pub fn floor(&self) -> ObjectVersion {
         self.floor
     }
 
-    /// Forgets an operation that nobody waits for any more.
+    /// Abandons an operation whose caller no longer waits.
     ///
-    /// A claim in a write whose answer is missing may arrive yet, so it is closed as
-    /// not run as soon as it shows; the claimant has to be sure not to dispatch it.
+    /// A claim in a write without a response may still be recorded, so it is closed as not
+    /// run as soon as it appears. The caller must never dispatch an abandoned claim.
     pub fn abandon(&mut self, number: OpNumber, now: WriterTime) {
         if let Some(open) = self.open.remove(number) {
             self.open.release(open);
@@ -184,12 +184,12 @@
         }
     }
 
-    /// Goes on after a wait.
+    /// Continues after the wait given by [`ShardWriter::wake_at`].
     pub fn wake(&mut self, now: WriterTime) {
         self.pump(now);
     }
 
-    /// Takes the result of a read.
+    /// Handles the result of a read.
     pub fn read_done(
         &mut self,
         result: Result<Option<StoredObject>, PlatformError>,
@@ -215,7 +215,7 @@
         self.pump(now);
     }
 
-    /// Takes the result of a write.
+    /// Handles the result of a write.
     pub fn write_done(&mut self, result: Result<ObjectVersion, PlatformError>, now: WriterTime) {
         let Some(WriterFlight::Write {
             copy,
@@ -233,8 +233,8 @@
             }
             Err(PlatformError::Conflict { current }) => self.back_off(current, now),
             Err(PlatformError::Lost { reason }) => {
-                // The write may take effect later still, so a read that shows the old
-                // version proves nothing. Only a version past `expected` does.
+                // The write may still take effect later, so a read that returns the old
+                // version proves nothing; only a version newer than `expected` does.
                 self.lost_at = self.lost_at.max(Some(expected));
                 self.lose_call(&reason, now);
             }
@@ -256,7 +256,7 @@
             });
         }
         (self.open.is_full()).then(|| OpResult::GivenUp {
-            reason: "too many operations wait for the platform; retry later".to_owned(),
+            reason: "too many operations are waiting for the platform; retry later".to_owned(),
             retry_after: DEFAULT_RETRY,
             untouched: true,
         })
@@ -299,8 +299,8 @@
         }
     }
 
-    /// Waits a random while, longer after each conflict, so that daemons which write
-    /// the same shard don't collide forever.
+    /// Backs off for a random time, with an upper bound that doubles with each conflict, so
+    /// that daemons which write the same shard do not keep conflicting.
     fn back_off(&mut self, current: ObjectVersion, now: WriterTime) {
         self.floor = self.floor.max(current);
         self.lost_calls = 0;
@@ -318,12 +318,13 @@
         }
     }
 
-    /// Gives up whatever somebody waits for; closes are tried again later.
+    /// Marks the platform as down and gives up the operations that callers wait for. Closes
+    /// are retried later.
     fn go_down(&mut self, reason: &str, retry_after: Duration, now: WriterTime) {
         let wait = retry_after.max(READ_RETRY);
         self.down_until = now.mono.plus(wait);
         self.retry_at = self.down_until;
-        self.down_reason = format!("the platform takes no records now: {reason}");
+        self.down_reason = format!("the platform does not accept records at present: {reason}");
         for (number, open) in self.open.take_waited() {
             let untouched = open.reach == OpReach::Local;
             self.open.release(open);
@@ -362,7 +363,7 @@
         self.actions.push(WriterAction::Read);
     }
 
-    /// Answers the lookups that the copy can answer; true when others are left.
+    /// Answers the lookups that the copy decides. Returns whether others remain.
     fn answer_lookups(&mut self, now: WriterTime) -> bool {
         let Some(copy) = &self.copy else {
             return true;
@@ -387,11 +388,12 @@
         left
     }
 
-    /// Applies every open operation to the copy and writes the outcome, if any changed it.
+    /// Applies all pending operations to the copy, and writes the copy if any changed it.
     ///
-    /// What the copy alone decides is answered at once. Once one operation has changed
-    /// the copy, later ones have seen a state that the platform doesn't have yet, and
-    /// wait for the write. Expiry changes it too, so it comes last, unless room is needed.
+    /// Operations that the unchanged copy decides are answered at once. Once an operation
+    /// has changed the copy, the later ones have seen a state that the platform does not
+    /// have yet, and wait for the write. Expiry changes the copy too, so it comes last
+    /// unless the shard is short of room.
     fn apply_all(&mut self, now: WriterTime) {
         let Some(mut copy) = self.copy.take() else {
             return;
@@ -454,11 +456,11 @@
         });
     }
 
-    /// Ends an operation; an abandoned one has ended before and gets no result.
+    /// Completes an operation. Abandoned operations are gone already and get no result.
     ///
-    /// A claim that ends otherwise than granted may have been recorded by a write whose
-    /// answer was lost, and found unacceptable when applied again because its key grew
-    /// too old meanwhile. It would stay recorded as intended, so it is released.
+    /// A claim that is not granted may still have been recorded: a write whose response was
+    /// lost took effect, and its key became too old before the claim was applied again.
+    /// The record would stay intended, so the claim is released.
     fn finish(&mut self, number: OpNumber, result: Option<OpResult>) {
         let Some(open) = self.open.remove(number) else {
             return;
--- a/tests/intents_fuzz.rs
+++ b/tests/intents_fuzz.rs
@@ -1,4 +1,5 @@
-//! Random runs of two to three daemons over one shard against plain books.
+//! Property test: two or three daemons take random steps on one shard, checked against a
+//! simple oracle.
 //!
 //! `PISTACHIOWICK_FUZZ_CASES` sets the number of runs, `PISTACHIOWICK_FUZZ_SEED`
 //! their seed.
@@ -28,7 +29,8 @@
     }
 }
 
-/// Steps don't depend on one another's outcome: each takes what it finds.
+/// Generates steps. A step does not depend on the outcome of others: it selects its subject
+/// from whatever exists when it is executed.
 struct StepSource;
 
 impl ReferenceStateMachine for StepSource {
@@ -42,7 +44,7 @@
     fn transitions(_daemons: &u64) -> BoxedStrategy<SimStep> {
         let daemon = || 0_usize..3;
         let nth = || 0_usize..4;
-        // Most keys are of one age, so that daemons meet.
+        // Most steps use the first two keys, so that daemons compete for the same key.
         let key = || prop_oneof![6 => 0_u64..2, 2 => 0..KEYS];
         prop_oneof![
             10 => (daemon(), key(), prop_oneof![8 => Just(0_u8), 1 => Just(1), 1 => Just(2)])
@@ -115,9 +117,9 @@
 prop_state_machine! {
     #![proptest_config(config())]
 
-    // Callers ask daemons for the same few requests while calls to the platform are
-    // lost, late or stale, daemons crash and clocks jump. The books must show one run
-    // at most of each key, none where "not run" was told, and all ends recorded.
+    // Callers send the same few requests to several daemons while calls to the platform
+    // are lost, late or stale, daemons crash and clocks jump. Each key must run at most
+    // once, never when "not run" was reported, and every outcome must be recorded.
     #[test]
     fn requests_run_at_most_once(sequential 1..150 => StepSource);
 }
--- a/tests/intents_link.rs
+++ b/tests/intents_link.rs
@@ -1,4 +1,4 @@
-//! Daemons that hand their claims to the owner of a shard, and owners that fail.
+//! Forwarding of claims to the owner of a shard, and failures of the owner.
 
 mod intents_support;
 
@@ -20,19 +20,19 @@
 use pistachiowick::ports::ObjectVersion;
 use rstest::rstest;
 
-/// What becomes of messages between daemons.
+/// Fault of the messages between daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkFault {
     None,
-    /// The owner is gone.
+    /// The owner refuses connections.
     Refused,
-    /// The message arrives, and the reply does not.
+    /// The message arrives, but the reply is lost.
     LostReply,
-    /// The message arrives long after the asker has given up.
+    /// The message arrives long after the sender has given up.
     Late,
 }
 
-/// Daemons of one test, by name.
+/// The daemons of a test by name, and the network between them.
 #[derive(Clone, Default)]
 struct LinkNet {
     stores: Arc<Mutex<IndexMap<DaemonId, IntentStore>>>,
@@ -112,9 +112,9 @@
     reader.lookup(&key(name), false).await.unwrap()
 }
 
-// An owner is gone, its reply is lost, or the message reaches it after the asker has
-// given up on it. The asker writes by itself: the claim is granted once, its answer is
-// recorded, and whatever the owner writes later changes nothing.
+// The owner is gone, its reply is lost, or the message reaches it after the sender has given
+// up. The sender then writes the shard itself: the claim is granted once, its answer is
+// recorded, and a later write of the owner changes nothing.
 #[rstest]
 #[case::healthy(LinkFault::None)]
 #[case::refused(LinkFault::Refused)]
@@ -140,9 +140,10 @@
     assert!(matches!(view, RecordView::Answered { .. }), "{view:?}");
 }
 
-// The owner holds a claim back while the platform is down for the asker: the asker gives
-// up and tells its caller so. The owner writes the claim later all the same. The asker
-// has closed the key by then, so that nobody takes it for a request that may have run.
+// The message with a claim is delayed while the sender cannot reach the platform, so the
+// sender gives up and reports that to its caller. The owner still writes the claim later.
+// The sender must have closed the key by then, or the record would say that the request may
+// have run.
 #[tokio::test(start_paused = true)]
 async fn abandoned_claim_is_closed_before_its_owner_writes_it() {
     let platform = FakePlatform::default();
@@ -159,9 +160,9 @@
     assert_eq!(view, RecordView::NotRun);
 }
 
-// The platform is down for the owner before it could write. The owner says that it did
-// nothing, and the asker, for which it is down as well, leaves the key open: the caller
-// comes back with the same key after the outage and its request runs.
+// The platform goes down before the owner could write. The owner replies that the claim has
+// no effect, and the sender, which cannot reach the platform either, leaves the key unused:
+// the caller retries with the same key after the outage and its request runs.
 #[tokio::test(start_paused = true)]
 async fn outage_leaves_forwarded_keys_open() {
     let platform = FakePlatform::default();
@@ -179,9 +180,9 @@
     drop(grant(&asker, "receipt").await);
 }
 
-// The owner's write hangs in the network and the platform goes down: the owner cannot say
-// whether it wrote the claim, and the asker gives up. The write takes effect afterwards,
-// unless the asker has closed the key by then. It has, and the late write is refused.
+// The owner's write is delayed in the network and the platform goes down: the owner does not
+// know whether the claim was written, and the sender gives up. After the outage the sender
+// closes the key, so the platform must refuse the delayed write.
 #[tokio::test(start_paused = true)]
 async fn late_write_of_an_owner_is_refused() {
     let platform = FakePlatform::default();
@@ -204,8 +205,8 @@
     assert_eq!(view, RecordView::NotRun);
 }
 
-// Forty daemons each claim five requests of one shard. Through the owner they share its
-// writes; directly they would refuse one another's updates most of the time.
+// Forty daemons each claim five requests of one shard. Through the owner the claims share
+// group commits; direct writes would conflict most of the time.
 #[tokio::test(start_paused = true)]
 async fn owner_carries_the_claims_of_all() {
     let platform = FakePlatform::default();
@@ -231,8 +232,8 @@
     assert!(matches!(view, RecordView::Answered { .. }), "{view:?}");
 }
 
-// Daemons whose settings disagree on the number of shards would look for a key in two
-// places, and each could grant it. The owner refuses to carry; direct writes go on.
+// Daemons with different numbers of shards would look for a key in different shards, and
+// each could grant it. The owner refuses messages from a daemon with another number.
 #[tokio::test(start_paused = true)]
 async fn other_number_of_shards_is_refused() {
     let platform = FakePlatform::default();
@@ -291,7 +292,7 @@
     );
 }
 
-// A daemon leaves. Only the shards it owned move, each to one of the others.
+// When a daemon leaves, only the shards it owned move, each to one of the others.
 #[test]
 fn only_the_shards_of_a_leaving_daemon_move() {
     let daemons: Vec<DaemonId> = (0..15).map(|n| format!("daemon-{n}").into()).collect();
--- a/tests/intents_permit.rs
+++ b/tests/intents_permit.rs
@@ -1,4 +1,4 @@
-//! Which failures of a target prove that nothing ran.
+//! Which errors of a call to a target prove that the request did not run.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     "reason".to_owned()
 }
 
-// A fee receipt's call fails. Only where the target certainly took nothing may the
-// record say "not run"; a lost answer never proves that.
+// The call of a run-once request fails. The record may say "not run" only if the target
+// certainly did not accept the call; a lost answer never proves that.
 #[rstest]
 #[case::not_delivered(TargetError::NotDelivered { reason: reason() }, true)]
 #[case::refused(TargetError::Refused { reason: reason(), retry_after: Duration::ZERO, leaving: false }, true)]
--- a/tests/intents_store.rs
+++ b/tests/intents_store.rs
@@ -1,4 +1,4 @@
-//! Failures of the platform and of daemons around one request that may not be repeated.
+//! Failures of the platform and of daemons while a run-once request is claimed and closed.
 
 mod intents_support;
 
@@ -40,7 +40,7 @@
     assert!(matches!(result, ClaimResult::GivenUp { .. }), "{result:?}");
 }
 
-/// Waits longer than any retry of the store.
+/// Waits longer than any retry interval of the store.
 async fn settle_down() {
     tokio::time::sleep(Duration::from_secs(30)).await;
 }
@@ -51,9 +51,9 @@
     most_writes: usize,
 }
 
-// A caller asks for a fee receipt. The platform takes the write and its answer is
-// lost, or loses the write, or shows an old state. The store looks for its own claim
-// and writes again; the caller's request is granted once, and a second claim finds it.
+// While a claim is recorded, the platform accepts the write but its response is lost, or the
+// write is lost, or a read returns an old state. The store reads the shard to find its own
+// claim and writes again if needed; the claim is granted once, and a second claim finds it.
 #[rstest]
 #[case::nothing(LostCase { write_faults: &[], read_faults: &[], most_writes: 1 })]
 #[case::lost_after(LostCase { write_faults: &[WriteFault::LostAfter], read_faults: &[], most_writes: 1 })]
@@ -98,8 +98,8 @@
     });
 }
 
-// Two daemons are asked for the same issue order at once, forty times over. Each
-// writes; one update is refused, reads the other's claim and dispatches nothing.
+// Two daemons receive the same request at once, forty times in a row. Both write; one
+// update conflicts, and that daemon reads the other's claim and dispatches nothing.
 #[tokio::test(start_paused = true)]
 async fn two_daemons_at_once_grant_once() {
     let platform = FakePlatform::default();
@@ -115,9 +115,9 @@
     }
 }
 
-// The write of a claim hangs in the network past the caller's patience. The caller
-// hears "given up". The write takes effect afterwards, and the store closes its own
-// entry as not run: a second ask hears "not run" and nobody ever dispatches.
+// The write of a claim is delayed in the network beyond the caller's timeout, and the caller
+// gets "given up". When the write takes effect afterwards, the store closes its own entry
+// as not run: a second claim gets "not run", and the request is never dispatched.
 #[tokio::test(start_paused = true)]
 async fn abandoned_claim_is_closed_when_it_arrives() {
     let platform = FakePlatform::default();
@@ -131,10 +131,10 @@
     assert_present(&again, |v| *v == RecordView::NotRun);
 }
 
-// The answer to a claim's write is lost and the platform goes down: the claim is given
-// up. When the platform is back, a read shows no entry, yet the write is still under
-// way. The store writes the shard again before it forgets the claim, so that the late
-// write is refused: the key is open, and whoever claims it next runs it alone.
+// The response to a claim's write is lost and the platform goes down, so the claim is given
+// up. When the platform is back, a read shows no entry, but the write is still in flight.
+// The store writes the shard again before it drops the claim, so that the late write is
+// refused: the key is unused, and only the next claimant runs the request.
 #[tokio::test(start_paused = true)]
 async fn late_write_of_abandoned_claim_is_refused() {
     let platform = FakePlatform::default();
@@ -153,9 +153,9 @@
         .release();
 }
 
-// A daemon freezes between its decision and its write. Meanwhile the caller asks
-// another daemon, which settles the key and answers "not run". The frozen daemon thaws,
-// its conditional update is refused, and it finds the key closed.
+// A daemon is paused between its decision and its write. Meanwhile another daemon settles
+// the key for the caller and answers "not run". When the paused daemon resumes, its
+// conditional update conflicts, and it finds the key closed.
 #[tokio::test(start_paused = true)]
 async fn settled_key_stops_paused_claimant() {
     let platform = FakePlatform::default();
@@ -174,8 +174,8 @@
     assert_present(&late.await.unwrap(), |v| *v == RecordView::NotRun);
 }
 
-// The platform is down. A claim is refused at once, long before the caller's patience
-// ends, and says when to come back; once the platform is back, claims work again.
+// While the platform is down, a claim is refused at once, long before its timeout, with the
+// time to retry after. Once the platform is back, claims work again.
 #[tokio::test(start_paused = true)]
 async fn platform_down_gives_up_at_once() {
     let platform = FakePlatform::default();
@@ -192,15 +192,16 @@
     assert_eq!(
         platform.reads(),
         1,
-        "a platform that is down was asked again at once"
+        "a platform that is down was called again at once"
     );
     platform.set_down(false);
     tokio::time::sleep(Duration::from_secs(1)).await;
     drop(grant(&store, "receipt").await);
 }
 
-// A permit goes unused: the caller's task is cancelled between claim and dispatch,
-// released, or the target was not reached. Each way the key is closed as not run.
+// A permit goes unused: it is dropped because the caller's task was cancelled before the
+// dispatch, it is released, or the target was not reached. In each case the key is closed
+// as not run.
 #[rstest]
 #[case::dropped(0)]
 #[case::released(1)]
@@ -222,8 +223,8 @@
     assert_eq!(view, Ok(RecordView::NotRun));
 }
 
-// The caller hangs up while the claim's write is under way. Nobody takes the permit,
-// and it must not stay recorded as intended, or a later ask would hear "unknown".
+// The caller disconnects while the claim's write is in flight, so the permit is never used.
+// The record must not stay intended, or a later lookup would return "unknown".
 #[tokio::test(start_paused = true)]
 async fn cancelled_claim_is_recorded_as_not_run() {
     let platform = FakePlatform::default();
@@ -236,8 +237,8 @@
     assert_eq!(view, Ok(RecordView::NotRun));
 }
 
-// A dispatched call's task dies, or its end is lost. The record says "unknown", never
-// "not run"; an answer that comes after all replaces it.
+// The task of a dispatched call ends early, or the call's outcome is lost. The record must
+// say "unknown", never "not run"; an answer that arrives later replaces it.
 #[tokio::test(start_paused = true)]
 async fn lost_end_is_unknown_until_answered() {
     let platform = FakePlatform::default();
@@ -255,8 +256,8 @@
     assert!(matches!(view, Ok(RecordView::Answered { .. })), "{view:?}");
 }
 
-// An answer is known while the platform is down for a minute. The claimant's record of
-// it waits, and is there once the platform is back.
+// An answer arrives while the platform is down for a minute. Its record is kept pending and
+// written once the platform is back.
 #[tokio::test(start_paused = true)]
 async fn close_outlasts_an_outage() {
     let platform = FakePlatform::default();
@@ -277,8 +278,8 @@
     remedy: &'static str,
 }
 
-// A key that was recorded comes again with another time or another body, or a key
-// comes that no record can vouch for any more. Each is refused with what to do.
+// A recorded key is sent again with another creation time or another body. Each is refused
+// with an error that names the cause.
 #[rstest]
 #[case::reused(KeyCase { minted_at: 1, fingerprint: 7, remedy: "another key_minted_at_ms" })]
 #[case::content(KeyCase { minted_at: 0, fingerprint: 8, remedy: "another class or body" })]
@@ -301,6 +302,8 @@
     accepted: bool,
 }
 
+// A key is refused when its record may have expired, or when its creation time lies further in
+// the future than clocks may differ.
 #[rstest]
 #[case::now(AgeCase { age_ms: 0, accepted: true })]
 #[case::just_young(AgeCase { age_ms: 598_000, accepted: true })]
@@ -324,8 +327,8 @@
     }
 }
 
-// A receipt ran, its record has expired, and a daemon whose clock is an hour behind is
-// asked for it again. By its clock the key is new. The horizon in the shard refuses it.
+// A request ran and its record has expired. A daemon whose clock is an hour behind receives
+// the request again, and by its clock the key is new. The shard's horizon must refuse it.
 #[tokio::test(start_paused = true)]
 async fn expired_key_is_refused_by_a_clock_behind() {
     let platform = FakePlatform::default();
@@ -349,8 +352,8 @@
     assert!(matches!(view, Err(LookupError::Invalid { .. })), "{view:?}");
 }
 
-// A workspace fills the shard. New claims are refused with a time to come back, an open
-// key can still be settled, and the value stays below what the platform holds.
+// A workspace fills the shard. New claims are refused with a time to retry after, an unused
+// key can still be settled, and the value stays within the size limit plus its reserve.
 #[tokio::test(start_paused = true)]
 async fn full_shard_refuses_claims_and_settles() {
     let platform = FakePlatform::default();
@@ -378,8 +381,8 @@
     assert!(platform.largest_value() <= 8_500);
 }
 
-// An operator overwrites a shard with something else, or deletes it. Its records are
-// gone, so claims are refused and nothing is run again.
+// An operator overwrites a shard with other data, or deletes it. Its records are lost, so
+// claims must be refused, or requests could run again.
 #[rstest]
 #[case::overwritten(false)]
 #[case::deleted(true)]
@@ -402,8 +405,8 @@
     }
 }
 
-// A thousand claims arrive within a second at one daemon. They share writes: no more
-// than one per commit interval, and each claim waits about an interval at most.
+// A thousand claims arrive at one daemon within a second. They share writes: there is at
+// most one write per commit interval, and no claim waits much longer than one interval.
 #[tokio::test(start_paused = true)]
 async fn group_commit_bounds_writes() {
     let platform = FakePlatform::default();
--- a/tests/intents_support/mod.rs
+++ b/tests/intents_support/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory object service with faults on order.
+//! An in-memory platform with injected faults, and helpers for tests of intents.
 #![allow(dead_code)]
 
 pub mod sim;
@@ -23,37 +23,38 @@
 /// Wall-clock time at which tests start.
 pub const START: u64 = 1_800_000_000_000;
 
-/// What happens to the next write.
+/// Fault of one write.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteFault {
     /// Works.
     None,
-    /// Takes effect, and the answer is lost.
+    /// Takes effect, but the response is lost.
     LostAfter,
-    /// Takes no effect, and the answer is lost.
+    /// Has no effect, and the response is lost.
     LostBefore,
-    /// The answer is lost; takes effect when the test says so.
+    /// The response is lost; the write is applied when the test calls
+    /// [`FakePlatform::land_delayed`].
     Delayed,
-    /// Takes this long, then works.
+    /// Works after this delay.
     Slow(Duration),
-    /// Certainly takes no effect.
+    /// Fails without effect.
     Unavailable,
 }
 
-/// What happens to the next read.
+/// Fault of one read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReadFault {
     /// Works.
     None,
-    /// The answer is lost.
+    /// The response is lost.
     Lost,
-    /// Shows the object as it was one version ago.
+    /// Returns the version before the current one.
     Stale,
-    /// Certainly not answered.
+    /// Fails without a result.
     Unavailable,
 }
 
-/// A version and its value; `None` once deleted.
+/// A version and its value; `None` if the object was deleted.
 type FakeVersion = (u64, Option<Vec<u8>>);
 
 #[derive(Default)]
@@ -68,7 +69,7 @@
     writes: usize,
 }
 
-/// An object service in memory.
+/// An in-memory platform with versioned objects.
 #[derive(Clone, Default)]
 pub struct FakePlatform {
     state: Arc<Mutex<FakeState>>,
@@ -104,7 +105,8 @@
             .unwrap_or(0)
     }
 
-    /// Lets the delayed writes take effect, as far as their versions still hold.
+    /// Applies the delayed writes and returns how many succeeded, as their expected version
+    /// was still current.
     pub fn land_delayed(&self) -> usize {
         let mut state = self.state.lock().unwrap();
         let delayed = std::mem::take(&mut state.delayed);
@@ -112,7 +114,7 @@
         landed.filter(Result::is_ok).count()
     }
 
-    /// Writes an object behind everybody's back.
+    /// Overwrites an object, as an operator would.
     pub fn overwrite(&self, object: &ObjectName, value: Vec<u8>) {
         let mut state = self.state.lock().unwrap();
         let expected = state.current(object);
@@ -124,7 +126,7 @@
         state.apply(write).unwrap();
     }
 
-    /// Deletes an object behind everybody's back.
+    /// Deletes an object, as an operator would.
     pub fn delete(&self, object: &ObjectName) {
         let mut state = self.state.lock().unwrap();
         state.version += 1;
@@ -221,18 +223,18 @@
 
 fn lost() -> PlatformError {
     PlatformError::Lost {
-        reason: "the fake lost the answer".to_owned(),
+        reason: "the fake platform lost the response".to_owned(),
     }
 }
 
 fn unavailable() -> PlatformError {
     PlatformError::Unavailable {
-        reason: "the fake is down".to_owned(),
+        reason: "the fake platform is down".to_owned(),
         retry_after: Duration::from_millis(500),
     }
 }
 
-/// A wall clock that tests move.
+/// A wall clock that tests advance.
 #[derive(Clone, Default)]
 pub struct FakeClock(Arc<AtomicU64>);
 
--- a/tests/intents_support/sim.rs
+++ b/tests/intents_support/sim.rs
@@ -1,5 +1,5 @@
-//! Several writers over one object, every call held back until a step delivers it,
-//! and the books of what ran and what was told.
+//! Simulation of several writers of one object. Every call is held until a step delivers it,
+//! and an oracle records what ran and what was reported to callers.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -19,11 +19,11 @@
 
 use super::START;
 
-/// Keys are made this long after one another.
+/// Time between the creation of consecutive keys, in milliseconds.
 const KEY_SPACING_MS: u64 = 3_000;
 pub const KEYS: u64 = 12;
 
-/// What becomes of a call to the platform.
+/// Outcome of a call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallFate {
     Ok,
@@ -34,7 +34,7 @@
     Stale,
 }
 
-/// How a dispatched call ends for its daemon.
+/// Outcome of a dispatched call for its daemon.
 #[derive(Clone, Copy, Debug)]
 pub enum RunEnd {
     Answered,
@@ -42,7 +42,7 @@
     LateAnswer,
 }
 
-/// One step of a run.
+/// One step of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum SimStep {
     Claim {
@@ -120,7 +120,7 @@
     kind: AskKind,
     key: IntentKey,
     claim: ClaimId,
-    /// Whether the request had run when the question was put.
+    /// Whether the request had run when the operation was submitted.
     ran_before: bool,
 }
 
@@ -130,7 +130,7 @@
     Write(ObjectVersion, Vec<u8>),
 }
 
-/// How far a message to the owner of the shard has come.
+/// State of a message to the owner of the shard.
 #[derive(Clone, Copy, PartialEq)]
 enum LinkState {
     Requested,
@@ -139,7 +139,7 @@
     Lost,
 }
 
-/// An operation of one daemon that another is to write.
+/// An operation that one daemon sends to another to write.
 struct LinkMessage {
     from: usize,
     from_process: u64,
@@ -148,7 +148,7 @@
     asked: AskedOp,
     known_at: ObjectVersion,
     state: LinkState,
-    /// Whether the origin still waits; a late message may be carried all the same.
+    /// Whether the sender still waits; a late message may still be executed.
     waiting: bool,
 }
 
@@ -171,7 +171,7 @@
     delayed: Vec<(ObjectVersion, Vec<u8>)>,
 }
 
-/// The oracle: plain books by key.
+/// The oracle: what happened to each key.
 #[derive(Default)]
 struct SimBooks {
     runs: IndexMap<String, u32>,
@@ -181,7 +181,7 @@
     stale_reads: bool,
 }
 
-/// Daemons, store and books.
+/// The simulated daemons, their store and the oracle.
 pub struct LedgerSim {
     daemons: Vec<SimDaemon>,
     store: SimStore,
@@ -299,33 +299,36 @@
         check_final_records(&before, &after);
         assert!(
             value.len() <= after.weight(),
-            "the weight is no upper bound"
+            "the size bound is below the encoded size"
+        );
+        assert!(
+            value.len() <= 4_250,
+            "the value exceeds the size limit of its shard"
         );
-        assert!(value.len() <= 4_250, "the value outgrew its shard");
         let version = ObjectVersion(current.0 + 1);
         self.history.push((version, value));
         Ok(version)
     }
 }
 
-/// Final records stay as they are until their keys are refused for good.
+/// Checks that final records do not change before their keys have expired.
 fn check_final_records(before: &ShardLedger, after: &ShardLedger) {
-    assert!(after.horizon() >= before.horizon(), "the horizon fell");
+    assert!(after.horizon() >= before.horizon(), "the horizon went back");
     let known = before.entries().chain(after.entries());
     let newest = known.map(|(_, entry)| entry.minted_at).max();
     let keep = limits().retention + limits().skew * 2;
     assert!(
         after.horizon() == before.horizon()
             || newest.is_some_and(|newest| after.horizon().plus(keep) <= newest),
-        "keys expire early"
+        "keys expired too early"
     );
     for (id, entry) in before.entries() {
         if entry.minted_at <= after.horizon() {
             continue;
         }
         let kept = after.entries().find(|(other, _)| *other == id);
-        let (_, kept) = kept.expect("an entry vanished before its key expired");
-        assert_eq!(kept.claim, entry.claim, "a claim was taken over");
+        let (_, kept) = kept.expect("an entry disappeared before its key expired");
+        assert_eq!(kept.claim, entry.claim, "an entry changed its claim");
         let lasting = match &entry.state {
             IntentState::Answered(_) | IntentState::NotRun => kept.state == entry.state,
             IntentState::Unknown => {
@@ -345,7 +348,7 @@
         assert_eq!(*runs, 1, "{name} ran twice");
         assert!(
             !self.told_not_run.contains(&name),
-            "{name} ran after somebody was told that it did not and will not"
+            "{name} ran after it was reported as not run"
         );
     }
 
@@ -357,30 +360,33 @@
         let name = asked.key.key.to_string();
         match view {
             RecordView::NotRun => {
-                assert!(!self.ran(&asked.key), "{name} ran and was told as not run");
+                assert!(
+                    !self.ran(&asked.key),
+                    "{name} ran but was reported as not run"
+                );
                 self.told_not_run.insert(name);
             }
             RecordView::Answered { .. } => {
                 assert!(
                     self.ran(&asked.key),
-                    "{name} was told as answered and never ran"
+                    "{name} never ran but was reported as answered"
                 );
                 self.told_answered.insert(name);
             }
             RecordView::Absent => {
                 assert!(
                     asked.kind == AskKind::Lookup,
-                    "a claim or settlement ended as absent"
+                    "a claim or settlement returned an absent record"
                 );
                 assert!(
                     self.stale_reads || !asked.ran_before,
-                    "{name} had run and was told as absent"
+                    "{name} had run but was reported as absent"
                 );
             }
             RecordView::Unknown => {
                 assert!(
                     self.ran(&asked.key),
-                    "{name} never ran and was told as unknown"
+                    "{name} never ran but was reported as unknown"
                 );
             }
             RecordView::Intended { .. } => {}
@@ -485,7 +491,7 @@
         self.next_message += 1;
     }
 
-    /// Moves a message on: to the owner, or its reply back.
+    /// Delivers a message to the owner, or its reply to the sender.
     fn link_step(&mut self, nth: usize, lost: bool) {
         if self.messages.is_empty() {
             return;
@@ -507,7 +513,7 @@
         let op = match message.op.clone() {
             ShardOp::Claim(entry) => ShardOp::Carry(entry),
             ShardOp::Close { key, claim, record } => ShardOp::CarryClose { key, claim, record },
-            other => panic!("{other:?} is not for an owner"),
+            other => panic!("{other:?} cannot be forwarded to an owner"),
         };
         let now = self.now(to);
         let writer = &mut self.daemons[to].writer;
@@ -548,7 +554,7 @@
         }
     }
 
-    /// Carries out what the owner certainly did not and will not.
+    /// Submits locally an operation that the owner will certainly never write.
     fn do_directly(&mut self, message: &LinkMessage) {
         let at = message.from;
         let now = self.now(at);
@@ -574,7 +580,7 @@
         self.carry_out(at);
     }
 
-    /// The origin does it by itself; the message may reach the owner yet.
+    /// Makes the sender submit the operation itself; the message may still reach the owner.
     fn link_timeout(&mut self, nth: usize) {
         if self.messages.is_empty() {
             return;
@@ -640,7 +646,10 @@
 
     fn start_call(&mut self, at: usize, call: SimCall) {
         let former = self.daemons[at].call.replace(call);
-        assert!(former.is_none(), "two calls to the platform at once");
+        assert!(
+            former.is_none(),
+            "two calls to the platform in flight at once"
+        );
     }
 
     fn take_reply(&mut self, at: usize, number: OpNumber, result: OpResult) {
@@ -654,7 +663,7 @@
         match result {
             OpResult::Granted => daemon.permits.push((asked.key, asked.claim)),
             OpResult::Record(view) => self.books.tell(&asked, &view),
-            OpResult::Closed => panic!("a question ended as a close"),
+            OpResult::Closed => panic!("a request of a caller returned the result of a close"),
             OpResult::Invalid(_) | OpResult::GivenUp { .. } => {}
         }
     }
@@ -781,7 +790,7 @@
         self.send(at, to, ShardOp::Close { key, claim, record }, asked);
     }
 
-    /// Forgets what a daemon knew; its call may take effect all the same.
+    /// Restarts a daemon without its state; its write in flight may still take effect.
     fn crash(&mut self, at: usize) {
         self.processes += 1;
         let former = std::mem::replace(&mut self.daemons[at], new_daemon(self.processes));
@@ -809,7 +818,7 @@
         }
     }
 
-    /// Ends the faults and checks that all is decided and recorded soon after.
+    /// Ends all faults and checks that everything is decided and recorded soon afterwards.
     pub fn check_recovery(&mut self) {
         for daemon in &mut self.daemons {
             daemon.clock_shift = 0;
@@ -826,14 +835,15 @@
         for daemon in &self.daemons {
             assert!(
                 daemon.asked.is_empty(),
-                "a question hangs after the faults ended"
+                "a request is still pending after the faults ended"
             );
-            assert_eq!(daemon.writer.open_ops(), 0, "an end is not recorded");
+            assert_eq!(daemon.writer.open_ops(), 0, "an outcome is not recorded");
         }
         self.check_ends();
     }
 
-    /// An entry stays intended only while its request runs, or when its daemon crashed.
+    /// Checks that an entry stays intended only while its request runs or after its daemon
+    /// crashed.
     fn check_intended(&self, ledger: &ShardLedger) {
         for daemon in &self.daemons {
             let left = ledger.entries().filter(|(id, entry)| {
@@ -844,13 +854,13 @@
             assert_eq!(
                 left.count(),
                 0,
-                "a claim that nobody will dispatch stays intended"
+                "the record of a claim that will never be dispatched stays intended"
             );
         }
     }
 
     fn check_ends(&self) {
-        // Records of keys that nobody accepts any more may be left as they are.
+        // Records of expired keys may stay in any state.
         let mut ledger = self.store.ledger();
         ledger.expire(&limits(), self.now(0).unix);
         self.check_intended(&ledger);
--- a/tests/intents_writer.rs
+++ b/tests/intents_writer.rs
@@ -1,4 +1,4 @@
-//! Orders of events that random runs found, one step at a time.
+//! Regression tests for event sequences that the property test found, and for the encoding.
 
 use std::time::Duration;
 
@@ -69,10 +69,10 @@
     entry.state.clone()
 }
 
-// A claim's write takes effect and its answer is lost. The read that follows shows the
-// shard as it was before, and by then the key is too old: the caller hears "invalid".
-// The record must not stay intended, or a later ask would hear "unknown" of a request
-// that nobody will ever run.
+// The write of a claim takes effect, but its response is lost. The next read returns the
+// shard as it was before, and by then the key is too old, so the caller gets "invalid".
+// The record must not stay intended, or a later lookup would return "unknown" for a request
+// that never runs.
 #[test]
 fn claim_that_grew_too_old_is_released() {
     let mut writer = ShardWriter::new(WriterRules {
@@ -108,9 +108,9 @@
     assert_eq!(state_of(&value), IntentState::NotRun);
 }
 
-// A claim is closed when its key is about to expire, and another daemon's newer key lets
-// the shard's horizon pass it. The close must not be taken for done on account of an
-// expiry that is not written yet: the record would go on saying "intended".
+// A claim is closed when its key is about to expire, and a newer key of another daemon
+// moves the shard's horizon past it. The close must not count as done because of an expiry
+// that is not written yet, or the record would stay "intended".
 #[test]
 fn close_waits_for_the_expiry_to_be_written() {
     let mut writer = ShardWriter::new(WriterRules {
@@ -149,8 +149,8 @@
     assert_eq!(writer.open_ops(), 0);
 }
 
-// Every record of a ledger comes back from its stored form, and a value that is cut
-// short is refused rather than read as fewer records.
+// Every record of a ledger survives encoding and decoding, and a truncated value is
+// refused instead of being decoded as fewer records.
 #[test]
 fn stored_form_keeps_every_record() {
     let mut ledger = ShardLedger::default();
