--- a/src/intents/link.rs
+++ b/src/intents/link.rs
@@ -44,7 +44,8 @@
     },
     /// The message is not valid in this protocol.
     #[error(
-        "a message with operations on intents cannot be decoded; run the same version on all daemons"
+        "a message with operations on intents cannot be decoded; run the same version on all \
+         daemons"
     )]
     Malformed,
     /// The daemons have different numbers of shards.
--- a/src/intents/wire.rs
+++ b/src/intents/wire.rs
@@ -30,7 +30,8 @@
     },
     /// The value was written by a newer version of the program.
     #[error(
-        "a shard of intents has format {found}, but this program reads format {LEDGER_VERSION}; upgrade it"
+        "a shard of intents has format {found}, but this program reads format {LEDGER_VERSION}; \
+         upgrade it"
     )]
     Version {
         /// Version found.
