--- a/benches/intents.rs
+++ b/benches/intents.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns a ledger of answered entries, the most common kind.
-fn filled(entries: u64) -> ShardLedger {
+fn answered_ledger(entries: u64) -> ShardLedger {
     let mut ledger = ShardLedger::default();
     for number in 0..entries {
         let entry = claim_entry(number);
@@ -66,7 +66,7 @@
         .sample_size(20)
         .measurement_time(Duration::from_secs(2));
     for size in SIZES {
-        let ledger = filled(size);
+        let ledger = answered_ledger(size);
         let value = encode_ledger(&ledger);
         println!("{size} entries: {} bytes", value.len());
         group.bench_function(BenchmarkId::new("apply_50_claims", size), |b| {
--- a/src/intents/driver.rs
+++ b/src/intents/driver.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::intents::LedgerLimits;
-use crate::intents::forward::{ForwardOp, ForwardStage};
+use crate::intents::forward::{ForwardOp, ForwardQueue};
 use crate::intents::link::{IntentLink, LinkError, LinkOutcome, LinkReply};
 use crate::intents::store::{StoreInputs, UnixClock, shard_object};
 use crate::intents::writer::{
@@ -41,11 +41,11 @@
     let shards = inputs.settings.shards.max(1);
     let driver = ShardDriver {
         writer: ShardWriter::new(rules),
-        forward: ForwardStage::new(link, shard, shards),
+        forward: ForwardQueue::new(link, shard, shards),
         inbox,
         platform: inputs.platform.clone(),
         object: shard_object(shard),
-        flight: None,
+        pending_call: None,
         waiters: IndexMap::new(),
         deadlines: BTreeSet::new(),
         drains: Vec::new(),
@@ -61,7 +61,7 @@
     OpResult::GivenUp {
         reason: "the platform did not confirm the record in time".to_owned(),
         retry_after: UNDECIDED_RETRY,
-        untouched: false,
+        no_effect: false,
     }
 }
 
@@ -70,9 +70,9 @@
     /// Submits an operation.
     Submit(ShardOp, Option<OpWaiter>),
     /// Requests the newest known version of the shard.
-    Floor(oneshot::Sender<ObjectVersion>),
+    MinVersion(oneshot::Sender<ObjectVersion>),
     /// Makes the task ignore states of the shard older than this version.
-    RaiseFloor(ObjectVersion),
+    RaiseMinVersion(ObjectVersion),
     /// Requests a notification once no operation is pending.
     Drain(oneshot::Sender<()>),
 }
@@ -85,7 +85,7 @@
     pub(crate) reply: Box<dyn FnOnce(OpResult) + Send>,
 }
 
-enum FlightResult {
+enum CallResult {
     Read(Result<Option<StoredObject>, PlatformError>),
     Write(Result<ObjectVersion, PlatformError>),
 }
@@ -93,11 +93,11 @@
 /// Executes the actions of one shard's writer.
 struct ShardDriver {
     writer: ShardWriter,
-    forward: ForwardStage,
+    forward: ForwardQueue,
     inbox: mpsc::UnboundedReceiver<ShardMessage>,
     platform: PlatformPort,
     object: ObjectName,
-    flight: Option<PortFuture<FlightResult>>,
+    pending_call: Option<PortFuture<CallResult>>,
     waiters: IndexMap<OpNumber, OpWaiter>,
     deadlines: BTreeSet<(Instant, OpNumber)>,
     drains: Vec<oneshot::Sender<()>>,
@@ -107,22 +107,22 @@
 
 impl ShardDriver {
     async fn run(mut self) {
-        let mut open = true;
-        while open || self.open_ops() > 0 {
+        let mut inbox_open = true;
+        while inbox_open || self.pending_ops() > 0 {
             let wake = self.wake_at();
             tokio::select! {
-                message = self.inbox.recv(), if open => match message {
-                    Some(message) => self.take_message(message),
-                    None => open = false,
+                message = self.inbox.recv(), if inbox_open => match message {
+                    Some(message) => self.handle_message(message),
+                    None => inbox_open = false,
                 },
-                result = next_result(&mut self.flight) => self.take_result(result),
-                reply = self.forward.next() => self.take_reply(reply),
+                result = await_call(&mut self.pending_call) => self.handle_call_result(result),
+                reply = self.forward.next_reply() => self.handle_link_reply(reply),
                 () = sleep_until(wake) => self.writer.wake(self.now()),
             }
-            self.start_forward();
-            self.give_up_late();
-            self.carry_out();
-            self.end_drains();
+            self.send_forwarded();
+            self.give_up_overdue();
+            self.run_actions();
+            self.finish_drains();
         }
     }
 
@@ -143,16 +143,16 @@
         writer.into_iter().chain(deadline).min()
     }
 
-    fn take_message(&mut self, message: ShardMessage) {
+    fn handle_message(&mut self, message: ShardMessage) {
         match message {
             ShardMessage::Submit(op, waiter) if self.is_forwarded(&op) => {
                 self.forward.push(ForwardOp { op, waiter });
             }
             ShardMessage::Submit(op, waiter) => self.submit(op, waiter),
-            ShardMessage::Floor(reply) => {
-                let _ = reply.send(self.writer.floor());
+            ShardMessage::MinVersion(reply) => {
+                let _ = reply.send(self.writer.min_version());
             }
-            ShardMessage::RaiseFloor(version) => self.writer.raise_floor(version),
+            ShardMessage::RaiseMinVersion(version) => self.writer.raise_min_version(version),
             ShardMessage::Drain(done) => self.drains.push(done),
         }
     }
@@ -160,45 +160,45 @@
     /// Returns whether an operation goes to the shard's owner. While this daemon cannot reach
     /// the platform, nothing is forwarded, and the local writer refuses claims at once.
     fn is_forwarded(&self, op: &ShardOp) -> bool {
-        !self.writer.is_down(self.now()) && self.forward.takes(op)
+        !self.writer.is_down(self.now()) && self.forward.accepts(op)
     }
 
     fn submit(&mut self, op: ShardOp, waiter: Option<OpWaiter>) {
         let number = self.writer.submit(op, self.now());
-        self.await_result(number, waiter);
+        self.register_waiter(number, waiter);
     }
 
-    fn await_result(&mut self, number: OpNumber, waiter: Option<OpWaiter>) {
+    fn register_waiter(&mut self, number: OpNumber, waiter: Option<OpWaiter>) {
         if let Some(waiter) = waiter {
             self.deadlines.insert((waiter.deadline, number));
             self.waiters.insert(number, waiter);
         }
     }
 
-    fn start_forward(&mut self) {
-        for left in self.forward.start(self.writer.floor()) {
-            self.submit(left.op, left.waiter);
+    fn send_forwarded(&mut self) {
+        for unsent in self.forward.send_next(self.writer.min_version()) {
+            self.submit(unsent.op, unsent.waiter);
         }
     }
 
-    fn take_reply(&mut self, reply: Result<LinkReply, LinkError>) {
+    fn handle_link_reply(&mut self, reply: Result<LinkReply, LinkError>) {
         let result = self.forward.finish(reply);
         for (sent, outcome) in result.ops {
             match outcome {
-                LinkOutcome::Recorded => self.take_recorded(sent, result.version),
-                LinkOutcome::Unsure => self.retry_directly(sent),
-                LinkOutcome::Untouched => self.submit(sent.op, sent.waiter),
+                LinkOutcome::Recorded => self.handle_recorded(sent, result.version),
+                LinkOutcome::Uncertain => self.resubmit_forwarded(sent),
+                LinkOutcome::NoEffect => self.submit(sent.op, sent.waiter),
             }
         }
     }
 
-    fn take_recorded(&mut self, sent: ForwardOp, version: ObjectVersion) {
+    fn handle_recorded(&mut self, sent: ForwardOp, version: ObjectVersion) {
         match &sent.op {
             ShardOp::Claim(entry) => {
-                self.writer.grant_carried(entry.claim, version);
+                self.writer.grant_forwarded(entry.claim, version);
                 count_result(&OpResult::Granted);
             }
-            ShardOp::Close { claim, .. } => self.writer.close_carried(*claim),
+            ShardOp::Close { claim, .. } => self.writer.close_forwarded(*claim),
             _ => {}
         }
         if let Some(waiter) = sent.waiter {
@@ -208,29 +208,29 @@
 
     /// Executes locally what the owner did not confirm. The owner may execute it too, even
     /// later: the claim's identity makes the operation idempotent.
-    fn retry_directly(&mut self, sent: ForwardOp) {
+    fn resubmit_forwarded(&mut self, sent: ForwardOp) {
         match sent.op {
             ShardOp::Claim(claim) => {
-                let number = self.writer.submit_carried(claim, self.now());
-                self.await_result(number, sent.waiter);
+                let number = self.writer.submit_forwarded(claim, self.now());
+                self.register_waiter(number, sent.waiter);
             }
             op => self.submit(op, sent.waiter),
         }
     }
 
-    fn open_ops(&self) -> usize {
-        self.writer.open_ops() + self.forward.len()
+    fn pending_ops(&self) -> usize {
+        self.writer.pending_ops() + self.forward.len()
     }
 
-    fn take_result(&mut self, result: FlightResult) {
-        self.flight = None;
+    fn handle_call_result(&mut self, result: CallResult) {
+        self.pending_call = None;
         let now = self.now();
         match result {
-            FlightResult::Read(result) => {
+            CallResult::Read(result) => {
                 count_call("read", result.as_ref().err());
                 self.writer.read_done(result, now);
             }
-            FlightResult::Write(result) => {
+            CallResult::Write(result) => {
                 count_call("write", result.as_ref().err());
                 self.writer.write_done(result, now);
             }
@@ -239,7 +239,7 @@
 
     /// Ends the operations whose deadline has passed. Each is abandoned before its waiter is
     /// notified, so that a claim reported as given up cannot be granted afterwards.
-    fn give_up_late(&mut self) {
+    fn give_up_overdue(&mut self) {
         let now = Instant::now();
         while let Some((deadline, number)) = self.deadlines.first().copied() {
             if deadline > now {
@@ -250,7 +250,7 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn run_actions(&mut self) {
         for action in self.writer.take_actions() {
             match action {
                 WriterAction::Read => self.start_read(),
@@ -262,7 +262,7 @@
 
     fn start_read(&mut self) {
         let call = (self.platform.read)(self.object.clone());
-        self.flight = Some(Box::pin(async move { FlightResult::Read(call.await) }));
+        self.pending_call = Some(Box::pin(async move { CallResult::Read(call.await) }));
     }
 
     fn start_write(&mut self, expected: ObjectVersion, value: Vec<u8>) {
@@ -272,7 +272,7 @@
             expected,
             value,
         });
-        self.flight = Some(Box::pin(async move { FlightResult::Write(call.await) }));
+        self.pending_call = Some(Box::pin(async move { CallResult::Write(call.await) }));
     }
 
     fn reply(&mut self, number: OpNumber, result: OpResult) {
@@ -284,8 +284,8 @@
         (waiter.reply)(result);
     }
 
-    fn end_drains(&mut self) {
-        if self.open_ops() == 0 {
+    fn finish_drains(&mut self) {
+        if self.pending_ops() == 0 {
             for done in self.drains.drain(..) {
                 let _ = done.send(());
             }
@@ -293,8 +293,8 @@
     }
 }
 
-async fn next_result(flight: &mut Option<PortFuture<FlightResult>>) -> FlightResult {
-    match flight {
+async fn await_call(pending_call: &mut Option<PortFuture<CallResult>>) -> CallResult {
+    match pending_call {
         Some(call) => call.await,
         None => future::pending().await,
     }
--- a/src/intents/forward.rs
+++ b/src/intents/forward.rs
@@ -7,7 +7,8 @@
 
 use crate::intents::driver::OpWaiter;
 use crate::intents::link::{
-    IntentLink, LINK_PAUSE, LINK_WAIT, LinkError, LinkOutcome, LinkReply, LinkRequest, MAX_LINK_OPS,
+    IntentLink, LINK_PAUSE, LINK_TIMEOUT, LinkError, LinkOutcome, LinkReply, LinkRequest,
+    MAX_LINK_OPS,
 };
 use crate::intents::writer::ShardOp;
 use crate::ports::{ObjectVersion, PortFuture};
@@ -21,10 +22,10 @@
 }
 
 impl ForwardOp {
-    fn carried(&self) -> Option<ShardOp> {
+    fn forwarded(&self) -> Option<ShardOp> {
         match &self.op {
-            ShardOp::Claim(claim) => Some(ShardOp::Carry(claim.clone())),
-            ShardOp::Close { key, claim, record } => Some(ShardOp::CarryClose {
+            ShardOp::Claim(claim) => Some(ShardOp::ForwardedClaim(claim.clone())),
+            ShardOp::Close { key, claim, record } => Some(ShardOp::ForwardedClose {
                 key: key.clone(),
                 claim: *claim,
                 record: record.clone(),
@@ -43,17 +44,17 @@
 }
 
 /// Queue of operations on one shard for its owner.
-pub(crate) struct ForwardStage {
+pub(crate) struct ForwardQueue {
     link: Option<IntentLink>,
     shard: u32,
     shards: u32,
     outbox: Vec<ForwardOp>,
     sent: Vec<ForwardOp>,
-    flight: Option<PortFuture<Result<LinkReply, LinkError>>>,
+    pending_call: Option<PortFuture<Result<LinkReply, LinkError>>>,
     paused_until: Option<Instant>,
 }
 
-impl ForwardStage {
+impl ForwardQueue {
     pub(crate) fn new(link: Option<IntentLink>, shard: u32, shards: u32) -> Self {
         Self {
             link,
@@ -61,7 +62,7 @@
             shards,
             outbox: Vec::new(),
             sent: Vec::new(),
-            flight: None,
+            pending_call: None,
             paused_until: None,
         }
     }
@@ -72,8 +73,8 @@
     }
 
     /// Returns whether an operation is to be sent to the owner.
-    pub(crate) fn takes(&self, op: &ShardOp) -> bool {
-        matches!(op, ShardOp::Claim(_) | ShardOp::Close { .. }) && self.open_link().is_some()
+    pub(crate) fn accepts(&self, op: &ShardOp) -> bool {
+        matches!(op, ShardOp::Claim(_) | ShardOp::Close { .. }) && self.available_owner().is_some()
     }
 
     pub(crate) fn push(&mut self, op: ForwardOp) {
@@ -82,11 +83,11 @@
 
     /// Sends the queued operations. Returns them instead when there is no owner to send them
     /// to any more.
-    pub(crate) fn start(&mut self, known_at: ObjectVersion) -> Vec<ForwardOp> {
-        if self.flight.is_some() || self.outbox.is_empty() {
+    pub(crate) fn send_next(&mut self, known_at: ObjectVersion) -> Vec<ForwardOp> {
+        if self.pending_call.is_some() || self.outbox.is_empty() {
             return Vec::new();
         }
-        let Some((link, owner)) = self.open_link() else {
+        let Some((link, owner)) = self.available_owner() else {
             return std::mem::take(&mut self.outbox);
         };
         let count = self.outbox.len().min(MAX_LINK_OPS);
@@ -95,12 +96,12 @@
             shard: self.shard,
             shards: self.shards,
             known_at,
-            ops: sent.iter().filter_map(ForwardOp::carried).collect(),
+            ops: sent.iter().filter_map(ForwardOp::forwarded).collect(),
         };
-        let wait = longest_wait(&sent);
+        let wait = reply_timeout(&sent);
         let call = (link.call)((owner, request.encode()));
         self.sent = sent;
-        self.flight = Some(Box::pin(async move {
+        self.pending_call = Some(Box::pin(async move {
             let reply = tokio::time::timeout(wait, call).await;
             let reply = reply.map_err(|_| LinkError::NoReply {
                 reason: "timeout".to_owned(),
@@ -111,8 +112,8 @@
     }
 
     /// Waits for the reply to the message in flight.
-    pub(crate) async fn next(&mut self) -> Result<LinkReply, LinkError> {
-        match &mut self.flight {
+    pub(crate) async fn next_reply(&mut self) -> Result<LinkReply, LinkError> {
+        match &mut self.pending_call {
             Some(call) => call.await,
             None => future::pending().await,
         }
@@ -122,7 +123,7 @@
     /// shard directly for [`LINK_PAUSE`], so that an owner that is gone does not delay
     /// every claim.
     pub(crate) fn finish(&mut self, reply: Result<LinkReply, LinkError>) -> ForwardResult {
-        self.flight = None;
+        self.pending_call = None;
         let sent = std::mem::take(&mut self.sent);
         let count = sent.len();
         let reply = reply.unwrap_or_else(|_| {
@@ -130,7 +131,7 @@
             metrics::counter!("pistachiowick_intent_link_failures_total").increment(1);
             LinkReply {
                 version: ObjectVersion::default(),
-                outcomes: vec![LinkOutcome::Unsure; count],
+                outcomes: vec![LinkOutcome::Uncertain; count],
             }
         });
         ForwardResult {
@@ -139,7 +140,7 @@
         }
     }
 
-    fn open_link(&self) -> Option<(IntentLink, crate::names::DaemonId)> {
+    fn available_owner(&self) -> Option<(IntentLink, crate::names::DaemonId)> {
         if self
             .paused_until
             .is_some_and(|until| Instant::now() < until)
@@ -153,9 +154,9 @@
 
 /// Returns how long to wait for the owner. Every waiter keeps half of its remaining time
 /// for a direct write.
-fn longest_wait(ops: &[ForwardOp]) -> Duration {
+fn reply_timeout(ops: &[ForwardOp]) -> Duration {
     let now = Instant::now();
     let waiters = ops.iter().filter_map(|op| op.waiter.as_ref());
-    let left = waiters.map(|w| w.deadline.saturating_duration_since(now) / 2);
-    left.min().unwrap_or(LINK_WAIT).min(LINK_WAIT)
+    let remaining = waiters.map(|w| w.deadline.saturating_duration_since(now) / 2);
+    remaining.min().unwrap_or(LINK_TIMEOUT).min(LINK_TIMEOUT)
 }
--- a/src/intents/link.rs
+++ b/src/intents/link.rs
@@ -18,12 +18,12 @@
 
 use crate::intents::ClaimEntry;
 use crate::intents::ops::{OpResult, ShardOp};
-use crate::intents::wire::{CloseWire, IntentWire};
+use crate::intents::wire::{ClaimWire, CloseWire};
 use crate::names::DaemonId;
 use crate::ports::{ObjectVersion, PortCall};
 
 /// Maximum wait for the owner of a shard to reply.
-pub const LINK_WAIT: Duration = Duration::from_millis(250);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for which a daemon writes a shard directly after the owner failed to reply.
 pub const LINK_PAUSE: Duration = Duration::from_secs(1);
@@ -101,7 +101,7 @@
     pub shards: u32,
     /// Version of the shard that contains every claim closed by these operations.
     pub known_at: ObjectVersion,
-    /// The operations: [`ShardOp::Carry`] and [`ShardOp::CarryClose`].
+    /// The operations: [`ShardOp::ForwardedClaim`] and [`ShardOp::ForwardedClose`].
     pub ops: Vec<ShardOp>,
 }
 
@@ -122,10 +122,10 @@
     Recorded,
     /// It may have taken effect, or may do so later.
     #[serde(rename = "u")]
-    Unsure,
+    Uncertain,
     /// The owner will certainly never write it.
     #[serde(rename = "n")]
-    Untouched,
+    NoEffect,
 }
 
 impl From<&OpResult> for LinkOutcome {
@@ -133,9 +133,11 @@
         match result {
             OpResult::Closed | OpResult::Granted => Self::Recorded,
             OpResult::GivenUp {
-                untouched: true, ..
-            } => Self::Untouched,
-            OpResult::GivenUp { .. } | OpResult::Invalid(_) | OpResult::Record(_) => Self::Unsure,
+                no_effect: true, ..
+            } => Self::NoEffect,
+            OpResult::GivenUp { .. } | OpResult::Invalid(_) | OpResult::Record(_) => {
+                Self::Uncertain
+            }
         }
     }
 }
@@ -149,7 +151,7 @@
 #[derive(Deserialize, Serialize)]
 enum LinkOpWire {
     #[serde(rename = "c")]
-    Claim(IntentWire),
+    Claim(ClaimWire),
     #[serde(rename = "e")]
     Close(CloseWire),
 }
@@ -158,8 +160,8 @@
     /// Returns `None` for operations that are never forwarded.
     fn from_op(op: &ShardOp) -> Option<Self> {
         match op {
-            ShardOp::Carry(claim) => Some(Self::Claim(IntentWire::from(claim))),
-            ShardOp::CarryClose { key, claim, record } => {
+            ShardOp::ForwardedClaim(claim) => Some(Self::Claim(ClaimWire::from(claim))),
+            ShardOp::ForwardedClose { key, claim, record } => {
                 Some(Self::Close(CloseWire::from((key, *claim, record))))
             }
             _ => None,
@@ -170,10 +172,10 @@
 impl From<LinkOpWire> for ShardOp {
     fn from(wire: LinkOpWire) -> Self {
         match wire {
-            LinkOpWire::Claim(claim) => Self::Carry(ClaimEntry::from(claim)),
+            LinkOpWire::Claim(claim) => Self::ForwardedClaim(ClaimEntry::from(claim)),
             LinkOpWire::Close(close) => {
                 let (key, claim, record) = close.into();
-                Self::CarryClose { key, claim, record }
+                Self::ForwardedClose { key, claim, record }
             }
         }
     }
--- a/src/intents/mod.rs
+++ b/src/intents/mod.rs
@@ -22,7 +22,7 @@
 
 pub use crate::intents::records::{
     AnswerRecord, ClaimEntry, ClaimId, CloseRecord, EntryId, IntentEntry, IntentKey, IntentState,
-    KeyFault, MAX_KEY_BYTES, RecordView,
+    KeyError, MAX_KEY_BYTES, RecordView,
 };
 
 use crate::invariants::{self, Invariant};
@@ -31,17 +31,17 @@
 
 /// Divisor of the shard size that gives the room on top of it for settlements and results
 /// once claims are refused.
-const SETTLE_RESERVE: usize = 16;
+const SETTLE_RESERVE_DIVISOR: usize = 16;
 
 /// Divisor of the shard size; with less than this share free, expired entries are dropped
 /// before operations are applied.
-const CROWDED_SHARE: usize = 8;
+const NEARLY_FULL_DIVISOR: usize = 8;
 
 /// Maximum encoded size in bytes of an entry without target, claimant and result.
-const ENTRY_BYTES: usize = 116;
+const MAX_ENTRY_BYTES: usize = 116;
 
 /// Maximum encoded size in bytes of a ledger without its entries.
-const LEDGER_BYTES: usize = 16;
+const MAX_LEDGER_BYTES: usize = 16;
 
 /// Limits that must be the same on every daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -70,13 +70,13 @@
 impl LedgerLimits {
     /// Returns the size in bytes up to which settlements are accepted.
     fn settle_bytes(&self) -> usize {
-        self.shard_bytes + self.shard_bytes / SETTLE_RESERVE
+        self.shard_bytes + self.shard_bytes / SETTLE_RESERVE_DIVISOR
     }
 }
 
 /// Result of applying a claim to a ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ClaimStep {
+pub enum ClaimOutcome {
     /// The claim was added; it takes effect once the platform has stored the ledger.
     Added,
     /// The ledger already contained this claim.
@@ -84,27 +84,27 @@
     /// The key is taken.
     Present(RecordView),
     /// The key is not acceptable.
-    Invalid(KeyFault),
+    Invalid(KeyError),
     /// The ledger has no room.
     Full,
 }
 
 /// Result of settling a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum SettleStep {
+pub enum SettleOutcome {
     /// The key was added as not run; this takes effect once the platform has stored the ledger.
     Added,
     /// The key is taken.
     Present(RecordView),
     /// The key is not acceptable.
-    Invalid(KeyFault),
+    Invalid(KeyError),
     /// The ledger has no room.
     Full,
 }
 
 /// Result of closing an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CloseStep {
+pub enum CloseOutcome {
     /// The ledger changed.
     Changed,
     /// The entry is already closed.
@@ -118,17 +118,17 @@
 pub struct ShardLedger {
     pub(crate) horizon: UnixTime,
     pub(crate) entries: IndexMap<EntryId, IntentEntry>,
-    weight: usize,
+    entries_size: usize,
 }
 
 impl ShardLedger {
     /// Creates a ledger from decoded entries.
     pub(crate) fn from_parts(horizon: UnixTime, entries: IndexMap<EntryId, IntentEntry>) -> Self {
-        let weight = entries.values().map(entry_weight).sum();
+        let entries_size = entries.values().map(max_entry_size).sum();
         Self {
             horizon,
             entries,
-            weight,
+            entries_size,
         }
     }
 
@@ -151,8 +151,8 @@
 
     /// Returns an upper bound of the encoded size in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
-        LEDGER_BYTES + self.weight
+    pub fn max_encoded_size(&self) -> usize {
+        MAX_LEDGER_BYTES + self.entries_size
     }
 
     /// Returns the expiry horizon: entries whose keys were created at or before it are gone.
@@ -162,13 +162,18 @@
     }
 
     /// Applies a claim.
-    pub fn claim(&mut self, claim: &ClaimEntry, limits: &LedgerLimits, now: UnixTime) -> ClaimStep {
+    pub fn claim(
+        &mut self,
+        claim: &ClaimEntry,
+        limits: &LedgerLimits,
+        now: UnixTime,
+    ) -> ClaimOutcome {
         let id = claim.key.entry_id();
         if let Some(entry) = self.entries.get(&id) {
             return present_claim(entry, claim);
         }
-        if let Err(fault) = self.check_key(&claim.key, limits, now) {
-            return ClaimStep::Invalid(fault);
+        if let Err(error) = self.check_key(&claim.key, limits, now) {
+            return ClaimOutcome::Invalid(error);
         }
         let entry = IntentEntry {
             claim: claim.claim,
@@ -179,11 +184,11 @@
                 target: claim.target.clone(),
             },
         };
-        if self.weight() + entry_weight(&entry) > limits.shard_bytes {
-            return ClaimStep::Full;
+        if self.max_encoded_size() + max_entry_size(&entry) > limits.shard_bytes {
+            return ClaimOutcome::Full;
         }
-        self.put(id, entry);
-        ClaimStep::Added
+        self.insert_entry(id, entry);
+        ClaimOutcome::Added
     }
 
     /// Closes an unused key as not run, with `claim` as the identity of the entry.
@@ -196,18 +201,18 @@
         claim: ClaimId,
         limits: &LedgerLimits,
         now: UnixTime,
-    ) -> SettleStep {
+    ) -> SettleOutcome {
         match self.view(key, limits, now) {
             Ok(RecordView::Absent) => {}
-            Ok(view) => return SettleStep::Present(view),
-            Err(fault) => return SettleStep::Invalid(fault),
+            Ok(view) => return SettleOutcome::Present(view),
+            Err(error) => return SettleOutcome::Invalid(error),
         }
         let entry = unclaimed_entry(key, claim);
-        if self.weight() + entry_weight(&entry) > limits.settle_bytes() {
-            return SettleStep::Full;
+        if self.max_encoded_size() + max_entry_size(&entry) > limits.settle_bytes() {
+            return SettleOutcome::Full;
         }
-        self.put(key.entry_id(), entry);
-        SettleStep::Added
+        self.insert_entry(key.entry_id(), entry);
+        SettleOutcome::Added
     }
 
     /// Closes the entry that `claim` wrote.
@@ -221,55 +226,55 @@
         claim: ClaimId,
         record: &CloseRecord,
         limits: &LedgerLimits,
-    ) -> CloseStep {
+    ) -> CloseOutcome {
         let Some(entry) = self.entries.get(&id).filter(|e| e.claim == claim) else {
-            return CloseStep::Missing;
+            return CloseOutcome::Missing;
         };
         if !may_close(&entry.state, record) {
             check_final(id, &entry.state, record);
-            return CloseStep::Unchanged;
+            return CloseOutcome::Unchanged;
         }
         let mut entry = entry.clone();
         entry.state = closed_state(record, limits.result_bytes);
-        if self.weight() + entry_weight(&entry) > limits.settle_bytes() {
+        if self.max_encoded_size() + max_entry_size(&entry) > limits.settle_bytes() {
             drop_result(&mut entry.state);
         }
-        self.put(id, entry);
-        CloseStep::Changed
+        self.insert_entry(id, entry);
+        CloseOutcome::Changed
     }
 
     /// Closes an abandoned claim that another daemon may still record for the claimant.
     ///
     /// An absent key is closed regardless of its age by this daemon's clock, as the other
     /// daemon's clock may still accept it. At or below the horizon no daemon accepts it.
-    pub fn void(&mut self, key: &IntentKey, claim: ClaimId, limits: &LedgerLimits) -> CloseStep {
+    pub fn void(&mut self, key: &IntentKey, claim: ClaimId, limits: &LedgerLimits) -> CloseOutcome {
         let id = key.entry_id();
         if self.entries.contains_key(&id) {
             return self.close(id, claim, &CloseRecord::NotRun, limits);
         }
         let entry = unclaimed_entry(key, claim);
-        let room = self.weight() + entry_weight(&entry) <= limits.settle_bytes();
-        if key.minted_at <= self.horizon || !room {
-            return CloseStep::Missing;
+        let fits = self.max_encoded_size() + max_entry_size(&entry) <= limits.settle_bytes();
+        if key.minted_at <= self.horizon || !fits {
+            return CloseOutcome::Missing;
         }
-        self.put(id, entry);
-        CloseStep::Changed
+        self.insert_entry(id, entry);
+        CloseOutcome::Changed
     }
 
     /// Returns what is recorded for a key.
     ///
     /// # Errors
     ///
-    /// Returns a [`KeyFault`] when the key does not match its record, or is absent and
+    /// Returns a [`KeyError`] when the key does not match its record, or is absent and
     /// not acceptable, for example so old that its record may have expired.
     pub fn view(
         &self,
         key: &IntentKey,
         limits: &LedgerLimits,
         now: UnixTime,
-    ) -> Result<RecordView, KeyFault> {
+    ) -> Result<RecordView, KeyError> {
         match self.entries.get(&key.entry_id()) {
-            Some(entry) if entry.minted_at != key.minted_at => Err(KeyFault::Reused),
+            Some(entry) if entry.minted_at != key.minted_at => Err(KeyError::Reused),
             Some(entry) => Ok(RecordView::from(&entry.state)),
             None => self
                 .check_key(key, limits, now)
@@ -288,21 +293,21 @@
     pub fn expire(&mut self, limits: &LedgerLimits, now: UnixTime) -> bool {
         let newest = self.entries.values().map(|e| e.minted_at).max();
         let latest = newest.unwrap_or_default().min(now);
-        let keep = limits.retention + limits.skew * 2;
-        let horizon = UnixTime(latest.0.saturating_sub(millis(keep)));
+        let expire_after = limits.retention + limits.skew * 2;
+        let horizon = UnixTime(latest.0.saturating_sub(millis(expire_after)));
         if horizon <= self.horizon {
             return false;
         }
         self.horizon = horizon;
         self.entries.retain(|_, entry| entry.minted_at > horizon);
-        self.weight = self.entries.values().map(entry_weight).sum();
+        self.entries_size = self.entries.values().map(max_entry_size).sum();
         true
     }
 
     /// Returns whether the space for claims is nearly used up.
     #[must_use]
-    pub fn is_crowded(&self, limits: &LedgerLimits) -> bool {
-        self.weight() > limits.shard_bytes - limits.shard_bytes / CROWDED_SHARE
+    pub fn is_nearly_full(&self, limits: &LedgerLimits) -> bool {
+        self.max_encoded_size() > limits.shard_bytes - limits.shard_bytes / NEARLY_FULL_DIVISOR
     }
 
     /// Refuses keys that are too old, lie too far in the future or have an invalid length.
@@ -311,24 +316,24 @@
         key: &IntentKey,
         limits: &LedgerLimits,
         now: UnixTime,
-    ) -> Result<(), KeyFault> {
+    ) -> Result<(), KeyError> {
         if !(1..=MAX_KEY_BYTES).contains(&key.key.as_str().len()) {
-            return Err(KeyFault::Length);
+            return Err(KeyError::Length);
         }
-        let longest = limits.retention.saturating_sub(limits.skew);
-        if key.minted_at <= self.horizon || now.since(key.minted_at) > longest {
-            return Err(KeyFault::Expired);
+        let max_age = limits.retention.saturating_sub(limits.skew);
+        if key.minted_at <= self.horizon || now.since(key.minted_at) > max_age {
+            return Err(KeyError::Expired);
         }
         if key.minted_at.since(now) > limits.skew {
-            return Err(KeyFault::Future);
+            return Err(KeyError::Future);
         }
         Ok(())
     }
 
-    fn put(&mut self, id: EntryId, entry: IntentEntry) {
-        self.weight += entry_weight(&entry);
+    fn insert_entry(&mut self, id: EntryId, entry: IntentEntry) {
+        self.entries_size += max_entry_size(&entry);
         if let Some(former) = self.entries.insert(id, entry) {
-            self.weight -= entry_weight(&former);
+            self.entries_size -= max_entry_size(&former);
         }
     }
 }
@@ -342,16 +347,16 @@
     }
 }
 
-fn present_claim(entry: &IntentEntry, claim: &ClaimEntry) -> ClaimStep {
+fn present_claim(entry: &IntentEntry, claim: &ClaimEntry) -> ClaimOutcome {
     if entry.minted_at != claim.key.minted_at {
-        return ClaimStep::Invalid(KeyFault::Reused);
+        return ClaimOutcome::Invalid(KeyError::Reused);
     }
     if entry.fingerprint.is_some_and(|f| f != claim.fingerprint) {
-        return ClaimStep::Invalid(KeyFault::OtherContent);
+        return ClaimOutcome::Invalid(KeyError::OtherContent);
     }
     match &entry.state {
-        IntentState::Intended { .. } if entry.claim == claim.claim => ClaimStep::Owned,
-        state => ClaimStep::Present(RecordView::from(state)),
+        IntentState::Intended { .. } if entry.claim == claim.claim => ClaimOutcome::Owned,
+        state => ClaimOutcome::Present(RecordView::from(state)),
     }
 }
 
@@ -397,8 +402,8 @@
 }
 
 /// Returns an upper bound of an entry's encoded size in bytes.
-fn entry_weight(entry: &IntentEntry) -> usize {
-    ENTRY_BYTES
+fn max_entry_size(entry: &IntentEntry) -> usize {
+    MAX_ENTRY_BYTES
         + match &entry.state {
             IntentState::Intended { claimant, target } => claimant.len() + target.as_str().len(),
             IntentState::Answered(answer) => answer.result.as_ref().map_or(0, Vec::len),
--- a/src/intents/ops.rs
+++ b/src/intents/ops.rs
@@ -4,8 +4,8 @@
 
 use crate::intents::wire::decode_ledger;
 use crate::intents::{
-    ClaimEntry, ClaimId, ClaimStep, CloseRecord, CloseStep, IntentKey, KeyFault, LedgerLimits,
-    RecordView, SettleStep, ShardLedger,
+    ClaimEntry, ClaimId, ClaimOutcome, CloseOutcome, CloseRecord, IntentKey, KeyError,
+    LedgerLimits, RecordView, SettleOutcome, ShardLedger,
 };
 use crate::invariants::{self, Invariant};
 use crate::names::{MonoTime, UnixTime};
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ShardOp {
     /// Records a claim on behalf of another daemon, which alone decides whether it is granted.
-    Carry(ClaimEntry),
+    ForwardedClaim(ClaimEntry),
     /// Closes a granted claim on behalf of another daemon.
-    CarryClose {
+    ForwardedClose {
         /// Identity of the request.
         key: IntentKey,
         /// Claim that was granted.
@@ -82,8 +82,8 @@
     /// Returns whether a caller waits for a result.
     pub(crate) fn has_result(&self) -> bool {
         match self {
-            Self::Carry(_)
-            | Self::CarryClose { .. }
+            Self::ForwardedClaim(_)
+            | Self::ForwardedClose { .. }
             | Self::Claim(_)
             | Self::Lookup(_)
             | Self::Settle { .. } => true,
@@ -102,7 +102,7 @@
     /// What is recorded for the key; absent only as the result of a lookup.
     Record(RecordView),
     /// The key is not acceptable.
-    Invalid(KeyFault),
+    Invalid(KeyError),
     /// The operation ended undecided.
     GivenUp {
         /// Why.
@@ -110,7 +110,7 @@
         /// When to retry.
         retry_after: Duration,
         /// Whether the operation certainly has no effect, now or later.
-        untouched: bool,
+        no_effect: bool,
     },
 }
 
@@ -147,7 +147,7 @@
 }
 
 /// Outcome of applying an operation to the local copy of the shard.
-pub(crate) enum OpStep {
+pub(crate) enum OpOutcome {
     /// Decided by the copy; if the copy has unconfirmed changes, once their write is confirmed.
     Decided(Option<OpResult>),
     /// Decided only when the copy has been read after the operation was submitted.
@@ -156,25 +156,25 @@
     Changed(Option<OpResult>),
 }
 
-pub(crate) fn view_result(view: Result<RecordView, KeyFault>) -> OpResult {
+pub(crate) fn view_result(view: Result<RecordView, KeyError>) -> OpResult {
     match view {
         Ok(view) => OpResult::Record(view),
-        Err(fault) => OpResult::Invalid(fault),
+        Err(error) => OpResult::Invalid(error),
     }
 }
 
 /// Requires a copy that was read after the operation was submitted, unless the result is
 /// final. An older copy could show a request as unfinished that ended long ago.
-fn decide(result: OpResult, fresh: bool) -> OpStep {
-    let lasting = match &result {
+fn decide(result: OpResult, fresh: bool) -> OpOutcome {
+    let is_final = match &result {
         OpResult::Record(view) => view.is_final(),
         OpResult::GivenUp { .. } => false,
         OpResult::Closed | OpResult::Granted | OpResult::Invalid(_) => true,
     };
-    if lasting || fresh {
-        OpStep::Decided(Some(result))
+    if is_final || fresh {
+        OpOutcome::Decided(Some(result))
     } else {
-        OpStep::Stale(Some(result))
+        OpOutcome::Stale(Some(result))
     }
 }
 
@@ -184,33 +184,33 @@
                  intents.shards"
             .to_owned(),
         retry_after: FULL_RETRY,
-        untouched: false,
+        no_effect: false,
     }
 }
 
-fn claim_step(step: ClaimStep, fresh: bool) -> OpStep {
-    match step {
-        ClaimStep::Added => OpStep::Changed(Some(OpResult::Granted)),
-        ClaimStep::Owned => decide(OpResult::Granted, fresh),
-        ClaimStep::Present(view) => decide(OpResult::Record(view), fresh),
-        ClaimStep::Invalid(fault) => decide(OpResult::Invalid(fault), fresh),
-        ClaimStep::Full => decide(full_result(), fresh),
+fn claim_outcome(outcome: ClaimOutcome, fresh: bool) -> OpOutcome {
+    match outcome {
+        ClaimOutcome::Added => OpOutcome::Changed(Some(OpResult::Granted)),
+        ClaimOutcome::Owned => decide(OpResult::Granted, fresh),
+        ClaimOutcome::Present(view) => decide(OpResult::Record(view), fresh),
+        ClaimOutcome::Invalid(error) => decide(OpResult::Invalid(error), fresh),
+        ClaimOutcome::Full => decide(full_result(), fresh),
     }
 }
 
-fn settle_step(step: SettleStep, fresh: bool) -> OpStep {
-    match step {
-        SettleStep::Added => OpStep::Changed(Some(OpResult::Record(RecordView::NotRun))),
-        SettleStep::Present(view) => decide(OpResult::Record(view), fresh),
-        SettleStep::Invalid(fault) => decide(OpResult::Invalid(fault), fresh),
-        SettleStep::Full => decide(full_result(), fresh),
+fn settle_outcome(outcome: SettleOutcome, fresh: bool) -> OpOutcome {
+    match outcome {
+        SettleOutcome::Added => OpOutcome::Changed(Some(OpResult::Record(RecordView::NotRun))),
+        SettleOutcome::Present(view) => decide(OpResult::Record(view), fresh),
+        SettleOutcome::Invalid(error) => decide(OpResult::Invalid(error), fresh),
+        SettleOutcome::Full => decide(full_result(), fresh),
     }
 }
 
-fn close_step(step: CloseStep, result: Option<OpResult>) -> OpStep {
-    match step {
-        CloseStep::Changed => OpStep::Changed(result),
-        CloseStep::Unchanged | CloseStep::Missing => OpStep::Decided(result),
+fn close_outcome(outcome: CloseOutcome, result: Option<OpResult>) -> OpOutcome {
+    match outcome {
+        CloseOutcome::Changed => OpOutcome::Changed(result),
+        CloseOutcome::Unchanged | CloseOutcome::Missing => OpOutcome::Decided(result),
     }
 }
 
@@ -225,37 +225,37 @@
 
 /// Applies an operation to the copy.
 ///
-/// `fresh` says whether the copy was read after the operation was submitted. `lost_at` is
-/// the newest expected version of a write whose response was lost.
+/// `fresh` says whether the copy was read after the operation was submitted.
+/// `lost_write_version` is the newest expected version of a write whose response was lost.
 pub(crate) fn apply_op(
     op: &ShardOp,
     copy: &mut ShardCopy,
     fresh: bool,
-    lost_at: Option<ObjectVersion>,
+    lost_write_version: Option<ObjectVersion>,
     limits: &LedgerLimits,
     now: UnixTime,
-) -> OpStep {
+) -> OpOutcome {
     let ledger = &mut copy.ledger;
     match op {
-        ShardOp::Carry(claim) | ShardOp::Claim(claim) => {
-            claim_step(ledger.claim(claim, limits, now), fresh)
+        ShardOp::ForwardedClaim(claim) | ShardOp::Claim(claim) => {
+            claim_outcome(ledger.claim(claim, limits, now), fresh)
         }
         ShardOp::Settle { key, claim } => {
-            settle_step(ledger.settle(key, *claim, limits, now), fresh)
+            settle_outcome(ledger.settle(key, *claim, limits, now), fresh)
         }
         ShardOp::Lookup(key) => decide(view_result(ledger.view(key, limits, now)), fresh),
         ShardOp::Close { key, claim, record } => {
-            close_step(close_granted(ledger, key, *claim, record, limits), None)
+            close_outcome(close_granted(ledger, key, *claim, record, limits), None)
         }
-        ShardOp::CarryClose { key, claim, record } => {
-            let step = close_granted(ledger, key, *claim, record, limits);
-            close_step(step, Some(OpResult::Closed))
+        ShardOp::ForwardedClose { key, claim, record } => {
+            let outcome = close_granted(ledger, key, *claim, record, limits);
+            close_outcome(outcome, Some(OpResult::Closed))
         }
         ShardOp::Release { key, claim } => {
-            let step = ledger.close(key.entry_id(), *claim, &CloseRecord::NotRun, limits);
-            release_step(step, copy.version, lost_at)
+            let outcome = ledger.close(key.entry_id(), *claim, &CloseRecord::NotRun, limits);
+            release_outcome(outcome, copy.version, lost_write_version)
         }
-        ShardOp::Void { key, claim } => close_step(ledger.void(key, *claim, limits), None),
+        ShardOp::Void { key, claim } => close_outcome(ledger.void(key, *claim, limits), None),
     }
 }
 
@@ -266,23 +266,27 @@
     claim: ClaimId,
     record: &CloseRecord,
     limits: &LedgerLimits,
-) -> CloseStep {
-    let step = ledger.close(key.entry_id(), claim, record, limits);
-    let lost = step == CloseStep::Missing && key.minted_at > ledger.horizon();
-    invariants::check(!lost, Invariant::AtMostOnce, || {
+) -> CloseOutcome {
+    let outcome = ledger.close(key.entry_id(), claim, record, limits);
+    let is_lost = outcome == CloseOutcome::Missing && key.minted_at > ledger.horizon();
+    invariants::check(!is_lost, Invariant::AtMostOnce, || {
         format!("granted claim {claim} is missing from its shard although its key has not expired")
     });
-    step
+    outcome
 }
 
 /// Does not rely on the claim's absence while the shard has a version that a write with
 /// a lost response expected: that write may still take effect after the read. Writing the
 /// shard again resolves this, as only one of two writes with the same expected version
 /// succeeds.
-fn release_step(step: CloseStep, version: ObjectVersion, lost_at: Option<ObjectVersion>) -> OpStep {
-    match step {
-        CloseStep::Missing if lost_at >= Some(version) => OpStep::Changed(None),
-        step => close_step(step, None),
+fn release_outcome(
+    outcome: CloseOutcome,
+    version: ObjectVersion,
+    lost_write_version: Option<ObjectVersion>,
+) -> OpOutcome {
+    match outcome {
+        CloseOutcome::Missing if lost_write_version >= Some(version) => OpOutcome::Changed(None),
+        outcome => close_outcome(outcome, None),
     }
 }
 
--- a/src/intents/records.rs
+++ b/src/intents/records.rs
@@ -170,7 +170,7 @@
 
 /// Why a key is not acceptable.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
-pub enum KeyFault {
+pub enum KeyError {
     /// The key's record may have expired.
     #[error(
         "the key is older than intents.retention_ms, so its record may have expired; find out \
--- a/src/intents/store.rs
+++ b/src/intents/store.rs
@@ -14,7 +14,9 @@
 use crate::intents::driver::{
     OpWaiter, ShardMessage, UNDECIDED_RETRY, start_shard, undecided_result,
 };
-use crate::intents::link::{IntentLink, LINK_WAIT, LinkError, LinkOutcome, LinkReply, LinkRequest};
+use crate::intents::link::{
+    IntentLink, LINK_TIMEOUT, LinkError, LinkOutcome, LinkReply, LinkRequest,
+};
 use crate::intents::permit::ClaimCloser;
 use crate::intents::writer::{OpResult, ShardOp};
 use crate::intents::{ClaimEntry, ClaimId, CloseRecord};
@@ -27,7 +29,7 @@
 pub const INTENT_KIND: &str = "intents";
 
 /// Maximum duration of a lookup.
-const LOOKUP_WAIT: Duration = Duration::from_secs(5);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Returns the time of the wall clock.
 pub type UnixClock = Arc<dyn Fn() -> UnixTime + Send + Sync>;
@@ -200,7 +202,7 @@
         };
         let (reply, result) = oneshot::channel();
         let waiter = OpWaiter {
-            deadline: Instant::now() + LOOKUP_WAIT,
+            deadline: Instant::now() + LOOKUP_TIMEOUT,
             reply: Box::new(move |result| {
                 let _ = reply.send(result);
             }),
@@ -223,7 +225,7 @@
         }
         let shard = self.shards.get(request.shard as usize);
         let shard = shard.ok_or(LinkError::Malformed)?;
-        let _ = shard.send(ShardMessage::RaiseFloor(request.known_at));
+        let _ = shard.send(ShardMessage::RaiseMinVersion(request.known_at));
         let submitted: Vec<_> = request
             .ops
             .into_iter()
@@ -235,7 +237,7 @@
             outcomes.push(LinkOutcome::from(&result));
         }
         let (reply, version) = oneshot::channel();
-        let _ = shard.send(ShardMessage::Floor(reply));
+        let _ = shard.send(ShardMessage::MinVersion(reply));
         let version = version.await.unwrap_or_default();
         Ok(LinkReply { version, outcomes }.encode())
     }
@@ -243,11 +245,11 @@
     /// Waits until all pending operations are done, for a planned stop. Returns false when
     /// they are not within `wait`.
     pub async fn drain(&self, wait: Duration) -> bool {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         for shard in self.shards.iter() {
             let (done, all) = oneshot::channel();
             let _ = shard.send(ShardMessage::Drain(done));
-            if tokio::time::timeout_at(until, all).await.is_err() {
+            if tokio::time::timeout_at(deadline, all).await.is_err() {
                 return false;
             }
         }
@@ -271,7 +273,7 @@
 fn submit(shard: &mpsc::UnboundedSender<ShardMessage>, op: ShardOp) -> oneshot::Receiver<OpResult> {
     let (reply, result) = oneshot::channel();
     let waiter = OpWaiter {
-        deadline: Instant::now() + LINK_WAIT,
+        deadline: Instant::now() + LINK_TIMEOUT,
         reply: Box::new(move |result| {
             let _ = reply.send(result);
         }),
@@ -306,8 +308,8 @@
     match result {
         OpResult::Granted => ClaimResult::Granted(permit()),
         OpResult::Record(view) => ClaimResult::Present(view),
-        OpResult::Invalid(fault) => ClaimResult::Invalid {
-            reason: fault.to_string(),
+        OpResult::Invalid(error) => ClaimResult::Invalid {
+            reason: error.to_string(),
         },
         OpResult::GivenUp {
             reason,
@@ -335,8 +337,8 @@
 fn lookup_result(result: OpResult) -> Result<RecordView, LookupError> {
     match result {
         OpResult::Record(view) => Ok(view),
-        OpResult::Invalid(fault) => Err(LookupError::Invalid {
-            reason: fault.to_string(),
+        OpResult::Invalid(error) => Err(LookupError::Invalid {
+            reason: error.to_string(),
         }),
         OpResult::GivenUp {
             reason,
--- a/src/intents/wire.rs
+++ b/src/intents/wire.rs
@@ -46,7 +46,7 @@
 /// Never: every field of a ledger can be encoded as CBOR, and a `Vec` takes any length.
 #[must_use]
 pub fn encode_ledger(ledger: &ShardLedger) -> Vec<u8> {
-    let mut value = Vec::with_capacity(ledger.weight());
+    let mut value = Vec::with_capacity(ledger.max_encoded_size());
     ciborium::into_writer(&LedgerWire::from(ledger), &mut value)
         .expect("every field of a ledger can be encoded as CBOR");
     value
@@ -86,7 +86,7 @@
     #[serde(rename = "n")]
     NotRun,
     #[serde(rename = "a")]
-    Answered(u64, ByteArray<32>, Option<ByteText>),
+    Answered(u64, ByteArray<32>, Option<ByteString>),
     #[serde(rename = "u")]
     Unknown,
 }
@@ -151,7 +151,7 @@
             IntentState::Answered(answer) => Self::Answered(
                 answer.length,
                 ByteArray(answer.digest),
-                answer.result.clone().map(ByteText),
+                answer.result.clone().map(ByteString),
             ),
             IntentState::Unknown => Self::Unknown,
         }
@@ -176,7 +176,7 @@
 /// A claim as sent between daemons: workspace, key, creation time of the key, process and
 /// number of the claim, fingerprint, claimant, target.
 #[derive(Deserialize, Serialize)]
-pub(crate) struct IntentWire(
+pub(crate) struct ClaimWire(
     WorkspaceName,
     RequestKey,
     u64,
@@ -190,19 +190,19 @@
 /// A close as sent between daemons: workspace, key, creation time of the key, process and
 /// number of the claim, outcome.
 #[derive(Deserialize, Serialize)]
-pub(crate) struct CloseWire(WorkspaceName, RequestKey, u64, u64, u64, EndWire);
+pub(crate) struct CloseWire(WorkspaceName, RequestKey, u64, u64, u64, OutcomeWire);
 
 #[derive(Deserialize, Serialize)]
-enum EndWire {
+enum OutcomeWire {
     #[serde(rename = "n")]
     NotRun,
     #[serde(rename = "a")]
-    Answered(u64, ByteArray<32>, Option<ByteText>),
+    Answered(u64, ByteArray<32>, Option<ByteString>),
     #[serde(rename = "u")]
     Unknown,
 }
 
-impl From<&ClaimEntry> for IntentWire {
+impl From<&ClaimEntry> for ClaimWire {
     fn from(entry: &ClaimEntry) -> Self {
         Self(
             entry.key.workspace.clone(),
@@ -217,9 +217,10 @@
     }
 }
 
-impl From<IntentWire> for ClaimEntry {
-    fn from(wire: IntentWire) -> Self {
-        let IntentWire(workspace, key, minted_at, process, number, print, claimant, target) = wire;
+impl From<ClaimWire> for ClaimEntry {
+    fn from(wire: ClaimWire) -> Self {
+        let ClaimWire(workspace, key, minted_at, process, number, fingerprint, claimant, target) =
+            wire;
         Self {
             key: IntentKey {
                 workspace,
@@ -227,7 +228,7 @@
                 minted_at: UnixTime(minted_at),
             },
             claim: ClaimId { process, number },
-            fingerprint: print.0,
+            fingerprint: fingerprint.0,
             claimant,
             target,
         }
@@ -236,14 +237,14 @@
 
 impl From<(&IntentKey, ClaimId, &CloseRecord)> for CloseWire {
     fn from((key, claim, record): (&IntentKey, ClaimId, &CloseRecord)) -> Self {
-        let end = match record {
-            CloseRecord::NotRun => EndWire::NotRun,
-            CloseRecord::Answered(answer) => EndWire::Answered(
+        let outcome = match record {
+            CloseRecord::NotRun => OutcomeWire::NotRun,
+            CloseRecord::Answered(answer) => OutcomeWire::Answered(
                 answer.length,
                 ByteArray(answer.digest),
-                answer.result.clone().map(ByteText),
+                answer.result.clone().map(ByteString),
             ),
-            CloseRecord::Unknown => EndWire::Unknown,
+            CloseRecord::Unknown => OutcomeWire::Unknown,
         };
         Self(
             key.workspace.clone(),
@@ -251,22 +252,22 @@
             key.minted_at.0,
             claim.process,
             claim.number,
-            end,
+            outcome,
         )
     }
 }
 
 impl From<CloseWire> for (IntentKey, ClaimId, CloseRecord) {
     fn from(wire: CloseWire) -> Self {
-        let CloseWire(workspace, key, minted_at, process, number, end) = wire;
-        let record = match end {
-            EndWire::NotRun => CloseRecord::NotRun,
-            EndWire::Answered(length, digest, result) => CloseRecord::Answered(AnswerRecord {
+        let CloseWire(workspace, key, minted_at, process, number, outcome) = wire;
+        let record = match outcome {
+            OutcomeWire::NotRun => CloseRecord::NotRun,
+            OutcomeWire::Answered(length, digest, result) => CloseRecord::Answered(AnswerRecord {
                 length,
                 digest: digest.0,
                 result: result.map(|r| r.0),
             }),
-            EndWire::Unknown => CloseRecord::Unknown,
+            OutcomeWire::Unknown => CloseRecord::Unknown,
         };
         let key = IntentKey {
             workspace,
@@ -282,7 +283,7 @@
 struct ByteArray<const N: usize>([u8; N]);
 
 /// A byte string of any length.
-struct ByteText(Vec<u8>);
+struct ByteString(Vec<u8>);
 
 impl<const N: usize> Serialize for ByteArray<N> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -290,7 +291,7 @@
     }
 }
 
-impl Serialize for ByteText {
+impl Serialize for ByteString {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_bytes(&self.0)
     }
@@ -298,9 +299,9 @@
 
 impl<'de, const N: usize> Deserialize<'de> for ByteArray<N> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let text = ByteText::deserialize(deserializer)?;
-        let found = text.0.len();
-        let array = text
+        let bytes = ByteString::deserialize(deserializer)?;
+        let found = bytes.0.len();
+        let array = bytes
             .0
             .try_into()
             .map_err(|_| de::Error::invalid_length(found, &"another number of bytes"))?;
@@ -308,7 +309,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for ByteText {
+impl<'de> Deserialize<'de> for ByteString {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         deserializer.deserialize_bytes(ByteVisitor)
     }
@@ -317,17 +318,17 @@
 struct ByteVisitor;
 
 impl Visitor<'_> for ByteVisitor {
-    type Value = ByteText;
+    type Value = ByteString;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a byte string")
     }
 
-    fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<ByteText, E> {
-        Ok(ByteText(bytes.to_vec()))
+    fn visit_bytes<E: de::Error>(self, bytes: &[u8]) -> Result<ByteString, E> {
+        Ok(ByteString(bytes.to_vec()))
     }
 
-    fn visit_byte_buf<E: de::Error>(self, bytes: Vec<u8>) -> Result<ByteText, E> {
-        Ok(ByteText(bytes))
+    fn visit_byte_buf<E: de::Error>(self, bytes: Vec<u8>) -> Result<ByteString, E> {
+        Ok(ByteString(bytes))
     }
 }
--- a/src/intents/writer.rs
+++ b/src/intents/writer.rs
@@ -14,8 +14,8 @@
 
 pub use crate::intents::ops::{OpNumber, OpResult, ShardOp, WriterAction, WriterRules, WriterTime};
 
-use crate::intents::ops::{OpStep, ShardCopy, apply_op, read_ledger, view_result};
-use crate::intents::queue::{OpQueue, OpReach, OpenOp};
+use crate::intents::ops::{OpOutcome, ShardCopy, apply_op, read_ledger, view_result};
+use crate::intents::queue::{OpProgress, OpQueue, PendingOp};
 use crate::intents::wire::encode_ledger;
 use crate::intents::{ClaimEntry, ClaimId};
 use crate::invariants::{self, Invariant};
@@ -23,7 +23,7 @@
 use crate::ports::{ObjectVersion, PlatformError, StoredObject};
 
 /// Number of consecutive calls without a response after which the platform counts as down.
-const LOST_CALLS: u32 = 3;
+const MAX_LOST_CALLS: u32 = 3;
 
 /// Wait after a failure that gives no retry time.
 const DEFAULT_RETRY: Duration = Duration::from_secs(1);
@@ -32,7 +32,7 @@
 const READ_RETRY: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
-enum WriterFlight {
+enum PendingCall {
     Read {
         as_of: OpNumber,
     },
@@ -48,13 +48,13 @@
 #[derive(Debug)]
 pub struct ShardWriter {
     rules: WriterRules,
-    open: OpQueue,
+    queue: OpQueue,
     copy: Option<ShardCopy>,
-    flight: Option<WriterFlight>,
+    pending_call: Option<PendingCall>,
     /// Newest known version of the shard; reads that return an older one are ignored.
-    floor: ObjectVersion,
+    min_version: ObjectVersion,
     /// Newest expected version of a write whose response was lost.
-    lost_at: Option<ObjectVersion>,
+    lost_write_version: Option<ObjectVersion>,
     next_commit: MonoTime,
     retry_at: MonoTime,
     down_until: MonoTime,
@@ -72,11 +72,11 @@
     pub fn new(rules: WriterRules) -> Self {
         Self {
             rules,
-            open: OpQueue::default(),
+            queue: OpQueue::default(),
             copy: None,
-            flight: None,
-            floor: ObjectVersion::default(),
-            lost_at: None,
+            pending_call: None,
+            min_version: ObjectVersion::default(),
+            lost_write_version: None,
             next_commit: MonoTime::default(),
             retry_at: MonoTime::default(),
             down_until: MonoTime::default(),
@@ -96,8 +96,8 @@
 
     /// Returns the number of pending operations.
     #[must_use]
-    pub fn open_ops(&self) -> usize {
-        self.open.len()
+    pub fn pending_ops(&self) -> usize {
+        self.queue.len()
     }
 
     /// Returns whether the platform counts as down.
@@ -109,7 +109,7 @@
     /// Returns when to call [`ShardWriter::wake`] if no other event comes first.
     #[must_use]
     pub fn wake_at(&self) -> Option<MonoTime> {
-        if self.flight.is_some() || self.open.is_empty() {
+        if self.pending_call.is_some() || self.queue.is_empty() {
             return None;
         }
         Some(match self.copy {
@@ -120,57 +120,57 @@
 
     /// Submits an operation.
     pub fn submit(&mut self, op: ShardOp, now: WriterTime) -> OpNumber {
-        let number = self.open.take_number();
+        let number = self.queue.take_number();
         if op.has_result() {
-            if let Some(result) = self.refuse_at_once(now) {
+            if let Some(result) = self.immediate_refusal(now) {
                 self.reply(number, result);
                 return number;
             }
-        } else if self.open.is_full() {
-            self.open.drop_oldest_close();
+        } else if self.queue.is_full() {
+            self.queue.drop_oldest_close();
         }
-        self.open.insert(number, op, OpReach::Local);
-        self.pump(now);
+        self.queue.insert(number, op, OpProgress::Local);
+        self.start_next_call(now);
         number
     }
 
     /// Submits a claim that was sent to another daemon, which did not confirm it.
-    pub fn submit_carried(&mut self, claim: ClaimEntry, now: WriterTime) -> OpNumber {
-        let number = self.open.take_number();
+    pub fn submit_forwarded(&mut self, claim: ClaimEntry, now: WriterTime) -> OpNumber {
+        let number = self.queue.take_number();
         let op = ShardOp::Claim(claim);
-        if let Some(result) = self.refuse_at_once(now) {
-            let reach = OpReach::Carried;
-            self.open.release(OpenOp { op, reach });
+        if let Some(result) = self.immediate_refusal(now) {
+            let progress = OpProgress::Forwarded;
+            self.queue.close_abandoned(PendingOp { op, progress });
             self.reply(number, result);
         } else {
-            self.open.insert(number, op, OpReach::Carried);
+            self.queue.insert(number, op, OpProgress::Forwarded);
         }
-        self.pump(now);
+        self.start_next_call(now);
         number
     }
 
     /// Records that another daemon recorded this daemon's claim, at `version` or earlier.
-    pub fn grant_carried(&mut self, claim: ClaimId, version: ObjectVersion) {
-        self.raise_floor(version);
-        self.check_grant(claim);
+    pub fn grant_forwarded(&mut self, claim: ClaimId, version: ObjectVersion) {
+        self.raise_min_version(version);
+        self.record_grant(claim);
     }
 
     /// Records that another daemon closed this daemon's claim.
-    pub fn close_carried(&mut self, claim: ClaimId) {
+    pub fn close_forwarded(&mut self, claim: ClaimId) {
         self.granted.swap_remove(&claim);
     }
 
     /// Ignores states of the shard older than `version` from now on.
-    pub fn raise_floor(&mut self, version: ObjectVersion) {
-        self.floor = self.floor.max(version);
-        let floor = self.floor;
-        self.copy = self.copy.take().filter(|copy| copy.version >= floor);
+    pub fn raise_min_version(&mut self, version: ObjectVersion) {
+        self.min_version = self.min_version.max(version);
+        let min_version = self.min_version;
+        self.copy = self.copy.take().filter(|copy| copy.version >= min_version);
     }
 
     /// Returns the newest known version of the shard.
     #[must_use]
-    pub fn floor(&self) -> ObjectVersion {
-        self.floor
+    pub fn min_version(&self) -> ObjectVersion {
+        self.min_version
     }
 
     /// Abandons an operation whose caller no longer waits.
@@ -178,15 +178,15 @@
     /// A claim in a write without a response may still be recorded, so it is closed as not
     /// run as soon as it appears. The caller must never dispatch an abandoned claim.
     pub fn abandon(&mut self, number: OpNumber, now: WriterTime) {
-        if let Some(open) = self.open.remove(number) {
-            self.open.release(open);
-            self.pump(now);
+        if let Some(pending) = self.queue.remove(number) {
+            self.queue.close_abandoned(pending);
+            self.start_next_call(now);
         }
     }
 
     /// Continues after the wait given by [`ShardWriter::wake_at`].
     pub fn wake(&mut self, now: WriterTime) {
-        self.pump(now);
+        self.start_next_call(now);
     }
 
     /// Handles the result of a read.
@@ -195,33 +195,33 @@
         result: Result<Option<StoredObject>, PlatformError>,
         now: WriterTime,
     ) {
-        let Some(WriterFlight::Read { as_of }) = self.flight.take() else {
+        let Some(PendingCall::Read { as_of }) = self.pending_call.take() else {
             return;
         };
         match result {
-            Ok(found) => self.take_read(found, as_of, now),
+            Ok(found) => self.apply_read(found, as_of, now),
             Err(PlatformError::Lost { reason } | PlatformError::Refused { reason }) => {
-                self.lose_call(&reason, now);
+                self.record_lost_call(&reason, now);
                 self.retry_at = self.retry_at.max(now.mono.plus(READ_RETRY));
             }
             Err(PlatformError::Unavailable {
                 reason,
                 retry_after,
-            }) => self.go_down(&reason, retry_after, now),
+            }) => self.mark_down(&reason, retry_after, now),
             Err(PlatformError::Conflict { .. }) => {
                 self.retry_at = now.mono.plus(READ_RETRY);
             }
         }
-        self.pump(now);
+        self.start_next_call(now);
     }
 
     /// Handles the result of a write.
     pub fn write_done(&mut self, result: Result<ObjectVersion, PlatformError>, now: WriterTime) {
-        let Some(WriterFlight::Write {
+        let Some(PendingCall::Write {
             copy,
             batch,
             started,
-        }) = self.flight.take()
+        }) = self.pending_call.take()
         else {
             return;
         };
@@ -235,36 +235,36 @@
             Err(PlatformError::Lost { reason }) => {
                 // The write may still take effect later, so a read that returns the old
                 // version proves nothing; only a version newer than `expected` does.
-                self.lost_at = self.lost_at.max(Some(expected));
-                self.lose_call(&reason, now);
+                self.lost_write_version = self.lost_write_version.max(Some(expected));
+                self.record_lost_call(&reason, now);
             }
             Err(PlatformError::Unavailable {
                 reason,
                 retry_after,
-            }) => self.go_down(&reason, retry_after, now),
-            Err(PlatformError::Refused { reason }) => self.go_down(&reason, DEFAULT_RETRY, now),
+            }) => self.mark_down(&reason, retry_after, now),
+            Err(PlatformError::Refused { reason }) => self.mark_down(&reason, DEFAULT_RETRY, now),
         }
-        self.pump(now);
+        self.start_next_call(now);
     }
 
-    fn refuse_at_once(&self, now: WriterTime) -> Option<OpResult> {
+    fn immediate_refusal(&self, now: WriterTime) -> Option<OpResult> {
         if self.is_down(now) {
             return Some(OpResult::GivenUp {
                 reason: self.down_reason.clone(),
                 retry_after: self.down_until.since(now.mono),
-                untouched: true,
+                no_effect: true,
             });
         }
-        (self.open.is_full()).then(|| OpResult::GivenUp {
+        (self.queue.is_full()).then(|| OpResult::GivenUp {
             reason: "too many operations are waiting for the platform; retry later".to_owned(),
             retry_after: DEFAULT_RETRY,
-            untouched: true,
+            no_effect: true,
         })
     }
 
-    fn take_read(&mut self, found: Option<StoredObject>, as_of: OpNumber, now: WriterTime) {
+    fn apply_read(&mut self, found: Option<StoredObject>, as_of: OpNumber, now: WriterTime) {
         let version = found.as_ref().map_or(ObjectVersion(0), |f| f.version);
-        if version < self.floor {
+        if version < self.min_version {
             self.retry_at = now.mono.plus(READ_RETRY);
             return;
         }
@@ -276,21 +276,21 @@
         }
         match read_ledger(found) {
             Ok(ledger) => {
-                self.floor = version;
+                self.min_version = version;
                 self.copy = Some(ShardCopy {
                     version,
                     ledger,
                     as_of,
                 });
             }
-            Err(reason) => self.go_down(&reason, DEFAULT_RETRY, now),
+            Err(reason) => self.mark_down(&reason, DEFAULT_RETRY, now),
         }
     }
 
     fn commit(&mut self, copy: ShardCopy, batch: Vec<(OpNumber, Option<OpResult>)>) {
         let version = copy.version;
         self.copy = Some(copy);
-        self.raise_floor(version);
+        self.raise_min_version(version);
         self.lost_calls = 0;
         self.conflicts = 0;
         self.down_until = MonoTime::default();
@@ -302,45 +302,45 @@
     /// Backs off for a random time, with an upper bound that doubles with each conflict, so
     /// that daemons which write the same shard do not keep conflicting.
     fn back_off(&mut self, current: ObjectVersion, now: WriterTime) {
-        self.floor = self.floor.max(current);
+        self.min_version = self.min_version.max(current);
         self.lost_calls = 0;
         self.conflicts += 1;
-        let most = Duration::from_millis(1 << self.conflicts.min(10)).min(self.rules.commit);
-        let wait = self.random.random_range(Duration::ZERO..=most);
+        let max_wait = Duration::from_millis(1 << self.conflicts.min(10)).min(self.rules.commit);
+        let wait = self.random.random_range(Duration::ZERO..=max_wait);
         self.retry_at = now.mono.plus(wait);
     }
 
-    fn lose_call(&mut self, reason: &str, now: WriterTime) {
+    fn record_lost_call(&mut self, reason: &str, now: WriterTime) {
         self.lost_calls += 1;
-        if self.lost_calls >= LOST_CALLS {
+        if self.lost_calls >= MAX_LOST_CALLS {
             self.lost_calls = 0;
-            self.go_down(reason, DEFAULT_RETRY, now);
+            self.mark_down(reason, DEFAULT_RETRY, now);
         }
     }
 
     /// Marks the platform as down and gives up the operations that callers wait for. Closes
     /// are retried later.
-    fn go_down(&mut self, reason: &str, retry_after: Duration, now: WriterTime) {
+    fn mark_down(&mut self, reason: &str, retry_after: Duration, now: WriterTime) {
         let wait = retry_after.max(READ_RETRY);
         self.down_until = now.mono.plus(wait);
         self.retry_at = self.down_until;
         self.down_reason = format!("the platform does not accept records at present: {reason}");
-        for (number, open) in self.open.take_waited() {
-            let untouched = open.reach == OpReach::Local;
-            self.open.release(open);
+        for (number, pending) in self.queue.take_with_results() {
+            let no_effect = pending.progress == OpProgress::Local;
+            self.queue.close_abandoned(pending);
             self.reply(
                 number,
                 OpResult::GivenUp {
                     reason: self.down_reason.clone(),
                     retry_after: wait,
-                    untouched,
+                    no_effect,
                 },
             );
         }
     }
 
-    fn pump(&mut self, now: WriterTime) {
-        if self.flight.is_some() || self.open.is_empty() || now.mono < self.retry_at {
+    fn start_next_call(&mut self, now: WriterTime) {
+        if self.pending_call.is_some() || self.queue.is_empty() || now.mono < self.retry_at {
             return;
         }
         if self.copy.is_none() {
@@ -351,14 +351,14 @@
             self.start_read();
             return;
         }
-        if now.mono >= self.next_commit && !self.open.is_empty() {
+        if now.mono >= self.next_commit && !self.queue.is_empty() {
             self.apply_all(now);
         }
     }
 
     fn start_read(&mut self) {
-        self.flight = Some(WriterFlight::Read {
-            as_of: self.open.next_number(),
+        self.pending_call = Some(PendingCall::Read {
+            as_of: self.queue.next_number(),
         });
         self.actions.push(WriterAction::Read);
     }
@@ -369,23 +369,23 @@
             return true;
         };
         let mut results = Vec::new();
-        let mut left = false;
-        for (number, open) in self.open.iter() {
-            let ShardOp::Lookup(key) = &open.op else {
+        let mut remaining = false;
+        for (number, pending) in self.queue.iter() {
+            let ShardOp::Lookup(key) = &pending.op else {
                 continue;
             };
             let view = copy.ledger.view(key, &self.rules.limits, now.unix);
-            let settled = !matches!(&view, Ok(v) if !v.is_final());
-            if settled || number < copy.as_of {
+            let is_decided = !matches!(&view, Ok(v) if !v.is_final());
+            if is_decided || number < copy.as_of {
                 results.push((number, view_result(view)));
             } else {
-                left = true;
+                remaining = true;
             }
         }
         for (number, result) in results {
             self.finish(number, Some(result));
         }
-        left
+        remaining
     }
 
     /// Applies all pending operations to the copy, and writes the copy if any changed it.
@@ -398,24 +398,26 @@
         let Some(mut copy) = self.copy.take() else {
             return;
         };
-        let crowded = copy.ledger.is_crowded(&self.rules.limits);
-        let mut changed = crowded && copy.ledger.expire(&self.rules.limits, now.unix);
+        let nearly_full = copy.ledger.is_nearly_full(&self.rules.limits);
+        let mut changed = nearly_full && copy.ledger.expire(&self.rules.limits, now.unix);
         let mut decided = Vec::new();
         let mut batch = Vec::new();
-        for (number, open) in self.open.iter() {
+        for (number, pending) in self.queue.iter() {
             let fresh = number < copy.as_of;
-            let step = apply_op(
-                &open.op,
+            let outcome = apply_op(
+                &pending.op,
                 &mut copy,
                 fresh,
-                self.lost_at,
+                self.lost_write_version,
                 &self.rules.limits,
                 now.unix,
             );
-            match step {
-                OpStep::Decided(result) if !changed => decided.push((number, result)),
-                OpStep::Decided(result) | OpStep::Stale(result) => batch.push((number, result)),
-                OpStep::Changed(result) => {
+            match outcome {
+                OpOutcome::Decided(result) if !changed => decided.push((number, result)),
+                OpOutcome::Decided(result) | OpOutcome::Stale(result) => {
+                    batch.push((number, result));
+                }
+                OpOutcome::Changed(result) => {
                     changed = true;
                     batch.push((number, result));
                 }
@@ -442,14 +444,14 @@
         now: WriterTime,
     ) {
         for (number, _) in &batch {
-            self.open.mark_sent(*number);
+            self.queue.mark_sent(*number);
         }
-        copy.as_of = self.open.next_number();
+        copy.as_of = self.queue.next_number();
         self.actions.push(WriterAction::Write {
             expected: copy.version,
             value: encode_ledger(&copy.ledger),
         });
-        self.flight = Some(WriterFlight::Write {
+        self.pending_call = Some(PendingCall::Write {
             copy,
             batch,
             started: now.mono,
@@ -460,24 +462,24 @@
     ///
     /// A claim that is not granted may still have been recorded: a write whose response was
     /// lost took effect, and its key became too old before the claim was applied again.
-    /// The record would stay intended, so the claim is released.
+    /// The record would stay intended, so the claim is closed as abandoned.
     fn finish(&mut self, number: OpNumber, result: Option<OpResult>) {
-        let Some(open) = self.open.remove(number) else {
+        let Some(pending) = self.queue.remove(number) else {
             return;
         };
-        match (&open.op, &result) {
-            (ShardOp::Claim(claim), Some(OpResult::Granted)) => self.check_grant(claim.claim),
+        match (&pending.op, &result) {
+            (ShardOp::Claim(claim), Some(OpResult::Granted)) => self.record_grant(claim.claim),
             (ShardOp::Close { claim, .. }, _) => {
                 self.granted.swap_remove(claim);
             }
-            _ => self.open.release(open),
+            _ => self.queue.close_abandoned(pending),
         }
         if let Some(result) = result {
             self.reply(number, result);
         }
     }
 
-    fn check_grant(&mut self, claim: ClaimId) {
+    fn record_grant(&mut self, claim: ClaimId) {
         let first = self.granted.insert(claim);
         invariants::check(first, Invariant::AtMostOnce, || {
             format!("claim {claim} was granted twice")
--- a/tests/intents_fuzz.rs
+++ b/tests/intents_fuzz.rs
@@ -6,7 +6,7 @@
 
 mod intents_support;
 
-use intents_support::sim::{CallFate, KEYS, LedgerSim, RunEnd, SimStep};
+use intents_support::sim::{CallFate, KEYS, LedgerSim, RunOutcome, SimStep};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -43,26 +43,26 @@
 
     fn transitions(_daemons: &u64) -> BoxedStrategy<SimStep> {
         let daemon = || 0_usize..3;
-        let nth = || 0_usize..4;
+        let index = || 0_usize..4;
         // Most steps use the first two keys, so that daemons compete for the same key.
         let key = || prop_oneof![6 => 0_u64..2, 2 => 0..KEYS];
         prop_oneof![
             10 => (daemon(), key(), prop_oneof![8 => Just(0_u8), 1 => Just(1), 1 => Just(2)])
-                .prop_map(|(daemon, key, twist)| SimStep::Claim { daemon, key, twist }),
+                .prop_map(|(daemon, key, variation)| SimStep::Claim { daemon, key, variation }),
             3 => (daemon(), key()).prop_map(|(daemon, key)| SimStep::Lookup { daemon, key }),
             3 => (daemon(), key()).prop_map(|(daemon, key)| SimStep::Settle { daemon, key }),
             20 => (daemon(), fates()).prop_map(|(daemon, fate)| SimStep::Deliver { daemon, fate }),
-            3 => nth().prop_map(|nth| SimStep::Land { nth }),
-            3 => (daemon(), nth()).prop_map(|(daemon, nth)| SimStep::Abandon { daemon, nth }),
-            6 => (daemon(), nth()).prop_map(|(daemon, nth)| SimStep::Dispatch { daemon, nth }),
-            2 => (daemon(), nth()).prop_map(|(daemon, nth)| SimStep::Release { daemon, nth }),
-            4 => (daemon(), nth(), ends(), daemon())
-                .prop_map(|(daemon, nth, end, to)| SimStep::Finish { daemon, nth, end, to }),
+            3 => index().prop_map(|index| SimStep::ApplyDelayed { index }),
+            3 => (daemon(), index()).prop_map(|(daemon, index)| SimStep::Abandon { daemon, index }),
+            6 => (daemon(), index()).prop_map(|(daemon, index)| SimStep::Dispatch { daemon, index }),
+            2 => (daemon(), index()).prop_map(|(daemon, index)| SimStep::Release { daemon, index }),
+            4 => (daemon(), index(), outcomes(), daemon())
+                .prop_map(|(daemon, index, outcome, to)| SimStep::Finish { daemon, index, outcome, to }),
             5 => (daemon(), daemon(), key())
                 .prop_map(|(daemon, to, key)| SimStep::ForwardClaim { daemon, to, key }),
-            10 => (nth(), prop::bool::weighted(0.2))
-                .prop_map(|(nth, lost)| SimStep::LinkStep { nth, lost }),
-            2 => nth().prop_map(|nth| SimStep::LinkTimeout { nth }),
+            10 => (index(), prop::bool::weighted(0.2))
+                .prop_map(|(index, lost)| SimStep::DeliverMessage { index, lost }),
+            2 => index().prop_map(|index| SimStep::MessageTimeout { index }),
             2 => daemon().prop_map(|daemon| SimStep::Crash { daemon }),
             6 => prop_oneof![4 => 1_u64..300, 1 => 300_u64..9_000]
                 .prop_map(|ms| SimStep::Advance { ms }),
@@ -88,11 +88,11 @@
     ]
 }
 
-fn ends() -> impl Strategy<Value = RunEnd> {
+fn outcomes() -> impl Strategy<Value = RunOutcome> {
     prop_oneof![
-        3 => Just(RunEnd::Answered),
-        1 => Just(RunEnd::Unknown),
-        1 => Just(RunEnd::LateAnswer),
+        3 => Just(RunOutcome::Answered),
+        1 => Just(RunOutcome::Unknown),
+        1 => Just(RunOutcome::LateAnswer),
     ]
 }
 
--- a/tests/intents_link.rs
+++ b/tests/intents_link.rs
@@ -125,16 +125,16 @@
     let platform = FakePlatform::default();
     let net = LinkNet::default();
     net.join(&platform, "owner", "owner");
-    let asker = net.join(&platform, "asker", "owner");
+    let sender = net.join(&platform, "sender", "owner");
     net.set_fault(fault);
-    let permit = grant(&asker, "receipt").await;
-    let again = asker.claim(claim("receipt")).await;
+    let permit = grant(&sender, "receipt").await;
+    let again = sender.claim(claim("receipt")).await;
     assert!(
         matches!(again, ClaimResult::Present(RecordView::Intended { .. })),
         "{again:?}"
     );
     permit.dispatch().answered(answer());
-    assert!(asker.drain(Duration::from_secs(5)).await);
+    assert!(sender.drain(Duration::from_secs(5)).await);
     tokio::time::sleep(Duration::from_secs(20)).await;
     let view = read_directly(&platform, "receipt").await;
     assert!(matches!(view, RecordView::Answered { .. }), "{view:?}");
@@ -149,10 +149,10 @@
     let platform = FakePlatform::default();
     let net = LinkNet::default();
     net.join(&platform, "owner", "owner");
-    let asker = net.join(&platform, "asker", "owner");
+    let sender = net.join(&platform, "sender", "owner");
     net.set_fault(LinkFault::Late);
     platform.set_down(true);
-    let result = asker.claim(claim("receipt")).await;
+    let result = sender.claim(claim("receipt")).await;
     assert!(matches!(result, ClaimResult::GivenUp { .. }), "{result:?}");
     platform.set_down(false);
     tokio::time::sleep(Duration::from_secs(30)).await;
@@ -168,16 +168,16 @@
     let platform = FakePlatform::default();
     let net = LinkNet::default();
     net.join(&platform, "owner", "owner");
-    let asker = net.join(&platform, "asker", "owner");
+    let sender = net.join(&platform, "sender", "owner");
     platform.set_down(true);
     for _ in 0..3 {
-        let result = asker.claim(claim("receipt")).await;
+        let result = sender.claim(claim("receipt")).await;
         assert!(matches!(result, ClaimResult::GivenUp { .. }), "{result:?}");
     }
     assert_eq!(net.messages.load(Ordering::Relaxed), 1);
     platform.set_down(false);
     tokio::time::sleep(Duration::from_secs(5)).await;
-    drop(grant(&asker, "receipt").await);
+    drop(grant(&sender, "receipt").await);
 }
 
 // The owner's write is delayed in the network and the platform goes down: the owner does not
@@ -188,19 +188,19 @@
     let platform = FakePlatform::default();
     let net = LinkNet::default();
     let owner = net.join(&platform, "owner", "owner");
-    let asker = net.join(&platform, "asker", "owner");
+    let sender = net.join(&platform, "sender", "owner");
     grant(&owner, "warm-up").await.release();
     assert!(owner.drain(Duration::from_secs(5)).await);
     tokio::time::sleep(Duration::from_secs(1)).await;
     platform.fail_writes(&[WriteFault::Delayed]);
-    let given_up = tokio::spawn(async move { asker.claim(claim("receipt")).await });
+    let claim_task = tokio::spawn(async move { sender.claim(claim("receipt")).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     platform.set_down(true);
-    let result = given_up.await.unwrap();
+    let result = claim_task.await.unwrap();
     assert!(matches!(result, ClaimResult::GivenUp { .. }), "{result:?}");
     platform.set_down(false);
     tokio::time::sleep(Duration::from_secs(30)).await;
-    assert_eq!(platform.land_delayed(), 0);
+    assert_eq!(platform.apply_delayed(), 0);
     let view = read_directly(&platform, "receipt").await;
     assert_eq!(view, RecordView::NotRun);
 }
@@ -267,13 +267,13 @@
     ];
     let mut ops: Vec<ShardOp> = closes
         .into_iter()
-        .map(|record| ShardOp::CarryClose {
+        .map(|record| ShardOp::ForwardedClose {
             key: key("receipt"),
             claim: entry.claim,
             record,
         })
         .collect();
-    ops.push(ShardOp::Carry(entry));
+    ops.push(ShardOp::ForwardedClaim(entry));
     let request = LinkRequest {
         shard: 3,
         shards: 16,
@@ -283,7 +283,7 @@
     assert_eq!(LinkRequest::decode(&request.encode()), Ok(request));
     let reply = LinkReply {
         version: ObjectVersion(10),
-        outcomes: vec![LinkOutcome::Recorded, LinkOutcome::Untouched],
+        outcomes: vec![LinkOutcome::Recorded, LinkOutcome::NoEffect],
     };
     assert_eq!(LinkReply::decode(&reply.encode(), 2), Ok(reply.clone()));
     assert_eq!(
@@ -296,12 +296,12 @@
 #[test]
 fn only_the_shards_of_a_leaving_daemon_move() {
     let daemons: Vec<DaemonId> = (0..15).map(|n| format!("daemon-{n}").into()).collect();
-    let left = &daemons[4];
+    let leaving = &daemons[4];
     let mut owned = 0;
     for shard in 0..64 {
         let before = shard_owner(shard, daemons.iter()).unwrap();
-        let after = shard_owner(shard, daemons.iter().filter(|d| *d != left)).unwrap();
-        if before == left {
+        let after = shard_owner(shard, daemons.iter().filter(|d| *d != leaving)).unwrap();
+        if before == leaving {
             owned += 1;
         } else {
             assert_eq!(before, after);
--- a/tests/intents_store.rs
+++ b/tests/intents_store.rs
@@ -41,38 +41,38 @@
 }
 
 /// Waits longer than any retry interval of the store.
-async fn settle_down() {
+async fn wait_for_retries() {
     tokio::time::sleep(Duration::from_secs(30)).await;
 }
 
 struct LostCase {
     write_faults: &'static [WriteFault],
     read_faults: &'static [ReadFault],
-    most_writes: usize,
+    max_writes: usize,
 }
 
 // While a claim is recorded, the platform accepts the write but its response is lost, or the
 // write is lost, or a read returns an old state. The store reads the shard to find its own
 // claim and writes again if needed; the claim is granted once, and a second claim finds it.
 #[rstest]
-#[case::nothing(LostCase { write_faults: &[], read_faults: &[], most_writes: 1 })]
-#[case::lost_after(LostCase { write_faults: &[WriteFault::LostAfter], read_faults: &[], most_writes: 1 })]
-#[case::lost_before(LostCase { write_faults: &[WriteFault::LostBefore], read_faults: &[], most_writes: 2 })]
+#[case::nothing(LostCase { write_faults: &[], read_faults: &[], max_writes: 1 })]
+#[case::lost_after(LostCase { write_faults: &[WriteFault::LostAfter], read_faults: &[], max_writes: 1 })]
+#[case::lost_before(LostCase { write_faults: &[WriteFault::LostBefore], read_faults: &[], max_writes: 2 })]
 #[case::lost_twice(LostCase {
     write_faults: &[WriteFault::LostBefore, WriteFault::LostAfter],
     read_faults: &[],
-    most_writes: 2,
+    max_writes: 2,
 })]
-#[case::delayed(LostCase { write_faults: &[WriteFault::Delayed], read_faults: &[], most_writes: 2 })]
+#[case::delayed(LostCase { write_faults: &[WriteFault::Delayed], read_faults: &[], max_writes: 2 })]
 #[case::read_lost(LostCase {
     write_faults: &[WriteFault::LostAfter],
     read_faults: &[ReadFault::None, ReadFault::Lost],
-    most_writes: 1,
+    max_writes: 1,
 })]
 #[case::read_stale(LostCase {
     write_faults: &[WriteFault::LostAfter],
     read_faults: &[ReadFault::None, ReadFault::Stale],
-    most_writes: 2,
+    max_writes: 2,
 })]
 #[tokio::test(start_paused = true)]
 async fn lost_answer_grants_once(#[case] case: LostCase) {
@@ -81,9 +81,9 @@
     platform.fail_writes(case.write_faults);
     platform.fail_reads(case.read_faults);
     let permit = grant(&first, "receipt").await;
-    assert!(platform.writes() <= case.most_writes);
+    assert!(platform.writes() <= case.max_writes);
     assert_eq!(
-        platform.land_delayed(),
+        platform.apply_delayed(),
         0,
         "a delayed write took effect after the grant"
     );
@@ -91,7 +91,7 @@
     let again = second.claim(claim("receipt")).await;
     assert_present(&again, |v| matches!(v, RecordView::Intended { .. }));
     permit.dispatch().answered(answer());
-    settle_down().await;
+    wait_for_retries().await;
     let again = second.claim(claim("receipt")).await;
     assert_present(&again, |v| {
         matches!(v, RecordView::Answered { length: 7, .. })
@@ -123,10 +123,10 @@
     let platform = FakePlatform::default();
     let first = store(&platform, "daemon-a");
     grant(&first, "warm-up").await.release();
-    settle_down().await;
+    wait_for_retries().await;
     platform.fail_writes(&[WriteFault::Slow(Duration::from_secs(5))]);
     assert_given_up(&first.claim(claim("receipt")).await);
-    settle_down().await;
+    wait_for_retries().await;
     let again = store(&platform, "daemon-b").claim(claim("receipt")).await;
     assert_present(&again, |v| *v == RecordView::NotRun);
 }
@@ -140,12 +140,12 @@
     let platform = FakePlatform::default();
     let first = store(&platform, "daemon-a");
     grant(&first, "warm-up").await.release();
-    settle_down().await;
+    wait_for_retries().await;
     platform.fail_writes(&[WriteFault::Delayed]);
     platform.fail_reads(&[ReadFault::Unavailable]);
     assert_given_up(&first.claim(claim("receipt")).await);
-    settle_down().await;
-    assert_eq!(platform.land_delayed(), 0);
+    wait_for_retries().await;
+    assert_eq!(platform.apply_delayed(), 0);
     let view = first.lookup(&key("receipt"), false).await;
     assert_eq!(view, Ok(RecordView::Absent));
     grant(&store(&platform, "daemon-b"), "receipt")
@@ -159,13 +159,13 @@
 #[tokio::test(start_paused = true)]
 async fn settled_key_stops_paused_claimant() {
     let platform = FakePlatform::default();
-    let frozen = store(&platform, "daemon-a");
-    grant(&frozen, "warm-up").await.release();
-    settle_down().await;
+    let paused = store(&platform, "daemon-a");
+    grant(&paused, "warm-up").await.release();
+    wait_for_retries().await;
     platform.fail_writes(&[WriteFault::Slow(Duration::from_secs(1))]);
     let late = tokio::spawn({
-        let frozen = frozen.clone();
-        async move { frozen.claim(claim("receipt")).await }
+        let paused = paused.clone();
+        async move { paused.claim(claim("receipt")).await }
     });
     tokio::time::sleep(Duration::from_millis(100)).await;
     let other = store(&platform, "daemon-b");
@@ -232,7 +232,7 @@
     platform.fail_writes(&[WriteFault::Slow(Duration::from_millis(500))]);
     let cut = tokio::time::timeout(Duration::from_millis(100), store.claim(claim("receipt"))).await;
     assert!(cut.is_err());
-    settle_down().await;
+    wait_for_retries().await;
     let view = store.lookup(&key("receipt"), false).await;
     assert_eq!(view, Ok(RecordView::NotRun));
 }
@@ -315,12 +315,12 @@
 async fn age_of_key_decides(#[case] case: AgeCase) {
     let platform = FakePlatform::default();
     let store = store(&platform, "daemon-a");
-    let mut wish = claim("receipt");
-    let minted = i64::try_from(wish.key.minted_at.0).unwrap() - case.age_ms;
-    wish.key.minted_at = UnixTime(u64::try_from(minted).unwrap());
-    let found = store.lookup(&wish.key, false).await;
+    let mut request = claim("receipt");
+    let minted = i64::try_from(request.key.minted_at.0).unwrap() - case.age_ms;
+    request.key.minted_at = UnixTime(u64::try_from(minted).unwrap());
+    let found = store.lookup(&request.key, false).await;
     assert_eq!(found.is_ok(), case.accepted, "{found:?}");
-    match store.claim(wish).await {
+    match store.claim(request).await {
         ClaimResult::Granted(_) if case.accepted => {}
         ClaimResult::Invalid { .. } if !case.accepted => {}
         other => panic!("{other:?}"),
@@ -392,7 +392,7 @@
     grant(&store(&platform, "daemon-a"), "receipt")
         .await
         .release();
-    settle_down().await;
+    wait_for_retries().await;
     if deleted {
         platform.delete(&shard_object(0));
     } else {
--- a/tests/intents_support/mod.rs
+++ b/tests/intents_support/mod.rs
@@ -33,7 +33,7 @@
     /// Has no effect, and the response is lost.
     LostBefore,
     /// The response is lost; the write is applied when the test calls
-    /// [`FakePlatform::land_delayed`].
+    /// [`FakePlatform::apply_delayed`].
     Delayed,
     /// Works after this delay.
     Slow(Duration),
@@ -107,11 +107,11 @@
 
     /// Applies the delayed writes and returns how many succeeded, as their expected version
     /// was still current.
-    pub fn land_delayed(&self) -> usize {
+    pub fn apply_delayed(&self) -> usize {
         let mut state = self.state.lock().unwrap();
         let delayed = std::mem::take(&mut state.delayed);
-        let landed = delayed.into_iter().map(|write| state.apply(write));
-        landed.filter(Result::is_ok).count()
+        let applied = delayed.into_iter().map(|write| state.apply(write));
+        applied.filter(Result::is_ok).count()
     }
 
     /// Overwrites an object, as an operator would.
@@ -183,11 +183,11 @@
             }
             state.write_faults.pop_front().unwrap_or(WriteFault::None)
         };
-        let span = match fault {
-            WriteFault::Slow(span) => span,
+        let delay = match fault {
+            WriteFault::Slow(delay) => delay,
             _ => Duration::from_millis(1),
         };
-        tokio::time::sleep(span).await;
+        tokio::time::sleep(delay).await;
         let mut state = self.state.lock().unwrap();
         match fault {
             WriteFault::None | WriteFault::Slow(_) => state.apply(write),
@@ -243,9 +243,9 @@
         Self(Arc::new(AtomicU64::new(START)))
     }
 
-    pub fn advance(&self, span: Duration) {
-        let span = u64::try_from(span.as_millis()).unwrap();
-        self.0.fetch_add(span, Ordering::Relaxed);
+    pub fn advance(&self, delay: Duration) {
+        let delay = u64::try_from(delay.as_millis()).unwrap();
+        self.0.fetch_add(delay, Ordering::Relaxed);
     }
 
     pub fn now(&self) -> UnixTime {
--- a/tests/intents_support/sim.rs
+++ b/tests/intents_support/sim.rs
@@ -36,7 +36,7 @@
 
 /// Outcome of a dispatched call for its daemon.
 #[derive(Clone, Copy, Debug)]
-pub enum RunEnd {
+pub enum RunOutcome {
     Answered,
     Unknown,
     LateAnswer,
@@ -48,7 +48,7 @@
     Claim {
         daemon: usize,
         key: u64,
-        twist: u8,
+        variation: u8,
     },
     Lookup {
         daemon: usize,
@@ -62,25 +62,25 @@
         daemon: usize,
         fate: CallFate,
     },
-    Land {
-        nth: usize,
+    ApplyDelayed {
+        index: usize,
     },
     Abandon {
         daemon: usize,
-        nth: usize,
+        index: usize,
     },
     Dispatch {
         daemon: usize,
-        nth: usize,
+        index: usize,
     },
     Release {
         daemon: usize,
-        nth: usize,
+        index: usize,
     },
     Finish {
         daemon: usize,
-        nth: usize,
-        end: RunEnd,
+        index: usize,
+        outcome: RunOutcome,
         to: usize,
     },
     ForwardClaim {
@@ -88,12 +88,12 @@
         to: usize,
         key: u64,
     },
-    LinkStep {
-        nth: usize,
+    DeliverMessage {
+        index: usize,
         lost: bool,
     },
-    LinkTimeout {
-        nth: usize,
+    MessageTimeout {
+        index: usize,
     },
     Crash {
         daemon: usize,
@@ -108,7 +108,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum AskKind {
+enum OpKind {
     Claim,
     Close,
     Lookup,
@@ -116,8 +116,8 @@
 }
 
 #[derive(Clone)]
-struct AskedOp {
-    kind: AskKind,
+struct CallerOp {
+    kind: OpKind,
     key: IntentKey,
     claim: ClaimId,
     /// Whether the request had run when the operation was submitted.
@@ -134,7 +134,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum LinkState {
     Requested,
-    Carried,
+    Executing,
     Answered(LinkOutcome, ObjectVersion),
     Lost,
 }
@@ -145,7 +145,7 @@
     from_process: u64,
     to: usize,
     op: ShardOp,
-    asked: AskedOp,
+    caller_op: CallerOp,
     known_at: ObjectVersion,
     state: LinkState,
     /// Whether the sender still waits; a late message may still be executed.
@@ -155,8 +155,8 @@
 struct SimDaemon {
     writer: ShardWriter,
     call: Option<SimCall>,
-    asked: IndexMap<OpNumber, AskedOp>,
-    carried: IndexMap<OpNumber, u64>,
+    caller_ops: IndexMap<OpNumber, CallerOp>,
+    forwarded: IndexMap<OpNumber, u64>,
     permits: Vec<(IntentKey, ClaimId)>,
     running: Vec<(IntentKey, ClaimId)>,
     unknown: Vec<(IntentKey, ClaimId)>,
@@ -173,11 +173,11 @@
 
 /// The oracle: what happened to each key.
 #[derive(Default)]
-struct SimBooks {
+struct Oracle {
     runs: IndexMap<String, u32>,
-    told_not_run: IndexSet<String>,
-    told_answered: IndexSet<String>,
-    ended: IndexMap<String, (ClaimId, bool)>,
+    reported_not_run: IndexSet<String>,
+    reported_answered: IndexSet<String>,
+    outcomes: IndexMap<String, (ClaimId, bool)>,
     stale_reads: bool,
 }
 
@@ -185,7 +185,7 @@
 pub struct LedgerSim {
     daemons: Vec<SimDaemon>,
     store: SimStore,
-    books: SimBooks,
+    oracle: Oracle,
     messages: IndexMap<u64, LinkMessage>,
     next_message: u64,
     now_ms: u64,
@@ -210,8 +210,8 @@
     SimDaemon {
         writer: ShardWriter::new(rules),
         call: None,
-        asked: IndexMap::new(),
-        carried: IndexMap::new(),
+        caller_ops: IndexMap::new(),
+        forwarded: IndexMap::new(),
         permits: Vec::new(),
         running: Vec::new(),
         unknown: Vec::new(),
@@ -231,9 +231,9 @@
     }
 }
 
-fn sim_key(key: u64, twist: u8) -> IntentKey {
+fn sim_key(key: u64, variation: u8) -> IntentKey {
     let key = key % KEYS;
-    let reused = u64::from(twist == 1);
+    let reused = u64::from(variation == 1);
     IntentKey {
         workspace: "regatta-one".into(),
         key: format!("key-{key}").as_str().into(),
@@ -298,7 +298,7 @@
         let after = decode_ledger(&value).unwrap();
         check_final_records(&before, &after);
         assert!(
-            value.len() <= after.weight(),
+            value.len() <= after.max_encoded_size(),
             "the size bound is below the encoded size"
         );
         assert!(
@@ -329,25 +329,25 @@
         let kept = after.entries().find(|(other, _)| *other == id);
         let (_, kept) = kept.expect("an entry disappeared before its key expired");
         assert_eq!(kept.claim, entry.claim, "an entry changed its claim");
-        let lasting = match &entry.state {
+        let is_allowed = match &entry.state {
             IntentState::Answered(_) | IntentState::NotRun => kept.state == entry.state,
             IntentState::Unknown => {
                 matches!(kept.state, IntentState::Unknown | IntentState::Answered(_))
             }
             IntentState::Intended { .. } => true,
         };
-        assert!(lasting, "{:?} became {:?}", entry.state, kept.state);
+        assert!(is_allowed, "{:?} became {:?}", entry.state, kept.state);
     }
 }
 
-impl SimBooks {
+impl Oracle {
     fn run(&mut self, key: &IntentKey) {
         let name = key.key.to_string();
         let runs = self.runs.entry(name.clone()).or_default();
         *runs += 1;
         assert_eq!(*runs, 1, "{name} ran twice");
         assert!(
-            !self.told_not_run.contains(&name),
+            !self.reported_not_run.contains(&name),
             "{name} ran after it was reported as not run"
         );
     }
@@ -356,36 +356,36 @@
         self.runs.contains_key(key.key.as_str())
     }
 
-    fn tell(&mut self, asked: &AskedOp, view: &RecordView) {
-        let name = asked.key.key.to_string();
+    fn check_report(&mut self, caller_op: &CallerOp, view: &RecordView) {
+        let name = caller_op.key.key.to_string();
         match view {
             RecordView::NotRun => {
                 assert!(
-                    !self.ran(&asked.key),
+                    !self.ran(&caller_op.key),
                     "{name} ran but was reported as not run"
                 );
-                self.told_not_run.insert(name);
+                self.reported_not_run.insert(name);
             }
             RecordView::Answered { .. } => {
                 assert!(
-                    self.ran(&asked.key),
+                    self.ran(&caller_op.key),
                     "{name} never ran but was reported as answered"
                 );
-                self.told_answered.insert(name);
+                self.reported_answered.insert(name);
             }
             RecordView::Absent => {
                 assert!(
-                    asked.kind == AskKind::Lookup,
+                    caller_op.kind == OpKind::Lookup,
                     "a claim or settlement returned an absent record"
                 );
                 assert!(
-                    self.stale_reads || !asked.ran_before,
+                    self.stale_reads || !caller_op.ran_before,
                     "{name} had run but was reported as absent"
                 );
             }
             RecordView::Unknown => {
                 assert!(
-                    self.ran(&asked.key),
+                    self.ran(&caller_op.key),
                     "{name} never ran but was reported as unknown"
                 );
             }
@@ -400,7 +400,7 @@
         Self {
             daemons: (0..daemons).map(new_daemon).collect(),
             store: SimStore::default(),
-            books: SimBooks::default(),
+            oracle: Oracle::default(),
             messages: IndexMap::new(),
             next_message: 0,
             now_ms: 0,
@@ -419,46 +419,50 @@
     pub fn step(&mut self, step: SimStep) {
         let count = self.daemons.len();
         match step {
-            SimStep::Claim { daemon, key, twist } => self.claim(daemon % count, key, twist),
-            SimStep::Lookup { daemon, key } => self.ask(daemon % count, key, AskKind::Lookup),
-            SimStep::Settle { daemon, key } => self.ask(daemon % count, key, AskKind::Settle),
+            SimStep::Claim {
+                daemon,
+                key,
+                variation,
+            } => self.claim(daemon % count, key, variation),
+            SimStep::Lookup { daemon, key } => self.query(daemon % count, key, OpKind::Lookup),
+            SimStep::Settle { daemon, key } => self.query(daemon % count, key, OpKind::Settle),
             SimStep::Deliver { daemon, fate } => self.deliver(daemon % count, fate),
-            SimStep::Land { nth } => self.land(nth),
-            SimStep::Abandon { daemon, nth } => self.abandon(daemon % count, nth),
-            SimStep::Dispatch { daemon, nth } => self.dispatch(daemon % count, nth),
-            SimStep::Release { daemon, nth } => self.release(daemon % count, nth),
+            SimStep::ApplyDelayed { index } => self.apply_delayed(index),
+            SimStep::Abandon { daemon, index } => self.abandon(daemon % count, index),
+            SimStep::Dispatch { daemon, index } => self.dispatch(daemon % count, index),
+            SimStep::Release { daemon, index } => self.release(daemon % count, index),
             SimStep::Finish {
                 daemon,
-                nth,
-                end,
+                index,
+                outcome,
                 to,
-            } => self.finish(daemon % count, nth, end, to % count),
+            } => self.finish(daemon % count, index, outcome, to % count),
             SimStep::ForwardClaim { daemon, to, key } => {
                 self.forward_claim(daemon % count, to % count, key);
             }
-            SimStep::LinkStep { nth, lost } => self.link_step(nth, lost),
-            SimStep::LinkTimeout { nth } => self.link_timeout(nth),
+            SimStep::DeliverMessage { index, lost } => self.deliver_message(index, lost),
+            SimStep::MessageTimeout { index } => self.message_timeout(index),
             SimStep::Crash { daemon } => self.crash(daemon % count),
             SimStep::Advance { ms } => self.advance(ms),
             SimStep::ShiftClock { daemon, ms } => self.daemons[daemon % count].clock_shift = ms,
         }
     }
 
-    fn claim_entry(&mut self, at: usize, key: IntentKey, twist: u8) -> ClaimEntry {
+    fn claim_entry(&mut self, at: usize, key: IntentKey, variation: u8) -> ClaimEntry {
         ClaimEntry {
             key,
             claim: self.daemons[at].new_claim(),
-            fingerprint: [u8::from(twist == 2); 16],
+            fingerprint: [u8::from(variation == 2); 16],
             claimant: format!("daemon-{at}/1"),
             target: "ledger-1".into(),
         }
     }
 
-    fn claim(&mut self, at: usize, key: u64, twist: u8) {
-        let key = sim_key(key, twist);
-        let entry = self.claim_entry(at, key.clone(), twist);
+    fn claim(&mut self, at: usize, key: u64, variation: u8) {
+        let key = sim_key(key, variation);
+        let entry = self.claim_entry(at, key.clone(), variation);
         let claim = entry.claim;
-        self.submit(at, ShardOp::Claim(entry), AskKind::Claim, key, claim);
+        self.submit(at, ShardOp::Claim(entry), OpKind::Claim, key, claim);
     }
 
     fn forward_claim(&mut self, at: usize, to: usize, key: u64) {
@@ -467,23 +471,23 @@
         }
         let key = sim_key(key, 0);
         let entry = self.claim_entry(at, key.clone(), 0);
-        let asked = AskedOp {
-            kind: AskKind::Claim,
-            ran_before: self.books.ran(&key),
+        let caller_op = CallerOp {
+            kind: OpKind::Claim,
+            ran_before: self.oracle.ran(&key),
             key,
             claim: entry.claim,
         };
-        self.send(at, to, ShardOp::Claim(entry), asked);
+        self.send(at, to, ShardOp::Claim(entry), caller_op);
     }
 
-    fn send(&mut self, at: usize, to: usize, op: ShardOp, asked: AskedOp) {
+    fn send(&mut self, at: usize, to: usize, op: ShardOp, caller_op: CallerOp) {
         let message = LinkMessage {
             from: at,
             from_process: self.daemons[at].process,
             to,
             op,
-            asked,
-            known_at: self.daemons[at].writer.floor(),
+            caller_op,
+            known_at: self.daemons[at].writer.min_version(),
             state: LinkState::Requested,
             waiting: true,
         };
@@ -492,40 +496,40 @@
     }
 
     /// Delivers a message to the owner, or its reply to the sender.
-    fn link_step(&mut self, nth: usize, lost: bool) {
+    fn deliver_message(&mut self, index: usize, lost: bool) {
         if self.messages.is_empty() {
             return;
         }
-        let nth = nth % self.messages.len();
-        let (id, message) = self.messages.get_index(nth).unwrap();
+        let index = index % self.messages.len();
+        let (id, message) = self.messages.get_index(index).unwrap();
         let id = *id;
         match message.state {
-            LinkState::Requested => self.carry(id),
-            LinkState::Carried => {}
+            LinkState::Requested => self.deliver_to_owner(id),
+            LinkState::Executing => {}
             LinkState::Answered(..) | LinkState::Lost => self.return_reply(id, lost),
         }
     }
 
-    fn carry(&mut self, id: u64) {
+    fn deliver_to_owner(&mut self, id: u64) {
         let message = &mut self.messages[&id];
-        message.state = LinkState::Carried;
+        message.state = LinkState::Executing;
         let (to, known_at) = (message.to, message.known_at);
         let op = match message.op.clone() {
-            ShardOp::Claim(entry) => ShardOp::Carry(entry),
-            ShardOp::Close { key, claim, record } => ShardOp::CarryClose { key, claim, record },
+            ShardOp::Claim(entry) => ShardOp::ForwardedClaim(entry),
+            ShardOp::Close { key, claim, record } => ShardOp::ForwardedClose { key, claim, record },
             other => panic!("{other:?} cannot be forwarded to an owner"),
         };
         let now = self.now(to);
         let writer = &mut self.daemons[to].writer;
-        writer.raise_floor(known_at);
+        writer.raise_min_version(known_at);
         let number = writer.submit(op, now);
-        self.daemons[to].carried.insert(number, id);
-        self.carry_out(to);
+        self.daemons[to].forwarded.insert(number, id);
+        self.run_actions(to);
     }
 
-    fn take_carried(&mut self, at: usize, id: u64, result: &OpResult) {
+    fn record_owner_result(&mut self, at: usize, id: u64, result: &OpResult) {
         let outcome = LinkOutcome::from(result);
-        let version = self.daemons[at].writer.floor();
+        let version = self.daemons[at].writer.min_version();
         if let Some(message) = self.messages.get_mut(&id) {
             message.state = LinkState::Answered(outcome, version);
         }
@@ -536,72 +540,78 @@
         match message.state {
             _ if !message.waiting => {}
             LinkState::Answered(LinkOutcome::Recorded, version) if !lost => {
-                self.take_recorded(&message, version);
+                self.handle_recorded(&message, version);
             }
-            LinkState::Answered(LinkOutcome::Untouched, _) if !lost => self.do_directly(&message),
-            _ => self.retry_directly(&message),
+            LinkState::Answered(LinkOutcome::NoEffect, _) if !lost => self.resubmit(&message),
+            _ => self.resubmit_forwarded(&message),
         }
     }
 
-    fn take_recorded(&mut self, message: &LinkMessage, version: ObjectVersion) {
+    fn handle_recorded(&mut self, message: &LinkMessage, version: ObjectVersion) {
         let daemon = &mut self.daemons[message.from];
-        let asked = &message.asked;
-        if asked.kind == AskKind::Claim {
-            daemon.writer.grant_carried(asked.claim, version);
-            daemon.permits.push((asked.key.clone(), asked.claim));
+        let caller_op = &message.caller_op;
+        if caller_op.kind == OpKind::Claim {
+            daemon.writer.grant_forwarded(caller_op.claim, version);
+            daemon
+                .permits
+                .push((caller_op.key.clone(), caller_op.claim));
         } else {
-            daemon.writer.close_carried(asked.claim);
+            daemon.writer.close_forwarded(caller_op.claim);
         }
     }
 
     /// Submits locally an operation that the owner will certainly never write.
-    fn do_directly(&mut self, message: &LinkMessage) {
+    fn resubmit(&mut self, message: &LinkMessage) {
         let at = message.from;
         let now = self.now(at);
         let number = self.daemons[at].writer.submit(message.op.clone(), now);
-        if message.asked.kind == AskKind::Claim {
-            self.daemons[at].asked.insert(number, message.asked.clone());
+        if message.caller_op.kind == OpKind::Claim {
+            self.daemons[at]
+                .caller_ops
+                .insert(number, message.caller_op.clone());
         }
-        self.carry_out(at);
+        self.run_actions(at);
     }
 
-    fn retry_directly(&mut self, message: &LinkMessage) {
+    fn resubmit_forwarded(&mut self, message: &LinkMessage) {
         let at = message.from;
         let now = self.now(at);
         match message.op.clone() {
             ShardOp::Claim(entry) => {
-                let number = self.daemons[at].writer.submit_carried(entry, now);
-                self.daemons[at].asked.insert(number, message.asked.clone());
+                let number = self.daemons[at].writer.submit_forwarded(entry, now);
+                self.daemons[at]
+                    .caller_ops
+                    .insert(number, message.caller_op.clone());
             }
             op => {
                 self.daemons[at].writer.submit(op, now);
             }
         }
-        self.carry_out(at);
+        self.run_actions(at);
     }
 
     /// Makes the sender submit the operation itself; the message may still reach the owner.
-    fn link_timeout(&mut self, nth: usize) {
+    fn message_timeout(&mut self, index: usize) {
         if self.messages.is_empty() {
             return;
         }
-        let nth = nth % self.messages.len();
-        let (_, message) = self.messages.get_index_mut(nth).unwrap();
+        let index = index % self.messages.len();
+        let (_, message) = self.messages.get_index_mut(index).unwrap();
         if !std::mem::replace(&mut message.waiting, false) {
             return;
         }
         let copy = LinkMessage {
             op: message.op.clone(),
-            asked: message.asked.clone(),
+            caller_op: message.caller_op.clone(),
             ..*message
         };
-        self.retry_directly(&copy);
+        self.resubmit_forwarded(&copy);
     }
 
-    fn ask(&mut self, at: usize, key: u64, kind: AskKind) {
+    fn query(&mut self, at: usize, key: u64, kind: OpKind) {
         let claim = self.daemons[at].new_claim();
         let key = sim_key(key, 0);
-        let op = if kind == AskKind::Settle {
+        let op = if kind == OpKind::Settle {
             ShardOp::Settle {
                 key: key.clone(),
                 claim,
@@ -612,34 +622,34 @@
         self.submit(at, op, kind, key, claim);
     }
 
-    fn submit(&mut self, at: usize, op: ShardOp, kind: AskKind, key: IntentKey, claim: ClaimId) {
+    fn submit(&mut self, at: usize, op: ShardOp, kind: OpKind, key: IntentKey, claim: ClaimId) {
         let now = self.now(at);
-        let asked = AskedOp {
+        let caller_op = CallerOp {
             kind,
-            ran_before: self.books.ran(&key),
+            ran_before: self.oracle.ran(&key),
             key,
             claim,
         };
         let number = self.daemons[at].writer.submit(op, now);
-        self.daemons[at].asked.insert(number, asked);
-        self.carry_out(at);
+        self.daemons[at].caller_ops.insert(number, caller_op);
+        self.run_actions(at);
     }
 
     fn close(&mut self, at: usize, key: IntentKey, claim: ClaimId, record: CloseRecord) {
         let now = self.now(at);
         let op = ShardOp::Close { key, claim, record };
         self.daemons[at].writer.submit(op, now);
-        self.carry_out(at);
+        self.run_actions(at);
     }
 
-    fn carry_out(&mut self, at: usize) {
+    fn run_actions(&mut self, at: usize) {
         for action in self.daemons[at].writer.take_actions() {
             match action {
                 WriterAction::Read => self.start_call(at, SimCall::Read),
                 WriterAction::Write { expected, value } => {
                     self.start_call(at, SimCall::Write(expected, value));
                 }
-                WriterAction::Reply { number, result } => self.take_reply(at, number, result),
+                WriterAction::Reply { number, result } => self.handle_reply(at, number, result),
             }
         }
     }
@@ -652,17 +662,17 @@
         );
     }
 
-    fn take_reply(&mut self, at: usize, number: OpNumber, result: OpResult) {
-        if let Some(id) = self.daemons[at].carried.swap_remove(&number) {
-            self.take_carried(at, id, &result);
+    fn handle_reply(&mut self, at: usize, number: OpNumber, result: OpResult) {
+        if let Some(id) = self.daemons[at].forwarded.swap_remove(&number) {
+            self.record_owner_result(at, id, &result);
             return;
         }
         let daemon = &mut self.daemons[at];
-        let asked = daemon.asked.swap_remove(&number);
-        let asked = asked.expect("an abandoned operation got a result");
+        let caller_op = daemon.caller_ops.swap_remove(&number);
+        let caller_op = caller_op.expect("an abandoned operation got a result");
         match result {
-            OpResult::Granted => daemon.permits.push((asked.key, asked.claim)),
-            OpResult::Record(view) => self.books.tell(&asked, &view),
+            OpResult::Granted => daemon.permits.push((caller_op.key, caller_op.claim)),
+            OpResult::Record(view) => self.oracle.check_report(&caller_op, &view),
             OpResult::Closed => panic!("a request of a caller returned the result of a close"),
             OpResult::Invalid(_) | OpResult::GivenUp { .. } => {}
         }
@@ -681,14 +691,14 @@
                 self.daemons[at].writer.write_done(result, now);
             }
         }
-        self.carry_out(at);
+        self.run_actions(at);
     }
 
     fn read(&mut self, fate: CallFate) -> Result<Option<StoredObject>, PlatformError> {
         match fate {
             CallFate::Ok => Ok(self.store.read(1)),
             CallFate::Stale => {
-                self.books.stale_reads = true;
+                self.oracle.stale_reads = true;
                 Ok(self.store.read(2))
             }
             CallFate::Unavailable => Err(unavailable()),
@@ -714,60 +724,60 @@
         }
     }
 
-    fn land(&mut self, nth: usize) {
+    fn apply_delayed(&mut self, index: usize) {
         if self.store.delayed.is_empty() {
             return;
         }
-        let nth = nth % self.store.delayed.len();
-        let (expected, value) = self.store.delayed.remove(nth);
+        let index = index % self.store.delayed.len();
+        let (expected, value) = self.store.delayed.remove(index);
         let _ = self.store.write(expected, value);
     }
 
-    fn abandon(&mut self, at: usize, nth: usize) {
+    fn abandon(&mut self, at: usize, index: usize) {
         let now = self.now(at);
         let daemon = &mut self.daemons[at];
-        if daemon.asked.is_empty() {
+        if daemon.caller_ops.is_empty() {
             return;
         }
-        let nth = nth % daemon.asked.len();
-        let (number, _) = daemon.asked.swap_remove_index(nth).unwrap();
+        let index = index % daemon.caller_ops.len();
+        let (number, _) = daemon.caller_ops.swap_remove_index(index).unwrap();
         daemon.writer.abandon(number, now);
-        self.carry_out(at);
+        self.run_actions(at);
     }
 
-    fn dispatch(&mut self, at: usize, nth: usize) {
+    fn dispatch(&mut self, at: usize, index: usize) {
         let daemon = &mut self.daemons[at];
         if daemon.permits.is_empty() {
             return;
         }
-        let nth = nth % daemon.permits.len();
-        let permit = daemon.permits.remove(nth);
-        self.books.run(&permit.0);
+        let index = index % daemon.permits.len();
+        let permit = daemon.permits.remove(index);
+        self.oracle.run(&permit.0);
         daemon.running.push(permit);
     }
 
-    fn release(&mut self, at: usize, nth: usize) {
+    fn release(&mut self, at: usize, index: usize) {
         let daemon = &mut self.daemons[at];
         if daemon.permits.is_empty() {
             return;
         }
-        let nth = nth % daemon.permits.len();
-        let (key, claim) = daemon.permits.remove(nth);
+        let index = index % daemon.permits.len();
+        let (key, claim) = daemon.permits.remove(index);
         self.close(at, key, claim, CloseRecord::NotRun);
     }
 
-    fn finish(&mut self, at: usize, nth: usize, end: RunEnd, to: usize) {
+    fn finish(&mut self, at: usize, index: usize, outcome: RunOutcome, to: usize) {
         let daemon = &mut self.daemons[at];
-        let from = match end {
-            RunEnd::Answered | RunEnd::Unknown => &mut daemon.running,
-            RunEnd::LateAnswer => &mut daemon.unknown,
+        let from = match outcome {
+            RunOutcome::Answered | RunOutcome::Unknown => &mut daemon.running,
+            RunOutcome::LateAnswer => &mut daemon.unknown,
         };
         if from.is_empty() {
             return;
         }
-        let nth = nth % from.len();
-        let (key, claim) = from.remove(nth);
-        let answered = !matches!(end, RunEnd::Unknown);
+        let index = index % from.len();
+        let (key, claim) = from.remove(index);
+        let answered = !matches!(outcome, RunOutcome::Unknown);
         if !answered {
             daemon.unknown.push((key.clone(), claim));
         }
@@ -776,18 +786,18 @@
         } else {
             CloseRecord::Unknown
         };
-        let ended = self.books.ended.entry(key.key.to_string());
-        ended.insert_entry((claim, answered));
+        let outcomes = self.oracle.outcomes.entry(key.key.to_string());
+        outcomes.insert_entry((claim, answered));
         if at == to {
             return self.close(at, key, claim, record);
         }
-        let asked = AskedOp {
-            kind: AskKind::Close,
+        let caller_op = CallerOp {
+            kind: OpKind::Close,
             ran_before: true,
             key: key.clone(),
             claim,
         };
-        self.send(at, to, ShardOp::Close { key, claim, record }, asked);
+        self.send(at, to, ShardOp::Close { key, claim, record }, caller_op);
     }
 
     /// Restarts a daemon without its state; its write in flight may still take effect.
@@ -801,12 +811,12 @@
         let process = former.process;
         for message in self.messages.values_mut() {
             message.waiting &= message.from_process != process;
-            if message.to == at && message.state == LinkState::Carried {
+            if message.to == at && message.state == LinkState::Executing {
                 message.state = LinkState::Lost;
             }
         }
-        let ended = &mut self.books.ended;
-        ended.retain(|_, (claim, _)| claim.process != process);
+        let outcomes = &mut self.oracle.outcomes;
+        outcomes.retain(|_, (claim, _)| claim.process != process);
     }
 
     fn advance(&mut self, ms: u64) {
@@ -814,7 +824,7 @@
         for at in 0..self.daemons.len() {
             let now = self.now(at);
             self.daemons[at].writer.wake(now);
-            self.carry_out(at);
+            self.run_actions(at);
         }
     }
 
@@ -828,18 +838,18 @@
                 self.deliver(at, CallFate::Ok);
                 self.release(at, 0);
             }
-            self.link_step(round, false);
-            self.land(0);
+            self.deliver_message(round, false);
+            self.apply_delayed(0);
             self.advance(20);
         }
         for daemon in &self.daemons {
             assert!(
-                daemon.asked.is_empty(),
+                daemon.caller_ops.is_empty(),
                 "a request is still pending after the faults ended"
             );
-            assert_eq!(daemon.writer.open_ops(), 0, "an outcome is not recorded");
+            assert_eq!(daemon.writer.pending_ops(), 0, "an outcome is not recorded");
         }
-        self.check_ends();
+        self.check_outcomes();
     }
 
     /// Checks that an entry stays intended only while its request runs or after its daemon
@@ -859,7 +869,7 @@
         }
     }
 
-    fn check_ends(&self) {
+    fn check_outcomes(&self) {
         // Records of expired keys may stay in any state.
         let mut ledger = self.store.ledger();
         ledger.expire(&limits(), self.now(0).unix);
@@ -870,7 +880,7 @@
             let Some((_, entry)) = ledger.entries().find(|(other, _)| **other == id) else {
                 continue;
             };
-            let Some((claim, answered)) = self.books.ended.get(key.key.as_str()) else {
+            let Some((claim, answered)) = self.oracle.outcomes.get(key.key.as_str()) else {
                 continue;
             };
             assert_eq!(entry.claim, *claim);
--- a/tests/intents_writer.rs
+++ b/tests/intents_writer.rs
@@ -7,7 +7,7 @@
     OpResult, ShardOp, ShardWriter, WriterAction, WriterRules, WriterTime,
 };
 use pistachiowick::intents::{
-    AnswerRecord, ClaimEntry, ClaimId, ClaimStep, CloseRecord, IntentKey, IntentState, KeyFault,
+    AnswerRecord, ClaimEntry, ClaimId, ClaimOutcome, CloseRecord, IntentKey, IntentState, KeyError,
     LedgerLimits, ShardLedger,
 };
 use pistachiowick::names::{MonoTime, UnixTime};
@@ -93,7 +93,7 @@
     let actions = writer.take_actions();
     let refused = WriterAction::Reply {
         number: 0,
-        result: OpResult::Invalid(KeyFault::Expired),
+        result: OpResult::Invalid(KeyError::Expired),
     };
     assert!(actions.contains(&refused), "{actions:?}");
     writer.wake(at(9_901));
@@ -144,9 +144,9 @@
     writer.read_done(Ok(stored(2, encode_ledger(&ledger))), at(11_801));
     let value = written(&writer.take_actions());
     assert!(decode_ledger(&value).unwrap().horizon() >= UnixTime(START));
-    assert_eq!(writer.open_ops(), 1);
+    assert_eq!(writer.pending_ops(), 1);
     writer.write_done(Ok(ObjectVersion(3)), at(11_802));
-    assert_eq!(writer.open_ops(), 0);
+    assert_eq!(writer.pending_ops(), 0);
 }
 
 // Every record of a ledger survives encoding and decoding, and a truncated value is
@@ -154,7 +154,7 @@
 #[test]
 fn stored_form_keeps_every_record() {
     let mut ledger = ShardLedger::default();
-    let ends = [
+    let outcomes = [
         None,
         Some(CloseRecord::NotRun),
         Some(CloseRecord::Unknown),
@@ -169,16 +169,16 @@
             result: None,
         })),
     ];
-    for (number, end) in ends.iter().enumerate() {
+    for (number, outcome) in outcomes.iter().enumerate() {
         let entry = claim_entry(&format!("key-{number}"), u64::MAX - number as u64);
         let step = ledger.claim(&entry, &limits(), UnixTime(START));
-        assert_eq!(step, ClaimStep::Added);
-        if let Some(record) = end {
+        assert_eq!(step, ClaimOutcome::Added);
+        if let Some(record) = outcome {
             ledger.close(entry.key.entry_id(), entry.claim, record, &limits());
         }
     }
     let value = encode_ledger(&ledger);
-    assert!(value.len() <= ledger.weight());
+    assert!(value.len() <= ledger.max_encoded_size());
     assert_eq!(decode_ledger(&value).unwrap(), ledger);
     for length in 0..value.len() {
         assert!(decode_ledger(&value[..length]).is_err(), "cut to {length}");
