--- a/src/intents/store.rs
+++ b/src/intents/store.rs
@@ -44,7 +44,7 @@
     /// Target chosen; recorded so that other daemons can find the stream.
     pub target: TargetId,
     /// Maximum time until the claim must be recorded.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Result of a claim.
@@ -172,7 +172,7 @@
         });
         let (reply, result) = oneshot::channel();
         let waiter = OpWaiter {
-            deadline: Instant::now() + claim.patience,
+            deadline: Instant::now() + claim.timeout,
             reply: Box::new(move |result| {
                 let permit = || DispatchPermit::new(claim.key, id, new_closer(closer));
                 // If the claimant is gone, sending fails and drops the permit, which closes
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -119,7 +119,7 @@
         key: key.clone(),
         fingerprint: request.fingerprint(),
         target: slot.choice.target.clone(),
-        patience: request.time_left(),
+        timeout: request.time_left(),
     };
     match context.intents.claim(claim).await {
         ClaimResult::Granted(permit) => Ok((slot, permit)),
--- a/tests/intents_support/mod.rs
+++ b/tests/intents_support/mod.rs
@@ -303,7 +303,7 @@
         key: key(name),
         fingerprint: [7; 16],
         target: "ledger-1".into(),
-        patience: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
     }
 }
 
