--- a/src/gateway/peers/member_broadcasts.rs
+++ b/src/gateway/peers/member_broadcasts.rs
@@ -1,8 +1,9 @@
-//! Which daemons a hub tells of in a word.
+//! Which daemons' status a hub includes in a message.
 //!
-//! A word that tells each reader of each daemon grows with the square of the fleet: at 300
-//! daemons in three data centres it was 16 of the 22 MB that a hub sent in a second. What
-//! readers act on goes at once; that a daemon is still there goes by turns.
+//! With the status of each daemon in each message, the traffic of a hub grows with the
+//! square of the fleet: at 300 daemons in three data centres it was 16 of the 22 MB that a
+//! hub sent per second. Changes that receivers act on are sent at once; that a daemon is
+//! still reachable is sent in rotation.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,51 +12,53 @@
 use crate::names::DaemonId;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Words in which each daemon is told of once. Words go out every 200 ms and daemons count
-/// as away after 2.6 s: over two hubs a note is then at most 1.4 s old, which leaves a hub
-/// that goes 1.2 s to be replaced.
-const TURNS: u64 = 2;
+/// Number of messages in which each daemon is included once. Messages are sent every 200 ms
+/// and daemons count as unreachable after 2.6 s: through two hubs, a status is then at most
+/// 1.4 s old, which leaves 1.2 s to replace a hub that fails.
+const ROTATION_LENGTH: u64 = 2;
 
-/// What readers act on at once.
+/// The part of a daemon's status that receivers act on at once.
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct ToldState {
+struct SentStatus {
     leaving: bool,
     confirms_keys: bool,
     changing: Vec<TargetIncarnation>,
 }
 
-impl From<&MemberStatus> for ToldState {
-    fn from(note: &MemberStatus) -> Self {
+impl From<&MemberStatus> for SentStatus {
+    fn from(member: &MemberStatus) -> Self {
         Self {
-            leaving: note.leaving,
-            confirms_keys: note.confirms_keys,
-            changing: note.changing.clone(),
+            leaving: member.leaving,
+            confirms_keys: member.confirms_keys,
+            changing: member.changing.clone(),
         }
     }
 }
 
-/// What readers of one kind were told.
+/// The status last sent to one kind of receivers (members or hubs).
 #[derive(Debug, Default)]
 pub struct MemberBroadcasts {
-    told: IndexMap<DaemonId, ToldState>,
-    word: u64,
+    sent: IndexMap<DaemonId, SentStatus>,
+    message_number: u64,
 }
 
 impl MemberBroadcasts {
-    /// Returns the notes that go out with the next word: those that are new and those
-    /// whose turn it is. A reader that missed a word learns of a change at its turn.
-    pub fn pick(&mut self, mut notes: Vec<MemberStatus>) -> Vec<MemberStatus> {
-        self.word += 1;
-        let word = self.word;
-        let before = std::mem::take(&mut self.told);
-        self.told = notes
+    /// Returns the status that goes into the next message: of daemons that changed and of
+    /// those that are next in the rotation. A receiver that missed a message learns of a
+    /// change by the rotation.
+    pub fn due_members(&mut self, mut members: Vec<MemberStatus>) -> Vec<MemberStatus> {
+        self.message_number += 1;
+        let message_number = self.message_number;
+        let before = std::mem::take(&mut self.sent);
+        self.sent = members
             .iter()
-            .map(|note| (note.id.clone(), ToldState::from(note)))
+            .map(|member| (member.id.clone(), SentStatus::from(member)))
             .collect();
-        notes.retain(|note| {
-            let turn = xxh3_64(note.id.as_str().as_bytes()) % TURNS == word % TURNS;
-            turn || before.get(&note.id) != self.told.get(&note.id)
+        members.retain(|member| {
+            let is_due = xxh3_64(member.id.as_str().as_bytes()) % ROTATION_LENGTH
+                == message_number % ROTATION_LENGTH;
+            is_due || before.get(&member.id) != self.sent.get(&member.id)
         });
-        notes
+        members
     }
 }
