--- a/tests/intents_fuzz.rs
+++ b/tests/intents_fuzz.rs
@@ -54,10 +54,12 @@
             20 => (daemon(), fates()).prop_map(|(daemon, fate)| SimStep::Deliver { daemon, fate }),
             3 => index().prop_map(|index| SimStep::ApplyDelayed { index }),
             3 => (daemon(), index()).prop_map(|(daemon, index)| SimStep::Abandon { daemon, index }),
-            6 => (daemon(), index()).prop_map(|(daemon, index)| SimStep::Dispatch { daemon, index }),
+            6 => (daemon(), index())
+                .prop_map(|(daemon, index)| SimStep::Dispatch { daemon, index }),
             2 => (daemon(), index()).prop_map(|(daemon, index)| SimStep::Release { daemon, index }),
-            4 => (daemon(), index(), outcomes(), daemon())
-                .prop_map(|(daemon, index, outcome, to)| SimStep::Finish { daemon, index, outcome, to }),
+            4 => (daemon(), index(), outcomes(), daemon()).prop_map(
+                |(daemon, index, outcome, to)| SimStep::Finish { daemon, index, outcome, to }
+            ),
             5 => (daemon(), daemon(), key())
                 .prop_map(|(daemon, to, key)| SimStep::ForwardClaim { daemon, to, key }),
             10 => (index(), prop::bool::weighted(0.2))
--- a/tests/run_once_records.rs
+++ b/tests/run_once_records.rs
@@ -86,7 +86,7 @@
         },
         fingerprint: [7; 16],
         target: "service-00".into(),
-        patience: Duration::from_secs(10),
+        timeout: Duration::from_secs(10),
     };
     match store.claim(claim).await {
         ClaimResult::Granted(permit) => permit.dispatch(),
