--- a/src/intents/mod.rs
+++ b/src/intents/mod.rs
@@ -29,8 +29,8 @@
 use crate::names::{UnixTime, millis};
 use crate::settings::IntentSettings;
 
-/// Divisor of the shard size that gives the room on top of it for settlements and results
-/// once claims are refused.
+/// Divisor of the shard size for the reserve on top of it: once claims are refused, it is
+/// left for settling keys and closing entries.
 const SETTLE_RESERVE_DIVISOR: usize = 16;
 
 /// Divisor of the shard size; with less than this share free, expired entries are dropped
--- a/src/intents/ops.rs
+++ b/src/intents/ops.rs
@@ -150,7 +150,7 @@
 pub(crate) enum OpOutcome {
     /// Decided by the copy; if the copy has unconfirmed changes, once their write is confirmed.
     Decided(Option<OpResult>),
-    /// Decided only when the copy has been read after the operation was submitted.
+    /// Decided, but the copy must be read again first, as it is older than the operation.
     Stale(Option<OpResult>),
     /// Decided once the platform confirms the write.
     Changed(Option<OpResult>),
--- a/src/intents/queue.rs
+++ b/src/intents/queue.rs
@@ -7,7 +7,7 @@
 /// Maximum number of pending operations on one shard.
 const MAX_PENDING_OPS: usize = 16_384;
 
-/// Where an operation may be known, which decides how it can be abandoned.
+/// Where an operation may have been sent, which decides how it is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OpProgress {
     /// Only in this writer.
--- a/src/intents/records.rs
+++ b/src/intents/records.rs
@@ -111,7 +111,7 @@
     pub fingerprint: Option<[u8; 16]>,
     /// When the caller made the key.
     pub minted_at: UnixTime,
-    /// Its state.
+    /// State of the request.
     pub state: IntentState,
 }
 
