--- a/src/intents/mod.rs
+++ b/src/intents/mod.rs
@@ -1,8 +1,9 @@
-//! The ledger of requests that may not be repeated: pure, one value per shard.
+//! The ledger of run-once requests, which may be executed at most once: pure logic, one
+//! value per shard.
 //!
 //! A shard's ledger is one object of the platform and changes only by conditional
-//! update. An entry is there from before the dispatch until its key is too old to
-//! be accepted, so whoever asks finds it, or finds that the key may not be used.
+//! update. An entry exists from before the dispatch until its key is too old to be
+//! accepted, so a lookup either finds the entry or is refused because of the key's age.
 
 pub mod driver;
 pub mod forward;
@@ -21,35 +22,37 @@
 
 pub use crate::intents::records::{
     AnswerRecord, ClaimEntry, ClaimId, CloseRecord, EntryId, IntentEntry, IntentKey, IntentState,
-    KeyFault, MAX_KEY_BYTES, RecordView,
+    KeyError, MAX_KEY_BYTES, RecordView,
 };
 
 use crate::invariants::{self, Invariant};
 use crate::names::{UnixTime, millis};
 use crate::settings::IntentSettings;
 
-/// Share of the shard size that is kept for settling once claims are refused: 1/16.
-const SETTLE_RESERVE: usize = 16;
+/// Divisor of the shard size for the reserve on top of it: once claims are refused, it is
+/// left for settling keys and closing entries.
+const SETTLE_RESERVE_DIVISOR: usize = 16;
 
-/// Share of the shard size below which free room counts as little: 1/8.
-const CROWDED_SHARE: usize = 8;
+/// Divisor of the shard size; with less than this share free, expired entries are dropped
+/// before operations are applied.
+const NEARLY_FULL_DIVISOR: usize = 8;
 
-/// Encoded size of an entry without target, claimant and result, at most.
-const ENTRY_BYTES: usize = 116;
+/// Maximum encoded size in bytes of an entry without target, claimant and result.
+const MAX_ENTRY_BYTES: usize = 116;
 
-/// Encoded size of a ledger without its entries, at most.
-const LEDGER_BYTES: usize = 16;
+/// Maximum encoded size in bytes of a ledger without its entries.
+const MAX_LEDGER_BYTES: usize = 16;
 
-/// Bounds that every daemon applies alike.
+/// Limits that must be the same on every daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LedgerLimits {
-    /// How long a key stays known.
+    /// How long records of a key are kept.
     pub retention: Duration,
-    /// Largest difference of two daemons' wall clocks.
+    /// Maximum difference between two daemons' wall clocks.
     pub skew: Duration,
     /// Size at which claims are refused, in bytes.
     pub shard_bytes: usize,
-    /// Largest result kept, in bytes.
+    /// Maximum size of a stored result, in bytes.
     pub result_bytes: usize,
 }
 
@@ -65,48 +68,48 @@
 }
 
 impl LedgerLimits {
-    /// Returns the size up to which keys are settled.
+    /// Returns the size in bytes up to which settlements are accepted.
     fn settle_bytes(&self) -> usize {
-        self.shard_bytes + self.shard_bytes / SETTLE_RESERVE
+        self.shard_bytes + self.shard_bytes / SETTLE_RESERVE_DIVISOR
     }
 }
 
 /// Result of applying a claim to a ledger.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ClaimStep {
-    /// The ledger now holds the claim; it counts once the platform has the ledger.
+pub enum ClaimOutcome {
+    /// The claim was added; it takes effect once the platform has stored the ledger.
     Added,
-    /// The ledger held this very claim.
+    /// The ledger already contained this claim.
     Owned,
     /// The key is taken.
     Present(RecordView),
     /// The key is not acceptable.
-    Invalid(KeyFault),
+    Invalid(KeyError),
     /// The ledger has no room.
     Full,
 }
 
 /// Result of settling a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum SettleStep {
-    /// The ledger now holds the key as not run; it counts once the platform has it.
+pub enum SettleOutcome {
+    /// The key was added as not run; this takes effect once the platform has stored the ledger.
     Added,
     /// The key is taken.
     Present(RecordView),
     /// The key is not acceptable.
-    Invalid(KeyFault),
+    Invalid(KeyError),
     /// The ledger has no room.
     Full,
 }
 
 /// Result of closing an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CloseStep {
+pub enum CloseOutcome {
     /// The ledger changed.
     Changed,
-    /// The ledger says so already.
+    /// The entry is already closed.
     Unchanged,
-    /// The claim is not in the ledger: it never arrived, or has expired.
+    /// The claim is not in the ledger: it was never stored, or has expired.
     Missing,
 }
 
@@ -115,17 +118,17 @@
 pub struct ShardLedger {
     pub(crate) horizon: UnixTime,
     pub(crate) entries: IndexMap<EntryId, IntentEntry>,
-    weight: usize,
+    entries_size: usize,
 }
 
 impl ShardLedger {
-    /// Creates a ledger from its parts.
+    /// Creates a ledger from decoded entries.
     pub(crate) fn from_parts(horizon: UnixTime, entries: IndexMap<EntryId, IntentEntry>) -> Self {
-        let weight = entries.values().map(entry_weight).sum();
+        let entries_size = entries.values().map(max_entry_size).sum();
         Self {
             horizon,
             entries,
-            weight,
+            entries_size,
         }
     }
 
@@ -140,7 +143,7 @@
         self.entries.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Returns whether the ledger has no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -148,24 +151,29 @@
 
     /// Returns an upper bound of the encoded size in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
-        LEDGER_BYTES + self.weight
+    pub fn max_encoded_size(&self) -> usize {
+        MAX_LEDGER_BYTES + self.entries_size
     }
 
-    /// Returns the newest time of minting of which entries may be gone.
+    /// Returns the expiry horizon: entries whose keys were created at or before it are gone.
     #[must_use]
     pub fn horizon(&self) -> UnixTime {
         self.horizon
     }
 
     /// Applies a claim.
-    pub fn claim(&mut self, claim: &ClaimEntry, limits: &LedgerLimits, now: UnixTime) -> ClaimStep {
+    pub fn claim(
+        &mut self,
+        claim: &ClaimEntry,
+        limits: &LedgerLimits,
+        now: UnixTime,
+    ) -> ClaimOutcome {
         let id = claim.key.entry_id();
         if let Some(entry) = self.entries.get(&id) {
             return present_claim(entry, claim);
         }
-        if let Err(fault) = self.check_key(&claim.key, limits, now) {
-            return ClaimStep::Invalid(fault);
+        if let Err(error) = self.check_key(&claim.key, limits, now) {
+            return ClaimOutcome::Invalid(error);
         }
         let entry = IntentEntry {
             claim: claim.claim,
@@ -176,96 +184,97 @@
                 target: claim.target.clone(),
             },
         };
-        if self.weight() + entry_weight(&entry) > limits.shard_bytes {
-            return ClaimStep::Full;
+        if self.max_encoded_size() + max_entry_size(&entry) > limits.shard_bytes {
+            return ClaimOutcome::Full;
         }
-        self.put(id, entry);
-        ClaimStep::Added
+        self.insert_entry(id, entry);
+        ClaimOutcome::Added
     }
 
-    /// Closes an open key as not run, in the name of `claim`.
+    /// Closes an unused key as not run, with `claim` as the identity of the entry.
     ///
-    /// A paused claimant then finds its conditional update refused and the key taken.
+    /// The conditional update of a claimant that was paused meanwhile then fails, and the
+    /// claimant finds the key taken.
     pub fn settle(
         &mut self,
         key: &IntentKey,
         claim: ClaimId,
         limits: &LedgerLimits,
         now: UnixTime,
-    ) -> SettleStep {
+    ) -> SettleOutcome {
         match self.view(key, limits, now) {
             Ok(RecordView::Absent) => {}
-            Ok(view) => return SettleStep::Present(view),
-            Err(fault) => return SettleStep::Invalid(fault),
+            Ok(view) => return SettleOutcome::Present(view),
+            Err(error) => return SettleOutcome::Invalid(error),
         }
         let entry = unclaimed_entry(key, claim);
-        if self.weight() + entry_weight(&entry) > limits.settle_bytes() {
-            return SettleStep::Full;
+        if self.max_encoded_size() + max_entry_size(&entry) > limits.settle_bytes() {
+            return SettleOutcome::Full;
         }
-        self.put(key.entry_id(), entry);
-        SettleStep::Added
+        self.insert_entry(key.entry_id(), entry);
+        SettleOutcome::Added
     }
 
     /// Closes the entry that `claim` wrote.
     ///
     /// # Panics
     ///
-    /// Panics where invariants are fatal when a final record would change.
+    /// Panics when a final record would change and invariant violations are fatal.
     pub fn close(
         &mut self,
         id: EntryId,
         claim: ClaimId,
         record: &CloseRecord,
         limits: &LedgerLimits,
-    ) -> CloseStep {
+    ) -> CloseOutcome {
         let Some(entry) = self.entries.get(&id).filter(|e| e.claim == claim) else {
-            return CloseStep::Missing;
+            return CloseOutcome::Missing;
         };
         if !may_close(&entry.state, record) {
             check_final(id, &entry.state, record);
-            return CloseStep::Unchanged;
+            return CloseOutcome::Unchanged;
         }
         let mut entry = entry.clone();
         entry.state = closed_state(record, limits.result_bytes);
-        if self.weight() + entry_weight(&entry) > limits.settle_bytes() {
+        if self.max_encoded_size() + max_entry_size(&entry) > limits.settle_bytes() {
             drop_result(&mut entry.state);
         }
-        self.put(id, entry);
-        CloseStep::Changed
+        self.insert_entry(id, entry);
+        CloseOutcome::Changed
     }
 
-    /// Closes an abandoned claim that another daemon may yet record for its claimant.
+    /// Closes an abandoned claim that another daemon may still record for the claimant.
     ///
-    /// An absent key is closed whatever its age by this daemon's clock: the other's
-    /// clock may still accept it. Below the horizon nobody does.
-    pub fn void(&mut self, key: &IntentKey, claim: ClaimId, limits: &LedgerLimits) -> CloseStep {
+    /// An absent key is closed regardless of its age by this daemon's clock, as the other
+    /// daemon's clock may still accept it. At or below the horizon no daemon accepts it.
+    pub fn void(&mut self, key: &IntentKey, claim: ClaimId, limits: &LedgerLimits) -> CloseOutcome {
         let id = key.entry_id();
         if self.entries.contains_key(&id) {
             return self.close(id, claim, &CloseRecord::NotRun, limits);
         }
         let entry = unclaimed_entry(key, claim);
-        let room = self.weight() + entry_weight(&entry) <= limits.settle_bytes();
-        if key.minted_at <= self.horizon || !room {
-            return CloseStep::Missing;
+        let fits = self.max_encoded_size() + max_entry_size(&entry) <= limits.settle_bytes();
+        if key.minted_at <= self.horizon || !fits {
+            return CloseOutcome::Missing;
         }
-        self.put(id, entry);
-        CloseStep::Changed
+        self.insert_entry(id, entry);
+        CloseOutcome::Changed
     }
 
-    /// Returns what is recorded of a key.
+    /// Returns what is recorded for a key.
     ///
     /// # Errors
     ///
-    /// Returns a [`KeyFault`] when the key does not match its record, or is absent
-    /// and so old that its record may have expired.
+    /// Returns a [`KeyError`] when the key does not match its record, or is absent and
+    /// not acceptable, for example so old that its record may have expired.
     pub fn view(
         &self,
         key: &IntentKey,
         limits: &LedgerLimits,
         now: UnixTime,
-    ) -> Result<RecordView, KeyFault> {
+    ) -> Result<RecordView, KeyError> {
         match self.entries.get(&key.entry_id()) {
-            Some(entry) if entry.minted_at != key.minted_at => Err(KeyFault::Reused),
+            Some(entry) if entry.minted_at != key.minted_at => Err(KeyError::Reused),
             Some(entry) => Ok(RecordView::from(&entry.state)),
             None => self
                 .check_key(key, limits, now)
@@ -273,57 +282,58 @@
         }
     }
 
-    /// Drops the entries whose keys nobody accepts any more.
+    /// Drops the entries whose keys no daemon accepts any more. Returns whether the ledger
+    /// changed.
     ///
-    /// The horizon rises with it and is part of the value, and keys at or below it are
-    /// refused whatever any clock says: otherwise a daemon whose clock is behind could
-    /// take an expired key for a new one and run its request again. The newest key
-    /// bounds the horizon, so that one clock far ahead cannot close the shard to all.
-    /// Returns whether the ledger changed.
+    /// This raises the horizon, which is stored with the ledger. Keys at or below it are
+    /// refused regardless of any clock: otherwise a daemon whose clock is behind could
+    /// take an expired key for a new one and run its request again. The horizon is
+    /// bounded by the newest key, so that a single clock that is far ahead cannot make
+    /// the shard refuse every key.
     pub fn expire(&mut self, limits: &LedgerLimits, now: UnixTime) -> bool {
         let newest = self.entries.values().map(|e| e.minted_at).max();
         let latest = newest.unwrap_or_default().min(now);
-        let keep = limits.retention + limits.skew * 2;
-        let horizon = UnixTime(latest.0.saturating_sub(millis(keep)));
+        let expire_after = limits.retention + limits.skew * 2;
+        let horizon = UnixTime(latest.0.saturating_sub(millis(expire_after)));
         if horizon <= self.horizon {
             return false;
         }
         self.horizon = horizon;
         self.entries.retain(|_, entry| entry.minted_at > horizon);
-        self.weight = self.entries.values().map(entry_weight).sum();
+        self.entries_size = self.entries.values().map(max_entry_size).sum();
         true
     }
 
-    /// Tells whether little room is left for claims.
+    /// Returns whether the space for claims is nearly used up.
     #[must_use]
-    pub fn is_crowded(&self, limits: &LedgerLimits) -> bool {
-        self.weight() > limits.shard_bytes - limits.shard_bytes / CROWDED_SHARE
+    pub fn is_nearly_full(&self, limits: &LedgerLimits) -> bool {
+        self.max_encoded_size() > limits.shard_bytes - limits.shard_bytes / NEARLY_FULL_DIVISOR
     }
 
-    /// Refuses absent keys that are too old, too new or out of form.
+    /// Refuses keys that are too old, lie too far in the future or have an invalid length.
     fn check_key(
         &self,
         key: &IntentKey,
         limits: &LedgerLimits,
         now: UnixTime,
-    ) -> Result<(), KeyFault> {
+    ) -> Result<(), KeyError> {
         if !(1..=MAX_KEY_BYTES).contains(&key.key.as_str().len()) {
-            return Err(KeyFault::Length);
+            return Err(KeyError::Length);
         }
-        let longest = limits.retention.saturating_sub(limits.skew);
-        if key.minted_at <= self.horizon || now.since(key.minted_at) > longest {
-            return Err(KeyFault::Expired);
+        let max_age = limits.retention.saturating_sub(limits.skew);
+        if key.minted_at <= self.horizon || now.since(key.minted_at) > max_age {
+            return Err(KeyError::Expired);
         }
         if key.minted_at.since(now) > limits.skew {
-            return Err(KeyFault::Future);
+            return Err(KeyError::Future);
         }
         Ok(())
     }
 
-    fn put(&mut self, id: EntryId, entry: IntentEntry) {
-        self.weight += entry_weight(&entry);
+    fn insert_entry(&mut self, id: EntryId, entry: IntentEntry) {
+        self.entries_size += max_entry_size(&entry);
         if let Some(former) = self.entries.insert(id, entry) {
-            self.weight -= entry_weight(&former);
+            self.entries_size -= max_entry_size(&former);
         }
     }
 }
@@ -337,16 +347,16 @@
     }
 }
 
-fn present_claim(entry: &IntentEntry, claim: &ClaimEntry) -> ClaimStep {
+fn present_claim(entry: &IntentEntry, claim: &ClaimEntry) -> ClaimOutcome {
     if entry.minted_at != claim.key.minted_at {
-        return ClaimStep::Invalid(KeyFault::Reused);
+        return ClaimOutcome::Invalid(KeyError::Reused);
     }
     if entry.fingerprint.is_some_and(|f| f != claim.fingerprint) {
-        return ClaimStep::Invalid(KeyFault::OtherContent);
+        return ClaimOutcome::Invalid(KeyError::OtherContent);
     }
     match &entry.state {
-        IntentState::Intended { .. } if entry.claim == claim.claim => ClaimStep::Owned,
-        state => ClaimStep::Present(RecordView::from(state)),
+        IntentState::Intended { .. } if entry.claim == claim.claim => ClaimOutcome::Owned,
+        state => ClaimOutcome::Present(RecordView::from(state)),
     }
 }
 
@@ -358,7 +368,7 @@
     }
 }
 
-/// Asserts that a close which changes nothing doesn't contradict the record either.
+/// Asserts that a close without effect does not contradict the record.
 fn check_final(id: EntryId, state: &IntentState, record: &CloseRecord) {
     let agrees = matches!(
         (state, record),
@@ -369,7 +379,7 @@
             | (IntentState::Unknown, CloseRecord::Unknown)
     );
     invariants::check(agrees, Invariant::NotRunIsTrue, || {
-        format!("entry {id:?} is {state:?} and was to become {record:?}")
+        format!("entry {id:?} is {state:?}, but a close tried to make it {record:?}")
     });
 }
 
@@ -391,9 +401,9 @@
     }
 }
 
-/// Returns an upper bound of the size an entry is encoded in, now and once closed.
-fn entry_weight(entry: &IntentEntry) -> usize {
-    ENTRY_BYTES
+/// Returns an upper bound of an entry's encoded size in bytes.
+fn max_entry_size(entry: &IntentEntry) -> usize {
+    MAX_ENTRY_BYTES
         + match &entry.state {
             IntentState::Intended { claimant, target } => claimant.len() + target.as_str().len(),
             IntentState::Answered(answer) => answer.result.as_ref().map_or(0, Vec::len),
