--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,4 @@
-//! The only place that reads the machine's clocks.
+//! Access to the system clocks. No other module reads them.
 
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,23 +9,24 @@
 
 static ORIGIN: OnceLock<Duration> = OnceLock::new();
 
-/// Returns the time on this process's monotonic clock.
+/// Returns the time of this process's monotonic clock.
 ///
-/// It goes on while the machine is suspended: a lease or a confirmation that ran out
-/// meanwhile has to be seen to have run out.
+/// The clock keeps running while the machine is suspended, because a lease or a
+/// confirmation that expires during the suspension must count as expired.
 ///
 /// # Panics
 ///
-/// Never on the kernels that this runs on: all of them have this clock.
+/// Panics if the kernel lacks `CLOCK_BOOTTIME`; every supported kernel has it.
 #[must_use]
 pub fn mono_now() -> MonoTime {
-    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has this clock");
+    let now =
+        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("every supported kernel has CLOCK_BOOTTIME");
     let now = Duration::from(now);
     let origin = ORIGIN.get_or_init(|| now);
     MonoTime(millis(now.saturating_sub(*origin)))
 }
 
-/// Returns the wall-clock time; zero when the clock stands before 1970.
+/// Returns the wall-clock time, or zero if the clock is set to before 1970.
 #[must_use]
 pub fn unix_now() -> UnixTime {
     UnixTime(
@@ -35,7 +36,7 @@
     )
 }
 
-/// Returns an incarnation for a process that starts now.
+/// Returns the incarnation of a process that starts now.
 #[must_use]
 pub fn new_incarnation() -> ProcessIncarnation {
     ProcessIncarnation(unix_now().0)
--- a/src/control/authority_ports.rs
+++ b/src/control/authority_ports.rs
@@ -1,4 +1,4 @@
-//! Carries out what leases, orders and the plan decide.
+//! Executes the platform and engine calls requested by leases, orders and the plan.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
     ConditionalWrite, EnginePort, ObjectName, PlatformError, PlatformPort, TargetCall, TargetError,
 };
 
-/// Ports and channel of the authority's calls.
+/// Ports for the authority's calls and the channel for their results.
 #[derive(Clone)]
 pub struct AuthorityPorts {
-    /// The platform.
+    /// Port to the platform.
     pub platform: PlatformPort,
-    /// Engines.
+    /// Port to the engines.
     pub engines: EnginePort,
-    /// Longest wait for an answer of the platform.
+    /// Timeout of a platform call.
     pub call_wait: Duration,
-    /// Longest time an order may be under way.
+    /// Longest time that an order may be in transit.
     pub order_flight: Duration,
-    /// Where answers go.
+    /// Channel for the results.
     pub feeds: mpsc::UnboundedSender<FeedEvent>,
 }
 
 impl AuthorityPorts {
-    /// Starts an action; its answer arrives as an event.
+    /// Starts an action; its result arrives as an event.
     pub fn carry_out(
         &self,
         action: AuthorityAction,
@@ -68,9 +68,9 @@
         });
     }
 
-    // The lease is looked at on a fresh clock and the call is made in the same breath.
-    // The call is dropped after one order flight, so that none leaves later than a
-    // successor allows for.
+    // Checks the lease against the current time immediately before the call. The call is
+    // cancelled after `order_flight`, so that no order leaves later than a successor
+    // allows for.
     fn send(
         &self,
         group: GroupName,
@@ -102,19 +102,19 @@
 
 fn late_read() -> PlatformError {
     PlatformError::Unavailable {
-        reason: "no answer in time".to_owned(),
+        reason: "the platform call timed out".to_owned(),
         retry_after: Duration::ZERO,
     }
 }
 
 fn late_write() -> PlatformError {
     PlatformError::Lost {
-        reason: "no answer in time".to_owned(),
+        reason: "the platform call timed out".to_owned(),
     }
 }
 
 fn late_order() -> TargetError {
     TargetError::Lost {
-        reason: "no answer in time".to_owned(),
+        reason: "the order timed out".to_owned(),
     }
 }
--- a/src/control/changes.rs
+++ b/src/control/changes.rs
@@ -1,5 +1,5 @@
-//! Configuration in the control thread: what arrives, what operators change, and how
-//! many daemons run it.
+//! Configuration in the control thread: applies received objects, runs operators' changes
+//! and collects confirmations from the other daemons.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 const MOST_CHANGES: usize = 64;
 const CONFIRMATION_WAIT: Duration = Duration::from_secs(2);
 
-/// An accepted change that waits for the other daemons to confirm it.
+/// A stored change that waits for confirmations from the other daemons.
 pub(crate) struct PendingConfirmation {
     bucket: String,
     version: ObjectVersion,
@@ -49,13 +49,14 @@
         if whole && readable && !self.config_whole {
             self.config_whole = true;
             let items = self.config.view().items.len();
-            log::info!(items; "whole configuration seen");
+            log::info!(items; "complete configuration received");
         }
         let holds = &self.config.view().holds;
         self.membership.set_holds(holds);
     }
 
-    // Returns whether the bucket was news; nothing when it could not be read.
+    // Returns whether the bucket was newer than the applied one, or `None` if it could not
+    // be decoded.
     pub(crate) fn apply_bucket(&mut self, stored: &StoredObject) -> Option<bool> {
         match self.config.apply(stored) {
             Ok(ApplyResult::Known) => Some(false),
@@ -69,7 +70,7 @@
             }
             Err(error) => {
                 metrics::counter!("pistachiowick_config_unreadable_total").increment(1);
-                log::error!("configuration not applied: {error}");
+                log::error!("configuration object was not applied: {error}");
                 None
             }
         }
@@ -77,7 +78,7 @@
 
     pub(crate) fn explain_items(&self, names: &[ItemName], version: u64) {
         for name in names {
-            let reason = format!("in force here at version {version}");
+            let reason = format!("applied by this daemon at version {version}");
             self.inputs
                 .journal
                 .record(DecisionKind::Config, &name.name, reason);
@@ -87,7 +88,7 @@
     pub(crate) fn start_change(&mut self, change: ItemChange, reply: ChangeReply) {
         if self.changes_running >= MOST_CHANGES {
             let error = ChangeError::Unavailable {
-                reason: format!("{MOST_CHANGES} changes are under way"),
+                reason: format!("{MOST_CHANGES} changes are already in progress"),
             };
             let _ = reply.send(Err(error));
             return;
@@ -104,8 +105,8 @@
         let index = BucketIndex::of(&change.item);
         let applied = self.config.version_of(index);
         tokio::spawn(async move {
-            // Changes of one bucket through this daemon follow each other: run at
-            // once they would only fail each other's conditions.
+            // Serializes this daemon's changes to a bucket: concurrent conditional writes
+            // would only make each other fail.
             let _guard = locks[index.position()].lock().await;
             let request = ChangeRequest {
                 change: &change,
@@ -143,7 +144,7 @@
         }
     }
 
-    // The change is in force here before anybody hears that it was accepted.
+    // Applies the change here before any caller learns that it was accepted.
     fn await_confirmations(&mut self, revision: u64, stored: StoredObject, reply: ChangeReply) {
         let (bucket, version) = (stored.object.name.clone(), stored.version);
         self.apply_config(&[stored], false, None);
@@ -160,7 +161,7 @@
         self.settle_confirmations(now);
     }
 
-    /// Answers the changes that all live daemons confirmed, or that waited long enough.
+    /// Answers changes that all live daemons have confirmed or whose wait has expired.
     pub(crate) fn settle_confirmations(&mut self, now: MonoTime) {
         for pending in std::mem::take(&mut self.confirmations) {
             let others = self.other_daemons();
--- a/src/control/event_loop.rs
+++ b/src/control/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of the control thread: takes events and publishes snapshots.
+//! Event loop of the control thread: handles events and publishes snapshots.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 const TICK: Duration = Duration::from_millis(100);
 const EVENTS_PER_PUBLICATION: usize = 256;
 
-/// Runs the control thread until it is told to end.
+/// Runs the control thread until `ended` changes or the event channel closes.
 ///
 /// # Panics
 ///
-/// Panics when the machine gives no event loop.
+/// Panics if the event loop cannot be created.
 pub fn run_thread(
     inputs: ControlInputs,
     cell: SnapshotCell,
@@ -30,9 +30,9 @@
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("an event loop for control; raise the limit of open files");
+        .expect("the control event loop starts; raise the limit of open files if it cannot");
     runtime.block_on(run(inputs, cell, events, ended));
-    // Tasks still waiting for the platform are dropped with the runtime.
+    // Shutting down the runtime drops the tasks that still wait for the platform.
     runtime.shutdown_background();
 }
 
--- a/src/control/feeds.rs
+++ b/src/control/feeds.rs
@@ -1,4 +1,4 @@
-//! Tasks that feed the control loop from the platform and the engines.
+//! Tasks that read from the platform and the engines and send events to the control loop.
 
 use std::time::Duration;
 
@@ -24,74 +24,74 @@
 const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
 const POLL_PATIENCE: Duration = Duration::from_secs(1);
 
-/// Where an operator's change is answered.
+/// Channel for the result of an operator's change.
 pub type ChangeReply = oneshot::Sender<Result<ChangeReport, ChangeError>>;
 
-/// What the feeding tasks tell the control loop.
+/// An event that these tasks send to the control loop.
 #[derive(Debug)]
 pub enum FeedEvent {
-    /// Configuration objects; a whole listing or those changed.
+    /// Configuration objects: a complete listing or only the changed ones.
     Config {
-        /// The objects.
+        /// Listed or changed objects.
         objects: Vec<StoredObject>,
-        /// Whether these are all there are.
+        /// Whether this is the complete listing.
         whole: bool,
     },
-    /// The instance list.
+    /// Rows of the instance list.
     Instances(Vec<InstanceRow>),
-    /// Whether the platform answered a call.
+    /// Whether the platform answered the last call.
     Platform(bool),
-    /// The state of an engine, or that it did not answer.
+    /// Result of polling an engine.
     Engine {
-        /// Engine read.
+        /// Polled engine.
         target: TargetId,
-        /// Its report and the report's age.
+        /// Its report and the report's age; `None` if it did not answer.
         report: Option<(EngineState, Duration)>,
     },
-    /// Objects of orders and the plan.
+    /// Objects that contain orders and the plan.
     Orders(Vec<StoredObject>),
-    /// A read for leases, orders or the plan was answered.
+    /// Result of a read for leases, orders or the plan.
     Read {
-        /// Who asked.
+        /// Originator of the read.
         tag: CallTag,
-        /// The answer.
+        /// Object, `None` if it never existed, or why the read failed.
         result: Result<Option<StoredObject>, PlatformError>,
     },
-    /// A write for leases, orders or the plan was answered.
+    /// Result of a write for leases, orders or the plan.
     Written {
-        /// Who asked.
+        /// Originator of the write.
         tag: CallTag,
-        /// Mark of the write.
+        /// Unique mark of the write.
         mark: String,
-        /// What was written.
+        /// The write that was sent.
         write: ConditionalWrite,
-        /// The answer.
+        /// New version, or why the write failed.
         result: Result<ObjectVersion, PlatformError>,
     },
-    /// An order was answered.
+    /// Result of an order to an engine.
     Ordered {
         /// Group of the engine.
         group: GroupName,
-        /// Engine.
+        /// Engine that received the order.
         target: TargetId,
-        /// The answer.
+        /// State of the engine, or why the order failed.
         result: Result<EngineState, TargetError>,
     },
-    /// An operator's change was decided.
+    /// Result of an operator's change.
     Changed {
-        /// The change.
+        /// Requested change.
         change: ItemChange,
-        /// Revision and bucket, or why it was not accepted.
+        /// Revision and bucket, or why the change was not accepted.
         result: Result<(u64, StoredObject), ChangeError>,
-        /// Where the answer goes.
+        /// Channel that receives the result.
         reply: ChangeReply,
     },
 }
 
-/// Waits that grow with each failure and differ between daemons.
+/// Exponential backoff with jitter.
 ///
-/// Without jitter all daemons would come back to a recovered platform in the same
-/// instant and bring it down again.
+/// Without jitter all daemons would return to a recovered platform at the same moment and
+/// overload it again.
 #[derive(Debug)]
 pub struct BackoffState {
     wait: Duration,
@@ -99,7 +99,7 @@
 }
 
 impl BackoffState {
-    /// Creates a backoff with its own seed.
+    /// Creates a backoff whose jitter is derived from `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -108,12 +108,13 @@
         }
     }
 
-    /// Starts again from the shortest wait.
+    /// Resets the backoff to the shortest wait.
     pub fn reset(&mut self) {
         self.wait = FIRST_BACKOFF;
     }
 
-    /// Returns the next wait, at least as long as the platform asked for.
+    /// Returns the next wait, which is at least as long as the platform requested, up to the
+    /// longest backoff.
     pub fn next_wait(&mut self, error: &PlatformError) -> Duration {
         let asked = match error {
             PlatformError::Unavailable { retry_after, .. } => *retry_after,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Feeds the objects of a kind: lists them, then watches them from there.
+/// Lists the objects of a kind, then watches them from the listed revision on.
 pub async fn feed_objects(
     platform: PlatformPort,
     kind: &'static str,
@@ -137,8 +138,9 @@
     let mut backoff = BackoffState::new(seed);
     let mut since: Option<u64> = None;
     while !feeds.is_closed() {
-        // The first listing is always an own one; from then on peers may feed this
-        // daemon, and the watch goes on where it stood when they fall silent.
+        // This daemon always reads the first listing itself. Later it may receive updates
+        // from peers; when they become unreachable, the watch continues from its last
+        // revision.
         if since.is_some() && watching.wait_for(|on| *on).await.is_err() {
             return;
         }
@@ -153,9 +155,9 @@
             }
             Err(error) => {
                 let _ = feeds.send(FeedEvent::Platform(is_answer(&error)));
-                // The revision may be too old to continue from: start over. After an
-                // outage the watch goes on where it stood, which spares the platform
-                // a whole listing by every daemon at once.
+                // A refused watch may mean that the revision is too old: list again. After
+                // an outage the watch continues from its last revision, which saves the
+                // platform a complete listing by every daemon at once.
                 if matches!(error, PlatformError::Refused { .. }) {
                     since = None;
                 }
@@ -179,7 +181,7 @@
     (platform.watch)(query).await
 }
 
-// A revision that goes back means that the platform lost its history: list again.
+// A lower revision than before means that the platform lost its history: list again.
 fn deliver(
     kind: &str,
     batch: ObjectBatch,
@@ -200,7 +202,7 @@
     (!went_back).then_some(batch.revision)
 }
 
-/// Feeds the instance list at a steady pace.
+/// Reads the instance list at regular intervals.
 pub async fn feed_instances(
     platform: PlatformPort,
     pace: Duration,
@@ -224,7 +226,7 @@
     }
 }
 
-/// Reads one engine's state.
+/// Polls the state of one engine.
 pub async fn poll_engine(
     engines: EnginePort,
     target: TargetId,
@@ -245,7 +247,7 @@
     let _ = feeds.send(FeedEvent::Engine { target, report });
 }
 
-/// Tells whether an error shows that the platform is there.
+/// Returns whether an error shows that the platform is reachable.
 #[must_use]
 pub fn is_answer(error: &PlatformError) -> bool {
     matches!(
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! What links and messages of peers change in the control thread.
+//! Handles link events and messages from peers in the control thread.
 
 use crate::authority::order_record::ORDER_KIND;
 use crate::clock;
@@ -11,7 +11,7 @@
 use crate::ports::StoredObject;
 
 impl ControlState {
-    /// Takes an event of the links.
+    /// Handles an event of the links.
     pub(crate) fn on_peer(&mut self, event: PeerEvent) {
         match event {
             PeerEvent::Ready(outbox) => self.peers.connect(outbox),
@@ -45,7 +45,7 @@
                 self.peers.answer_versions(from, &theirs, &held);
             }
             PeerMessage::Objects(objects) => self.on_objects(from, objects),
-            // Requests and replies are handled by the links.
+            // The links handle requests and replies themselves.
             PeerMessage::Request { .. } | PeerMessage::Reply { .. } => {}
         }
     }
@@ -82,8 +82,8 @@
         config.chain(self.authority.objects()).collect()
     }
 
-    /// Adds up work and cost, here and at the peers. Without word from peers, the
-    /// others are taken to see work like one's own.
+    /// Adds local and peers' work and costs to the forecast and the shares. While no peer
+    /// is reachable, the other daemons are assumed to have the same work as this one.
     pub(crate) fn roll_sums(&mut self, now: MonoTime) {
         let alone = !self.peers.is_heard();
         let others = if alone {
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: owner of configuration, membership, leases and roles.
+//! The control thread, which owns configuration, membership, leases and roles.
 
 pub mod authority_ports;
 mod changes;
@@ -36,136 +36,138 @@
     pub based_on: u64,
 }
 
-/// What an accepted change brought about.
+/// Result of an accepted change.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ChangeReport {
     /// Revision of the item after the change.
     pub revision: u64,
-    /// Daemons known to run the change, this one included.
+    /// Number of daemons known to have applied the change, including this one.
     pub confirmed: u32,
-    /// Live daemons that have not confirmed in time.
+    /// Live daemons that did not confirm the change before the timeout.
     pub unconfirmed: Vec<String>,
 }
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ChangeError {
-    /// The item has another revision.
-    #[error("the item moved to revision {current} (now {found}); read it and redo the change")]
+    /// The item's revision differs from the one the change was based on.
+    #[error(
+        "the item moved to revision {current} (now {found}); read it again and repeat the change"
+    )]
     Conflict {
-        /// Revision found; 0 when the item does not exist.
+        /// Current revision; 0 if the item does not exist.
         current: u64,
-        /// The item as found, in JSON.
+        /// Current content of the item in JSON.
         found: String,
     },
-    /// The item does not hold together.
+    /// The item is invalid.
     #[error("{reason}")]
     Invalid {
-        /// Field, value found, range and remedy.
+        /// Field, value found, allowed range and remedy.
         reason: String,
     },
-    /// The platform cannot take the change now; nothing was changed.
-    #[error("the platform takes no changes now ({reason}); nothing was changed, retry later")]
+    /// The platform cannot accept the change now; nothing was changed.
+    #[error("the change could not be stored ({reason}); nothing was changed, retry later")]
     Unavailable {
         /// What happened.
         reason: String,
     },
-    /// Whether the change was taken is not known.
-    #[error("the answer to the change was lost ({reason}); read the item before trying again")]
+    /// Whether the change was stored is unknown.
+    #[error("whether the change was stored is unknown ({reason}); read the item before retrying")]
     Unknown {
         /// What happened.
         reason: String,
     },
 }
 
-/// What traffic threads and adapters tell the control thread.
+/// An event that traffic threads and adapters send to the control thread.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// An operator asks for a change.
+    /// An operator requests a change.
     Change {
-        /// The change.
+        /// Requested change.
         change: ItemChange,
-        /// Where the answer goes.
+        /// Channel that receives the result.
         reply: oneshot::Sender<Result<ChangeReport, ChangeError>>,
     },
-    /// A call to a target failed or worked.
+    /// A call to a target succeeded or failed.
     TargetSeen {
-        /// Target called.
+        /// Target that was called.
         target: TargetId,
-        /// Whether it answered.
+        /// Whether the target answered.
         answered: bool,
     },
-    /// A target said itself that it is leaving.
+    /// A target reported that it is leaving.
     TargetLeaving {
-        /// Target called.
+        /// Target that was called.
         target: TargetId,
-        /// Where it was called.
+        /// Address at which it was called.
         address: String,
     },
-    /// Work accepted since the last such event, for the forecast of the mix.
+    /// Work accepted since the last such event, for the forecast of the workload mix.
     WorkSeen {
-        /// Model asked for.
+        /// Requested model.
         model: ModelName,
         /// Prompt tokens that were not cached.
         prefill_tokens: u64,
         /// Output tokens.
         decode_tokens: u64,
     },
-    /// Cost spent by workspaces on this daemon, for fleet-wide shares.
+    /// Cost of a workspace's requests on this daemon, for fleet-wide fair shares.
     CostSeen {
-        /// Workspace served.
+        /// Workspace that was served.
         workspace: WorkspaceName,
-        /// Class served.
+        /// Class that was served.
         class: ClassName,
-        /// Engine time used.
+        /// Engine time that was used.
         cost: Duration,
     },
-    /// A link to a peer, or a message over it.
+    /// A change of a link to a peer, or a message received over it.
     Peer(PeerEvent),
-    /// A planned stop begins: leave the addressing and hand over the leases.
+    /// A planned stop begins: the daemon withdraws its address and hands over its leases.
     Stop {
-        /// Told once the leases are handed over.
+        /// Notified once the leases are handed over.
         done: oneshot::Sender<()>,
     },
 }
 
-/// What the control thread is started with.
+/// Parameters for starting the control thread.
 #[derive(Clone)]
 pub struct ControlInputs {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
-    /// The platform's objects and instance list.
+    /// Port to the platform's objects and instance list.
     pub platform: PlatformPort,
-    /// Model engines.
+    /// Port to the model engines.
     pub engines: EnginePort,
-    /// Where decisions and reasons go.
+    /// Journal of decisions and their reasons.
     pub journal: DecisionJournal,
-    /// Address that callers reach this daemon at.
+    /// Address at which callers reach this daemon.
     pub rpc_address: SocketAddr,
-    /// Address that peers reach this daemon at.
+    /// Address at which peers reach this daemon.
     pub peer_address: SocketAddr,
-    /// Life of this process.
+    /// Incarnation of this process.
     pub incarnation: ProcessIncarnation,
-    /// Seed of all random choices of the control thread.
+    /// Seed for all random choices of the control thread.
     pub seed: u64,
-    /// Work that ended targets, told to peers.
+    /// Record of work that crashed targets, which is sent to peers.
     pub crashes: SharedCrashTracker,
 }
 
-/// Handle of the control thread.
+/// Handle to the control thread.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
-    /// Newest published state.
+    /// Latest published state.
     pub snapshot: SnapshotCell,
-    /// Where events go.
+    /// Channel for events to the control thread.
     pub events: mpsc::UnboundedSender<ControlEvent>,
     end: Arc<watch::Sender<bool>>,
     thread: Arc<Mutex<Option<JoinHandle<()>>>>,
 }
 
 impl ControlHandle {
-    /// Ends the thread and waits for it. Leases held are left to expire; a planned
-    /// stop sends [`ControlEvent::Stop`] first.
+    /// Ends the thread and waits for it. Its leases are left to expire; a planned stop
+    /// sends [`ControlEvent::Stop`] first.
     pub fn end(&self) {
         self.end.send_replace(true);
         let mut thread = self.thread.lock().unwrap_or_else(PoisonError::into_inner);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Tells whether the thread has ended, on request or by a panic.
+    /// Returns whether the thread has ended, either on request or by a panic.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         let thread = self.thread.lock().unwrap_or_else(PoisonError::into_inner);
@@ -187,7 +189,7 @@
 ///
 /// # Panics
 ///
-/// Panics when the machine gives no thread or no event loop.
+/// Panics if the operating system cannot provide a thread or an event loop.
 #[must_use]
 pub fn start_control(inputs: ControlInputs) -> ControlHandle {
     let snapshot = new_cell();
@@ -197,7 +199,7 @@
     let thread = thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || event_loop::run_thread(inputs, cell, inbox, ended))
-        .expect("a thread for control; raise the limit of threads");
+        .expect("the control thread starts; raise the limit of threads if it cannot");
     ControlHandle {
         snapshot,
         events,
--- a/src/control/peer_desk.rs
+++ b/src/control/peer_desk.rs
@@ -1,4 +1,5 @@
-//! The control thread's side of the links: hints out, hints in, objects passed on.
+//! Exchange with peers in the control thread: sends, receives and forwards hints and
+//! objects.
 
 use std::time::Duration;
 
@@ -22,13 +23,13 @@
 const NEWS_AGE: Duration = Duration::from_secs(10);
 const BATCH_BYTES: usize = 1 << 20;
 const MOST_NEWS: usize = 512;
-/// Age of an engine's report that shows that it is alive.
+/// Age up to which a report shows that its engine is alive.
 const FRESH_REPORT: Duration = Duration::from_secs(1);
-/// Time after which such a report shows that the engine did not end before.
+/// Time after a reported crash from which a report of the same incarnation refutes it.
 const REPORT_PROOF: Duration = Duration::from_secs(5);
 const MOST_WORKSPACES: usize = 8_192;
 
-/// What the control thread keeps for its peers.
+/// State that the control thread keeps for the exchange with its peers.
 pub struct PeerDesk {
     own: DaemonId,
     incarnation: ProcessIncarnation,
@@ -49,7 +50,7 @@
 }
 
 impl PeerDesk {
-    /// Creates the desk of a daemon without links, which watches the platform itself.
+    /// Creates the state of a daemon without links, which watches the platform itself.
     #[must_use]
     pub fn new(
         settings: &DaemonSettings,
@@ -76,35 +77,35 @@
         }
     }
 
-    /// Tells feeding tasks whether to watch the platform.
+    /// Returns a receiver of whether this daemon has to watch the platform itself.
     #[must_use]
     pub fn watching(&self) -> watch::Receiver<bool> {
         self.watching.subscribe()
     }
 
-    /// Takes the links into use.
+    /// Sets the channel for commands to the links.
     pub fn connect(&mut self, outbox: mpsc::UnboundedSender<PeerCommand>) {
         self.outbox = Some(outbox);
     }
 
-    /// Notes that a link came up, and tells the other side what is held here.
+    /// Records a new link and sends the peer the versions of the local objects.
     pub fn link_up(&mut self, peer: &DaemonId, held: Vec<(ObjectName, ObjectVersion)>) {
         self.linked.insert(peer.clone());
         self.send(vec![peer.clone()], PeerMessage::Versions(held));
     }
 
-    /// Notes that a link went down.
+    /// Records that the link to a peer is down.
     pub fn link_down(&mut self, peer: &DaemonId) {
         self.linked.swap_remove(peer);
     }
 
-    /// Tells whether any peer was heard lately.
+    /// Returns whether a hint was received recently from any peer.
     #[must_use]
     pub fn is_heard(&self) -> bool {
         self.hints.heard() > 0
     }
 
-    /// Adds work accepted here.
+    /// Adds work accepted by this daemon.
     pub fn note_work(&mut self, model: &ModelName, bins: &WorkBins) {
         let sums = self.work.entry(model.clone()).or_default();
         for (sum, work) in sums.iter_mut().zip(bins) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Adds cost used here.
+    /// Adds cost used on this daemon.
     pub fn note_cost(&mut self, workspace: &WorkspaceName, cost: f64, now: MonoTime) {
         if self.costs.len() >= MOST_WORKSPACES && !self.costs.contains_key(workspace) {
             return;
@@ -123,29 +124,29 @@
         *at = now;
     }
 
-    /// Notes a configuration bucket applied here, to be confirmed to the others.
+    /// Records an applied configuration bucket, which the next hints confirm to the peers.
     pub fn note_applied(&mut self, stored: &StoredObject, now: MonoTime) {
         let entry = (stored.version, now);
         self.applied.insert(stored.object.name.clone(), entry);
     }
 
-    /// Notes the state of an engine that this daemon leads, for the others.
+    /// Records the state of an engine that this daemon leads for the next hint.
     pub fn note_engine(&mut self, target: &TargetId, state: &EngineState) {
         self.engines.insert(target.clone(), state.clone());
     }
 
-    /// Tells whether a peer reads an engine's state for all.
+    /// Returns whether a peer recently sent the state of an engine in its hints.
     #[must_use]
     pub fn is_digested(&self, target: &TargetId, now: MonoTime) -> bool {
         let seen = self.digests.get(target);
         seen.is_some_and(|at| now.since(*at) < self.silence / 2)
     }
 
-    /// Works out anew whom to link to and who watches the platform.
+    /// Recomputes which daemons to link to and which ones watch the platform.
     ///
-    /// A daemon that does not watch is fed by the watchers of its data centre. Once
-    /// none of them is linked and heard it watches by itself, or it would go on with an
-    /// old configuration without a sign.
+    /// A daemon that does not watch receives updates from the watchers of its data centre.
+    /// When none of them is both linked and reachable, it watches the platform itself;
+    /// otherwise it would keep an outdated configuration unnoticed.
     pub fn update(&mut self, fleet: &FleetView, now: MonoTime) {
         self.hints.expire(now, self.silence);
         let silence = self.silence;
@@ -166,7 +167,7 @@
         });
     }
 
-    /// Drops suspicions of engines that still report in the same life.
+    /// Refutes reported crashes of engines that still report in the same incarnation.
     pub fn refute_by_reports(&self, fleet: &FleetView, now: MonoTime) {
         let reports = |target: &TargetIncarnation| {
             let report = fleet.targets.get(target.name())?.report.as_ref()?;
@@ -181,7 +182,7 @@
         );
     }
 
-    /// Says what there is to say to all linked peers.
+    /// Sends a hint with this daemon's state to all linked peers.
     pub fn send_hint(&mut self, leaving: bool, now: MonoTime) {
         self.sequence += 1;
         let costs = self.costs.iter();
@@ -202,7 +203,7 @@
         self.send(linked, PeerMessage::Hint(Box::new(hint)));
     }
 
-    /// Takes a hint; returns it when it is news, after passing it on.
+    /// Applies and forwards a received hint; returns it if it is newer than the known one.
     pub fn take_hint(
         &mut self,
         from: &DaemonId,
@@ -214,7 +215,7 @@
             return None;
         }
         for note in &hint.works {
-            // Hints are passed on whole; what they tell needs no word of its own.
+            // Hints are forwarded unchanged, so their reports need no further broadcast.
             self.crashes.lock().apply_report(note, false, now);
         }
         for state in &hint.engines {
@@ -231,13 +232,13 @@
         Some(hint)
     }
 
-    /// Passes on objects that were news here.
+    /// Forwards objects that were new to this daemon.
     pub fn relay(&self, from: Option<&DaemonId>, objects: &[StoredObject]) {
         let peers = self.linked.iter().filter(|peer| Some(*peer) != from);
         self.send_objects(&peers.cloned().collect::<Vec<_>>(), objects);
     }
 
-    /// Sends a peer the objects of which it holds older versions.
+    /// Sends a peer the objects of which it has older versions or none.
     pub fn answer_versions(
         &self,
         peer: &DaemonId,
@@ -256,7 +257,7 @@
         self.send_objects(std::slice::from_ref(peer), &newer);
     }
 
-    // Split, so that no message grows past what a link takes.
+    // Splits the objects into batches, so that messages stay within the size limit of links.
     fn send_objects(&self, peers: &[DaemonId], objects: &[StoredObject]) {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -274,18 +275,18 @@
         }
     }
 
-    /// Returns the peers that confirmed a version of a bucket.
+    /// Returns the peers that confirmed a bucket at `version` or later.
     #[must_use]
     pub fn confirmed(&self, bucket: &str, version: ObjectVersion) -> IndexSet<DaemonId> {
         self.hints.confirmed(bucket, version)
     }
 
-    /// Takes the work that peers accepted since the last call.
+    /// Takes the work that peers have accepted since the last call.
     pub fn take_work(&mut self) -> WorkTotals {
         self.hints.take_work()
     }
 
-    /// Takes the cost that peers' workspaces used since the last call.
+    /// Takes the cost that workspaces have used on peers since the last call.
     pub fn take_costs(&mut self) -> IndexMap<WorkspaceName, f64> {
         self.hints.take_costs()
     }
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes for the traffic threads.
+//! State that the control thread publishes for the traffic threads.
 
 use std::sync::Arc;
 
@@ -15,16 +15,16 @@
 /// A configured item with its revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ItemRecord {
-    /// Rises with each change; never reused, also not after deletion.
+    /// Increases with each change and is never reused, even after a deletion.
     pub revision: u64,
-    /// The item; `None` once deleted.
+    /// Content of the item; `None` once deleted.
     pub spec: Option<ItemSpec>,
 }
 
-/// The configuration in force in one daemon.
+/// The configuration that one daemon has applied.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
-    /// Every item, deleted ones included.
+    /// All items, including deleted ones.
     pub items: IndexMap<ItemName, ItemRecord>,
     /// Workspaces by name.
     pub workspaces: IndexMap<WorkspaceName, Arc<WorkspaceSpec>>,
@@ -32,50 +32,51 @@
     pub classes: IndexMap<(WorkspaceName, ClassName), Arc<ClassSpec>>,
     /// Models by name.
     pub models: IndexMap<ModelName, Arc<ModelSpec>>,
-    /// Reasons of holds by target.
+    /// Reasons for holds by target.
     pub holds: IndexMap<TargetId, String>,
-    /// Workspaces by the hash of a key, in lower-case hexadecimal.
+    /// Owning workspace by key hash in lower-case hexadecimal.
     pub key_owners: IndexMap<String, WorkspaceName>,
 }
 
-/// A lease as this daemon knows it.
+/// A lease as known to this daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseView {
-    /// Group of engines it covers.
+    /// Group of engines that the lease covers.
     pub group: GroupName,
-    /// Holder last read.
+    /// Holder according to the last read.
     pub holder: DaemonId,
-    /// Fence of that holder.
+    /// Fencing number of that holder.
     pub fence: FenceNumber,
-    /// End of this daemon's own authority; `None` when held elsewhere.
+    /// Time at which this daemon's authority ends; `None` if it does not hold the lease.
     pub own_until: Option<MonoTime>,
 }
 
 /// State published by the control thread.
 #[derive(Clone, Debug, Default)]
 pub struct ControlSnapshot {
-    /// Fleet and daemons.
+    /// Targets and daemons of the fleet.
     pub fleet: Arc<FleetView>,
-    /// Configuration in force.
+    /// Applied configuration.
     pub config: Arc<ConfigView>,
-    /// Corrections of the workspaces' weights here, for fair shares across the fleet.
+    /// Local corrections of the workspaces' weights for fair shares across the fleet.
     pub shares: Arc<ShareView>,
     /// Leases by group.
     pub leases: Vec<LeaseView>,
-    /// Whether a whole configuration and instance list have been seen.
+    /// Whether a complete configuration and an instance list have been received, and this
+    /// daemon is not stopping.
     pub ready: bool,
     /// Whether the last platform call was answered.
     pub platform_reachable: bool,
     /// Whether this daemon is leaving.
     pub stopping: bool,
-    /// Live daemons, this one included; at least 1.
+    /// Number of live daemons, including this one; at least 1.
     pub live_daemons: usize,
 }
 
-/// Cell through which traffic threads read the newest snapshot.
+/// Cell from which traffic threads read the latest snapshot.
 pub type SnapshotCell = Arc<ArcSwap<ControlSnapshot>>;
 
-/// Returns an empty cell.
+/// Returns a cell that contains an empty snapshot.
 #[must_use]
 pub fn new_cell() -> SnapshotCell {
     Arc::new(ArcSwap::from_pointee(ControlSnapshot::default()))
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,4 +1,4 @@
-//! State of the control thread and how events change it.
+//! State of the control thread and its event handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 
 const LISTS_TO_FORGET: u64 = 60;
 
-/// All state that the control thread owns.
+/// State owned by the control thread.
 pub(crate) struct ControlState {
     pub(crate) inputs: ControlInputs,
     pub(crate) cell: SnapshotCell,
@@ -206,7 +206,8 @@
             config: self.config.view(),
             mix: &self.mix,
         };
-        // Before the list has been seen every engine looks gone and every peer dead.
+        // Until the instance list has been received, every engine looks gone and every
+        // peer dead.
         if self.list_seen && self.config_whole {
             for action in self.authority.tick(inputs, now) {
                 self.ports.carry_out(action, &mut self.authority, &fleet);
@@ -255,7 +256,7 @@
         self.peers.send_hint(self.stopping, now);
     }
 
-    // An engine that another daemon reads for all is left to it.
+    // Skips engines whose state another daemon polls and reports in its hints.
     fn poll_engines(&mut self, now: MonoTime) {
         for (target, address) in self.membership.engines_to_poll(now) {
             let digested = self.peers.is_digested(&target, now) && !self.authority.leads(&target);
