--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -1,4 +1,4 @@
-//! Mutual proof of the shared secret when a link comes up.
+//! Mutual authentication by a shared secret when a link is set up.
 
 use futures_util::{SinkExt, StreamExt};
 use hmac::{Hmac, Mac};
@@ -15,20 +15,21 @@
 const CALLER: &str = "caller";
 const LISTENER: &str = "listener";
 
-/// Who this daemon is to its peers.
+/// Identity of this daemon towards its peers.
 #[derive(Clone, Debug)]
 pub struct PeerIdentity {
     /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
-    /// Secret that all daemons share; empty closes the port.
+    /// Secret shared by all daemons; an empty secret disables links.
     pub secret: String,
 }
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// Answers a caller; returns who it is once it has proved the secret.
+/// Authenticates a daemon that has connected; returns its identity, or `None` if its proof
+/// is missing or wrong.
 pub async fn greet_caller(
     socket: &mut Socket,
     own: &PeerIdentity,
@@ -56,7 +57,8 @@
     Some((daemon, incarnation))
 }
 
-/// Calls a listener; returns who it is once it has proved the secret.
+/// Authenticates the daemon that this one has connected to; returns its identity, or
+/// `None` if its proof is missing or wrong.
 pub async fn greet_listener(
     socket: &mut Socket,
     own: &PeerIdentity,
@@ -92,8 +94,8 @@
     bytes
 }
 
-// The side is signed as well: without it a listener's challenge could be sent back to
-// it as an own one, and its answer used as the proof.
+// The signature covers the side as well. Otherwise an attacker could send a listener's
+// challenge back as its own and use the answer as proof (reflection attack).
 fn sign(
     secret: &str,
     side: &str,
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! Links between daemons: WebSocket with a mutual proof of the shared secret.
+//! Links between daemons: WebSockets authenticated mutually by a shared secret.
 
 use std::io;
 use std::net::TcpListener as StdListener;
@@ -34,53 +34,53 @@
 const HANDSHAKES: usize = 64;
 const REQUESTS_AT_ONCE: usize = 256;
 
-/// Failures of a request to a peer.
+/// Errors of a request to a peer.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum PeerError {
     /// The request certainly did not reach the peer.
-    #[error("no link to {peer}: {reason}; use the platform instead")]
+    #[error("the request was not sent to {peer}: {reason}; use the platform instead")]
     NotSent {
-        /// Peer asked.
+        /// Receiver of the request.
         peer: DaemonId,
         /// What happened.
         reason: String,
     },
     /// The request may have reached the peer.
-    #[error("{peer} gave no reply: {reason}; read the platform before concluding")]
+    #[error("the reply of {peer} was lost: {reason}; read the platform's state before retrying")]
     Lost {
-        /// Peer asked.
+        /// Receiver of the request.
         peer: DaemonId,
         /// What happened.
         reason: String,
     },
-    /// The peer refused.
-    #[error("{peer} refused: {reason}")]
+    /// The peer refused the request.
+    #[error("{peer} refused the request: {reason}")]
     Refused {
-        /// Peer asked.
+        /// Receiver of the request.
         peer: DaemonId,
-        /// What it said.
+        /// Reason given by the peer.
         reason: String,
     },
 }
 
-/// Answers requests of peers.
+/// Handler for requests of peers.
 pub type PeerHandler = PortCall<(DaemonId, Vec<u8>), Result<Vec<u8>, String>>;
 
-/// What the control thread asks of the links.
+/// A command from the control thread to the links.
 #[derive(Debug)]
 pub enum PeerCommand {
-    /// Keep links to exactly these daemons, besides those that call in.
+    /// Keep outgoing links to exactly these daemons; incoming links are unaffected.
     Links(IndexSet<DaemonId>),
-    /// Send a message to the linked ones among these.
+    /// Send a message to those of the given daemons that are linked.
     Send {
-        /// Receivers; `None` for all linked.
+        /// Receivers; `None` for all linked daemons.
         to: Option<Vec<DaemonId>>,
-        /// What to send.
+        /// Message to send.
         message: PeerMessage,
     },
 }
 
-/// What the links tell the control thread.
+/// An event that the links send to the control thread.
 #[derive(Debug)]
 pub enum PeerEvent {
     /// The links are ready to take commands.
@@ -89,25 +89,25 @@
     Up(DaemonId, ProcessIncarnation),
     /// The last link to a daemon is down.
     Down(DaemonId),
-    /// A message came.
+    /// A message was received.
     Message(DaemonId, Box<PeerMessage>),
 }
 
-/// What links are started with.
+/// Parameters for starting the links.
 pub struct PeerInputs {
     /// Listener of the peer port.
     pub listener: StdListener,
     /// Identity of this daemon and the shared secret.
     pub identity: PeerIdentity,
-    /// Silence after which a link is dropped.
+    /// Time without a message after which a link is dropped.
     pub silence: Duration,
-    /// The control thread, told of links and messages.
+    /// Control thread, which receives the events of the links.
     pub control: ControlHandle,
-    /// Answers requests of peers.
+    /// Handler for requests of peers.
     pub handler: PeerHandler,
 }
 
-/// Handle of the links.
+/// Handle to the links.
 #[derive(Clone)]
 pub struct PeerHandle {
     /// Sends a request to a daemon and waits for its reply.
@@ -145,11 +145,11 @@
     requests: Semaphore,
 }
 
-/// Starts the links on the current runtime. With an empty secret none are made.
+/// Starts the links on the current runtime. An empty secret disables them.
 ///
 /// # Errors
 ///
-/// Fails when the listener cannot be used.
+/// Fails if the listener cannot be registered with the runtime.
 pub fn start_peers(inputs: PeerInputs) -> io::Result<PeerHandle> {
     let open = !inputs.identity.secret.is_empty();
     let hub = Arc::new(PeerHub {
@@ -261,7 +261,7 @@
     let socket = client_async_with_config(url, stream, Some(socket_config())).await;
     let (mut socket, _) = socket.ok()?;
     let (found, incarnation) = greet_listener(&mut socket, &hub.identity).await?;
-    // Another daemon may have been given the address since.
+    // The address may have been reassigned to another daemon.
     (found == *peer).then_some((socket, found, incarnation))
 }
 
@@ -277,7 +277,7 @@
     hub.tell(PeerEvent::Up(peer.clone(), incarnation));
     let writing = tokio::spawn(async move {
         while let Some(message) = queue.recv().await {
-            // A peer that takes nothing would otherwise hold this task for good.
+            // Without the timeout, a peer that stops reading would block this task forever.
             match timeout(SEND_TIME, sink.send(message)).await {
                 Ok(Ok(())) => {}
                 _ => return,
@@ -303,7 +303,7 @@
     }
 
     fn tell(&self, event: PeerEvent) {
-        // A closed channel means the daemon is going down; nobody needs the news then.
+        // A closed channel means that the daemon is stopping; the event is then obsolete.
         let _ = self.control.events.send(ControlEvent::Peer(event));
     }
 
@@ -323,7 +323,7 @@
         number
     }
 
-    // Whether this was the newest link to the peer.
+    // Returns whether this was the latest link to the peer.
     fn remove_link(&self, peer: &DaemonId, number: u64) -> bool {
         let mut state = self.lock();
         let newest = state.links.get(peer).is_some_and(|l| l.number == number);
@@ -379,13 +379,14 @@
         for (peer, link) in &state.links {
             let meant = to.is_none_or(|peers| peers.contains(peer));
             if meant && link.outbox.try_send(bytes.clone()).is_err() {
-                // Hints follow each other, and objects are compared when a link comes up.
+                // A later hint replaces a dropped one, and objects are compared whenever a
+                // link comes up.
                 metrics::counter!("pistachiowick_peer_dropped_total").increment(1);
             }
         }
     }
 
-    // Whether the link may go on.
+    // Returns whether the link stays open.
     fn receive(self: &Arc<Self>, peer: &DaemonId, message: &Message) -> bool {
         let Message::Binary(bytes) = message else {
             return !matches!(message, Message::Close(_));
@@ -400,7 +401,7 @@
             }
             Ok(message) => self.tell(PeerEvent::Message(peer.clone(), Box::new(message))),
             Err(error) => {
-                log::warn!("link to {peer} dropped: {error}");
+                log::warn!("closing the link to {peer}: {error}");
                 return false;
             }
         }
@@ -412,7 +413,10 @@
         tokio::spawn(async move {
             let result = match hub.requests.try_acquire() {
                 Ok(_permit) => (hub.handler)((peer.clone(), body)).await,
-                Err(_) => Err("too many requests at once".to_owned()),
+                Err(_) => Err(
+                    "the peer is already serving the maximum number of requests; retry later"
+                        .to_owned(),
+                ),
             };
             hub.send(Some(&[peer]), &PeerMessage::Reply { id, result });
         });
@@ -424,12 +428,12 @@
             reason: reason.to_owned(),
         };
         if self.identity.secret.is_empty() {
-            return Err(not_sent("peers.secret is empty"));
+            return Err(not_sent("links are disabled because peers.secret is empty"));
         }
         let outbox = self
             .outbox(&peer)
             .await
-            .ok_or_else(|| not_sent("no link"))?;
+            .ok_or_else(|| not_sent("no link came up in time"))?;
         let (reply, answer) = oneshot::channel();
         let id = {
             let mut state = self.lock();
@@ -441,7 +445,7 @@
         let message = Message::binary(PeerMessage::Request { id, body }.encode());
         if outbox.try_send(message).is_err() {
             self.lock().pending.swap_remove(&id);
-            return Err(not_sent("its queue is full"));
+            return Err(not_sent("the send queue of the link is full"));
         }
         let answer = timeout(REPLY_WAIT, answer).await;
         self.lock().pending.swap_remove(&id);
@@ -450,12 +454,13 @@
             Ok(Ok(Err(reason))) => Err(PeerError::Refused { peer, reason }),
             Ok(Err(_)) | Err(_) => Err(PeerError::Lost {
                 peer,
-                reason: "no reply in time".to_owned(),
+                reason: "the request timed out".to_owned(),
             }),
         }
     }
 
-    // The queue of a link, made on demand and kept for a while.
+    // Returns the send queue of the link to a peer. A missing link is set up on demand and
+    // kept for `ASKED_TIME`.
     async fn outbox(&self, peer: &DaemonId) -> Option<mpsc::Sender<Message>> {
         let give_up = Instant::now() + LINK_WAIT;
         loop {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Links between daemons and what goes over them.
+//! Links between daemons and the messages exchanged over them.
 
 pub mod handshake;
 pub mod link;
--- a/src/peers/requests.rs
+++ b/src/peers/requests.rs
@@ -1,4 +1,4 @@
-//! What daemons ask of one another over their links: a byte for the kind, then the body.
+//! Requests between daemons over their links: one byte for the kind, then the body.
 
 use std::sync::{Arc, OnceLock, Weak};
 
@@ -7,26 +7,26 @@
 use crate::peers::link::{PeerError, PeerHandle, PeerHandler};
 use crate::requests::traffic::TrafficContext;
 
-/// Operations on records, for the owner of their shard.
+/// Kind of an operation on records, sent to the owner of their shard.
 const RECORDS: u8 = 0;
-/// A request to be stopped where it runs.
+/// Kind of a cancellation, sent to the daemon that runs the request.
 const CANCEL: u8 = 1;
-/// Reply of a daemon that has stopped the request.
+/// Reply of a daemon that has cancelled the request.
 const STOPPED: &[u8] = &[1];
 const NOT_STOPPED: &[u8] = &[0];
 
-/// The parts that answer, once they are there; peers may ask before. Weak, since those
-/// parts hold the links themselves.
+/// Context that serves peers' requests. It is set after the links start, so requests may
+/// arrive earlier; the reference is weak because the context itself holds the links.
 pub type TrafficCell = Arc<OnceLock<Weak<TrafficContext>>>;
 
-/// Answers the requests of other daemons.
+/// Returns the handler for requests of other daemons.
 #[must_use]
 pub fn request_handler(traffic: &TrafficCell) -> PeerHandler {
     let traffic = Arc::clone(traffic);
     Arc::new(move |(_, body)| {
         let traffic = traffic.get().and_then(Weak::upgrade);
         Box::pin(async move {
-            let context = traffic.ok_or("this daemon is starting")?;
+            let context = traffic.ok_or("this daemon is still starting; retry later")?;
             answer(&context, &body).await
         })
     })
@@ -44,11 +44,11 @@
             let reply = if stopped { STOPPED } else { NOT_STOPPED };
             Ok(reply.to_vec())
         }
-        _ => Err("the request is of no known kind; run the same version everywhere".to_owned()),
+        _ => Err("unknown kind of request; run the same version on all daemons".to_owned()),
     }
 }
 
-/// Returns the call by which operations on records reach another daemon.
+/// Returns the call that sends operations on records to another daemon.
 #[must_use]
 pub fn records_call(peers: &PeerHandle) -> LinkCall {
     let peers = peers.clone();
@@ -62,11 +62,11 @@
     })
 }
 
-/// Stops a request at the daemon that accepted it; true when it was running there.
+/// Cancels a request at the daemon that accepted it; returns whether it was running there.
 ///
 /// # Errors
 ///
-/// Returns a [`PeerError`] when the daemon was not reached or did not reply.
+/// Returns a [`PeerError`] if the daemon was not reached or did not reply.
 pub async fn cancel_there(
     peers: &PeerHandle,
     daemon: &DaemonId,
--- a/src/peers/state.rs
+++ b/src/peers/state.rs
@@ -1,8 +1,8 @@
-//! Who links to whom, what is passed on, and what peers' hints add up to.
+//! Link topology, forwarding of hints, and the state accumulated from peers' hints.
 //!
 //! Every daemon links to the watchers of its data centre; watchers also link to the
-//! watchers of the other data centres. Watchers pass hints between the two, so that a
-//! hint reaches each daemon over at most three links and nobody links to everybody.
+//! watchers of the other data centres. Watchers forward hints between the two, so that a
+//! hint reaches each daemon over at most three links and no daemon links to all others.
 
 use std::time::Duration;
 
@@ -36,23 +36,23 @@
     matches!(daemon.state, UseState::Live | UseState::Suspect)
 }
 
-/// Where a daemon stands among the others.
+/// The links and watchers that one daemon derives from the fleet.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PeerTopology {
     /// Whether this daemon watches the platform for its data centre.
     pub watches: bool,
-    /// Daemons to keep a link to.
+    /// Daemons to keep links to.
     pub links: IndexSet<DaemonId>,
     /// Watchers of this data centre.
     pub local_watchers: IndexSet<DaemonId>,
     /// Data centre of each daemon.
     pub centres: IndexMap<DaemonId, CentreName>,
-    /// All watchers.
+    /// Watchers of all data centres.
     pub watchers: IndexSet<DaemonId>,
 }
 
 impl PeerTopology {
-    /// Works out the topology for one daemon.
+    /// Computes the topology for the daemon `own`.
     #[must_use]
     pub fn new(fleet: &FleetView, own: &DaemonId, watchers: usize) -> Self {
         let daemons = fleet.daemons.values();
@@ -82,10 +82,11 @@
         }
     }
 
-    /// Tells whether a hint of `origin` is passed on to `peer` by this daemon.
+    /// Returns whether this daemon forwards a hint from `origin` to `peer`.
     ///
-    /// From outside to the daemons of this data centre that do not watch; from those to
-    /// the watchers outside and to each other. Watchers hear each other directly.
+    /// Watchers forward hints from other data centres to the non-watchers of their own,
+    /// and hints from those to remote watchers and to the other non-watchers. Watchers
+    /// receive each other's hints directly.
     #[must_use]
     pub fn passes(&self, own: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
         if !self.watches || origin == peer || peer == own || origin == own {
@@ -112,7 +113,7 @@
     applied: IndexMap<String, ObjectVersion>,
 }
 
-/// What the peers have said.
+/// Latest hints of the peers, and the work and cost not yet taken from them.
 #[derive(Clone, Debug, Default)]
 pub struct PeerHints {
     peers: IndexMap<DaemonId, PeerRecord>,
@@ -121,10 +122,10 @@
 }
 
 impl PeerHints {
-    /// Takes a hint; returns whether it is news.
+    /// Applies a hint; returns whether it is newer than the known one.
     ///
-    /// The sums in a hint run since the start of a process, so a lost hint loses nothing
-    /// and one heard twice, over two watchers, counts once.
+    /// The totals in a hint count from the start of the process, so a lost hint loses
+    /// nothing and one received twice, from two watchers, counts once.
     pub fn note(&mut self, hint: PeerHint, now: MonoTime) -> bool {
         let Some(daemon) = hint.daemon.clone() else {
             return false;
@@ -159,24 +160,24 @@
         true
     }
 
-    /// Forgets peers not heard of for long.
+    /// Removes peers whose last hint is older than the timeout.
     pub fn expire(&mut self, now: MonoTime, silence: Duration) {
         self.peers.retain(|_, p| now.since(p.heard_at) < silence);
     }
 
-    /// Returns the peers heard lately.
+    /// Returns the number of peers whose hints were received recently.
     #[must_use]
     pub fn heard(&self) -> usize {
         self.peers.len()
     }
 
-    /// Tells whether a peer was heard lately.
+    /// Returns whether a hint of a peer was received recently.
     #[must_use]
     pub fn has_heard(&self, daemon: &DaemonId) -> bool {
         self.peers.contains_key(daemon)
     }
 
-    /// Returns the peers that run a version of a bucket or a later one.
+    /// Returns the peers that have applied a bucket at `version` or later.
     #[must_use]
     pub fn confirmed(&self, bucket: &str, version: ObjectVersion) -> IndexSet<DaemonId> {
         let run = self
@@ -186,7 +187,7 @@
         run.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the incarnation a peer gave.
+    /// Returns the incarnation in a peer's latest hint.
     #[must_use]
     pub fn incarnation(&self, daemon: &DaemonId) -> Option<ProcessIncarnation> {
         self.peers.get(daemon).map(|p| p.hint.incarnation)
@@ -197,13 +198,13 @@
         std::mem::take(&mut self.fresh_work)
     }
 
-    /// Takes the cost that peers' workspaces have used since the last call.
+    /// Takes the cost that workspaces have used on peers since the last call.
     pub fn take_costs(&mut self) -> IndexMap<WorkspaceName, f64> {
         std::mem::take(&mut self.fresh_costs)
     }
 }
 
-// A hint leaves out what did not change lately; its sums stay known.
+// Hints omit totals that have not changed recently; those are kept from the previous hint.
 fn keep_sums(hint: &mut PeerHint, before: &PeerHint) {
     for (workspace, cost) in &before.costs {
         hint.costs.entry(workspace.clone()).or_insert(*cost);
@@ -213,7 +214,7 @@
     }
 }
 
-// The first word of a sum only sets the mark: what went before is no news.
+// The first report of a total only sets the baseline: work done before it is not counted.
 fn add_growth(
     work: &mut WorkTotals,
     costs: &mut IndexMap<WorkspaceName, f64>,
--- a/src/peers/wire.rs
+++ b/src/peers/wire.rs
@@ -13,26 +13,27 @@
 /// Largest message between daemons.
 pub const MESSAGE_BYTES: usize = 4 << 20;
 
-/// What one daemon says of itself, again and again.
+/// State of one daemon, sent periodically.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerHint {
-    /// Daemon that speaks.
+    /// Daemon that sent the hint.
     pub daemon: Option<DaemonId>,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
-    /// Rises with each hint of a life.
+    /// Increases with each hint of an incarnation.
     pub sequence: u64,
-    /// Whether it is leaving.
+    /// Whether the daemon is leaving.
     pub leaving: bool,
     /// Work it has accepted since its start.
     pub work: WorkTotals,
-    /// Engine seconds its workspaces have used since its start.
+    /// Engine seconds used on it by each workspace since its start.
     pub costs: IndexMap<WorkspaceName, f64>,
-    /// Versions of configuration buckets it applied lately.
+    /// Versions of the configuration buckets it applied recently.
     pub applied: Vec<(String, ObjectVersion)>,
-    /// States of engines it leads.
+    /// States of the engines it leads.
     pub engines: Vec<EngineState>,
-    /// Work that ended targets, by turns ([`crate::crashes::broadcasts`]).
+    /// Reports of work that crashed targets, sent in rotation
+    /// ([`crate::crashes::broadcasts`]).
     pub works: Vec<CrashReport>,
 }
 
@@ -41,56 +42,57 @@
 pub enum PeerMessage {
     /// A hint; forwarded by watchers.
     Hint(Box<PeerHint>),
-    /// Versions held of configuration and orders; the other side sends what is newer.
+    /// Versions of the sender's configuration and order objects; the receiver replies with
+    /// newer ones.
     Versions(Vec<(ObjectName, ObjectVersion)>),
-    /// Objects of configuration and orders.
+    /// Configuration and order objects.
     Objects(Vec<StoredObject>),
-    /// A request of another part.
+    /// A request, see [`crate::peers::requests`].
     Request {
-        /// Pairs it with its reply.
+        /// Identifies the reply to this request.
         id: u64,
-        /// Body.
+        /// Encoded request.
         body: Vec<u8>,
     },
-    /// The reply to a request; an error is text.
+    /// The reply to a request.
     Reply {
-        /// Number of the request.
+        /// Identifier of the request.
         id: u64,
-        /// Body or failure.
+        /// Encoded reply, or why the request failed.
         result: Result<Vec<u8>, String>,
     },
 }
 
-/// First messages of a link, before anything else is believed.
+/// Authentication messages, which precede all others on a link.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum HandshakeMessage {
-    /// From the listener: what the other side must sign.
+    /// From the listener: bytes that the caller must sign.
     Challenge(Vec<u8>),
-    /// From the caller: who it is, its proof, and what the listener must sign.
+    /// From the caller: its identity and proof, and bytes that the listener must sign.
     Hello {
-        /// Caller.
+        /// Name of the caller.
         daemon: DaemonId,
-        /// Life of its process.
+        /// Incarnation of its process.
         incarnation: ProcessIncarnation,
         /// Proof that it knows the secret.
         proof: Vec<u8>,
-        /// Bytes to sign.
+        /// Bytes that the listener must sign.
         challenge: Vec<u8>,
     },
-    /// From the listener: who it is and its proof.
+    /// From the listener: its identity and proof.
     Welcome {
-        /// Listener.
+        /// Name of the listener.
         daemon: DaemonId,
-        /// Life of its process.
+        /// Incarnation of its process.
         incarnation: ProcessIncarnation,
         /// Proof that it knows the secret.
         proof: Vec<u8>,
     },
 }
 
-/// A message that cannot be read.
+/// A message that cannot be decoded.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
-#[error("a peer's message cannot be read ({reason}); run the same version on all daemons")]
+#[error("a peer's message cannot be decoded ({reason}); run the same version on all daemons")]
 pub struct PeerWireError {
     /// What is wrong.
     pub reason: String,
@@ -158,7 +160,7 @@
                 .map(|(prefill, decode)| WorkAmount { prefill, decode })
                 .collect();
             let bins = <[WorkAmount; MIX_BINS]>::try_from(bins).map_err(|_| PeerWireError {
-                reason: "work has another number of kinds".to_owned(),
+                reason: "the work totals have a wrong number of bins".to_owned(),
             })?;
             work.insert(model, bins);
         }
@@ -250,11 +252,11 @@
         encode(&MessageWire::from(self))
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are not a message of this version.
+    /// Fails if the bytes are not a valid message of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, PeerWireError> {
         Self::try_from(decode::<MessageWire>(bytes)?)
     }
@@ -267,11 +269,11 @@
         encode(self)
     }
 
-    /// Reads a message of a handshake.
+    /// Decodes a handshake message.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are none.
+    /// Fails if the bytes are not a valid handshake message.
     pub fn decode(bytes: &[u8]) -> Result<Self, PeerWireError> {
         decode(bytes)
     }
@@ -279,7 +281,7 @@
 
 fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to memory fails for no value of these types.
+    // Encoding these types into memory cannot fail.
     let _ = ciborium::into_writer(message, &mut bytes);
     bytes
 }
--- a/src/ports.rs
+++ b/src/ports.rs
@@ -1,7 +1,7 @@
-//! Ports: what the inside asks of the outside, as plain structs of closures.
+//! Ports: interfaces to external systems, as plain structs of closures.
 //!
-//! The errors keep apart what certainly had no effect from what may have had
-//! one; every truthful refusal rests on that difference.
+//! The errors distinguish calls that certainly had no effect from calls that may have had
+//! one. Reporting a request as "not run" is correct only because of this distinction.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 /// A boxed future that can move between threads.
 pub type PortFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// A closure port: takes a request, returns a future.
+/// A port operation: takes a request and returns a future.
 pub type PortCall<I, O> = Arc<dyn Fn(I) -> PortFuture<O> + Send + Sync>;
 
-/// Names an object of the platform.
+/// Name of a platform object.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ObjectName {
     /// Kind, for example `config`.
@@ -31,27 +31,27 @@
     pub name: String,
 }
 
-/// Version of an object; 0 stands for an object that does not exist.
+/// Version of an object; 0 for an object that does not exist.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ObjectVersion(pub u64);
 
-/// An object as read.
+/// An object as read from the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredObject {
-    /// Its name.
+    /// Name of the object.
     pub object: ObjectName,
-    /// Version read.
+    /// Version that was read.
     pub version: ObjectVersion,
     /// Value; `None` when the object was deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// A conditional update.
+/// A conditional write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConditionalWrite {
     /// Object to write.
     pub object: ObjectName,
-    /// Version it must have; 0 requires that it does not exist.
+    /// Version that the object must have; 0 requires that it does not exist.
     pub expected: ObjectVersion,
     /// New value.
     pub value: Vec<u8>,
@@ -60,47 +60,47 @@
 /// Objects of a kind, complete up to a revision.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ObjectBatch {
-    /// Where the next watch starts.
+    /// Revision from which the next watch starts.
     pub revision: u64,
-    /// Objects.
+    /// Listed or changed objects.
     pub objects: Vec<StoredObject>,
 }
 
-/// A wait for changes of a kind.
+/// A query that waits for changes of a kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct WatchQuery {
     /// Kind to watch.
     pub kind: String,
-    /// Revision already seen.
+    /// Revision after which changes are returned.
     pub since: u64,
-    /// Longest wait; an empty batch is returned after it.
+    /// Time after which an empty batch is returned if nothing has changed.
     pub wait: Duration,
 }
 
-/// Failures of the platform.
+/// Errors of the platform.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum PlatformError {
-    /// The object had another version; nothing was written.
-    #[error("the object changed (now version {}); read it again and redo the change", current.0)]
+    /// The object had a different version; nothing was written.
+    #[error("the object has changed (now version {}); read it again and repeat the change", current.0)]
     Conflict {
-        /// Version found.
+        /// Current version.
         current: ObjectVersion,
     },
     /// The call certainly had no effect.
-    #[error("the platform took no call: {reason}; retry after {}", humantime::format_duration(*retry_after))]
+    #[error("the platform did not accept the call: {reason}; retry after {}", humantime::format_duration(*retry_after))]
     Unavailable {
         /// What happened.
         reason: String,
-        /// When to try again.
+        /// Time after which to retry.
         retry_after: Duration,
     },
     /// A write may or may not have taken effect.
-    #[error("the answer to a platform call was lost: {reason}; read back before concluding")]
+    #[error("the answer to a platform call was lost: {reason}; read the object before retrying")]
     Lost {
         /// What happened.
         reason: String,
     },
-    /// The platform refused the call for good.
+    /// The platform refused the call; a retry would be refused as well.
     #[error("the platform refused the call: {reason}; correct the request")]
     Refused {
         /// What happened.
@@ -108,12 +108,12 @@
     },
 }
 
-/// The platform's object service and instance list.
+/// Port to the platform's object service and instance list.
 #[derive(Clone)]
 pub struct PlatformPort {
-    /// Reads one object; `None` when it never existed.
+    /// Reads one object; `None` if it never existed.
     pub read: PortCall<ObjectName, Result<Option<StoredObject>, PlatformError>>,
-    /// Writes one object if its version is as expected.
+    /// Writes one object if it has the expected version.
     pub write: PortCall<ConditionalWrite, Result<ObjectVersion, PlatformError>>,
     /// Lists all objects of a kind.
     pub list: PortCall<String, Result<ObjectBatch, PlatformError>>,
@@ -123,36 +123,36 @@
     pub instances: PortCall<(), Result<Vec<InstanceRow>, PlatformError>>,
 }
 
-/// Failures of a target.
+/// Errors of a target.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum TargetError {
     /// The call certainly never reached the target.
-    #[error("the target was not reached: {reason}; use another target")]
+    #[error("the target was not reached: {reason}; send to another target")]
     NotDelivered {
         /// What happened.
         reason: String,
     },
-    /// The target answered that it did not take the work.
+    /// The target answered that it did not accept the work.
     #[error("the target refused the work: {reason}; retry after {}", humantime::format_duration(*retry_after))]
     Refused {
         /// What happened.
         reason: String,
-        /// When to try again.
+        /// Time after which to retry.
         retry_after: Duration,
-        /// Whether the target says that it is leaving.
+        /// Whether the target reports that it is leaving.
         leaving: bool,
     },
-    /// An order carried an old fence.
-    #[error("the target has seen fence {}; give up the lease", current.0)]
+    /// An order carried an outdated fencing number.
+    #[error("the target has already accepted fencing number {}; give up the lease", current.0)]
     Fenced {
-        /// Fence the target holds.
+        /// Fencing number known to the target.
         current: FenceNumber,
     },
-    /// The target knows no such stream.
-    #[error("the target has no such stream; start another attempt")]
+    /// The target does not know the stream.
+    #[error("the target does not know the stream; start another attempt")]
     NoStream,
     /// The work may or may not have run.
-    #[error("the target's answer was lost: {reason}; treat the work as possibly run")]
+    #[error("the target's answer was lost: {reason}; assume that the work may have run")]
     Lost {
         /// What happened.
         reason: String,
@@ -165,15 +165,15 @@
 /// A call to one target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetCall<B> {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Longest wait for the first byte of the answer.
+    /// Timeout for the first byte of the answer.
     pub patience: Duration,
-    /// What to send.
+    /// Request body.
     pub body: B,
 }
 
-/// Resumes a stream at the engine that runs it.
+/// Position from which a stream is resumed at the engine that runs it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamPosition {
     /// Request of the stream.
@@ -184,26 +184,26 @@
     pub offset: u64,
 }
 
-/// Model engines.
+/// Port to model engines.
 #[derive(Clone)]
 pub struct EnginePort {
-    /// Starts a stream.
+    /// Starts an attempt and streams its answer.
     pub generate: PortCall<TargetCall<GenerateBody>, Result<LineStream, TargetError>>,
-    /// Continues a stream the engine already runs.
+    /// Continues a stream that the engine already runs.
     pub resume: PortCall<TargetCall<StreamPosition>, Result<LineStream, TargetError>>,
-    /// Stops all attempts of a request; true when one was running.
+    /// Cancels all attempts of a request; `true` if one was running.
     pub cancel: PortCall<TargetCall<RequestId>, Result<bool, TargetError>>,
     /// Reads the engine's state.
     pub state: PortCall<TargetCall<()>, Result<EngineState, TargetError>>,
-    /// Reads cache events after a number.
+    /// Reads cache events after the given sequence number.
     pub cache_events: PortCall<TargetCall<u64>, Result<Vec<CacheEvent>, TargetError>>,
-    /// Sends an order.
+    /// Sends an order and returns the resulting state.
     pub order: PortCall<TargetCall<OrderBody>, Result<EngineState, TargetError>>,
 }
 
-/// Plain services.
+/// Port to plain services.
 #[derive(Clone)]
 pub struct ServicePort {
-    /// Makes one call.
+    /// Sends one request and reads its reply.
     pub call: PortCall<TargetCall<ServiceBody>, Result<ServiceReply, TargetError>>,
 }
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -1,4 +1,4 @@
-//! Adapter of the platform's object service and instance list over HTTP.
+//! HTTP client for the platform's object service and instance list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,19 +20,19 @@
 const RETRY_AFTER: &str = "retry-after-ms";
 const DEFAULT_RETRY: Duration = Duration::from_millis(500);
 
-/// Why the adapter could not be built.
+/// Reason why the client could not be built.
 #[derive(Debug, Error)]
 pub enum PlatformSetupError {
     /// The address is not a URL.
-    #[error("platform.address is {address:?} ({reason}); give it as http://IP:PORT")]
+    #[error("platform.address {address:?} is invalid ({reason}); set it to http://IP:PORT")]
     Address {
-        /// Address found.
+        /// Configured address.
         address: String,
-        /// What is wrong with it.
+        /// Reason why it is invalid.
         reason: String,
     },
     /// The HTTP client could not be built.
-    #[error("the HTTP client for the platform cannot start ({0}); check the TLS libraries")]
+    #[error("the HTTP client for the platform cannot be built ({0}); check the TLS libraries")]
     Client(#[from] reqwest::Error),
 }
 
@@ -43,11 +43,11 @@
     patience: Duration,
 }
 
-/// Builds the platform's port over HTTP.
+/// Returns a platform port that uses HTTP.
 ///
 /// # Errors
 ///
-/// Fails when the address is no URL or the HTTP client cannot start.
+/// Fails if the address is not a URL or the HTTP client cannot be built.
 pub fn platform_port(settings: &PlatformSettings) -> Result<PlatformPort, PlatformSetupError> {
     let base = base_url(&settings.address)?;
     let http = Client::builder()
@@ -96,7 +96,7 @@
     };
     let url = Url::parse(address).map_err(|e| refuse(e.to_string()))?;
     if url.cannot_be_a_base() {
-        return Err(refuse("not a base address".to_owned()));
+        return Err(refuse("the URL cannot be a base URL".to_owned()));
     }
     Ok(url)
 }
@@ -118,7 +118,7 @@
             return Ok(None);
         }
         let answer = accept_read(answer)?;
-        let version = etag(answer.headers()).ok_or_else(|| unusable("no etag"))?;
+        let version = etag(answer.headers()).ok_or_else(|| unusable("the answer has no etag"))?;
         let value = answer.bytes().await.map_err(|e| unreadable(&e))?;
         Ok(Some(StoredObject {
             object,
@@ -216,8 +216,8 @@
             retry_after: retry_after(answer.headers()),
         });
     }
-    // A 408 or a 5xx may come from something in front of the store, after the store
-    // took the write: concluding "not written" would lose or double a change.
+    // A 408 or 5xx may come from a proxy in front of the store after the store has applied
+    // the write. Treating it as "not written" would lose or duplicate a change.
     if status.is_client_error() && status != StatusCode::REQUEST_TIMEOUT {
         return Err(PlatformError::Refused {
             reason: status.to_string(),
@@ -273,7 +273,7 @@
     }
 }
 
-// The outer error only says that sending failed; the cause is down the chain.
+// The outer error only says that sending failed; the cause is further down the chain.
 fn full_reason(error: &reqwest::Error) -> String {
     let mut reason = error.to_string();
     let mut source = std::error::Error::source(error);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Adapter of the object service over HTTP.
+//! HTTP client for the platform's object service.
 
 pub mod http;
 pub mod wire;
--- a/src/store/wire.rs
+++ b/src/store/wire.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceKind {
-    /// Runs a model engine.
+    /// The instance runs a model engine.
     Engine,
-    /// Runs a daemon of this system.
+    /// The instance runs a daemon of this system.
     Entry,
-    /// Runs a plain service.
+    /// The instance runs a plain service.
     Service,
 }
 
@@ -22,27 +22,27 @@
 pub enum InstanceState {
     /// In use.
     Live,
-    /// Told to leave; new work must stop.
+    /// Leaving; it must receive no new work.
     Leaving,
 }
 
 /// One row of the instance list: `GET /v1/instances`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceRow {
-    /// Name of the daemon or target on the instance.
+    /// Name of the daemon or target that runs on the instance.
     pub id: String,
-    /// What runs there.
+    /// Kind of program that runs on the instance.
     pub kind: InstanceKind,
-    /// IP number and port of its main interface.
+    /// IP address and port of its main interface.
     pub address: String,
     /// Peer address of an entry instance; empty for others.
     #[serde(default)]
     pub peer_address: String,
-    /// Data centre it stands in.
+    /// Data centre of the instance.
     pub data_centre: CentreName,
-    /// Whether it is leaving.
+    /// Whether the instance is in use or leaving.
     pub state: InstanceState,
-    /// Service offered, for plain services.
+    /// Offered service, for plain services.
     #[serde(default)]
     pub service: Option<ServiceName>,
     /// Whether the target refuses orders with an old fencing number.
@@ -53,26 +53,26 @@
 /// The instance list.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceList {
-    /// Rows in no order.
+    /// Rows in no particular order.
     pub instances: Vec<InstanceRow>,
 }
 
-/// One object in a listing or watch answer: values in base64.
+/// One object in the answer to a listing or watch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectRow {
     /// Name within the kind.
     pub name: String,
-    /// Version for conditional updates; rises across the whole service.
+    /// Version for conditional updates; increases across all objects of the service.
     pub version: u64,
     /// Value in base64; absent once deleted.
     pub value: Option<String>,
 }
 
-/// `GET /v1/objects/KIND` and `GET /v1/watch/KIND?since=REVISION&wait_ms=N`.
+/// Answer to `GET /v1/objects/KIND` and `GET /v1/watch/KIND?since=REVISION&wait_ms=N`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectList {
-    /// Revision up to which the rows are complete; the next watch starts there.
+    /// Revision up to which the rows are complete; the next watch starts from it.
     pub revision: u64,
-    /// Objects, or for a watch those changed since.
+    /// All objects of the kind; in a watch answer, those changed since the given revision.
     pub objects: Vec<ObjectRow>,
 }
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: one task from which parts subscribe to ticks.
+//! Timer service: one task that sends periodic and single ticks to subscribers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -29,14 +29,14 @@
     ticks: mpsc::Sender<MonoTime>,
 }
 
-/// Handle of the timer service; clones share one task.
+/// Handle to the timer service; clones share one task.
 #[derive(Clone, Debug)]
 pub struct TimerService {
     commands: mpsc::UnboundedSender<TimerCommand>,
     next_id: Arc<AtomicU64>,
 }
 
-/// Ticks of one subscription, cancelled on drop.
+/// Ticks of one subscription, which is cancelled on drop.
 #[derive(Debug)]
 pub struct TimerTicks {
     id: u64,
@@ -45,11 +45,11 @@
 }
 
 impl TimerService {
-    /// Starts the service on the current runtime; it ends with its last handle.
+    /// Starts the service on the current runtime; it ends when its last handle is dropped.
     ///
     /// # Panics
     ///
-    /// Panics outside a runtime.
+    /// Panics if called outside a runtime.
     #[must_use]
     pub fn start() -> Self {
         let (commands, inbox) = mpsc::unbounded_channel();
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Subscribes to a tick every `period`. Ticks missed by a slow subscriber are
-    /// left out, never piled up.
+    /// Subscribes to a tick every `period`. Ticks missed by a slow subscriber are skipped,
+    /// not queued.
     #[must_use]
     pub fn every(&self, period: Duration) -> TimerTicks {
         let period = period.max(Duration::from_millis(1));
@@ -83,7 +83,7 @@
             period,
             ticks: sender,
         };
-        // A closed inbox means that the runtime is ending: no tick is due any more.
+        // A closed channel means that the runtime is shutting down: no more ticks are due.
         let _ = self.commands.send(TimerCommand::Add(entry));
         TimerTicks {
             id,
@@ -94,8 +94,8 @@
 }
 
 impl TimerTicks {
-    /// Waits for the next tick; `None` once a single tick has passed or the service
-    /// has ended.
+    /// Waits for the next tick; returns `None` after a single tick has been received or the
+    /// service has ended.
     pub async fn next(&mut self) -> Option<MonoTime> {
         self.ticks.recv().await
     }
@@ -140,8 +140,8 @@
         self.entries.insert(entry.id, entry);
     }
 
-    // The heap keeps a cancelled entry until it is due. Short subscriptions with long
-    // delays would fill it, so it is rebuilt once most of it is cancelled.
+    // The heap keeps cancelled entries until they are due. Short-lived subscriptions with
+    // long delays would fill it, so it is rebuilt when more than half of it is cancelled.
     fn cancel(&mut self, id: u64) {
         self.entries.swap_remove(&id);
         if self.order.len() > 2 * self.entries.len() + 64 {
@@ -169,7 +169,7 @@
         let closed = matches!(sent, Err(TrySendError::Closed(_)));
         match entry.period.filter(|_| !closed) {
             Some(period) => {
-                // After a pause the next tick is a period away, not a burst of old ones.
+                // After a pause, skips the missed ticks instead of sending them in a burst.
                 entry.due = (entry.due + period).max(now + period / 2);
                 self.order.push(Reverse((entry.due, id)));
             }
