--- a/src/config/buckets.rs
+++ b/src/config/buckets.rs
@@ -1,9 +1,9 @@
-//! Configuration in a bounded number of platform objects.
+//! Configuration stored in a fixed number of platform objects.
 //!
 //! Every item belongs to one of [`BUCKETS`] buckets, each an object of the kind
-//! [`CONFIG_KIND`]. A workspace and its classes share a bucket, so that one
-//! conditional update decides over both. A bucket's sequence rises with each change
-//! and gives the changed item its revision, which is therefore never reused.
+//! [`CONFIG_KIND`]. A workspace and its classes share a bucket, so that one conditional
+//! write covers both. A bucket's sequence number increases with each change and becomes
+//! the revision of the changed item, so revisions are never reused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,26 +22,26 @@
 use crate::names::UnixTime;
 use crate::ports::{ObjectName, ObjectVersion, StoredObject};
 
-/// Number of buckets. The same on every daemon, for good.
+/// Number of buckets. It must be the same on all daemons and must never change.
 pub const BUCKETS: u16 = 256;
 
 /// Kind of the bucket objects.
 pub const CONFIG_KIND: &str = "config";
 
-/// Largest encoded bucket; the platform holds values up to a megabyte.
+/// Maximum size of an encoded bucket; the platform stores values of up to 1 MB.
 pub const BUCKET_BYTES: usize = 900_000;
 
-/// How long a deletion stays visible in its bucket.
+/// Time for which a deleted item stays in its bucket.
 pub const TOMBSTONE_AGE: Duration = Duration::from_secs(3_600);
 
 const RECENT_MARKS: usize = 64;
 
-/// Number of a bucket.
+/// Index of a bucket.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BucketIndex(u16);
 
 impl BucketIndex {
-    /// Returns the bucket that holds an item.
+    /// Returns the bucket of an item.
     #[must_use]
     pub fn of(item: &ItemName) -> Self {
         let name = item.name.as_str();
@@ -55,7 +55,7 @@
         Self(u16::try_from(index).unwrap_or_default())
     }
 
-    /// Returns the bucket's object.
+    /// Returns the name of the bucket's object.
     #[must_use]
     pub fn object(self) -> ObjectName {
         ObjectName {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Returns the position of the bucket in a table of [`BUCKETS`] entries.
+    /// Returns the bucket's position in a table of [`BUCKETS`] entries.
     #[must_use]
     pub fn position(self) -> usize {
         usize::from(self.0)
     }
 
-    /// Reads the number from an object's name.
+    /// Parses the index from an object's name; `None` if it is not a bucket's name.
     #[must_use]
     pub fn from_object(object: &ObjectName) -> Option<Self> {
         let digits = object.name.strip_prefix("bucket-")?;
@@ -85,50 +85,53 @@
         .map_or(class, |(workspace, _)| workspace)
 }
 
-/// Why a bucket could not be read.
+/// Reason why a bucket could not be decoded.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum BucketError {
-    /// The object is none of the buckets.
-    #[error("config/{0} is no bucket; remove the object")]
+    /// The object's name is not a bucket's.
+    #[error("config/{0} is not a configuration bucket; remove the object")]
     Name(String),
-    /// The value is not a bucket's.
-    #[error("{object} cannot be read ({reason}); restore it or update this daemon")]
+    /// The value is not an encoded bucket.
+    #[error("{object} cannot be decoded ({reason}); restore it or update this daemon")]
     Value {
-        /// Object concerned.
+        /// Kind and name of the object.
         object: String,
-        /// What is wrong.
+        /// Reason why it cannot be decoded.
         reason: String,
     },
 }
 
-/// Remembers which change a writer's mark belongs to.
+/// Sequence number of the change with a given mark.
+///
+/// A mark identifies a change, so that a writer whose answer was lost can find out from
+/// the bucket whether its write took effect.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MarkRecord {
-    /// Unique mark of the writer's attempt.
+    /// Unique mark of the change.
     pub mark: String,
-    /// Sequence the change took.
+    /// Sequence number of the bucket after the change.
     pub sequence: u64,
 }
 
 /// One item in a bucket.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BucketItem {
-    /// Sequence of the bucket at the item's last change.
+    /// Sequence number of the bucket at the item's last change.
     pub revision: u64,
-    /// The item; `None` once deleted.
+    /// Content of the item; `None` once deleted.
     pub spec: Option<ItemSpec>,
-    /// When it was deleted.
+    /// Time of the deletion.
     pub deleted_at: Option<UnixTime>,
 }
 
 /// A bucket as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct BucketRecord {
-    /// Rises with each change.
+    /// Sequence number; increases with each change.
     pub sequence: u64,
-    /// Marks of the newest changes, oldest first.
+    /// Marks of the latest changes, oldest first.
     pub marks: Vec<MarkRecord>,
-    /// Items by name, deleted ones for a while.
+    /// Items by name; deleted ones stay for [`TOMBSTONE_AGE`].
     pub items: IndexMap<ItemName, BucketItem>,
 }
 
@@ -173,7 +176,7 @@
         for row in wire.items {
             if row.revision > wire.sequence {
                 return Err(format!(
-                    "{} has revision {} past the bucket's sequence {}",
+                    "{} has revision {}, which exceeds the bucket's sequence number {}",
                     row.item.name, row.revision, wire.sequence
                 ));
             }
@@ -183,7 +186,7 @@
                 deleted_at: row.deleted_at_ms.map(UnixTime),
             };
             if items.insert(row.item, item).is_some() {
-                return Err("an item stands in it twice".to_owned());
+                return Err("an item occurs twice in the bucket".to_owned());
             }
         }
         Ok(Self {
@@ -195,12 +198,12 @@
 }
 
 impl BucketRecord {
-    /// Reads a bucket from an object; one never written is an empty bucket.
+    /// Decodes a bucket from an object; an object that was never written is an empty bucket.
     ///
     /// # Errors
     ///
-    /// Fails when the value is not a bucket's. A deleted object is an error as well:
-    /// started anew, its sequence would give out old revisions a second time.
+    /// Fails if the value is not an encoded bucket, or if the object was deleted: a bucket
+    /// restarted from sequence number 0 would assign old revisions again.
     pub fn decode(stored: &StoredObject) -> Result<Self, BucketError> {
         let refuse = |reason: String| BucketError::Value {
             object: format!("{}/{}", stored.object.kind, stored.object.name),
@@ -209,28 +212,28 @@
         let Some(value) = &stored.value else {
             return match stored.version {
                 ObjectVersion(0) => Ok(Self::default()),
-                _ => Err(refuse("it was deleted".to_owned())),
+                _ => Err(refuse("the object was deleted".to_owned())),
             };
         };
         let wire: BucketWire = serde_json::from_slice(value).map_err(|e| refuse(e.to_string()))?;
         Self::try_from(wire).map_err(refuse)
     }
 
-    /// Returns the value to store.
+    /// Encodes the bucket as the value of its object.
     ///
     /// # Errors
     ///
-    /// Fails when the bucket is larger than an object may be.
+    /// Fails if the encoded bucket exceeds [`BUCKET_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, ChangeError> {
         let value =
             serde_json::to_vec(&BucketWire::from(self)).map_err(|e| ChangeError::Invalid {
-                reason: format!("the item cannot be written as JSON ({e}); correct its text"),
+                reason: format!("the item cannot be encoded as JSON ({e}); correct its text"),
             })?;
         if value.len() > BUCKET_BYTES {
             return Err(ChangeError::Invalid {
                 reason: format!(
-                    "the item's bucket would take {} bytes of at most {BUCKET_BYTES}; shorten or \
-                     delete items of this workspace",
+                    "the item's bucket would have {} bytes, but at most {BUCKET_BYTES} are \
+                     allowed; shorten or delete items of this workspace",
                     value.len()
                 ),
             });
@@ -238,14 +241,14 @@
         Ok(value)
     }
 
-    /// Returns the sequence taken by the change with this mark, if it is remembered.
+    /// Returns the sequence number of the change with this mark, if the mark is still listed.
     #[must_use]
     pub fn sequence_of(&self, mark: &str) -> Option<u64> {
         let record = self.marks.iter().rev().find(|m| m.mark == mark)?;
         Some(record.sequence)
     }
 
-    /// Tells whether every change after `sequence` is still remembered by its mark.
+    /// Returns whether the marks of all changes after `sequence` are still listed.
     #[must_use]
     pub fn remembers_since(&self, sequence: u64) -> bool {
         let oldest = self.marks.first().map_or(0, |m| m.sequence);
@@ -253,11 +256,12 @@
     }
 }
 
-/// Returns the bucket after a change.
+/// Returns the bucket with a change applied.
 ///
 /// # Errors
 ///
-/// Fails when the item moved since the change was made, or would not hold together.
+/// Fails if the item has changed since the revision that the change is based on, or if the
+/// changed item is invalid.
 pub fn edit(
     bucket: &BucketRecord,
     view: &ConfigView,
@@ -297,16 +301,16 @@
     let found = item
         .and_then(|i| i.spec.as_ref())
         .and_then(|spec| serde_json::to_string(spec).ok())
-        .unwrap_or_else(|| "deleted or never made".to_owned());
+        .unwrap_or_else(|| "deleted or never created".to_owned());
     Err(ChangeError::Conflict { current, found })
 }
 
-/// What applying an object did.
+/// Result of applying an object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ApplyResult {
-    /// The object is newer; these items changed.
+    /// The object was newer and changed these items.
     Changed(Vec<ItemName>),
-    /// The object is one already applied, or older.
+    /// The object had already been applied or is older than the applied one.
     Known,
 }
 
@@ -325,13 +329,13 @@
 }
 
 impl ConfigState {
-    /// Returns the configuration in force.
+    /// Returns the applied configuration.
     #[must_use]
     pub fn view(&self) -> &Arc<ConfigView> {
         &self.view
     }
 
-    /// Returns the version applied of a bucket; 0 for none.
+    /// Returns the applied version of a bucket; 0 if none was applied.
     #[must_use]
     pub fn version_of(&self, bucket: BucketIndex) -> ObjectVersion {
         self.buckets
@@ -339,20 +343,20 @@
             .map_or(ObjectVersion(0), |seen| seen.stored.version)
     }
 
-    /// Returns the objects applied, for daemons that are fed by this one.
+    /// Returns the applied objects, for daemons that receive updates from this one.
     pub fn objects(&self) -> impl Iterator<Item = &StoredObject> {
         self.buckets.values().map(|seen| &seen.stored)
     }
 
-    /// Applies an object if it is newer than the one applied.
+    /// Applies an object if it is newer than the applied one.
     ///
-    /// Objects arrive from listings, watches, peers and own changes in any order;
-    /// without the comparison an item would go back until the next watch answer.
-    /// The platform's versions rise with every write, which is why they suffice.
+    /// Objects from listings, watches, peers and this daemon's own changes arrive in any
+    /// order; without the comparison an item would revert until the next watch answer.
+    /// Comparing versions suffices because they increase with every write.
     ///
     /// # Errors
     ///
-    /// Fails when the object is no readable bucket; what was applied stays in force.
+    /// Fails if the object is not a valid bucket; the applied configuration then stays.
     pub fn apply(&mut self, stored: &StoredObject) -> Result<ApplyResult, BucketError> {
         let index = BucketIndex::from_object(&stored.object)
             .ok_or_else(|| BucketError::Name(stored.object.name.clone()))?;
@@ -363,7 +367,7 @@
         let advances = self.advances(index, &bucket);
         invariants::check(advances, Invariant::ConfigNeverReverts, || {
             format!(
-                "{} goes back at version {}",
+                "{} reverts to an older state at version {}",
                 stored.object.name, stored.version.0
             )
         });
@@ -420,8 +424,9 @@
         changes.into_iter().map(|(name, _)| name).collect()
     }
 
-    // An item whose tombstone expired while this daemon was cut off still has to be
-    // seen as deleted by those who follow the view; one already deleted is forgotten.
+    // Returns the record of an item that is no longer in its bucket. If this daemon was
+    // disconnected until the tombstone expired, users of the view still have to see the
+    // deletion; an item already recorded as deleted is removed.
     fn vanished(&self, name: &ItemName, sequence: u64) -> Option<ItemRecord> {
         let known = self.view.items.get(name)?;
         known.spec.as_ref()?;
--- a/src/config/catalogue.rs
+++ b/src/config/catalogue.rs
@@ -1,4 +1,4 @@
-//! What operators configure: workspaces, workload classes, models and holds.
+//! Items that operators configure: workspaces, workload classes, models and holds.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 pub struct WorkspaceSpec {
     /// Name, unique in the deployment.
     pub name: WorkspaceName,
-    /// Share of the fleet relative to other workspaces; at least 1.
+    /// Share of the fleet relative to those of other workspaces; at least 1.
     pub weight: u32,
     /// SHA-256 of each key in hexadecimal.
     pub key_hashes: Vec<String>,
 }
 
-/// What a class's requests are sent to.
+/// Kind of target to which a class's requests are sent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClassTarget {
-    /// Engines that hold one of the models.
+    /// Engines that have one of the models loaded.
     Models(ModelChoice),
     /// A plain service.
     Service(ServiceName),
@@ -34,13 +34,13 @@
 pub struct ModelChoice {
     /// Models in order of preference; never empty.
     pub models: Vec<ModelName>,
-    /// Adapters allowed besides none.
+    /// Allowed adapters; requests without an adapter are always allowed.
     pub adapters: Vec<String>,
-    /// Versions allowed; empty allows every version of the model.
+    /// Allowed versions; an empty list allows every version of the model.
     pub versions: Vec<String>,
 }
 
-/// A kind of work with its deadline and priority.
+/// A workload class with its deadline and priority.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
@@ -48,18 +48,18 @@
     pub workspace: WorkspaceName,
     /// Name, unique in the workspace.
     pub name: ClassName,
-    /// Time for a whole answer in milliseconds.
+    /// Time limit for a complete answer in milliseconds.
     pub deadline_ms: u32,
     /// Urgency; 0 is the most urgent.
     pub priority: u32,
-    /// Whether a request may run more than once.
+    /// Whether requests may run more than once.
     pub repeatable: bool,
-    /// Where requests go.
+    /// Kind of target that receives the requests.
     pub target: ClassTarget,
 }
 
 impl ClassSpec {
-    /// Returns the time for a whole answer.
+    /// Returns the time limit for a complete answer.
     #[must_use]
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(u64::from(self.deadline_ms))
@@ -78,11 +78,11 @@
     pub adapters: Vec<String>,
     /// Size of the weights in bytes.
     pub weight_bytes: u64,
-    /// Fewest engines that hold the model.
+    /// Minimum number of engines that have the model loaded.
     pub least_engines: u32,
 }
 
-/// Keeps a target out of use until an operator restores it.
+/// Takes a target out of use until an operator restores it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HoldSpec {
@@ -130,7 +130,7 @@
 }
 
 impl ItemSpec {
-    /// Returns the item's identity.
+    /// Returns the kind and name of the item.
     #[must_use]
     pub fn item_name(&self) -> ItemName {
         let (kind, name) = match self {
--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -1,8 +1,8 @@
-//! Checks that a changed item holds together, by itself and with the others.
+//! Validation of changed items, by themselves and against the other items.
 //!
-//! A workspace and its classes are checked against their common bucket and hold
-//! for certain. Models are checked against this daemon's view, which may be seconds
-//! old: a class can outlive its model, and admission then refuses its requests.
+//! A workspace and its classes are checked against their common bucket, which is reliable.
+//! Models are checked against this daemon's view, which may be seconds old: a class can
+//! outlive its model, and admission then refuses its requests.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -23,11 +23,11 @@
 const PRIORITIES: RangeInclusive<u32> = 0..=1_000;
 const LEAST_ENGINES: RangeInclusive<u32> = 0..=100_000;
 
-/// Checks a change against its bucket and the other buckets' items.
+/// Checks a change against its bucket and the items of other buckets.
 ///
 /// # Errors
 ///
-/// Fails with the field, the value found, its range and the remedy.
+/// Fails with the field, its value, the allowed range and the remedy.
 pub fn check_change(
     bucket: &BucketRecord,
     view: &ConfigView,
@@ -38,7 +38,7 @@
     };
     if spec.item_name() != change.item {
         return Err(invalid(format!(
-            "item name is {:?} and its content names {:?}; they must be the same: correct either",
+            "the item name is {:?}, but its content names {:?}; correct either, as they must be equal",
             change.item.name,
             spec.item_name().name
         )));
@@ -102,8 +102,8 @@
         let owner = view.key_owners.get(&hash.to_lowercase());
         if let Some(other) = owner.filter(|name| **name != workspace.name) {
             return Err(invalid(format!(
-                "key_hashes holds {hash:?}, which belongs to workspace {other:?}; a key names one \
-                 workspace: make another key",
+                "key_hashes contains {hash:?}, which belongs to workspace {other:?}; a key can \
+                 belong to only one workspace: create another key",
                 other = other.as_str()
             )));
         }
@@ -117,8 +117,8 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "key_hashes holds {hash:?}; each must be {HASH_LENGTH} hexadecimal digits: give the \
-         SHA-256 of the key"
+        "key_hashes contains {hash:?}; each hash must have {HASH_LENGTH} hexadecimal digits: \
+         use the SHA-256 of the key"
     )))
 }
 
@@ -151,7 +151,7 @@
 fn check_choice(view: &ConfigView, choice: &ModelChoice) -> Result<(), ChangeError> {
     if choice.models.is_empty() {
         return Err(invalid(
-            "models is empty; name at least 1 model, or a service".to_owned(),
+            "models is empty; give at least 1 model, or a service".to_owned(),
         ));
     }
     check_count("models", choice.models.len())?;
@@ -176,7 +176,7 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} holds {value:?}, which none of the class's models has; add it to a model first"
+        "{field} contains {value:?}, which none of the class's models has; add it to a model first"
     )))
 }
 
@@ -194,7 +194,8 @@
     Ok(())
 }
 
-// `/`, `@` and `+` join names elsewhere (WORKSPACE/CLASS, MODEL@VERSION+ADAPTER).
+// `/`, `@` and `+` are separators in combined names (WORKSPACE/CLASS,
+// MODEL@VERSION+ADAPTER).
 fn check_name(field: &str, name: &str) -> Result<(), ChangeError> {
     let sane = |c: char| c.is_ascii_alphanumeric() || "._-:".contains(c);
     if !name.is_empty() && name.len() <= NAME_LENGTH && name.chars().all(sane) {
@@ -202,8 +203,8 @@
     }
     let shown: String = name.chars().take(NAME_LENGTH).collect();
     Err(invalid(format!(
-        "{field} is {shown:?}; it must have 1 to {NAME_LENGTH} letters, digits, '.', '_', '-' or \
-         ':': choose another name"
+        "{field} is {shown:?}, but it must consist of 1 to {NAME_LENGTH} letters, digits, '.', \
+         '_', '-' or ':'; choose another name"
     )))
 }
 
@@ -212,7 +213,7 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} has {} bytes of at most {most}; shorten it",
+        "{field} has {} bytes, but at most {most} are allowed; shorten it",
         text.len()
     )))
 }
@@ -222,7 +223,7 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} has {count} entries of at most {MOST_ENTRIES}; remove some"
+        "{field} has {count} entries, but at most {MOST_ENTRIES} are allowed; remove some"
     )))
 }
 
@@ -235,7 +236,7 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} is {value}; it must be {} to {}: set it within the range",
+        "{field} is {value}, but it must be {} to {}; set it within the range",
         range.start(),
         range.end()
     )))
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration: items, checks, buckets and their store.
+//! Configuration: items, their validation, and their storage in buckets on the platform.
 
 pub mod buckets;
 pub mod catalogue;
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,4 +1,4 @@
-//! Runs an operator's change against the platform.
+//! Stores an operator's change on the platform.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::control::{ChangeError, ItemChange};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, PlatformPort, StoredObject};
 
-/// How long a change is tried.
+/// Retry policy of a change.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangePatience {
-    /// Time after which no further attempt is made.
+    /// Time after which no further attempt is started.
     pub total: Duration,
-    /// Wait between attempts.
+    /// Minimum wait between attempts.
     pub pause: Duration,
 }
 
@@ -28,16 +28,16 @@
     }
 }
 
-/// A change that the platform holds.
+/// A change that the platform has stored.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredChange {
-    /// Revision the item took.
+    /// Revision of the item after the change.
     pub revision: u64,
-    /// The bucket as last seen, the change included.
+    /// Bucket as last read or written, including the change.
     pub stored: StoredObject,
 }
 
-// A write whose answer was lost: it may have landed, or may land later.
+// A write whose answer was lost: it may have taken effect or may still do so later.
 #[derive(Clone, Debug)]
 struct LostWrite {
     expected: ObjectVersion,
@@ -58,16 +58,16 @@
     stored: StoredObject,
 }
 
-/// A change on its way.
+/// A change to store.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeRequest<'a> {
-    /// The change.
+    /// Requested change.
     pub change: &'a ItemChange,
-    /// Mark that no other change carries.
+    /// Unique mark of the change.
     pub mark: &'a str,
-    /// Configuration in force here, for checks against other buckets.
+    /// Configuration applied here, for checks against other buckets.
     pub view: &'a ConfigView,
-    /// Version of the bucket applied here; an older read is stale.
+    /// Version of the bucket applied here; a read of an older version is stale.
     pub applied: ObjectVersion,
 }
 
@@ -83,12 +83,12 @@
     Again { reason: String, pause: Duration },
 }
 
-/// Reads, edits and conditionally writes a bucket until the change is decided.
+/// Reads, edits and conditionally writes a bucket until the change is stored or refused.
 ///
 /// # Errors
 ///
-/// Fails as [`ChangeError`] tells; only `Unknown` leaves open whether the change
-/// was taken.
+/// Returns a [`ChangeError`]; after `Unknown` the change may have been stored, after any
+/// other error it was not.
 pub async fn run_change(
     platform: &PlatformPort,
     request: ChangeRequest<'_>,
@@ -99,7 +99,7 @@
         newest: request.applied,
         ..ChangeProgress::default()
     };
-    let mut obstacle = "the bucket kept changing".to_owned();
+    let mut obstacle = "the bucket was changed by others on every attempt".to_owned();
     while Instant::now() < give_up {
         match attempt(platform, request, &mut progress).await {
             Ok(stored) => return Ok(stored),
@@ -122,9 +122,11 @@
 ) -> Result<StoredChange, AttemptError> {
     let index = BucketIndex::of(&request.change.item);
     let found = read_bucket(platform, index).await?;
-    // A stale read shows less than a conflict or this daemon's view has revealed.
+    // A stale read: a conflict or this daemon's view has shown a newer version.
     if found.version < progress.newest {
-        return Err(again("a read was older than what is in force"));
+        return Err(again(
+            "a read returned an older version than the applied one",
+        ));
     }
     progress.newest = found.version;
     if let Some(write) = &progress.lost {
@@ -155,22 +157,24 @@
     } = request;
     let next = buckets::edit(&found.bucket, view, change, mark, clock::unix_now());
     match next {
-        // The operator has seen a revision that this read does not show: the read is
-        // stale, and a conflict concluded from it would be false.
+        // The change is based on a newer revision than this read returned: the read is
+        // stale, so it does not prove a conflict.
         Err(error @ ChangeError::Conflict { current, .. }) if current < change.based_on => {
             progress.doubtful = Some(error);
-            Err(again("a read was older than the change's base"))
+            Err(again(
+                "a read returned an older revision than the change is based on",
+            ))
         }
         other => other.map_err(AttemptError::Decided),
     }
 }
 
-/// Decides what became of a lost write.
+/// Determines the outcome of a lost write from a later read.
 ///
-/// A read that lacks the mark does not prove that nothing was written: the write may
-/// still be under way. It can land only on the version it expects, so a newer
-/// version without the mark rules it out; until then the same write is sent again,
-/// and whichever lands first makes the other one fail.
+/// A read without the mark does not prove that nothing was written: the write may still be
+/// in transit. It can take effect only on the version it expects, so a newer version
+/// without the mark rules it out. Until then the same write is sent again; whichever of the
+/// two takes effect first makes the other one fail.
 fn read_back(write: &LostWrite, found: &BucketRead, mark: &str) -> ReadBack {
     if let Some(sequence) = found.bucket.sequence_of(mark) {
         return ReadBack::Landed(sequence);
@@ -234,7 +238,7 @@
         }),
         Err(PlatformError::Conflict { current }) => {
             progress.newest = current.max(progress.newest);
-            Err(again("the bucket changed under the write"))
+            Err(again("the bucket changed between read and write"))
         }
         Err(PlatformError::Refused { reason }) => {
             Err(AttemptError::Decided(ChangeError::Invalid { reason }))
@@ -270,7 +274,8 @@
     }
 }
 
-// With a lost write open, no other error may claim that nothing was written.
+// While the outcome of a lost write is open, no other error may be returned, since those
+// state that nothing was written.
 fn decided(lost: Option<&LostWrite>, error: ChangeError) -> ChangeError {
     lost.map_or(error, unknown)
 }
--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -1,4 +1,4 @@
-//! Keeps the lookup tables of a [`ConfigView`] in step with its items.
+//! Updates the lookup tables of a [`ConfigView`] together with its items.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use crate::control::snapshot::{ConfigView, ItemRecord};
 use crate::names::WorkspaceName;
 
-/// Puts an item into the view; `None` forgets it.
+/// Sets an item of the view; `None` removes it.
 pub fn set_item(view: &mut ConfigView, name: &ItemName, record: Option<ItemRecord>) {
     let old = view.items.get(name).and_then(|r| r.spec.clone());
     if let Some(spec) = old {
@@ -64,9 +64,9 @@
     }
 }
 
-// Two operators may give one key to two workspaces at the same time, for their
-// buckets differ. Every daemon then has to settle on the same owner, or a caller's
-// workspace would depend on the daemon it met: the lesser name wins everywhere.
+// Two operators may add the same key to two workspaces at the same time, because the
+// workspaces are in different buckets. All daemons must then choose the same owner, or a
+// caller's workspace would depend on the daemon it reaches: the name that sorts first wins.
 fn own_key(view: &mut ConfigView, hash: &str, workspace: &WorkspaceName) {
     let owner = view.key_owners.get(hash);
     if owner.is_none_or(|name| workspace <= name) {
