--- a/tests/control_config.rs
+++ b/tests/control_config.rs
@@ -1,4 +1,4 @@
-//! Configuration buckets: checks, edits and the order of application.
+//! Configuration buckets: validation, edits and applying objects in any order.
 
 use std::time::Duration;
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// A store of buckets edited one change after another.
+/// Buckets that are edited by one change after another.
 #[derive(Default)]
 struct Ledger {
     state: ConfigState,
@@ -251,8 +251,8 @@
     }
 }
 
-/// An operator deletes an item and makes it anew; later somebody sends a change based
-/// on the first life. Were revisions reused, it would be taken.
+/// An operator deletes an item and creates it again; later a change arrives that is based
+/// on the deleted item. It would be accepted if revisions were reused.
 #[test]
 fn never_reuses_a_revision() {
     let mut ledger = Ledger::default();
@@ -280,8 +280,8 @@
     ));
 }
 
-/// A daemon applies revision 2, then a slow peer feeds it revision 1 of the bucket, and
-/// a listing repeats revision 2. The older object must change nothing.
+/// A daemon has applied revision 2; then a slow peer sends revision 1 of the bucket and a
+/// listing returns revision 2 again. The older object must change nothing.
 #[test]
 fn an_older_object_changes_nothing() {
     let mut ledger = Ledger::default();
@@ -296,8 +296,8 @@
     assert!(!view.key_owners.contains_key(&"a".repeat(64)));
 }
 
-/// The platform's object is replaced by hand with older content under a newer version.
-/// Following it would revert what operators were told is in force.
+/// The platform's object is replaced manually by older content with a newer version.
+/// Applying it would revert changes that operators were told are in force.
 #[test]
 fn older_content_under_a_newer_version_is_refused() {
     let mut ledger = Ledger::default();
@@ -321,8 +321,8 @@
     assert_eq!(after, before + 1);
 }
 
-/// Two operators give one key to two workspaces at once; the buckets differ, so both
-/// are taken. Daemons that learn them in different order must agree on the owner.
+/// Two operators add the same key to two workspaces at once; as the buckets differ, both
+/// changes are stored. Daemons that receive them in different order must agree on the owner.
 #[test]
 fn a_key_of_two_workspaces_has_one_owner_everywhere() {
     let hash = "c".repeat(64);
--- a/tests/control_http.rs
+++ b/tests/control_http.rs
@@ -1,4 +1,4 @@
-//! The platform adapter: which answers certainly had no effect.
+//! HTTP client of the platform: which failed calls certainly had no effect.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// What the server does with a connection.
+/// Behaviour of the server on a connection.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
     Text(&'static str),
@@ -124,8 +124,8 @@
 })]
 #[case::closed(WriteCase { reply: Reply::Close, verdict: Verdict::Lost })]
 #[case::no_answer(WriteCase { reply: Reply::Hang, verdict: Verdict::Lost })]
-/// A write's answer fails to arrive, or comes from something between. Whoever takes an
-/// uncertain write for one without effect tells an operator or caller what is not true.
+/// The answer to a write is lost or comes from a proxy. If a write with an unknown result
+/// were treated as one without effect, operators and callers would get a wrong answer.
 #[tokio::test]
 async fn tells_certain_from_lost_writes(#[case] case: WriteCase) {
     let (port, mut heads) = serve(case.reply).await;
@@ -216,7 +216,7 @@
         instances_ms: 1,
     };
     let Err(error) = platform_port(&settings) else {
-        panic!("taken");
+        panic!("the address was accepted");
     };
     assert!(error.to_string().contains("http://IP:PORT"), "{error}");
 }
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -1,4 +1,4 @@
-//! Peers: who links to whom, what hints add up to, links and what flows over them.
+//! Peers: link topology, totals from hints, links and the messages over them.
 
 mod control_fakes;
 
@@ -59,8 +59,8 @@
 #[case::stores(ReachCase { centres: &[2, 2, 2, 1], watchers: 2 })]
 #[case::one_watcher(ReachCase { centres: &[4, 4], watchers: 1 })]
 #[case::target(ReachCase { centres: &[36; 19], watchers: 2 })]
-/// A hint starts at one daemon. It must reach every other one; and no daemon may keep a
-/// link to all, or the cost of control grows with the square of the fleet.
+/// A hint from one daemon must reach all others, although no daemon may link to all: the
+/// cost of control would grow with the square of the fleet size.
 fn a_hint_reaches_everybody_over_few_links(#[case] case: ReachCase) {
     let fleet = fleet(case.centres);
     let daemons: Vec<DaemonId> = fleet.daemons.keys().cloned().collect();
@@ -138,8 +138,9 @@
 #[case::restarted(SumCase { hints: &[(1, 1, 50.0), (2, 1, 4.0), (2, 2, 6.0)], news: 3, cost: 2.0 })]
 #[case::restarted_with_more(SumCase { hints: &[(1, 1, 50.0), (2, 1, 60.0)], news: 2, cost: 0.0 })]
 #[case::old_life(SumCase { hints: &[(2, 1, 4.0), (1, 9, 50.0)], news: 1, cost: 0.0 })]
-/// Hints come twice over two watchers, late, crossed, or not at all, and a peer restarts.
-/// The cost added up must be what was used, or a workspace's share would be wrong.
+/// Hints arrive twice (from two watchers), late, out of order or not at all, and a peer
+/// restarts. The total must equal the cost that was used; otherwise a workspace's share
+/// would be wrong.
 fn sums_of_hints_count_once(#[case] case: SumCase) {
     let mut hints = PeerHints::default();
     let mut news = 0;
@@ -157,8 +158,8 @@
     assert!(hints.take_costs().is_empty());
 }
 
-/// A hint leaves a workspace out that was quiet; the next names it again. Taken as new,
-/// its whole past would count at once.
+/// A hint omits an idle workspace and the next one includes it again. If it were treated
+/// as new, its whole total would be counted at once.
 #[test]
 fn a_sum_left_out_stays_known() {
     let mut hints = PeerHints::default();
@@ -223,7 +224,7 @@
 }
 
 /// Workspace "wide" is busy on all eight daemons, "narrow" on one, with equal weights.
-/// Shared by weight on each daemon alone, narrow would get a fifteenth of what wide gets.
+/// If each daemon shared by weight alone, narrow would get a fifteenth of wide's share.
 #[test]
 fn shares_are_corrected_across_the_fleet() {
     let (wide, narrow) = (WorkspaceName::from("wide"), WorkspaceName::from("narrow"));
@@ -360,17 +361,17 @@
         .unwrap();
 }
 
-/// Three daemons, one of them watching the platform. A change reaches all, is reported as
-/// confirmed by all, and only one daemon keeps asking the platform for news.
+/// Three daemons, one of which watches the platform. A change must reach all of them and be
+/// reported as confirmed by all, while only one daemon keeps watching the platform.
 #[tokio::test]
 async fn changes_are_relayed_and_confirmed() {
     let ids = ["a", "b", "c"];
     let mut bench = Bench::new(&ids);
     let nodes = ids.map(|id| bench.start(id, "secret"));
     for node in &nodes {
-        until("all heard", || hears(node, &ids)).await;
+        until("all reachable", || hears(node, &ids)).await;
     }
-    // The watch under way when a feeder was first heard still runs to its end.
+    // A watch that started before a watcher's first hint still runs to its end.
     let mut begun = u32::MAX;
     for _ in 0..100 {
         let before = bench.platform.books().watches;
@@ -400,8 +401,8 @@
     }
 }
 
-/// The one watcher dies without a word. Those it fed must notice and watch by themselves,
-/// or they would run an old configuration for good without a sign.
+/// The only watcher ends without notice. The other daemons must detect this and watch the
+/// platform themselves; otherwise they would keep an outdated configuration unnoticed.
 #[tokio::test]
 async fn a_dead_watcher_is_replaced() {
     let ids = ["a", "b", "c"];
@@ -411,7 +412,7 @@
         .map(|id| (*id, bench.start(id, "secret")))
         .collect();
     for node in nodes.values() {
-        until("all heard", || hears(node, &ids)).await;
+        until("all reachable", || hears(node, &ids)).await;
     }
     let fleet = nodes["a"].control.snapshot.load().fleet.clone();
     let topology = PeerTopology::new(&fleet, &DaemonId::from("a"), 1);
@@ -433,7 +434,8 @@
     }
 }
 
-/// A process that does not know the secret calls as a peer. Nothing it says may count.
+/// A process without the secret connects as a peer. It must get no link, and none of its
+/// messages may have an effect.
 #[tokio::test]
 async fn a_wrong_secret_gets_no_link() {
     let ids = ["a", "b", "stranger"];
@@ -483,8 +485,8 @@
     }
 }
 
-/// A daemon says that it is leaving. Its peers stop naming it to callers long before the
-/// instance list says so.
+/// A daemon announces that it is leaving. Its peers must mark it as leaving although the
+/// instance list still shows it as live.
 #[tokio::test]
 async fn leaving_spreads_between_peers() {
     let ids = ["a", "b"];
--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -1,4 +1,4 @@
-//! Operators' changes against a platform that loses answers and takes writes late.
+//! Operators' changes on a platform that loses answers and applies writes late.
 
 mod control_fakes;
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// Another workspace of the same bucket.
+/// Returns a change of another workspace in the same bucket.
 fn neighbour(of: &ItemChange) -> ItemChange {
     (0..)
         .map(|n| change(&format!("n{n}"), 1, 0))
@@ -94,9 +94,9 @@
     land_after_read: bool,
 }
 
-/// The answer to the write is lost, with or without effect, once or twice, and the read
-/// that follows may be stale or come before a delayed write lands. The operator is told
-/// "accepted" and the change stands exactly once.
+/// The answer to the write is lost once or twice, with or without effect, and the read that
+/// follows may be stale or precede a delayed write. The change must be reported as accepted
+/// and be stored exactly once.
 #[rstest]
 #[case::no_fault(FaultCase { faults: &[], stale_reads: 0, land_after_read: false })]
 #[case::busy(FaultCase { faults: &[WriteFault::Busy], stale_reads: 0, land_after_read: false })]
@@ -119,7 +119,7 @@
     }
     let second = change("w", 2, 1);
     if case.land_after_read {
-        // The first read of the change comes before its write: arm after it.
+        // The first read of the change precedes its write, so this waits for the write.
         let port = platform.clone();
         let arm = tokio::spawn(async move {
             while port.books().delayed.is_empty() {
@@ -135,15 +135,15 @@
         assert_eq!(done.revision, 2);
     }
     for late in platform.books().land_delayed() {
-        assert!(late.is_err(), "a superseded write landed");
+        assert!(late.is_err(), "a superseded write took effect");
     }
     assert_eq!(weight_of(&platform, &second), 2);
     assert_eq!(bucket_of(&platform, &second).sequence, 2);
 }
 
-/// The answer is lost after the effect, and a rival changes another item of the bucket
-/// before the read. The mark of the last writer is the rival's; the change must still
-/// be found, or it would be reported as a conflict with itself.
+/// The write takes effect but its answer is lost, and a concurrent writer changes another
+/// item of the bucket before the read. The latest mark is then the other writer's; the
+/// change must still be found, or it would be reported as a conflict with itself.
 #[tokio::test]
 async fn finds_its_mark_beneath_a_rivals() {
     let platform = FakePlatform::default();
@@ -164,8 +164,9 @@
     assert_eq!(bucket_of(&platform, &own).sequence, 2);
 }
 
-/// The write is lost on the way and a rival changes the same item meanwhile. The lost
-/// write can never land any more: the operator hears of the rival's revision.
+/// The write is lost in transit and a concurrent writer changes the same item. The lost
+/// write can no longer take effect: the operator must get a conflict with the other
+/// writer's revision.
 #[tokio::test]
 async fn a_lost_write_overtaken_by_a_rival_is_a_conflict() {
     let platform = FakePlatform::default();
@@ -189,8 +190,8 @@
     assert!(platform.books().land_delayed().iter().all(Result::is_err));
 }
 
-/// A rival changes another item of the bucket between read and write: no conflict for
-/// the operator, both changes stand.
+/// A concurrent writer changes another item of the bucket between read and write. Both
+/// changes must be stored, and the operator must get no conflict.
 #[tokio::test]
 async fn a_neighbours_change_is_no_conflict() {
     let platform = FakePlatform::default();
@@ -202,8 +203,8 @@
     assert_eq!(bucket_of(&platform, &own).items.len(), 2);
 }
 
-/// The platform goes down before, or after, a write was lost. "Nothing was changed" may
-/// only be said in the first case: in the second the write may land when it is back.
+/// The platform becomes unavailable before or after a write is lost. Only in the first case
+/// may "nothing was changed" be reported: in the second the write may take effect later.
 #[rstest]
 #[case::before(false)]
 #[case::after_a_lost_write(true)]
--- a/tests/control_thread.rs
+++ b/tests/control_thread.rs
@@ -1,4 +1,4 @@
-//! The control thread over a small platform and engines.
+//! The control thread with a fake platform and fake engines.
 
 mod control_fakes;
 
@@ -96,9 +96,9 @@
     .unwrap();
 }
 
-/// A daemon starts while the platform is down: it must not call itself ready, for it
-/// would refuse every caller's key. Once the platform is back it becomes ready by itself;
-/// when the platform goes down again it stays ready on what it has.
+/// A daemon that starts while the platform is down must not report itself as ready, because
+/// it would refuse every caller's key. It must become ready when the platform is back and
+/// stay ready with its last state when the platform goes down again.
 #[tokio::test]
 async fn ready_only_with_a_whole_configuration() {
     let platform = FakePlatform::default();
@@ -151,8 +151,8 @@
     end(second).await;
 }
 
-/// Twenty operators' changes of the same bucket arrive at once through one daemon. Each
-/// is taken, and none costs the platform a write that fails another's condition.
+/// One daemon receives twenty operators' changes of the same bucket at once. All must be
+/// stored, each by a single write: concurrent writes would fail each other's conditions.
 #[tokio::test]
 async fn changes_of_one_bucket_follow_each_other() {
     let platform = FakePlatform::default();
@@ -230,7 +230,7 @@
     for _ in 0..5 {
         assert!(every.next().await.is_some());
     }
-    // A slow subscriber gets one tick for all it missed.
+    // A slow subscriber gets a single tick for all that it missed.
     tokio::time::sleep(Duration::from_millis(30)).await;
     assert!(every.next().await.is_some());
     for _ in 0..1_000 {
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted daemons: each call to submit or resume plays the next script.
+//! Scripted daemons: each submit or resume call runs the next script.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,16 +13,16 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-/// One thing a scripted daemon does on a stream.
+/// One step of a scripted daemon on a stream.
 #[derive(Clone, Debug)]
 pub enum FakeStep {
     /// Sends an event.
     Send(Event),
-    /// Ends the stream with a status, as a failing connection would.
+    /// Ends the stream with an error status, like a failing connection.
     Fail(tonic::Code),
 }
 
-/// What callers sent to the scripted daemons, in order.
+/// A call received by the scripted daemons.
 #[derive(Clone, Debug)]
 pub enum SeenCall {
     Submit(pb::SubmitRequest),
@@ -39,7 +39,7 @@
     pub locates: usize,
 }
 
-/// Several daemons that share one list of scripts.
+/// Scripted daemons that share one list of scripts.
 pub struct FakeDaemons {
     pub state: Arc<Mutex<FakeState>>,
 }
@@ -114,7 +114,7 @@
             state.seen.push((self.address, call));
             state.scripts.pop_front()
         };
-        let script = script.ok_or_else(|| Status::invalid_argument("the scripts are used up"))?;
+        let script = script.ok_or_else(|| Status::invalid_argument("no script is left"))?;
         if let Some(FakeStep::Fail(code)) = script.first() {
             return Err(Status::new(*code, "scripted"));
         }
@@ -170,7 +170,7 @@
         let reply = state.outcomes.pop_front();
         reply
             .map(Response::new)
-            .ok_or_else(|| Status::invalid_argument("no outcome left"))
+            .ok_or_else(|| Status::invalid_argument("no outcome is left"))
     }
 
     async fn locate(
