--- a/src/config/buckets.rs
+++ b/src/config/buckets.rs
@@ -34,7 +34,7 @@
 /// Time for which a deleted item stays in its bucket.
 pub const TOMBSTONE_AGE: Duration = Duration::from_secs(3_600);
 
-const RECENT_MARKS: usize = 64;
+const MAX_MARKS: usize = 64;
 
 /// Index of a bucket.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -250,7 +250,7 @@
 
     /// Returns whether the marks of all changes after `sequence` are still listed.
     #[must_use]
-    pub fn remembers_since(&self, sequence: u64) -> bool {
+    pub fn lists_all_since(&self, sequence: u64) -> bool {
         let oldest = self.marks.first().map_or(0, |m| m.sequence);
         oldest <= sequence + 1
     }
@@ -269,7 +269,7 @@
     mark: &str,
     now: UnixTime,
 ) -> Result<BucketRecord, ChangeError> {
-    check_base(bucket, change)?;
+    check_revision(bucket, change)?;
     checks::check_change(bucket, view, change)?;
     let mut next = bucket.clone();
     next.sequence += 1;
@@ -285,12 +285,12 @@
         mark: mark.to_owned(),
         sequence: next.sequence,
     });
-    let surplus = next.marks.len().saturating_sub(RECENT_MARKS);
+    let surplus = next.marks.len().saturating_sub(MAX_MARKS);
     next.marks.drain(..surplus);
     Ok(next)
 }
 
-fn check_base(bucket: &BucketRecord, change: &ItemChange) -> Result<(), ChangeError> {
+fn check_revision(bucket: &BucketRecord, change: &ItemChange) -> Result<(), ChangeError> {
     let item = bucket.items.get(&change.item);
     let current = item.map_or(0, |i| i.revision);
     let deleted = item.is_none_or(|i| i.spec.is_none());
@@ -315,7 +315,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct BucketSeen {
+struct AppliedBucket {
     stored: StoredObject,
     sequence: u64,
     names: IndexSet<ItemName>,
@@ -324,7 +324,7 @@
 /// The configuration that this daemon has applied.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigState {
-    buckets: IndexMap<BucketIndex, BucketSeen>,
+    buckets: IndexMap<BucketIndex, AppliedBucket>,
     view: Arc<ConfigView>,
 }
 
@@ -340,12 +340,12 @@
     pub fn version_of(&self, bucket: BucketIndex) -> ObjectVersion {
         self.buckets
             .get(&bucket)
-            .map_or(ObjectVersion(0), |seen| seen.stored.version)
+            .map_or(ObjectVersion(0), |applied| applied.stored.version)
     }
 
     /// Returns the applied objects, for daemons that receive updates from this one.
     pub fn objects(&self) -> impl Iterator<Item = &StoredObject> {
-        self.buckets.values().map(|seen| &seen.stored)
+        self.buckets.values().map(|applied| &applied.stored)
     }
 
     /// Applies an object if it is newer than the applied one.
@@ -374,18 +374,21 @@
         if !advances {
             return Ok(ApplyResult::Known);
         }
-        let changed = self.install(index, &bucket);
-        let seen = BucketSeen {
+        let changed = self.update_view(index, &bucket);
+        let applied = AppliedBucket {
             stored: stored.clone(),
             sequence: bucket.sequence,
             names: bucket.items.keys().cloned().collect(),
         };
-        self.buckets.insert(index, seen);
+        self.buckets.insert(index, applied);
         Ok(ApplyResult::Changed(changed))
     }
 
     fn advances(&self, index: BucketIndex, bucket: &BucketRecord) -> bool {
-        let sequence = self.buckets.get(&index).map_or(0, |seen| seen.sequence);
+        let sequence = self
+            .buckets
+            .get(&index)
+            .map_or(0, |applied| applied.sequence);
         let rises = bucket.items.iter().all(|(name, item)| {
             let known = self.view.items.get(name);
             known.is_none_or(|k| {
@@ -395,7 +398,7 @@
         bucket.sequence >= sequence && rises
     }
 
-    fn install(&mut self, index: BucketIndex, bucket: &BucketRecord) -> Vec<ItemName> {
+    fn update_view(&mut self, index: BucketIndex, bucket: &BucketRecord) -> Vec<ItemName> {
         let mut changes = Vec::new();
         for (name, item) in &bucket.items {
             let known = self.view.items.get(name).map(|k| k.revision);
@@ -407,10 +410,13 @@
                 changes.push((name.clone(), Some(record)));
             }
         }
-        let names = self.buckets.get(&index).map(|seen| seen.names.clone());
+        let names = self
+            .buckets
+            .get(&index)
+            .map(|applied| applied.names.clone());
         for name in names.unwrap_or_default() {
             if !bucket.items.contains_key(&name) {
-                let record = self.vanished(&name, bucket.sequence);
+                let record = self.missing_record(&name, bucket.sequence);
                 changes.push((name, record));
             }
         }
@@ -427,7 +433,7 @@
     // Returns the record of an item that is no longer in its bucket. If this daemon was
     // disconnected until the tombstone expired, users of the view still have to see the
     // deletion; an item already recorded as deleted is removed.
-    fn vanished(&self, name: &ItemName, sequence: u64) -> Option<ItemRecord> {
+    fn missing_record(&self, name: &ItemName, sequence: u64) -> Option<ItemRecord> {
         let known = self.view.items.get(name)?;
         known.spec.as_ref()?;
         Some(ItemRecord {
--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -14,14 +14,14 @@
 use crate::control::snapshot::ConfigView;
 use crate::control::{ChangeError, ItemChange};
 
-const NAME_LENGTH: usize = 128;
-const REASON_LENGTH: usize = 1_024;
-const HASH_LENGTH: usize = 64;
-const MOST_ENTRIES: usize = 256;
+const MAX_NAME_LENGTH: usize = 128;
+const MAX_REASON_BYTES: usize = 1_024;
+const HASH_DIGITS: usize = 64;
+const MAX_ENTRIES: usize = 256;
 const WEIGHTS: RangeInclusive<u32> = 1..=1_000_000;
 const DEADLINES: RangeInclusive<u32> = 1..=86_400_000;
 const PRIORITIES: RangeInclusive<u32> = 0..=1_000;
-const LEAST_ENGINES: RangeInclusive<u32> = 0..=100_000;
+const ENGINE_COUNTS: RangeInclusive<u32> = 0..=100_000;
 
 /// Checks a change against its bucket and the items of other buckets.
 ///
@@ -47,7 +47,7 @@
         ItemSpec::Class(class) => check_class(bucket, view, class),
         ItemSpec::Hold(hold) => {
             check_name("target", hold.target.as_str())?;
-            check_length("reason", &hold.reason, REASON_LENGTH)
+            check_length("reason", &hold.reason, MAX_REASON_BYTES)
         }
         ItemSpec::Model(model) => check_model(model),
         ItemSpec::Workspace(workspace) => check_workspace(view, workspace),
@@ -113,11 +113,11 @@
 
 fn check_hash(hash: &str) -> Result<(), ChangeError> {
     let digits = hash.bytes().all(|b| b.is_ascii_hexdigit());
-    if hash.len() == HASH_LENGTH && digits {
+    if hash.len() == HASH_DIGITS && digits {
         return Ok(());
     }
     Err(invalid(format!(
-        "key_hashes contains {hash:?}; each hash must have {HASH_LENGTH} hexadecimal digits: \
+        "key_hashes contains {hash:?}; each hash must have {HASH_DIGITS} hexadecimal digits: \
          use the SHA-256 of the key"
     )))
 }
@@ -182,7 +182,7 @@
 
 fn check_model(model: &ModelSpec) -> Result<(), ChangeError> {
     check_name("name", model.name.as_str())?;
-    check_range("least_engines", model.least_engines, &LEAST_ENGINES)?;
+    check_range("least_engines", model.least_engines, &ENGINE_COUNTS)?;
     check_count("versions", model.versions.len())?;
     check_count("adapters", model.adapters.len())?;
     for version in &model.versions {
@@ -197,33 +197,33 @@
 // `/`, `@` and `+` are separators in combined names (WORKSPACE/CLASS,
 // MODEL@VERSION+ADAPTER).
 fn check_name(field: &str, name: &str) -> Result<(), ChangeError> {
-    let sane = |c: char| c.is_ascii_alphanumeric() || "._-:".contains(c);
-    if !name.is_empty() && name.len() <= NAME_LENGTH && name.chars().all(sane) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-:".contains(c);
+    if !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_allowed) {
         return Ok(());
     }
-    let shown: String = name.chars().take(NAME_LENGTH).collect();
+    let shown: String = name.chars().take(MAX_NAME_LENGTH).collect();
     Err(invalid(format!(
-        "{field} is {shown:?}, but it must consist of 1 to {NAME_LENGTH} letters, digits, '.', \
+        "{field} is {shown:?}, but it must consist of 1 to {MAX_NAME_LENGTH} letters, digits, '.', \
          '_', '-' or ':'; choose another name"
     )))
 }
 
-fn check_length(field: &str, text: &str, most: usize) -> Result<(), ChangeError> {
-    if text.len() <= most {
+fn check_length(field: &str, text: &str, max_bytes: usize) -> Result<(), ChangeError> {
+    if text.len() <= max_bytes {
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} has {} bytes, but at most {most} are allowed; shorten it",
+        "{field} has {} bytes, but at most {max_bytes} are allowed; shorten it",
         text.len()
     )))
 }
 
 fn check_count(field: &str, count: usize) -> Result<(), ChangeError> {
-    if count <= MOST_ENTRIES {
+    if count <= MAX_ENTRIES {
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} has {count} entries, but at most {MOST_ENTRIES} are allowed; remove some"
+        "{field} has {count} entries, but at most {MAX_ENTRIES} are allowed; remove some"
     )))
 }
 
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -12,14 +12,14 @@
 
 /// Retry policy of a change.
 #[derive(Clone, Copy, Debug)]
-pub struct ChangePatience {
+pub struct ChangeRetryPolicy {
     /// Time after which no further attempt is started.
     pub total: Duration,
     /// Minimum wait between attempts.
     pub pause: Duration,
 }
 
-impl Default for ChangePatience {
+impl Default for ChangeRetryPolicy {
     fn default() -> Self {
         Self {
             total: Duration::from_secs(5),
@@ -45,11 +45,11 @@
     reason: String,
 }
 
-enum ReadBack {
-    Landed(u64),
-    NeverLands,
-    Open,
-    Forgotten,
+enum WriteOutcome {
+    Applied(u64),
+    NotApplied,
+    Unresolved,
+    MarkExpired,
 }
 
 struct BucketRead {
@@ -75,12 +75,12 @@
 struct ChangeProgress {
     lost: Option<LostWrite>,
     newest: ObjectVersion,
-    doubtful: Option<ChangeError>,
+    stale_conflict: Option<ChangeError>,
 }
 
-enum AttemptError {
-    Decided(ChangeError),
-    Again { reason: String, pause: Duration },
+enum AttemptFailure {
+    Final(ChangeError),
+    Retry { reason: String, pause: Duration },
 }
 
 /// Reads, edits and conditionally writes a bucket until the change is stored or refused.
@@ -92,52 +92,52 @@
 pub async fn run_change(
     platform: &PlatformPort,
     request: ChangeRequest<'_>,
-    patience: ChangePatience,
+    policy: ChangeRetryPolicy,
 ) -> Result<StoredChange, ChangeError> {
-    let give_up = Instant::now() + patience.total;
+    let deadline = Instant::now() + policy.total;
     let mut progress = ChangeProgress {
         newest: request.applied,
         ..ChangeProgress::default()
     };
-    let mut obstacle = "the bucket was changed by others on every attempt".to_owned();
-    while Instant::now() < give_up {
+    let mut last_reason = "the bucket was changed by others on every attempt".to_owned();
+    while Instant::now() < deadline {
         match attempt(platform, request, &mut progress).await {
             Ok(stored) => return Ok(stored),
-            Err(AttemptError::Decided(error)) => {
-                return Err(decided(progress.lost.as_ref(), error));
+            Err(AttemptFailure::Final(error)) => {
+                return Err(final_error(progress.lost.as_ref(), error));
             }
-            Err(AttemptError::Again { reason, pause }) => {
-                obstacle = reason;
-                sleep(pause.max(patience.pause).min(patience.total)).await;
+            Err(AttemptFailure::Retry { reason, pause }) => {
+                last_reason = reason;
+                sleep(pause.max(policy.pause).min(policy.total)).await;
             }
         }
     }
-    Err(undecided(progress, obstacle))
+    Err(timeout_error(progress, last_reason))
 }
 
 async fn attempt(
     platform: &PlatformPort,
     request: ChangeRequest<'_>,
     progress: &mut ChangeProgress,
-) -> Result<StoredChange, AttemptError> {
+) -> Result<StoredChange, AttemptFailure> {
     let index = BucketIndex::of(&request.change.item);
     let found = read_bucket(platform, index).await?;
     // A stale read: a conflict or this daemon's view has shown a newer version.
     if found.version < progress.newest {
-        return Err(again(
+        return Err(retry(
             "a read returned an older version than the applied one",
         ));
     }
     progress.newest = found.version;
     if let Some(write) = &progress.lost {
-        match read_back(write, &found, request.mark) {
-            ReadBack::Landed(revision) => {
+        match lost_write_outcome(write, &found, request.mark) {
+            WriteOutcome::Applied(revision) => {
                 let stored = found.stored;
                 return Ok(StoredChange { revision, stored });
             }
-            ReadBack::NeverLands => progress.lost = None,
-            ReadBack::Open => {}
-            ReadBack::Forgotten => return Err(AttemptError::Decided(unknown(write))),
+            WriteOutcome::NotApplied => progress.lost = None,
+            WriteOutcome::Unresolved => {}
+            WriteOutcome::MarkExpired => return Err(AttemptFailure::Final(unknown_outcome(write))),
         }
     }
     let next = match &progress.lost {
@@ -151,7 +151,7 @@
     request: ChangeRequest<'_>,
     found: &BucketRead,
     progress: &mut ChangeProgress,
-) -> Result<BucketRecord, AttemptError> {
+) -> Result<BucketRecord, AttemptFailure> {
     let ChangeRequest {
         change, mark, view, ..
     } = request;
@@ -160,12 +160,12 @@
         // The change is based on a newer revision than this read returned: the read is
         // stale, so it does not prove a conflict.
         Err(error @ ChangeError::Conflict { current, .. }) if current < change.based_on => {
-            progress.doubtful = Some(error);
-            Err(again(
+            progress.stale_conflict = Some(error);
+            Err(retry(
                 "a read returned an older revision than the change is based on",
             ))
         }
-        other => other.map_err(AttemptError::Decided),
+        other => other.map_err(AttemptFailure::Final),
     }
 }
 
@@ -175,34 +175,34 @@
 /// in transit. It can take effect only on the version it expects, so a newer version
 /// without the mark rules it out. Until then the same write is sent again; whichever of the
 /// two takes effect first makes the other one fail.
-fn read_back(write: &LostWrite, found: &BucketRead, mark: &str) -> ReadBack {
+fn lost_write_outcome(write: &LostWrite, found: &BucketRead, mark: &str) -> WriteOutcome {
     if let Some(sequence) = found.bucket.sequence_of(mark) {
-        return ReadBack::Landed(sequence);
+        return WriteOutcome::Applied(sequence);
     }
     if found.version == write.expected {
-        return ReadBack::Open;
+        return WriteOutcome::Unresolved;
     }
     let before = write.bucket.sequence.saturating_sub(1);
-    if found.bucket.remembers_since(before) {
-        return ReadBack::NeverLands;
+    if found.bucket.lists_all_since(before) {
+        return WriteOutcome::NotApplied;
     }
-    ReadBack::Forgotten
+    WriteOutcome::MarkExpired
 }
 
 async fn read_bucket(
     platform: &PlatformPort,
     index: BucketIndex,
-) -> Result<BucketRead, AttemptError> {
+) -> Result<BucketRead, AttemptFailure> {
     let object = index.object();
     let read = (platform.read)(object.clone()).await;
-    let stored = read.map_err(|error| again_after(&error))?;
+    let stored = read.map_err(|error| retry_on(&error))?;
     let stored = stored.unwrap_or(StoredObject {
         object,
         version: ObjectVersion(0),
         value: None,
     });
     let bucket = BucketRecord::decode(&stored).map_err(|error| {
-        AttemptError::Decided(ChangeError::Invalid {
+        AttemptFailure::Final(ChangeError::Invalid {
             reason: error.to_string(),
         })
     })?;
@@ -219,8 +219,8 @@
     expected: ObjectVersion,
     bucket: BucketRecord,
     progress: &mut ChangeProgress,
-) -> Result<StoredChange, AttemptError> {
-    let value = bucket.encode().map_err(AttemptError::Decided)?;
+) -> Result<StoredChange, AttemptFailure> {
+    let value = bucket.encode().map_err(AttemptFailure::Final)?;
     let object = index.object();
     let write = ConditionalWrite {
         object: object.clone(),
@@ -238,10 +238,10 @@
         }),
         Err(PlatformError::Conflict { current }) => {
             progress.newest = current.max(progress.newest);
-            Err(again("the bucket changed between read and write"))
+            Err(retry("the bucket changed between read and write"))
         }
         Err(PlatformError::Refused { reason }) => {
-            Err(AttemptError::Decided(ChangeError::Invalid { reason }))
+            Err(AttemptFailure::Final(ChangeError::Invalid { reason }))
         }
         Err(error @ PlatformError::Lost { .. }) => {
             let reason = error.to_string();
@@ -250,25 +250,25 @@
                 bucket,
                 reason,
             });
-            Err(again_after(&error))
+            Err(retry_on(&error))
         }
-        Err(error @ PlatformError::Unavailable { .. }) => Err(again_after(&error)),
+        Err(error @ PlatformError::Unavailable { .. }) => Err(retry_on(&error)),
     }
 }
 
-fn again(reason: &str) -> AttemptError {
-    AttemptError::Again {
+fn retry(reason: &str) -> AttemptFailure {
+    AttemptFailure::Retry {
         reason: reason.to_owned(),
         pause: Duration::ZERO,
     }
 }
 
-fn again_after(error: &PlatformError) -> AttemptError {
+fn retry_on(error: &PlatformError) -> AttemptFailure {
     let pause = match error {
         PlatformError::Unavailable { retry_after, .. } => *retry_after,
         _ => Duration::ZERO,
     };
-    AttemptError::Again {
+    AttemptFailure::Retry {
         reason: error.to_string(),
         pause,
     }
@@ -276,21 +276,21 @@
 
 // While the outcome of a lost write is open, no other error may be returned, since those
 // state that nothing was written.
-fn decided(lost: Option<&LostWrite>, error: ChangeError) -> ChangeError {
-    lost.map_or(error, unknown)
+fn final_error(lost: Option<&LostWrite>, error: ChangeError) -> ChangeError {
+    lost.map_or(error, unknown_outcome)
 }
 
-fn unknown(write: &LostWrite) -> ChangeError {
+fn unknown_outcome(write: &LostWrite) -> ChangeError {
     ChangeError::Unknown {
         reason: write.reason.clone(),
     }
 }
 
-fn undecided(progress: ChangeProgress, obstacle: String) -> ChangeError {
+fn timeout_error(progress: ChangeProgress, last_reason: String) -> ChangeError {
     if let Some(write) = &progress.lost {
-        return unknown(write);
+        return unknown_outcome(write);
     }
-    progress
-        .doubtful
-        .unwrap_or(ChangeError::Unavailable { reason: obstacle })
+    progress.stale_conflict.unwrap_or(ChangeError::Unavailable {
+        reason: last_reason,
+    })
 }
--- a/src/config/view.rs
+++ b/src/config/view.rs
@@ -39,7 +39,7 @@
             view.workspaces
                 .insert(workspace.name.clone(), Arc::new(workspace.clone()));
             for hash in &workspace.key_hashes {
-                own_key(view, &hash.to_lowercase(), &workspace.name);
+                assign_key(view, &hash.to_lowercase(), &workspace.name);
             }
         }
     }
@@ -59,7 +59,7 @@
         }
         ItemSpec::Workspace(workspace) => {
             view.workspaces.swap_remove(&workspace.name);
-            disown_keys(view, workspace);
+            release_keys(view, workspace);
         }
     }
 }
@@ -67,31 +67,31 @@
 // Two operators may add the same key to two workspaces at the same time, because the
 // workspaces are in different buckets. All daemons must then choose the same owner, or a
 // caller's workspace would depend on the daemon it reaches: the name that sorts first wins.
-fn own_key(view: &mut ConfigView, hash: &str, workspace: &WorkspaceName) {
+fn assign_key(view: &mut ConfigView, hash: &str, workspace: &WorkspaceName) {
     let owner = view.key_owners.get(hash);
     if owner.is_none_or(|name| workspace <= name) {
         view.key_owners.insert(hash.to_owned(), workspace.clone());
     }
 }
 
-fn disown_keys(view: &mut ConfigView, workspace: &WorkspaceSpec) {
+fn release_keys(view: &mut ConfigView, workspace: &WorkspaceSpec) {
     for hash in &workspace.key_hashes {
         let hash = hash.to_lowercase();
         if view.key_owners.get(&hash) != Some(&workspace.name) {
             continue;
         }
         view.key_owners.swap_remove(&hash);
-        let heir = other_owner(view, &hash);
-        if let Some(name) = heir {
+        let next_owner = other_owner(view, &hash);
+        if let Some(name) = next_owner {
             view.key_owners.insert(hash, name);
         }
     }
 }
 
 fn other_owner(view: &ConfigView, hash: &str) -> Option<WorkspaceName> {
-    let claims = view.workspaces.values().filter(|workspace| {
+    let owners = view.workspaces.values().filter(|workspace| {
         let mut hashes = workspace.key_hashes.iter();
         hashes.any(|h| h.eq_ignore_ascii_case(hash))
     });
-    claims.map(|workspace| workspace.name.clone()).min()
+    owners.map(|workspace| workspace.name.clone()).min()
 }
--- a/src/control/authority_ports.rs
+++ b/src/control/authority_ports.rs
@@ -32,12 +32,7 @@
 
 impl AuthorityPorts {
     /// Starts an action; its result arrives as an event.
-    pub fn carry_out(
-        &self,
-        action: AuthorityAction,
-        state: &mut AuthorityState,
-        fleet: &FleetView,
-    ) {
+    pub fn execute(&self, action: AuthorityAction, state: &mut AuthorityState, fleet: &FleetView) {
         match action {
             AuthorityAction::Read { tag, object } => self.read(tag, object),
             AuthorityAction::Write { tag, mark, write } => self.write(tag, mark, write),
@@ -49,7 +44,7 @@
         let read = timeout(self.call_wait, (self.platform.read)(object));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
-            let result = read.await.unwrap_or_else(|_| Err(late_read()));
+            let result = read.await.unwrap_or_else(|_| Err(read_timed_out()));
             let _ = feeds.send(FeedEvent::Read { tag, result });
         });
     }
@@ -58,7 +53,7 @@
         let answer = timeout(self.call_wait, (self.platform.write)(write.clone()));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
-            let result = answer.await.unwrap_or_else(|_| Err(late_write()));
+            let result = answer.await.unwrap_or_else(|_| Err(write_timed_out()));
             let _ = feeds.send(FeedEvent::Written {
                 tag,
                 mark,
@@ -90,7 +85,7 @@
         let answer = timeout(self.order_flight, (self.engines.order)(call));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
-            let result = answer.await.unwrap_or_else(|_| Err(late_order()));
+            let result = answer.await.unwrap_or_else(|_| Err(order_timed_out()));
             let _ = feeds.send(FeedEvent::Ordered {
                 group,
                 target,
@@ -100,20 +95,20 @@
     }
 }
 
-fn late_read() -> PlatformError {
+fn read_timed_out() -> PlatformError {
     PlatformError::Unavailable {
         reason: "the platform call timed out".to_owned(),
         retry_after: Duration::ZERO,
     }
 }
 
-fn late_write() -> PlatformError {
+fn write_timed_out() -> PlatformError {
     PlatformError::Lost {
         reason: "the platform call timed out".to_owned(),
     }
 }
 
-fn late_order() -> TargetError {
+fn order_timed_out() -> TargetError {
     TargetError::Lost {
         reason: "the order timed out".to_owned(),
     }
--- a/src/control/changes.rs
+++ b/src/control/changes.rs
@@ -6,7 +6,7 @@
 use crate::clock;
 use crate::config::buckets::{ApplyResult, BucketIndex};
 use crate::config::catalogue::ItemName;
-use crate::config::store::{self, ChangePatience, ChangeRequest};
+use crate::config::store::{self, ChangeRequest, ChangeRetryPolicy};
 use crate::control::feeds::{ChangeReply, FeedEvent};
 use crate::control::state::ControlState;
 use crate::control::{ChangeError, ChangeReport, ItemChange};
@@ -15,8 +15,8 @@
 use crate::ports::{ObjectVersion, StoredObject};
 use crate::requests::journal::DecisionKind;
 
-const MOST_CHANGES: usize = 64;
-const CONFIRMATION_WAIT: Duration = Duration::from_secs(2);
+const MAX_CHANGES: usize = 64;
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A stored change that waits for confirmations from the other daemons.
 pub(crate) struct PendingConfirmation {
@@ -24,30 +24,30 @@
     version: ObjectVersion,
     revision: u64,
     reply: ChangeReply,
-    give_up_at: MonoTime,
+    expires_at: MonoTime,
 }
 
 impl ControlState {
     pub(crate) fn apply_config(
         &mut self,
         objects: &[StoredObject],
-        whole: bool,
+        complete: bool,
         from: Option<&DaemonId>,
     ) {
         let mut readable = true;
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for stored in objects {
             match self.apply_bucket(stored) {
-                Some(true) => news.push(stored.clone()),
+                Some(true) => updates.push(stored.clone()),
                 Some(false) => {}
                 None => readable = false,
             }
         }
-        if !news.is_empty() {
-            self.peers.relay(from, &news);
+        if !updates.is_empty() {
+            self.peers.relay(from, &updates);
         }
-        if whole && readable && !self.config_whole {
-            self.config_whole = true;
+        if complete && readable && !self.config_complete {
+            self.config_complete = true;
             let items = self.config.view().items.len();
             log::info!(items; "complete configuration received");
         }
@@ -62,10 +62,10 @@
             Ok(ApplyResult::Known) => Some(false),
             Ok(ApplyResult::Changed(names)) => {
                 metrics::counter!("pistachiowick_config_applied_total").increment(1);
-                if self.config_whole {
-                    self.explain_items(&names, stored.version.0);
+                if self.config_complete {
+                    self.record_applied_items(&names, stored.version.0);
                 }
-                self.peers.note_applied(stored, clock::mono_now());
+                self.peers.record_applied(stored, clock::mono_now());
                 Some(true)
             }
             Err(error) => {
@@ -76,7 +76,7 @@
         }
     }
 
-    pub(crate) fn explain_items(&self, names: &[ItemName], version: u64) {
+    pub(crate) fn record_applied_items(&self, names: &[ItemName], version: u64) {
         for name in names {
             let reason = format!("applied by this daemon at version {version}");
             self.inputs
@@ -86,19 +86,19 @@
     }
 
     pub(crate) fn start_change(&mut self, change: ItemChange, reply: ChangeReply) {
-        if self.changes_running >= MOST_CHANGES {
+        if self.running_changes >= MAX_CHANGES {
             let error = ChangeError::Unavailable {
-                reason: format!("{MOST_CHANGES} changes are already in progress"),
+                reason: format!("{MAX_CHANGES} changes are already in progress"),
             };
             let _ = reply.send(Err(error));
             return;
         }
-        self.changes_running += 1;
-        self.changes_made += 1;
+        self.running_changes += 1;
+        self.change_count += 1;
         let settings = &self.inputs.settings;
         let mark = format!(
             "{}-{}-{}",
-            settings.daemon_id, self.inputs.incarnation.0, self.changes_made
+            settings.daemon_id, self.inputs.incarnation.0, self.change_count
         );
         let (platform, feeds) = (self.inputs.platform.clone(), self.feeds.clone());
         let (view, locks) = (self.config.view().clone(), self.bucket_locks.clone());
@@ -114,8 +114,8 @@
                 view: &view,
                 applied,
             };
-            let patience = ChangePatience::default();
-            let result = store::run_change(&platform, request, patience).await;
+            let policy = ChangeRetryPolicy::default();
+            let result = store::run_change(&platform, request, policy).await;
             let result = result.map(|done| (done.revision, done.stored));
             let _ = feeds.send(FeedEvent::Changed {
                 change,
@@ -131,7 +131,7 @@
         result: Result<(u64, StoredObject), ChangeError>,
         reply: ChangeReply,
     ) {
-        self.changes_running -= 1;
+        self.running_changes -= 1;
         match result {
             Ok((revision, stored)) => self.await_confirmations(revision, stored, reply),
             Err(error) => {
@@ -156,34 +156,34 @@
             version,
             revision,
             reply,
-            give_up_at: now.plus(CONFIRMATION_WAIT),
+            expires_at: now.plus(CONFIRMATION_TIMEOUT),
         });
-        self.settle_confirmations(now);
+        self.answer_confirmed_changes(now);
     }
 
     /// Answers changes that all live daemons have confirmed or whose wait has expired.
-    pub(crate) fn settle_confirmations(&mut self, now: MonoTime) {
+    pub(crate) fn answer_confirmed_changes(&mut self, now: MonoTime) {
         for pending in std::mem::take(&mut self.confirmations) {
-            let others = self.other_daemons();
+            let peer_ids = self.peer_ids();
             let confirmed = self.peers.confirmed(&pending.bucket, pending.version);
-            let (run, open): (Vec<String>, Vec<String>) = others
+            let (confirmed_by, unconfirmed): (Vec<String>, Vec<String>) = peer_ids
                 .into_iter()
                 .partition(|id| confirmed.contains(&DaemonId::from(id.as_str())));
-            let waits = self.peers.is_heard() && now < pending.give_up_at;
-            if !open.is_empty() && waits {
+            let keep_waiting = self.peers.has_reachable_peer() && now < pending.expires_at;
+            if !unconfirmed.is_empty() && keep_waiting {
                 self.confirmations.push(pending);
                 continue;
             }
             let report = ChangeReport {
                 revision: pending.revision,
-                confirmed: u32::try_from(run.len() + 1).unwrap_or(u32::MAX),
-                unconfirmed: open,
+                confirmed: u32::try_from(confirmed_by.len() + 1).unwrap_or(u32::MAX),
+                unconfirmed,
             };
             let _ = pending.reply.send(Ok(report));
         }
     }
 
-    pub(crate) fn other_daemons(&self) -> Vec<String> {
+    pub(crate) fn peer_ids(&self) -> Vec<String> {
         let own = &self.inputs.settings.daemon_id;
         let daemons = self.membership.fleet().daemons.values();
         daemons
--- a/src/control/event_loop.rs
+++ b/src/control/event_loop.rs
@@ -83,7 +83,7 @@
     let inputs = &state.inputs;
     let platform = &inputs.settings.platform;
     for (number, kind) in [CONFIG_KIND, ORDER_KIND].into_iter().enumerate() {
-        tokio::spawn(feeds::feed_objects(
+        tokio::spawn(feeds::watch_objects(
             inputs.platform.clone(),
             kind,
             Duration::from_millis(platform.watch_ms),
@@ -92,7 +92,7 @@
             feeds.clone(),
         ));
     }
-    tokio::spawn(feeds::feed_instances(
+    tokio::spawn(feeds::poll_instances(
         inputs.platform.clone(),
         Duration::from_millis(platform.instances_ms),
         inputs.seed ^ 2,
--- a/src/control/feeds.rs
+++ b/src/control/feeds.rs
@@ -20,9 +20,9 @@
 use crate::store::wire::InstanceRow;
 use crate::targets::wire::EngineState;
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
-const POLL_PATIENCE: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Channel for the result of an operator's change.
 pub type ChangeReply = oneshot::Sender<Result<ChangeReport, ChangeError>>;
@@ -35,7 +35,7 @@
         /// Listed or changed objects.
         objects: Vec<StoredObject>,
         /// Whether this is the complete listing.
-        whole: bool,
+        complete: bool,
     },
     /// Rows of the instance list.
     Instances(Vec<InstanceRow>),
@@ -103,31 +103,31 @@
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
-            wait: FIRST_BACKOFF,
+            wait: MIN_BACKOFF,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     /// Resets the backoff to the shortest wait.
     pub fn reset(&mut self) {
-        self.wait = FIRST_BACKOFF;
+        self.wait = MIN_BACKOFF;
     }
 
     /// Returns the next wait, which is at least as long as the platform requested, up to the
     /// longest backoff.
     pub fn next_wait(&mut self, error: &PlatformError) -> Duration {
-        let asked = match error {
+        let requested = match error {
             PlatformError::Unavailable { retry_after, .. } => *retry_after,
             _ => Duration::ZERO,
         };
         let wait = self.wait.mul_f64(self.rng.random_range(0.5..1.5));
-        self.wait = (self.wait * 2).min(LONGEST_BACKOFF);
-        wait.max(asked.min(LONGEST_BACKOFF))
+        self.wait = (self.wait * 2).min(MAX_BACKOFF);
+        wait.max(requested.min(MAX_BACKOFF))
     }
 }
 
 /// Lists the objects of a kind, then watches them from the listed revision on.
-pub async fn feed_objects(
+pub async fn watch_objects(
     platform: PlatformPort,
     kind: &'static str,
     watch_wait: Duration,
@@ -151,10 +151,10 @@
         match result {
             Ok(batch) => {
                 backoff.reset();
-                since = deliver(kind, batch, since, &feeds);
+                since = send_batch(kind, batch, since, &feeds);
             }
             Err(error) => {
-                let _ = feeds.send(FeedEvent::Platform(is_answer(&error)));
+                let _ = feeds.send(FeedEvent::Platform(proves_reachable(&error)));
                 // A refused watch may mean that the revision is too old: list again. After
                 // an outage the watch continues from its last revision, which saves the
                 // platform a complete listing by every daemon at once.
@@ -182,30 +182,30 @@
 }
 
 // A lower revision than before means that the platform lost its history: list again.
-fn deliver(
+fn send_batch(
     kind: &str,
     batch: ObjectBatch,
     since: Option<u64>,
     feeds: &mpsc::UnboundedSender<FeedEvent>,
 ) -> Option<u64> {
-    let went_back = since.is_some_and(|revision| batch.revision < revision);
+    let history_lost = since.is_some_and(|revision| batch.revision < revision);
     let _ = feeds.send(FeedEvent::Platform(true));
     let event = if kind == CONFIG_KIND {
         FeedEvent::Config {
             objects: batch.objects,
-            whole: since.is_none(),
+            complete: since.is_none(),
         }
     } else {
         FeedEvent::Orders(batch.objects)
     };
     let _ = feeds.send(event);
-    (!went_back).then_some(batch.revision)
+    (!history_lost).then_some(batch.revision)
 }
 
 /// Reads the instance list at regular intervals.
-pub async fn feed_instances(
+pub async fn poll_instances(
     platform: PlatformPort,
-    pace: Duration,
+    interval: Duration,
     seed: u64,
     feeds: mpsc::UnboundedSender<FeedEvent>,
 ) {
@@ -216,10 +216,10 @@
                 backoff.reset();
                 let _ = feeds.send(FeedEvent::Platform(true));
                 let _ = feeds.send(FeedEvent::Instances(rows));
-                sleep(pace).await;
+                sleep(interval).await;
             }
             Err(error) => {
-                let _ = feeds.send(FeedEvent::Platform(is_answer(&error)));
+                let _ = feeds.send(FeedEvent::Platform(proves_reachable(&error)));
                 sleep(backoff.next_wait(&error)).await;
             }
         }
@@ -235,10 +235,10 @@
 ) {
     let call = TargetCall {
         address,
-        patience: POLL_PATIENCE,
+        patience: POLL_TIMEOUT,
         body: (),
     };
-    let answer = tokio::time::timeout(POLL_PATIENCE, (engines.state)(call)).await;
+    let answer = tokio::time::timeout(POLL_TIMEOUT, (engines.state)(call)).await;
     let state = answer.ok().and_then(Result::ok);
     let report = state.map(|report| {
         let age = membership::report_age(&report, clock::unix_now());
@@ -249,7 +249,7 @@
 
 /// Returns whether an error shows that the platform is reachable.
 #[must_use]
-pub fn is_answer(error: &PlatformError) -> bool {
+pub fn proves_reachable(error: &PlatformError) -> bool {
     matches!(
         error,
         PlatformError::Conflict { .. } | PlatformError::Refused { .. }
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -16,10 +16,13 @@
         match event {
             PeerEvent::Ready(outbox) => self.peers.connect(outbox),
             PeerEvent::Up(peer, incarnation) => {
-                let held = self.held_objects();
-                let held = held.iter().map(|s| (s.object.clone(), s.version)).collect();
-                self.peers.link_up(&peer, held);
-                self.hear(peer, incarnation, false);
+                let objects = self.local_objects();
+                let objects = objects
+                    .iter()
+                    .map(|s| (s.object.clone(), s.version))
+                    .collect();
+                self.peers.link_up(&peer, objects);
+                self.record_contact(peer, incarnation, false);
             }
             PeerEvent::Down(peer) => {
                 self.peers.link_down(&peer);
@@ -28,21 +31,22 @@
         }
     }
 
-    fn hear(&mut self, daemon: DaemonId, incarnation: ProcessIncarnation, leaving: bool) {
-        let word = PeerWord {
+    fn record_contact(&mut self, daemon: DaemonId, incarnation: ProcessIncarnation, leaving: bool) {
+        let update = PeerWord {
             daemon,
             incarnation,
             leaving,
         };
-        self.membership.note_peer(&word, clock::mono_now());
+        self.membership.note_peer(&update, clock::mono_now());
     }
 
     fn on_message(&mut self, from: &DaemonId, message: PeerMessage) {
         match message {
             PeerMessage::Hint(hint) => self.on_hint(from, *hint),
-            PeerMessage::Versions(theirs) => {
-                let held = self.held_objects();
-                self.peers.answer_versions(from, &theirs, &held);
+            PeerMessage::Versions(peer_versions) => {
+                let objects = self.local_objects();
+                self.peers
+                    .send_newer_objects(from, &peer_versions, &objects);
             }
             PeerMessage::Objects(objects) => self.on_objects(from, objects),
             // The links handle requests and replies themselves.
@@ -52,7 +56,7 @@
 
     fn on_hint(&mut self, from: &DaemonId, hint: PeerHint) {
         let now = clock::mono_now();
-        let Some(hint) = self.peers.take_hint(from, hint, now) else {
+        let Some(hint) = self.peers.apply_hint(from, hint, now) else {
             return;
         };
         for state in &hint.engines {
@@ -60,9 +64,9 @@
             self.membership.note_state(&state.target, state, age, now);
         }
         if let Some(daemon) = hint.daemon {
-            self.hear(daemon, hint.incarnation, hint.leaving);
+            self.record_contact(daemon, hint.incarnation, hint.leaving);
         }
-        self.settle_confirmations(now);
+        self.answer_confirmed_changes(now);
     }
 
     fn on_objects(&mut self, from: &DaemonId, objects: Vec<StoredObject>) {
@@ -74,27 +78,27 @@
             .into_iter()
             .filter(|stored| stored.object.kind == ORDER_KIND)
             .collect();
-        self.note_orders(&orders, Some(from));
+        self.apply_orders(&orders, Some(from));
     }
 
-    fn held_objects(&self) -> Vec<StoredObject> {
+    fn local_objects(&self) -> Vec<StoredObject> {
         let config = self.config.objects().cloned();
         config.chain(self.authority.objects()).collect()
     }
 
     /// Adds local and peers' work and costs to the forecast and the shares. While no peer
     /// is reachable, the other daemons are assumed to have the same work as this one.
-    pub(crate) fn roll_sums(&mut self, now: MonoTime) {
-        let alone = !self.peers.is_heard();
-        let others = if alone {
+    pub(crate) fn update_work_and_shares(&mut self, now: MonoTime) {
+        let isolated = !self.peers.has_reachable_peer();
+        let scale = if isolated {
             self.cell.load().live_daemons
         } else {
             1
         };
-        for (model, bins) in std::mem::take(&mut self.own_work) {
-            self.peers.note_work(&model, &bins);
-            let whole = bins.map(|work| work.times(others as f64));
-            self.mix.note(&model, &whole);
+        for (model, bins) in std::mem::take(&mut self.local_work) {
+            self.peers.add_local_work(&model, &bins);
+            let total = bins.map(|work| work.times(scale as f64));
+            self.mix.note(&model, &total);
         }
         for (model, bins) in self.peers.take_work() {
             self.mix.note(&model, &bins);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -5,7 +5,7 @@
 pub mod event_loop;
 pub mod feeds;
 mod gossip;
-pub mod peer_desk;
+pub mod peer_exchange;
 pub mod snapshot;
 mod state;
 
--- a/src/control/peer_desk.rs
+++ b/src/control/peer_exchange.rs
@@ -20,21 +20,21 @@
 use crate::target_incarnation::TargetIncarnation;
 use crate::targets::wire::EngineState;
 
-const NEWS_AGE: Duration = Duration::from_secs(10);
+const UPDATE_RETENTION: Duration = Duration::from_secs(10);
 const BATCH_BYTES: usize = 1 << 20;
-const MOST_NEWS: usize = 512;
+const MAX_APPLIED_VERSIONS: usize = 512;
 /// Age up to which a report shows that its engine is alive.
-const FRESH_REPORT: Duration = Duration::from_secs(1);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
 /// Time after a reported crash from which a report of the same incarnation refutes it.
-const REPORT_PROOF: Duration = Duration::from_secs(5);
-const MOST_WORKSPACES: usize = 8_192;
+const REFUTATION_DELAY: Duration = Duration::from_secs(5);
+const MAX_WORKSPACES: usize = 8_192;
 
 /// State that the control thread keeps for the exchange with its peers.
-pub struct PeerDesk {
+pub struct PeerExchange {
     own: DaemonId,
     incarnation: ProcessIncarnation,
     watchers: usize,
-    silence: Duration,
+    peer_timeout: Duration,
     outbox: Option<mpsc::UnboundedSender<PeerCommand>>,
     topology: PeerTopology,
     hints: PeerHints,
@@ -44,12 +44,12 @@
     costs: IndexMap<WorkspaceName, (f64, MonoTime)>,
     applied: IndexMap<String, (ObjectVersion, MonoTime)>,
     engines: IndexMap<TargetId, EngineState>,
-    digests: IndexMap<TargetId, MonoTime>,
+    peer_reports: IndexMap<TargetId, MonoTime>,
     crashes: SharedCrashTracker,
     watching: watch::Sender<bool>,
 }
 
-impl PeerDesk {
+impl PeerExchange {
     /// Creates the state of a daemon without links, which watches the platform itself.
     #[must_use]
     pub fn new(
@@ -61,7 +61,7 @@
             own: settings.daemon_id.clone(),
             incarnation,
             watchers: settings.peers.watchers,
-            silence: Duration::from_millis(settings.peers.silence_ms),
+            peer_timeout: Duration::from_millis(settings.peers.silence_ms),
             outbox: None,
             topology: PeerTopology::default(),
             hints: PeerHints::default(),
@@ -71,7 +71,7 @@
             costs: IndexMap::new(),
             applied: IndexMap::new(),
             engines: IndexMap::new(),
-            digests: IndexMap::new(),
+            peer_reports: IndexMap::new(),
             crashes,
             watching: watch::Sender::new(true),
         }
@@ -89,9 +89,9 @@
     }
 
     /// Records a new link and sends the peer the versions of the local objects.
-    pub fn link_up(&mut self, peer: &DaemonId, held: Vec<(ObjectName, ObjectVersion)>) {
+    pub fn link_up(&mut self, peer: &DaemonId, versions: Vec<(ObjectName, ObjectVersion)>) {
         self.linked.insert(peer.clone());
-        self.send(vec![peer.clone()], PeerMessage::Versions(held));
+        self.send(vec![peer.clone()], PeerMessage::Versions(versions));
     }
 
     /// Records that the link to a peer is down.
@@ -101,12 +101,12 @@
 
     /// Returns whether a hint was received recently from any peer.
     #[must_use]
-    pub fn is_heard(&self) -> bool {
+    pub fn has_reachable_peer(&self) -> bool {
         self.hints.heard() > 0
     }
 
     /// Adds work accepted by this daemon.
-    pub fn note_work(&mut self, model: &ModelName, bins: &WorkBins) {
+    pub fn add_local_work(&mut self, model: &ModelName, bins: &WorkBins) {
         let sums = self.work.entry(model.clone()).or_default();
         for (sum, work) in sums.iter_mut().zip(bins) {
             sum.prefill += work.prefill;
@@ -115,8 +115,8 @@
     }
 
     /// Adds cost used on this daemon.
-    pub fn note_cost(&mut self, workspace: &WorkspaceName, cost: f64, now: MonoTime) {
-        if self.costs.len() >= MOST_WORKSPACES && !self.costs.contains_key(workspace) {
+    pub fn add_cost(&mut self, workspace: &WorkspaceName, cost: f64, now: MonoTime) {
+        if self.costs.len() >= MAX_WORKSPACES && !self.costs.contains_key(workspace) {
             return;
         }
         let (sum, at) = self.costs.entry(workspace.clone()).or_insert((0.0, now));
@@ -125,7 +125,7 @@
     }
 
     /// Records an applied configuration bucket, which the next hints confirm to the peers.
-    pub fn note_applied(&mut self, stored: &StoredObject, now: MonoTime) {
+    pub fn record_applied(&mut self, stored: &StoredObject, now: MonoTime) {
         let entry = (stored.version, now);
         self.applied.insert(stored.object.name.clone(), entry);
     }
@@ -137,9 +137,9 @@
 
     /// Returns whether a peer recently sent the state of an engine in its hints.
     #[must_use]
-    pub fn is_digested(&self, target: &TargetId, now: MonoTime) -> bool {
-        let seen = self.digests.get(target);
-        seen.is_some_and(|at| now.since(*at) < self.silence / 2)
+    pub fn is_reported_by_peer(&self, target: &TargetId, now: MonoTime) -> bool {
+        let seen = self.peer_reports.get(target);
+        seen.is_some_and(|at| now.since(*at) < self.peer_timeout / 2)
     }
 
     /// Recomputes which daemons to link to and which ones watch the platform.
@@ -148,18 +148,20 @@
     /// When none of them is both linked and reachable, it watches the platform itself;
     /// otherwise it would keep an outdated configuration unnoticed.
     pub fn update(&mut self, fleet: &FleetView, now: MonoTime) {
-        self.hints.expire(now, self.silence);
-        let silence = self.silence;
-        self.digests.retain(|_, at| now.since(*at) < silence);
-        self.applied.retain(|_, (_, at)| now.since(*at) < NEWS_AGE);
+        self.hints.expire(now, self.peer_timeout);
+        let peer_timeout = self.peer_timeout;
+        self.peer_reports
+            .retain(|_, at| now.since(*at) < peer_timeout);
+        self.applied
+            .retain(|_, (_, at)| now.since(*at) < UPDATE_RETENTION);
         self.topology = PeerTopology::new(fleet, &self.own, self.watchers);
         if let Some(outbox) = &self.outbox {
             let links = self.topology.links.clone();
             let _ = outbox.send(PeerCommand::Links(links));
         }
-        let mut feeders = self.topology.local_watchers.iter();
-        let fed = feeders.any(|id| self.linked.contains(id) && self.hints.has_heard(id));
-        let watching = self.topology.watches || !fed;
+        let mut watchers = self.topology.local_watchers.iter();
+        let has_feed = watchers.any(|id| self.linked.contains(id) && self.hints.has_heard(id));
+        let watching = self.topology.is_watcher || !has_feed;
         self.watching.send_if_modified(|old| {
             let changed = *old != watching;
             *old = watching;
@@ -172,11 +174,11 @@
         let reports = |target: &TargetIncarnation| {
             let report = fleet.targets.get(target.name())?.report.as_ref()?;
             let same = target.started_at() == Some(UnixTime(report.incarnation.0));
-            (same && now.since(report.taken_at) < FRESH_REPORT).then_some(())
+            (same && now.since(report.taken_at) < MAX_REPORT_AGE).then_some(())
         };
         self.crashes.lock().refute_registered(
             |target| reports(target).is_some(),
-            REPORT_PROOF,
+            REFUTATION_DELAY,
             MonoTime(0),
             now,
         );
@@ -186,8 +188,8 @@
     pub fn send_hint(&mut self, leaving: bool, now: MonoTime) {
         self.sequence += 1;
         let costs = self.costs.iter();
-        let recent = costs.filter(|(_, (_, at))| now.since(*at) < NEWS_AGE);
-        let applied = self.applied.iter().rev().take(MOST_NEWS);
+        let recent = costs.filter(|(_, (_, at))| now.since(*at) < UPDATE_RETENTION);
+        let applied = self.applied.iter().rev().take(MAX_APPLIED_VERSIONS);
         let hint = PeerHint {
             daemon: Some(self.own.clone()),
             incarnation: self.incarnation,
@@ -204,7 +206,7 @@
     }
 
     /// Applies and forwards a received hint; returns it if it is newer than the known one.
-    pub fn take_hint(
+    pub fn apply_hint(
         &mut self,
         from: &DaemonId,
         hint: PeerHint,
@@ -214,20 +216,20 @@
         if origin == self.own || !self.hints.note(hint.clone(), now) {
             return None;
         }
-        for note in &hint.works {
+        for report in &hint.works {
             // Hints are forwarded unchanged, so their reports need no further broadcast.
-            self.crashes.lock().apply_report(note, false, now);
+            self.crashes.lock().apply_report(report, false, now);
         }
         for state in &hint.engines {
-            self.digests.insert(state.target.clone(), now);
+            self.peer_reports.insert(state.target.clone(), now);
         }
-        let passed = self
+        let receivers = self
             .linked
             .iter()
-            .filter(|peer| *peer != from && self.topology.passes(&self.own, &origin, peer));
-        let passed: Vec<DaemonId> = passed.cloned().collect();
-        if !passed.is_empty() {
-            self.send(passed, PeerMessage::Hint(Box::new(hint.clone())));
+            .filter(|peer| *peer != from && self.topology.forwards(&self.own, &origin, peer));
+        let receivers: Vec<DaemonId> = receivers.cloned().collect();
+        if !receivers.is_empty() {
+            self.send(receivers, PeerMessage::Hint(Box::new(hint.clone())));
         }
         Some(hint)
     }
@@ -239,18 +241,21 @@
     }
 
     /// Sends a peer the objects of which it has older versions or none.
-    pub fn answer_versions(
+    pub fn send_newer_objects(
         &self,
         peer: &DaemonId,
-        theirs: &[(ObjectName, ObjectVersion)],
-        held: &[StoredObject],
+        peer_versions: &[(ObjectName, ObjectVersion)],
+        local_objects: &[StoredObject],
     ) {
-        let theirs: IndexMap<&ObjectName, ObjectVersion> = theirs
+        let peer_versions: IndexMap<&ObjectName, ObjectVersion> = peer_versions
             .iter()
             .map(|(object, version)| (object, *version))
             .collect();
-        let newer = held.iter().filter(|stored| {
-            let known = theirs.get(&stored.object).copied().unwrap_or_default();
+        let newer = local_objects.iter().filter(|stored| {
+            let known = peer_versions
+                .get(&stored.object)
+                .copied()
+                .unwrap_or_default();
             stored.version > known
         });
         let newer: Vec<StoredObject> = newer.cloned().collect();
@@ -265,8 +270,8 @@
             bytes += stored.value.as_ref().map_or(0, Vec::len);
             batch.push(stored.clone());
             if bytes >= BATCH_BYTES {
-                let whole = std::mem::take(&mut batch);
-                self.send(peers.to_vec(), PeerMessage::Objects(whole));
+                let batch_objects = std::mem::take(&mut batch);
+                self.send(peers.to_vec(), PeerMessage::Objects(batch_objects));
                 bytes = 0;
             }
         }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -12,7 +12,7 @@
 use crate::control::authority_ports::AuthorityPorts;
 use crate::control::changes::PendingConfirmation;
 use crate::control::feeds::{self, FeedEvent};
-use crate::control::peer_desk::PeerDesk;
+use crate::control::peer_exchange::PeerExchange;
 use crate::control::snapshot::{ControlSnapshot, SnapshotCell};
 use crate::control::{ControlEvent, ControlInputs};
 use crate::decide::shares::{ShareState, ShareView};
@@ -25,7 +25,7 @@
 use crate::roles::mix::{self, MixForecast, WorkAmount, WorkTotals};
 use crate::targets::wire::EngineState;
 
-const LISTS_TO_FORGET: u64 = 60;
+const FORGET_AFTER_LISTS: u64 = 60;
 
 /// State owned by the control thread.
 pub(crate) struct ControlState {
@@ -38,17 +38,17 @@
     pub(crate) authority: AuthorityState,
     pub(crate) ports: AuthorityPorts,
     pub(crate) mix: MixForecast,
-    pub(crate) own_work: WorkTotals,
-    pub(crate) peers: PeerDesk,
+    pub(crate) local_work: WorkTotals,
+    pub(crate) peers: PeerExchange,
     pub(crate) shares: ShareState,
     pub(crate) share_view: Arc<ShareView>,
     pub(crate) confirmations: Vec<PendingConfirmation>,
-    pub(crate) stops: Vec<oneshot::Sender<()>>,
-    pub(crate) changes_running: usize,
-    pub(crate) changes_made: u64,
+    pub(crate) stop_replies: Vec<oneshot::Sender<()>>,
+    pub(crate) running_changes: usize,
+    pub(crate) change_count: u64,
     pub(crate) polling: IndexSet<TargetId>,
-    pub(crate) config_whole: bool,
-    pub(crate) list_seen: bool,
+    pub(crate) config_complete: bool,
+    pub(crate) list_received: bool,
     pub(crate) platform_reachable: bool,
     pub(crate) stopping: bool,
 }
@@ -68,7 +68,7 @@
             inputs.incarnation,
         );
         let limits = MembershipLimits {
-            forget: Duration::from_millis(settings.platform.instances_ms * LISTS_TO_FORGET),
+            forget: Duration::from_millis(settings.platform.instances_ms * FORGET_AFTER_LISTS),
             peer_silence: Duration::from_millis(settings.peers.silence_ms),
             ..MembershipLimits::default()
         };
@@ -85,23 +85,23 @@
             authority: AuthorityState::new(settings, inputs.incarnation, journal),
             ports,
             mix: MixForecast::default(),
-            own_work: WorkTotals::new(),
-            peers: PeerDesk::new(settings, inputs.incarnation, inputs.crashes.clone()),
+            local_work: WorkTotals::new(),
+            peers: PeerExchange::new(settings, inputs.incarnation, inputs.crashes.clone()),
             shares: ShareState::default(),
             share_view: Arc::default(),
             confirmations: Vec::new(),
-            stops: Vec::new(),
+            stop_replies: Vec::new(),
             membership: MembershipState::new(own, limits),
             bucket_locks: Arc::new(locks.collect()),
             inputs,
             cell,
             feeds,
             config: ConfigState::default(),
-            changes_running: 0,
-            changes_made: 0,
+            running_changes: 0,
+            change_count: 0,
             polling: IndexSet::new(),
-            config_whole: false,
-            list_seen: false,
+            config_complete: false,
+            list_received: false,
             platform_reachable: false,
             stopping: false,
         }
@@ -126,14 +126,14 @@
             } => {
                 let speeds = &self.inputs.settings.policy.speeds;
                 let work = WorkAmount::of_request(speeds, prefill_tokens, decode_tokens);
-                mix::add_work(&mut self.own_work, &model, work);
+                mix::add_work(&mut self.local_work, &model, work);
             }
             ControlEvent::CostSeen {
                 workspace, cost, ..
             } => {
                 let cost = cost.as_secs_f64();
                 self.shares.note(&workspace, cost);
-                self.peers.note_cost(&workspace, cost, clock::mono_now());
+                self.peers.add_cost(&workspace, cost, clock::mono_now());
             }
             ControlEvent::Peer(event) => self.on_peer(event),
             ControlEvent::Stop { done } => self.stop(done),
@@ -142,19 +142,19 @@
 
     pub(crate) fn on_feed(&mut self, feed: FeedEvent) {
         match feed {
-            FeedEvent::Config { objects, whole } => self.apply_config(&objects, whole, None),
+            FeedEvent::Config { objects, complete } => self.apply_config(&objects, complete, None),
             FeedEvent::Instances(rows) => {
-                let taken = self.membership.apply_list(&rows, clock::mono_now());
-                self.list_seen |= taken;
+                let applied = self.membership.apply_list(&rows, clock::mono_now());
+                self.list_received |= applied;
             }
-            FeedEvent::Platform(reachable) => self.note_platform(reachable),
+            FeedEvent::Platform(reachable) => self.set_platform_reachable(reachable),
             FeedEvent::Engine { target, report } => self.note_engine(&target, report.as_ref()),
-            FeedEvent::Orders(objects) => self.note_orders(&objects, None),
+            FeedEvent::Orders(objects) => self.apply_orders(&objects, None),
             FeedEvent::Read { tag, result } => {
                 let (fleet, now) = (self.membership.fleet().clone(), clock::mono_now());
                 let next = self.authority.note_read(&tag, &result, &fleet, now);
                 if let Some(action) = next {
-                    self.ports.carry_out(action, &mut self.authority, &fleet);
+                    self.ports.execute(action, &mut self.authority, &fleet);
                 }
             }
             FeedEvent::Written {
@@ -182,24 +182,24 @@
         }
     }
 
-    pub(crate) fn note_orders(&mut self, objects: &[StoredObject], from: Option<&DaemonId>) {
+    pub(crate) fn apply_orders(&mut self, objects: &[StoredObject], from: Option<&DaemonId>) {
         let now = clock::mono_now();
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for stored in objects {
             if self.authority.note_object(stored, now) {
-                news.push(stored.clone());
+                updates.push(stored.clone());
             }
         }
-        if !news.is_empty() {
-            self.peers.relay(from, &news);
+        if !updates.is_empty() {
+            self.peers.relay(from, &updates);
         }
         self.membership.set_changing(self.authority.changing(now));
     }
 
     pub(crate) fn on_tick(&mut self, now: MonoTime) {
         self.membership.tick(now);
-        self.roll_sums(now);
-        self.settle_confirmations(now);
+        self.update_work_and_shares(now);
+        self.answer_confirmed_changes(now);
         let fleet = self.membership.fleet().clone();
         let inputs = AuthorityInputs {
             fleet: &fleet,
@@ -208,20 +208,20 @@
         };
         // Until the instance list has been received, every engine looks gone and every
         // peer dead.
-        if self.list_seen && self.config_whole {
+        if self.list_received && self.config_complete {
             for action in self.authority.tick(inputs, now) {
-                self.ports.carry_out(action, &mut self.authority, &fleet);
+                self.ports.execute(action, &mut self.authority, &fleet);
             }
         }
         self.membership.set_changing(self.authority.changing(now));
         if self.authority.is_handed_over() {
-            for done in self.stops.drain(..) {
+            for done in self.stop_replies.drain(..) {
                 let _ = done.send(());
             }
         }
     }
 
-    pub(crate) fn note_platform(&mut self, reachable: bool) {
+    pub(crate) fn set_platform_reachable(&mut self, reachable: bool) {
         if self.platform_reachable != reachable {
             log::info!(reachable; "platform reachability changed");
         }
@@ -259,8 +259,9 @@
     // Skips engines whose state another daemon polls and reports in its hints.
     fn poll_engines(&mut self, now: MonoTime) {
         for (target, address) in self.membership.engines_to_poll(now) {
-            let digested = self.peers.is_digested(&target, now) && !self.authority.leads(&target);
-            if digested || !self.polling.insert(target.clone()) {
+            let reported_by_peer =
+                self.peers.is_reported_by_peer(&target, now) && !self.authority.leads(&target);
+            if reported_by_peer || !self.polling.insert(target.clone()) {
                 continue;
             }
             let engines = self.inputs.engines.clone();
@@ -273,20 +274,20 @@
         self.stopping = true;
         self.membership.set_stopping();
         self.authority.stop();
-        self.stops.push(done);
+        self.stop_replies.push(done);
         self.publish();
     }
 
     pub(crate) fn publish(&mut self) {
         let changes = self.membership.refresh();
-        self.explain_states(&changes);
+        self.record_state_changes(&changes);
         let next = self.snapshot();
         if !is_same(&self.cell.load(), &next) {
             self.cell.store(Arc::new(next));
         }
     }
 
-    pub(crate) fn explain_states(&self, changes: &[StateChange]) {
+    pub(crate) fn record_state_changes(&self, changes: &[StateChange]) {
         for change in changes {
             let before = change.before.map_or("new", UseState::as_str);
             let after = change.after.as_str();
@@ -307,7 +308,7 @@
             config: self.config.view().clone(),
             shares: self.share_view.clone(),
             leases: self.authority.views(clock::mono_now()),
-            ready: self.config_whole && self.list_seen && !self.stopping,
+            ready: self.config_complete && self.list_received && !self.stopping,
             platform_reachable: self.platform_reachable,
             stopping: self.stopping,
             live_daemons: live.max(1),
--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -30,7 +30,7 @@
 
 /// Authenticates a daemon that has connected; returns its identity, or `None` if its proof
 /// is missing or wrong.
-pub async fn greet_caller(
+pub async fn authenticate_caller(
     socket: &mut Socket,
     own: &PeerIdentity,
 ) -> Option<(DaemonId, ProcessIncarnation)> {
@@ -40,14 +40,20 @@
         daemon,
         incarnation,
         proof,
-        challenge: theirs,
+        challenge: peer_challenge,
     } = receive(socket).await?
     else {
         return None;
     };
-    let claim = sign(&own.secret, CALLER, &challenge, &daemon, incarnation)?;
-    claim.verify_slice(&proof).ok()?;
-    let proof = sign(&own.secret, LISTENER, &theirs, &own.daemon, own.incarnation)?;
+    let mac = sign(&own.secret, CALLER, &challenge, &daemon, incarnation)?;
+    mac.verify_slice(&proof).ok()?;
+    let proof = sign(
+        &own.secret,
+        LISTENER,
+        &peer_challenge,
+        &own.daemon,
+        own.incarnation,
+    )?;
     let welcome = HandshakeMessage::Welcome {
         daemon: own.daemon.clone(),
         incarnation: own.incarnation,
@@ -59,15 +65,21 @@
 
 /// Authenticates the daemon that this one has connected to; returns its identity, or
 /// `None` if its proof is missing or wrong.
-pub async fn greet_listener(
+pub async fn authenticate_listener(
     socket: &mut Socket,
     own: &PeerIdentity,
 ) -> Option<(DaemonId, ProcessIncarnation)> {
-    let HandshakeMessage::Challenge(theirs) = receive(socket).await? else {
+    let HandshakeMessage::Challenge(peer_challenge) = receive(socket).await? else {
         return None;
     };
     let challenge = new_challenge();
-    let proof = sign(&own.secret, CALLER, &theirs, &own.daemon, own.incarnation)?;
+    let proof = sign(
+        &own.secret,
+        CALLER,
+        &peer_challenge,
+        &own.daemon,
+        own.incarnation,
+    )?;
     let hello = HandshakeMessage::Hello {
         daemon: own.daemon.clone(),
         incarnation: own.incarnation,
@@ -83,8 +95,8 @@
     else {
         return None;
     };
-    let claim = sign(&own.secret, LISTENER, &challenge, &daemon, incarnation)?;
-    claim.verify_slice(&proof).ok()?;
+    let mac = sign(&own.secret, LISTENER, &challenge, &daemon, incarnation)?;
+    mac.verify_slice(&proof).ok()?;
     Some((daemon, incarnation))
 }
 
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -17,22 +17,22 @@
 
 use crate::control::{ControlEvent, ControlHandle};
 use crate::names::{DaemonId, ProcessIncarnation};
-use crate::peers::handshake::{PeerIdentity, greet_caller, greet_listener};
+use crate::peers::handshake::{PeerIdentity, authenticate_caller, authenticate_listener};
 use crate::peers::wire::{MESSAGE_BYTES, PeerMessage};
 use crate::ports::PortCall;
 use crate::timer::TimerService;
 
-const HANDSHAKE_TIME: Duration = Duration::from_secs(3);
-const SEND_TIME: Duration = Duration::from_secs(3);
-const LINK_WAIT: Duration = Duration::from_secs(1);
-const REPLY_WAIT: Duration = Duration::from_secs(2);
-const ASKED_TIME: Duration = Duration::from_secs(60);
-const DIAL_PACE: Duration = Duration::from_millis(100);
-const FIRST_BACKOFF: Duration = Duration::from_millis(200);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
-const OUTBOX: usize = 256;
-const HANDSHAKES: usize = 64;
-const REQUESTS_AT_ONCE: usize = 256;
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+const SEND_TIMEOUT: Duration = Duration::from_secs(3);
+const LINK_TIMEOUT: Duration = Duration::from_secs(1);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+const ON_DEMAND_LINK_TIME: Duration = Duration::from_secs(60);
+const DIAL_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+const OUTBOX_MESSAGES: usize = 256;
+const MAX_HANDSHAKES: usize = 64;
+const MAX_REQUESTS: usize = 256;
 
 /// Errors of a request to a peer.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
@@ -126,17 +126,17 @@
 }
 
 #[derive(Default)]
-struct HubState {
+struct LinkTable {
     links: IndexMap<DaemonId, LinkRecord>,
-    wanted: IndexSet<DaemonId>,
-    asked: IndexMap<DaemonId, Instant>,
+    desired: IndexSet<DaemonId>,
+    on_demand: IndexMap<DaemonId, Instant>,
     dials: IndexMap<DaemonId, DialRecord>,
     pending: IndexMap<u64, oneshot::Sender<Result<Vec<u8>, String>>>,
-    numbers: u64,
+    last_number: u64,
 }
 
-struct PeerHub {
-    state: Mutex<HubState>,
+struct PeerLinks {
+    state: Mutex<LinkTable>,
     identity: PeerIdentity,
     silence: Duration,
     control: ControlHandle,
@@ -152,62 +152,62 @@
 /// Fails if the listener cannot be registered with the runtime.
 pub fn start_peers(inputs: PeerInputs) -> io::Result<PeerHandle> {
     let open = !inputs.identity.secret.is_empty();
-    let hub = Arc::new(PeerHub {
+    let peers = Arc::new(PeerLinks {
         state: Mutex::default(),
         identity: inputs.identity,
         silence: inputs.silence,
         control: inputs.control,
         handler: inputs.handler,
         linked: Notify::new(),
-        requests: Semaphore::new(REQUESTS_AT_ONCE),
+        requests: Semaphore::new(MAX_REQUESTS),
     });
     if open {
         inputs.listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(inputs.listener)?;
         let (commands, inbox) = mpsc::unbounded_channel();
-        hub.tell(PeerEvent::Ready(commands));
-        tokio::spawn(accept(hub.clone(), listener));
-        tokio::spawn(obey(hub.clone(), inbox));
+        peers.notify_control(PeerEvent::Ready(commands));
+        tokio::spawn(accept(peers.clone(), listener));
+        tokio::spawn(run_commands(peers.clone(), inbox));
     }
     Ok(PeerHandle {
         request: Arc::new(move |(peer, body)| {
-            let hub = hub.clone();
-            Box::pin(async move { hub.request(peer, body).await })
+            let peers = peers.clone();
+            Box::pin(async move { peers.request(peer, body).await })
         }),
     })
 }
 
-async fn accept(hub: Arc<PeerHub>, listener: TcpListener) {
-    let handshakes = Arc::new(Semaphore::new(HANDSHAKES));
-    while !hub.control.has_ended() {
+async fn accept(peers: Arc<PeerLinks>, listener: TcpListener) {
+    let handshakes = Arc::new(Semaphore::new(MAX_HANDSHAKES));
+    while !peers.control.has_ended() {
         let Ok(permit) = handshakes.clone().acquire_owned().await else {
             return;
         };
-        match timeout(LINK_WAIT, listener.accept()).await {
+        match timeout(LINK_TIMEOUT, listener.accept()).await {
             Ok(Ok((stream, _))) => {
-                let hub = hub.clone();
+                let peers = peers.clone();
                 tokio::spawn(async move {
-                    let greeted = timeout(HANDSHAKE_TIME, answer(&hub, stream)).await;
+                    let authenticated = timeout(HANDSHAKE_TIMEOUT, answer(&peers, stream)).await;
                     drop(permit);
-                    if let Ok(Some((socket, peer, incarnation))) = greeted {
-                        run_link(hub, socket, peer, incarnation).await;
+                    if let Ok(Some((socket, peer, incarnation))) = authenticated {
+                        run_link(peers, socket, peer, incarnation).await;
                     }
                 });
             }
-            Ok(Err(_)) => tokio::time::sleep(DIAL_PACE).await,
+            Ok(Err(_)) => tokio::time::sleep(DIAL_INTERVAL).await,
             Err(_) => {}
         }
     }
 }
 
-type Greeted = (WebSocketStream<TcpStream>, DaemonId, ProcessIncarnation);
+type AuthenticatedPeer = (WebSocketStream<TcpStream>, DaemonId, ProcessIncarnation);
 
-async fn answer(hub: &PeerHub, stream: TcpStream) -> Option<Greeted> {
+async fn answer(peers: &PeerLinks, stream: TcpStream) -> Option<AuthenticatedPeer> {
     let _ = stream.set_nodelay(true);
     let socket = accept_async_with_config(stream, Some(socket_config())).await;
     let mut socket = socket.ok()?;
-    let greeted = greet_caller(&mut socket, &hub.identity).await;
-    let Some((peer, incarnation)) = greeted else {
+    let authenticated = authenticate_caller(&mut socket, &peers.identity).await;
+    let Some((peer, incarnation)) = authenticated else {
         metrics::counter!("pistachiowick_peer_refused_total").increment(1);
         return None;
     };
@@ -220,89 +220,89 @@
         .max_frame_size(Some(MESSAGE_BYTES))
 }
 
-async fn obey(hub: Arc<PeerHub>, mut inbox: mpsc::UnboundedReceiver<PeerCommand>) {
+async fn run_commands(peers: Arc<PeerLinks>, mut inbox: mpsc::UnboundedReceiver<PeerCommand>) {
     let timer = TimerService::start();
-    let mut ticks = timer.every(DIAL_PACE);
+    let mut ticks = timer.every(DIAL_INTERVAL);
     loop {
         tokio::select! {
             command = inbox.recv() => match command {
-                Some(PeerCommand::Links(wanted)) => hub.lock().wanted = wanted,
-                Some(PeerCommand::Send { to, message }) => hub.send(to.as_deref(), &message),
-                None => return hub.close(),
+                Some(PeerCommand::Links(desired)) => peers.lock().desired = desired,
+                Some(PeerCommand::Send { to, message }) => peers.send(to.as_deref(), &message),
+                None => return peers.close(),
             },
-            _ = ticks.next() => dial_due(&hub),
+            _ = ticks.next() => dial_due(&peers),
         }
     }
 }
 
-fn dial_due(hub: &Arc<PeerHub>) {
-    let snapshot = hub.control.snapshot.load();
-    for peer in hub.due_dials(Instant::now()) {
+fn dial_due(peers: &Arc<PeerLinks>) {
+    let snapshot = peers.control.snapshot.load();
+    for peer in peers.due_dials(Instant::now()) {
         let address = snapshot.fleet.daemons.get(&peer);
         let address = address.map(|d| d.peer_address.clone()).unwrap_or_default();
-        let hub = hub.clone();
-        tokio::spawn(async move { dial(hub, peer, &address).await });
+        let peers = peers.clone();
+        tokio::spawn(async move { dial(peers, peer, &address).await });
     }
 }
 
-async fn dial(hub: Arc<PeerHub>, peer: DaemonId, address: &str) {
-    let greeted = timeout(HANDSHAKE_TIME, call(&hub, &peer, address)).await;
-    let greeted = greeted.ok().flatten();
-    hub.dialled(&peer, greeted.is_some());
-    if let Some((socket, peer, incarnation)) = greeted {
-        run_link(hub, socket, peer, incarnation).await;
+async fn dial(peers: Arc<PeerLinks>, peer: DaemonId, address: &str) {
+    let authenticated = timeout(HANDSHAKE_TIMEOUT, connect(&peers, &peer, address)).await;
+    let authenticated = authenticated.ok().flatten();
+    peers.record_dial(&peer, authenticated.is_some());
+    if let Some((socket, peer, incarnation)) = authenticated {
+        run_link(peers, socket, peer, incarnation).await;
     }
 }
 
-async fn call(hub: &PeerHub, peer: &DaemonId, address: &str) -> Option<Greeted> {
+async fn connect(peers: &PeerLinks, peer: &DaemonId, address: &str) -> Option<AuthenticatedPeer> {
     let stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
     let url = format!("ws://{address}/");
     let socket = client_async_with_config(url, stream, Some(socket_config())).await;
     let (mut socket, _) = socket.ok()?;
-    let (found, incarnation) = greet_listener(&mut socket, &hub.identity).await?;
+    let (found, incarnation) = authenticate_listener(&mut socket, &peers.identity).await?;
     // The address may have been reassigned to another daemon.
     (found == *peer).then_some((socket, found, incarnation))
 }
 
 async fn run_link(
-    hub: Arc<PeerHub>,
+    peers: Arc<PeerLinks>,
     socket: WebSocketStream<TcpStream>,
     peer: DaemonId,
     incarnation: ProcessIncarnation,
 ) {
     let (mut sink, mut source) = socket.split();
-    let (outbox, mut queue) = mpsc::channel::<Message>(OUTBOX);
-    let number = hub.add_link(&peer, outbox);
-    hub.tell(PeerEvent::Up(peer.clone(), incarnation));
+    let (outbox, mut queue) = mpsc::channel::<Message>(OUTBOX_MESSAGES);
+    let number = peers.add_link(&peer, outbox);
+    peers.notify_control(PeerEvent::Up(peer.clone(), incarnation));
     let writing = tokio::spawn(async move {
         while let Some(message) = queue.recv().await {
             // Without the timeout, a peer that stops reading would block this task forever.
-            match timeout(SEND_TIME, sink.send(message)).await {
+            match timeout(SEND_TIMEOUT, sink.send(message)).await {
                 Ok(Ok(())) => {}
                 _ => return,
             }
         }
-        let _ = timeout(SEND_TIME, sink.close()).await;
+        let _ = timeout(SEND_TIMEOUT, sink.close()).await;
     });
-    while let Ok(Some(Ok(message))) = timeout(hub.silence, source.next()).await {
-        if !hub.receive(&peer, &message) || writing.is_finished() {
+    while let Ok(Some(Ok(message))) = timeout(peers.silence, source.next()).await {
+        if !peers.receive(&peer, &message) || writing.is_finished() {
             break;
         }
     }
-    let last = hub.remove_link(&peer, number);
+    let last = peers.remove_link(&peer, number);
     writing.abort();
     if last {
-        hub.tell(PeerEvent::Down(peer));
+        peers.notify_control(PeerEvent::Down(peer));
     }
 }
 
-impl PeerHub {
-    fn lock(&self) -> MutexGuard<'_, HubState> {
+impl PeerLinks {
+    fn lock(&self) -> MutexGuard<'_, LinkTable> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, event: PeerEvent) {
+    fn notify_control(&self, event: PeerEvent) {
         // A closed channel means that the daemon is stopping; the event is then obsolete.
         let _ = self.control.events.send(ControlEvent::Peer(event));
     }
@@ -313,8 +313,8 @@
 
     fn add_link(&self, peer: &DaemonId, outbox: mpsc::Sender<Message>) -> u64 {
         let mut state = self.lock();
-        state.numbers += 1;
-        let number = state.numbers;
+        state.last_number += 1;
+        let number = state.last_number;
         state
             .links
             .insert(peer.clone(), LinkRecord { number, outbox });
@@ -335,9 +335,9 @@
 
     fn due_dials(&self, now: Instant) -> Vec<DaemonId> {
         let mut state = self.lock();
-        state.asked.retain(|_, until| *until > now);
-        let asked: Vec<DaemonId> = state.asked.keys().cloned().collect();
-        let needed: IndexSet<DaemonId> = state.wanted.iter().cloned().chain(asked).collect();
+        state.on_demand.retain(|_, expires_at| *expires_at > now);
+        let on_demand: Vec<DaemonId> = state.on_demand.keys().cloned().collect();
+        let needed: IndexSet<DaemonId> = state.desired.iter().cloned().chain(on_demand).collect();
         state
             .dials
             .retain(|peer, dial| dial.busy || needed.contains(peer));
@@ -349,7 +349,7 @@
             let dial = state.dials.entry(peer.clone()).or_insert(DialRecord {
                 busy: false,
                 next_at: now,
-                wait: FIRST_BACKOFF,
+                wait: MIN_BACKOFF,
             });
             if !dial.busy && now >= dial.next_at {
                 dial.busy = true;
@@ -359,7 +359,7 @@
         due
     }
 
-    fn dialled(&self, peer: &DaemonId, linked: bool) {
+    fn record_dial(&self, peer: &DaemonId, linked: bool) {
         let mut state = self.lock();
         let Some(dial) = state.dials.get_mut(peer) else {
             return;
@@ -367,9 +367,9 @@
         dial.busy = false;
         dial.next_at = Instant::now() + dial.wait;
         dial.wait = if linked {
-            FIRST_BACKOFF
+            MIN_BACKOFF
         } else {
-            (dial.wait * 2).min(LONGEST_BACKOFF)
+            (dial.wait * 2).min(MAX_BACKOFF)
         };
     }
 
@@ -377,8 +377,8 @@
         let bytes = Message::binary(message.encode());
         let state = self.lock();
         for (peer, link) in &state.links {
-            let meant = to.is_none_or(|peers| peers.contains(peer));
-            if meant && link.outbox.try_send(bytes.clone()).is_err() {
+            let is_receiver = to.is_none_or(|peers| peers.contains(peer));
+            if is_receiver && link.outbox.try_send(bytes.clone()).is_err() {
                 // A later hint replaces a dropped one, and objects are compared whenever a
                 // link comes up.
                 metrics::counter!("pistachiowick_peer_dropped_total").increment(1);
@@ -399,7 +399,7 @@
                     let _ = reply.send(result);
                 }
             }
-            Ok(message) => self.tell(PeerEvent::Message(peer.clone(), Box::new(message))),
+            Ok(message) => self.notify_control(PeerEvent::Message(peer.clone(), Box::new(message))),
             Err(error) => {
                 log::warn!("closing the link to {peer}: {error}");
                 return false;
@@ -409,16 +409,16 @@
     }
 
     fn serve(self: &Arc<Self>, peer: DaemonId, id: u64, body: Vec<u8>) {
-        let hub = self.clone();
+        let peers = self.clone();
         tokio::spawn(async move {
-            let result = match hub.requests.try_acquire() {
-                Ok(_permit) => (hub.handler)((peer.clone(), body)).await,
+            let result = match peers.requests.try_acquire() {
+                Ok(_permit) => (peers.handler)((peer.clone(), body)).await,
                 Err(_) => Err(
                     "the peer is already serving the maximum number of requests; retry later"
                         .to_owned(),
                 ),
             };
-            hub.send(Some(&[peer]), &PeerMessage::Reply { id, result });
+            peers.send(Some(&[peer]), &PeerMessage::Reply { id, result });
         });
     }
 
@@ -437,8 +437,8 @@
         let (reply, answer) = oneshot::channel();
         let id = {
             let mut state = self.lock();
-            state.numbers += 1;
-            let id = state.numbers;
+            state.last_number += 1;
+            let id = state.last_number;
             state.pending.insert(id, reply);
             id
         };
@@ -447,7 +447,7 @@
             self.lock().pending.swap_remove(&id);
             return Err(not_sent("the send queue of the link is full"));
         }
-        let answer = timeout(REPLY_WAIT, answer).await;
+        let answer = timeout(REPLY_TIMEOUT, answer).await;
         self.lock().pending.swap_remove(&id);
         match answer {
             Ok(Ok(Ok(body))) => Ok(body),
@@ -460,21 +460,21 @@
     }
 
     // Returns the send queue of the link to a peer. A missing link is set up on demand and
-    // kept for `ASKED_TIME`.
+    // kept for `ON_DEMAND_LINK_TIME`.
     async fn outbox(&self, peer: &DaemonId) -> Option<mpsc::Sender<Message>> {
-        let give_up = Instant::now() + LINK_WAIT;
+        let deadline = Instant::now() + LINK_TIMEOUT;
         loop {
             let linked = self.linked.notified();
             {
                 let mut state = self.lock();
                 state
-                    .asked
-                    .insert(peer.clone(), Instant::now() + ASKED_TIME);
+                    .on_demand
+                    .insert(peer.clone(), Instant::now() + ON_DEMAND_LINK_TIME);
                 if let Some(link) = state.links.get(peer) {
                     return Some(link.outbox.clone());
                 }
             }
-            if tokio::time::timeout_at(give_up, linked).await.is_err() {
+            if tokio::time::timeout_at(deadline, linked).await.is_err() {
                 return None;
             }
         }
--- a/src/peers/requests.rs
+++ b/src/peers/requests.rs
@@ -27,12 +27,12 @@
         let traffic = traffic.get().and_then(Weak::upgrade);
         Box::pin(async move {
             let context = traffic.ok_or("this daemon is still starting; retry later")?;
-            answer(&context, &body).await
+            handle_request(&context, &body).await
         })
     })
 }
 
-async fn answer(context: &TrafficContext, body: &[u8]) -> Result<Vec<u8>, String> {
+async fn handle_request(context: &TrafficContext, body: &[u8]) -> Result<Vec<u8>, String> {
     match body.split_first() {
         Some((&RECORDS, body)) => {
             let reply = context.intents.serve(body).await;
@@ -53,7 +53,7 @@
 pub fn records_call(peers: &PeerHandle) -> LinkCall {
     let peers = peers.clone();
     Arc::new(move |(daemon, body)| {
-        let reply = (peers.request)((daemon, tagged(RECORDS, &body)));
+        let reply = (peers.request)((daemon, encode_request(RECORDS, &body)));
         Box::pin(async move {
             reply.await.map_err(|error| LinkError::NoReply {
                 reason: error.to_string(),
@@ -72,12 +72,12 @@
     daemon: &DaemonId,
     request_id: &RequestId,
 ) -> Result<bool, PeerError> {
-    let body = tagged(CANCEL, request_id.as_str().as_bytes());
+    let body = encode_request(CANCEL, request_id.as_str().as_bytes());
     let reply = (peers.request)((daemon.clone(), body)).await?;
     Ok(reply == STOPPED)
 }
 
-fn tagged(kind: u8, body: &[u8]) -> Vec<u8> {
+fn encode_request(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut message = Vec::with_capacity(body.len() + 1);
     message.push(kind);
     message.extend_from_slice(body);
--- a/src/peers/state.rs
+++ b/src/peers/state.rs
@@ -15,8 +15,8 @@
 use crate::ports::ObjectVersion;
 use crate::roles::mix::{WorkAmount, WorkTotals};
 
-const MOST_PEERS: usize = 4_096;
-const MOST_APPLIED: usize = 512;
+const MAX_PEERS: usize = 4_096;
+const MAX_APPLIED: usize = 512;
 
 /// Returns the daemons that watch the platform for a data centre.
 #[must_use]
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PeerTopology {
     /// Whether this daemon watches the platform for its data centre.
-    pub watches: bool,
+    pub is_watcher: bool,
     /// Daemons to keep links to.
     pub links: IndexSet<DaemonId>,
     /// Watchers of this data centre.
@@ -70,11 +70,11 @@
             }
             all.extend(found);
         }
-        let watches = local.contains(own);
-        let wanted = if watches { &all } else { &local };
-        let links = wanted.iter().filter(|id| *id != own).cloned().collect();
+        let is_watcher = local.contains(own);
+        let peers = if is_watcher { &all } else { &local };
+        let links = peers.iter().filter(|id| *id != own).cloned().collect();
         Self {
-            watches,
+            is_watcher,
             links,
             local_watchers: local,
             centres,
@@ -88,8 +88,8 @@
     /// and hints from those to remote watchers and to the other non-watchers. Watchers
     /// receive each other's hints directly.
     #[must_use]
-    pub fn passes(&self, own: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
-        if !self.watches || origin == peer || peer == own || origin == own {
+    pub fn forwards(&self, own: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
+        if !self.is_watcher || origin == peer || peer == own || origin == own {
             return false;
         }
         let here = self.centres.get(own);
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 struct PeerRecord {
     hint: PeerHint,
-    heard_at: MonoTime,
+    received_at: MonoTime,
     applied: IndexMap<String, ObjectVersion>,
 }
 
@@ -117,8 +117,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct PeerHints {
     peers: IndexMap<DaemonId, PeerRecord>,
-    fresh_work: WorkTotals,
-    fresh_costs: IndexMap<WorkspaceName, f64>,
+    new_work: WorkTotals,
+    new_costs: IndexMap<WorkspaceName, f64>,
 }
 
 impl PeerHints {
@@ -135,25 +135,27 @@
         if known.is_some_and(|k| order(&k.hint) >= order(&hint)) {
             return false;
         }
-        if known.is_none() && self.peers.len() >= MOST_PEERS {
+        if known.is_none() && self.peers.len() >= MAX_PEERS {
             return false;
         }
-        let same_life = known.filter(|k| k.hint.incarnation == hint.incarnation);
-        let before = same_life.map(|k| &k.hint);
-        add_growth(&mut self.fresh_work, &mut self.fresh_costs, before, &hint);
-        let mut applied = same_life.map(|k| k.applied.clone()).unwrap_or_default();
+        let same_incarnation = known.filter(|k| k.hint.incarnation == hint.incarnation);
+        let before = same_incarnation.map(|k| &k.hint);
+        add_increase(&mut self.new_work, &mut self.new_costs, before, &hint);
+        let mut applied = same_incarnation
+            .map(|k| k.applied.clone())
+            .unwrap_or_default();
         for (name, version) in &hint.applied {
             let newest = applied.entry(name.clone()).or_default();
             *newest = (*newest).max(*version);
         }
-        applied.truncate(MOST_APPLIED);
+        applied.truncate(MAX_APPLIED);
         let mut hint = hint;
         if let Some(before) = before {
-            keep_sums(&mut hint, before);
+            keep_omitted_totals(&mut hint, before);
         }
         let record = PeerRecord {
             hint,
-            heard_at: now,
+            received_at: now,
             applied,
         };
         self.peers.insert(daemon, record);
@@ -161,8 +163,8 @@
     }
 
     /// Removes peers whose last hint is older than the timeout.
-    pub fn expire(&mut self, now: MonoTime, silence: Duration) {
-        self.peers.retain(|_, p| now.since(p.heard_at) < silence);
+    pub fn expire(&mut self, now: MonoTime, timeout: Duration) {
+        self.peers.retain(|_, p| now.since(p.received_at) < timeout);
     }
 
     /// Returns the number of peers whose hints were received recently.
@@ -195,17 +197,17 @@
 
     /// Takes the work that peers have accepted since the last call.
     pub fn take_work(&mut self) -> WorkTotals {
-        std::mem::take(&mut self.fresh_work)
+        std::mem::take(&mut self.new_work)
     }
 
     /// Takes the cost that workspaces have used on peers since the last call.
     pub fn take_costs(&mut self) -> IndexMap<WorkspaceName, f64> {
-        std::mem::take(&mut self.fresh_costs)
+        std::mem::take(&mut self.new_costs)
     }
 }
 
 // Hints omit totals that have not changed recently; those are kept from the previous hint.
-fn keep_sums(hint: &mut PeerHint, before: &PeerHint) {
+fn keep_omitted_totals(hint: &mut PeerHint, before: &PeerHint) {
     for (workspace, cost) in &before.costs {
         hint.costs.entry(workspace.clone()).or_insert(*cost);
     }
@@ -215,7 +217,7 @@
 }
 
 // The first report of a total only sets the baseline: work done before it is not counted.
-fn add_growth(
+fn add_increase(
     work: &mut WorkTotals,
     costs: &mut IndexMap<WorkspaceName, f64>,
     before: Option<&PeerHint>,
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -17,8 +17,8 @@
 use crate::settings::PlatformSettings;
 use crate::store::wire::{InstanceList, InstanceRow, ObjectList, ObjectRow};
 
-const RETRY_AFTER: &str = "retry-after-ms";
-const DEFAULT_RETRY: Duration = Duration::from_millis(500);
+const RETRY_AFTER_HEADER: &str = "retry-after-ms";
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Reason why the client could not be built.
 #[derive(Debug, Error)]
@@ -40,7 +40,7 @@
 struct PlatformClient {
     http: Client,
     base: Url,
-    patience: Duration,
+    timeout: Duration,
 }
 
 /// Returns a platform port that uses HTTP.
@@ -57,7 +57,7 @@
     let client = PlatformClient {
         http,
         base,
-        patience: settings.call_wait(),
+        timeout: settings.call_wait(),
     };
     let (reader, writer, lister, watcher) = (
         client.clone(),
@@ -113,13 +113,14 @@
     async fn read(&self, object: ObjectName) -> Result<Option<StoredObject>, PlatformError> {
         count_call("read");
         let url = self.url(&["v1", "objects", &object.kind, &object.name]);
-        let answer = send_read(self.http.get(url).timeout(self.patience)).await?;
+        let answer = send_read(self.http.get(url).timeout(self.timeout)).await?;
         if answer.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        let answer = accept_read(answer)?;
-        let version = etag(answer.headers()).ok_or_else(|| unusable("the answer has no etag"))?;
-        let value = answer.bytes().await.map_err(|e| unreadable(&e))?;
+        let answer = check_read_status(answer)?;
+        let version =
+            etag(answer.headers()).ok_or_else(|| unavailable("the answer has no etag"))?;
+        let value = answer.bytes().await.map_err(|e| transport_error(&e))?;
         Ok(Some(StoredObject {
             object,
             version,
@@ -130,7 +131,7 @@
     async fn write(&self, write: ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
         count_call("write");
         let url = self.url(&["v1", "objects", &write.object.kind, &write.object.name]);
-        let request = self.http.put(url).timeout(self.patience).body(write.value);
+        let request = self.http.put(url).timeout(self.timeout).body(write.value);
         let request = match write.expected {
             ObjectVersion(0) => request.header(IF_NONE_MATCH, "*"),
             ObjectVersion(version) => request.header(IF_MATCH, format!("\"{version}\"")),
@@ -142,7 +143,7 @@
     async fn list(&self, kind: &str) -> Result<ObjectBatch, PlatformError> {
         count_call("list");
         let url = self.url(&["v1", "objects", kind]);
-        let list: ObjectList = self.fetch(url, self.patience).await?;
+        let list: ObjectList = self.fetch(url, self.timeout).await?;
         batch(kind, list)
     }
 
@@ -152,25 +153,25 @@
         url.query_pairs_mut()
             .append_pair("since", &query.since.to_string())
             .append_pair("wait_ms", &query.wait.as_millis().to_string());
-        let list: ObjectList = self.fetch(url, query.wait + self.patience).await?;
+        let list: ObjectList = self.fetch(url, query.wait + self.timeout).await?;
         batch(&query.kind, list)
     }
 
     async fn instances(&self) -> Result<Vec<InstanceRow>, PlatformError> {
         count_call("instances");
         let url = self.url(&["v1", "instances"]);
-        let list: InstanceList = self.fetch(url, self.patience).await?;
+        let list: InstanceList = self.fetch(url, self.timeout).await?;
         Ok(list.instances)
     }
 
     async fn fetch<T: DeserializeOwned>(
         &self,
         url: Url,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<T, PlatformError> {
-        let answer = send_read(self.http.get(url).timeout(patience)).await?;
-        let answer = accept_read(answer)?;
-        answer.json().await.map_err(|e| unreadable(&e))
+        let answer = send_read(self.http.get(url).timeout(timeout)).await?;
+        let answer = check_read_status(answer)?;
+        answer.json().await.map_err(|e| transport_error(&e))
     }
 }
 
@@ -179,10 +180,10 @@
 }
 
 async fn send_read(request: RequestBuilder) -> Result<Response, PlatformError> {
-    request.send().await.map_err(|e| unreadable(&e))
+    request.send().await.map_err(|e| transport_error(&e))
 }
 
-fn accept_read(answer: Response) -> Result<Response, PlatformError> {
+fn check_read_status(answer: Response) -> Result<Response, PlatformError> {
     let status = answer.status();
     if status.is_success() {
         return Ok(answer);
@@ -231,14 +232,14 @@
 fn write_failure(error: &reqwest::Error) -> PlatformError {
     if error.is_builder() {
         return PlatformError::Refused {
-            reason: full_reason(error),
+            reason: error_chain(error),
         };
     }
     if error.is_connect() {
-        return unreadable(error);
+        return transport_error(error);
     }
     PlatformError::Lost {
-        reason: full_reason(error),
+        reason: error_chain(error),
     }
 }
 
@@ -256,25 +257,25 @@
 
 fn retry_after(headers: &HeaderMap) -> Duration {
     headers
-        .get(RETRY_AFTER)
+        .get(RETRY_AFTER_HEADER)
         .and_then(|v| v.to_str().ok())
         .and_then(|text| text.parse().ok())
-        .map_or(DEFAULT_RETRY, Duration::from_millis)
+        .map_or(DEFAULT_RETRY_AFTER, Duration::from_millis)
 }
 
-fn unreadable(error: &reqwest::Error) -> PlatformError {
-    unusable(&full_reason(error))
+fn transport_error(error: &reqwest::Error) -> PlatformError {
+    unavailable(&error_chain(error))
 }
 
-fn unusable(reason: &str) -> PlatformError {
+fn unavailable(reason: &str) -> PlatformError {
     PlatformError::Unavailable {
         reason: reason.to_owned(),
-        retry_after: DEFAULT_RETRY,
+        retry_after: DEFAULT_RETRY_AFTER,
     }
 }
 
 // The outer error only says that sending failed; the cause is further down the chain.
-fn full_reason(error: &reqwest::Error) -> String {
+fn error_chain(error: &reqwest::Error) -> String {
     let mut reason = error.to_string();
     let mut source = std::error::Error::source(error);
     while let Some(cause) = source {
@@ -301,7 +302,7 @@
         .value
         .map(|text| STANDARD.decode(text))
         .transpose()
-        .map_err(|e| unusable(&format!("{kind}/{} is not base64: {e}", row.name)))?;
+        .map_err(|e| unavailable(&format!("{kind}/{} is not base64: {e}", row.name)))?;
     Ok(StoredObject {
         object: ObjectName {
             kind: kind.to_owned(),
--- a/src/timer.rs
+++ b/src/timer.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::names::MonoTime;
 
-const IDLE: Duration = Duration::from_secs(3_600);
+const IDLE_WAIT: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug)]
 enum TimerCommand {
@@ -132,7 +132,7 @@
     fn next_due(&self) -> Instant {
         self.order
             .peek()
-            .map_or_else(|| Instant::now() + IDLE, |Reverse((due, _))| *due)
+            .map_or_else(|| Instant::now() + IDLE_WAIT, |Reverse((due, _))| *due)
     }
 
     fn add(&mut self, entry: TimerEntry) {
--- a/tests/control_config.rs
+++ b/tests/control_config.rs
@@ -23,7 +23,7 @@
     })
 }
 
-fn keyed(name: &str, hash: &str) -> ItemSpec {
+fn workspace_with_key(name: &str, hash: &str) -> ItemSpec {
     ItemSpec::Workspace(WorkspaceSpec {
         name: WorkspaceName::from(name),
         weight: 1,
@@ -81,13 +81,13 @@
 
 /// Buckets that are edited by one change after another.
 #[derive(Default)]
-struct Ledger {
+struct BucketStore {
     state: ConfigState,
     buckets: indexmap::IndexMap<BucketIndex, BucketRecord>,
     version: u64,
 }
 
-impl Ledger {
+impl BucketStore {
     fn edit(&mut self, change: &ItemChange) -> Result<StoredObject, ChangeError> {
         self.edit_at(change, UnixTime(1))
     }
@@ -138,41 +138,41 @@
 
 struct CheckCase {
     change: ItemSpec,
-    names: [&'static str; 3],
+    message_parts: [&'static str; 3],
 }
 
 const LONG: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\
                     aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
 
 #[rstest]
-#[case::no_name(CheckCase { change: workspace(""), names: ["name", "\"\"", "1 to 128"] })]
-#[case::slash(CheckCase { change: workspace("a/b"), names: ["name", "a/b", "choose another"] })]
-#[case::long(CheckCase { change: workspace(LONG), names: ["name", "aaa", "1 to 128"] })]
+#[case::no_name(CheckCase { change: workspace(""), message_parts: ["name", "\"\"", "1 to 128"] })]
+#[case::slash(CheckCase { change: workspace("a/b"), message_parts: ["name", "a/b", "choose another"] })]
+#[case::long(CheckCase { change: workspace(LONG), message_parts: ["name", "aaa", "1 to 128"] })]
 #[case::weight(CheckCase {
     change: ItemSpec::Workspace(WorkspaceSpec {
         name: WorkspaceName::from("w"), weight: 0, key_hashes: Vec::new(),
     }),
-    names: ["weight is 0", "1 to 1000000", "within the range"],
+    message_parts: ["weight is 0", "1 to 1000000", "within the range"],
 })]
-#[case::hash_length(CheckCase { change: keyed("w", "abc"), names: ["key_hashes", "abc", "64 hex"] })]
-#[case::hash_digits(CheckCase { change: keyed("w", &"g".repeat(64)), names: ["key_hashes", "ggg", "SHA-256"] })]
-#[case::foreign_key(CheckCase {
-    change: keyed("w", &"A".repeat(64)),
-    names: ["key_hashes", "\"rich\"", "another key"],
+#[case::hash_length(CheckCase { change: workspace_with_key("w", "abc"), message_parts: ["key_hashes", "abc", "64 hex"] })]
+#[case::hash_digits(CheckCase { change: workspace_with_key("w", &"g".repeat(64)), message_parts: ["key_hashes", "ggg", "SHA-256"] })]
+#[case::key_of_another_workspace(CheckCase {
+    change: workspace_with_key("w", &"A".repeat(64)),
+    message_parts: ["key_hashes", "\"rich\"", "another key"],
 })]
 #[case::no_workspace(CheckCase {
     change: ItemSpec::Class(class("ghost", "c", "m")),
-    names: ["workspace", "ghost", "create it first"],
+    message_parts: ["workspace", "ghost", "create it first"],
 })]
 #[case::no_model(CheckCase {
     change: ItemSpec::Class(class("rich", "c", "ghost")),
-    names: ["model", "ghost", "create it first"],
+    message_parts: ["model", "ghost", "create it first"],
 })]
 #[case::models_empty(CheckCase {
     change: ItemSpec::Class(ClassSpec {
         target: ClassTarget::Models(ModelChoice::default()), ..class("rich", "c", "m")
     }),
-    names: ["models is empty", "at least 1", "service"],
+    message_parts: ["models is empty", "at least 1", "service"],
 })]
 #[case::version(CheckCase {
     change: ItemSpec::Class(ClassSpec {
@@ -181,37 +181,37 @@
         }),
         ..class("rich", "c", "m")
     }),
-    names: ["versions", "\"9\"", "add it"],
+    message_parts: ["versions", "\"9\"", "add it"],
 })]
 #[case::deadline(CheckCase {
     change: ItemSpec::Class(ClassSpec { deadline_ms: 0, ..class("rich", "c", "m") }),
-    names: ["deadline_ms is 0", "1 to 86400000", "within"],
+    message_parts: ["deadline_ms is 0", "1 to 86400000", "within"],
 })]
 #[case::hold(CheckCase {
     change: ItemSpec::Hold(HoldSpec { target: TargetId::from(""), reason: String::new() }),
-    names: ["target", "\"\"", "choose"],
+    message_parts: ["target", "\"\"", "choose"],
 })]
-fn refuses_what_does_not_hold_together(#[case] case: CheckCase) {
-    let mut ledger = Ledger::default();
-    ledger.accept(&put(keyed("rich", &"a".repeat(64)), 0));
-    ledger.accept(&put(model("m"), 0));
-    let error = ledger.edit(&put(case.change, 0)).unwrap_err();
+fn refuses_invalid_items(#[case] case: CheckCase) {
+    let mut store = BucketStore::default();
+    store.accept(&put(workspace_with_key("rich", &"a".repeat(64)), 0));
+    store.accept(&put(model("m"), 0));
+    let error = store.edit(&put(case.change, 0)).unwrap_err();
     let ChangeError::Invalid { reason } = error else {
         panic!("{error:?}");
     };
-    for part in case.names {
+    for part in case.message_parts {
         assert!(reason.contains(part), "{reason:?} lacks {part:?}");
     }
 }
 
 #[test]
-fn refuses_deletion_of_what_is_used() {
-    let mut ledger = Ledger::default();
-    ledger.accept(&put(workspace("w"), 0));
-    ledger.accept(&put(model("m"), 0));
-    ledger.accept(&put(ItemSpec::Class(class("w", "c", "m")), 0));
+fn refuses_to_delete_items_in_use() {
+    let mut store = BucketStore::default();
+    store.accept(&put(workspace("w"), 0));
+    store.accept(&put(model("m"), 0));
+    store.accept(&put(ItemSpec::Class(class("w", "c", "m")), 0));
     for (spec, used) in [(workspace("w"), 1), (model("m"), 1)] {
-        let error = ledger.edit(&remove(&spec, used)).unwrap_err();
+        let error = store.edit(&remove(&spec, used)).unwrap_err();
         assert!(
             error.to_string().contains("delete the class first"),
             "{error}"
@@ -219,28 +219,28 @@
     }
 }
 
-struct BaseCase {
+struct RevisionCase {
     based_on: u64,
     deletes: bool,
     accepted: bool,
 }
 
 #[rstest]
-#[case::current(BaseCase { based_on: 2, deletes: false, accepted: true })]
-#[case::older(BaseCase { based_on: 1, deletes: false, accepted: false })]
-#[case::as_new(BaseCase { based_on: 0, deletes: false, accepted: false })]
-#[case::delete_current(BaseCase { based_on: 2, deletes: true, accepted: true })]
-#[case::delete_blindly(BaseCase { based_on: 0, deletes: true, accepted: false })]
-fn refuses_a_change_of_what_moved(#[case] case: BaseCase) {
-    let mut ledger = Ledger::default();
-    ledger.accept(&put(workspace("w"), 0));
-    ledger.accept(&put(workspace("w"), 1));
+#[case::current(RevisionCase { based_on: 2, deletes: false, accepted: true })]
+#[case::older(RevisionCase { based_on: 1, deletes: false, accepted: false })]
+#[case::as_new_item(RevisionCase { based_on: 0, deletes: false, accepted: false })]
+#[case::delete_current(RevisionCase { based_on: 2, deletes: true, accepted: true })]
+#[case::delete_without_a_revision(RevisionCase { based_on: 0, deletes: true, accepted: false })]
+fn refuses_a_change_based_on_another_revision(#[case] case: RevisionCase) {
+    let mut store = BucketStore::default();
+    store.accept(&put(workspace("w"), 0));
+    store.accept(&put(workspace("w"), 1));
     let change = if case.deletes {
         remove(&workspace("w"), case.based_on)
     } else {
         put(workspace("w"), case.based_on)
     };
-    match ledger.edit(&change) {
+    match store.edit(&change) {
         Ok(_) => assert!(case.accepted),
         Err(ChangeError::Conflict { current, found }) => {
             assert!(!case.accepted);
@@ -255,27 +255,27 @@
 /// on the deleted item. It would be accepted if revisions were reused.
 #[test]
 fn never_reuses_a_revision() {
-    let mut ledger = Ledger::default();
-    ledger.accept(&put(workspace("w"), 0));
-    ledger.accept(&remove(&workspace("w"), 1));
+    let mut store = BucketStore::default();
+    store.accept(&put(workspace("w"), 0));
+    store.accept(&remove(&workspace("w"), 1));
     let late = UnixTime(1).plus(TOMBSTONE_AGE + Duration::from_secs(1));
     let other = (0..)
         .map(|n| workspace(&format!("x{n}")))
         .find(|w| BucketIndex::of(&w.item_name()) == BucketIndex::of(&workspace("w").item_name()))
         .unwrap();
-    let object = ledger.edit_at(&put(other, 0), late).unwrap();
-    ledger.state.apply(&object).unwrap();
+    let object = store.edit_at(&put(other, 0), late).unwrap();
+    store.state.apply(&object).unwrap();
     let name = workspace("w").item_name();
     assert!(
-        !ledger.buckets[&BucketIndex::of(&name)]
+        !store.buckets[&BucketIndex::of(&name)]
             .items
             .contains_key(&name)
     );
-    assert!(!ledger.state.view().items.contains_key(&name));
-    ledger.accept(&put(workspace("w"), 0));
-    assert_eq!(ledger.state.view().items[&name].revision, 4);
+    assert!(!store.state.view().items.contains_key(&name));
+    store.accept(&put(workspace("w"), 0));
+    assert_eq!(store.state.view().items[&name].revision, 4);
     assert!(matches!(
-        ledger.edit(&put(workspace("w"), 1)),
+        store.edit(&put(workspace("w"), 1)),
         Err(ChangeError::Conflict { current: 4, .. })
     ));
 }
@@ -284,13 +284,13 @@
 /// listing returns revision 2 again. The older object must change nothing.
 #[test]
 fn an_older_object_changes_nothing() {
-    let mut ledger = Ledger::default();
-    let first = ledger.accept(&put(keyed("w", &"a".repeat(64)), 0));
-    let second = ledger.accept(&put(keyed("w", &"b".repeat(64)), 1));
+    let mut store = BucketStore::default();
+    let first = store.accept(&put(workspace_with_key("w", &"a".repeat(64)), 0));
+    let second = store.accept(&put(workspace_with_key("w", &"b".repeat(64)), 1));
     for object in [&first, &second, &first] {
-        assert_eq!(ledger.state.apply(object), Ok(ApplyResult::Known));
+        assert_eq!(store.state.apply(object), Ok(ApplyResult::Known));
     }
-    let view = ledger.state.view();
+    let view = store.state.view();
     assert_eq!(view.items[&workspace("w").item_name()].revision, 2);
     assert!(view.key_owners.contains_key(&"b".repeat(64)));
     assert!(!view.key_owners.contains_key(&"a".repeat(64)));
@@ -300,9 +300,9 @@
 /// Applying it would revert changes that operators were told are in force.
 #[test]
 fn older_content_under_a_newer_version_is_refused() {
-    let mut ledger = Ledger::default();
-    let first = ledger.accept(&put(workspace("w"), 0));
-    ledger.accept(&put(keyed("w", &"b".repeat(64)), 1));
+    let mut store = BucketStore::default();
+    let first = store.accept(&put(workspace("w"), 0));
+    store.accept(&put(workspace_with_key("w", &"b".repeat(64)), 1));
     let before = pistachiowick::invariants::violations(
         pistachiowick::invariants::Invariant::ConfigNeverReverts,
     );
@@ -310,9 +310,9 @@
         version: ObjectVersion(99),
         ..first
     };
-    assert_eq!(ledger.state.apply(&forged), Ok(ApplyResult::Known));
+    assert_eq!(store.state.apply(&forged), Ok(ApplyResult::Known));
     assert_eq!(
-        ledger.state.view().items[&workspace("w").item_name()].revision,
+        store.state.view().items[&workspace("w").item_name()].revision,
         2
     );
     let after = pistachiowick::invariants::violations(
@@ -328,7 +328,7 @@
     let hash = "c".repeat(64);
     let empty = ConfigView::default();
     let objects = ["beta", "alpha"].map(|name| {
-        let change = put(keyed(name, &hash), 0);
+        let change = put(workspace_with_key(name, &hash), 0);
         let bucket = BucketRecord::default();
         let next = buckets::edit(&bucket, &empty, &change, name, UnixTime(1)).unwrap();
         stored(&change.item, 1, &next)
@@ -343,49 +343,49 @@
 }
 
 #[test]
-fn an_item_that_vanishes_is_seen_as_deleted() {
-    let mut ledger = Ledger::default();
+fn a_missing_item_counts_as_deleted() {
+    let mut store = BucketStore::default();
     let item = workspace("w").item_name();
-    ledger.accept(&put(workspace("w"), 0));
+    store.accept(&put(workspace("w"), 0));
     let bucket = BucketRecord {
         sequence: 9,
         ..BucketRecord::default()
     };
-    ledger.state.apply(&stored(&item, 50, &bucket)).unwrap();
-    let record = &ledger.state.view().items[&item];
+    store.state.apply(&stored(&item, 50, &bucket)).unwrap();
+    let record = &store.state.view().items[&item];
     assert_eq!((record.revision, &record.spec), (9, &None));
-    assert!(ledger.state.view().workspaces.is_empty());
+    assert!(store.state.view().workspaces.is_empty());
 }
 
 #[test]
-fn an_unreadable_bucket_leaves_the_last_in_force() {
-    let mut ledger = Ledger::default();
-    let object = ledger.accept(&put(workspace("w"), 0));
+fn an_unreadable_bucket_changes_nothing() {
+    let mut store = BucketStore::default();
+    let object = store.accept(&put(workspace("w"), 0));
     for value in [None, Some(b"{".to_vec())] {
         let broken = StoredObject {
             version: ObjectVersion(70),
             value,
             ..object.clone()
         };
-        assert!(ledger.state.apply(&broken).is_err());
-        assert_eq!(ledger.state.view().workspaces.len(), 1);
+        assert!(store.state.apply(&broken).is_err());
+        assert_eq!(store.state.view().workspaces.len(), 1);
     }
 }
 
 #[test]
-fn tells_kinds_apart() {
-    let mut ledger = Ledger::default();
-    ledger.accept(&put(workspace("same"), 0));
-    ledger.accept(&put(model("same"), 0));
-    ledger.accept(&put(ItemSpec::Class(class("same", "same", "same")), 0));
-    ledger.accept(&put(
+fn items_of_different_kinds_may_share_a_name() {
+    let mut store = BucketStore::default();
+    store.accept(&put(workspace("same"), 0));
+    store.accept(&put(model("same"), 0));
+    store.accept(&put(ItemSpec::Class(class("same", "same", "same")), 0));
+    store.accept(&put(
         ItemSpec::Hold(HoldSpec {
             target: TargetId::from("same"),
             reason: "fans".to_owned(),
         }),
         0,
     ));
-    let view = ledger.state.view();
+    let view = store.state.view();
     assert_eq!(view.items.len(), 4);
     assert_eq!(view.holds[&TargetId::from("same")], "fans");
     let kinds: Vec<ItemKind> = view.items.keys().map(|item| item.kind).collect();
--- a/tests/control_http.rs
+++ b/tests/control_http.rs
@@ -23,13 +23,13 @@
 async fn serve(reply: Reply) -> (PlatformPort, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (heads, inbox) = mpsc::unbounded_channel();
+    let (requests, inbox) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         let mut open = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
-            let mut head = vec![0; 65_536];
-            let length = stream.read(&mut head).await.unwrap_or(0);
-            let _ = heads.send(String::from_utf8_lossy(&head[..length]).into_owned());
+            let mut request = vec![0; 65_536];
+            let length = stream.read(&mut request).await.unwrap_or(0);
+            let _ = requests.send(String::from_utf8_lossy(&request[..length]).into_owned());
             match reply {
                 Reply::Text(text) => {
                     let _ = stream.write_all(text.as_bytes()).await;
@@ -127,22 +127,25 @@
 /// The answer to a write is lost or comes from a proxy. If a write with an unknown result
 /// were treated as one without effect, operators and callers would get a wrong answer.
 #[tokio::test]
-async fn tells_certain_from_lost_writes(#[case] case: WriteCase) {
-    let (port, mut heads) = serve(case.reply).await;
+async fn distinguishes_failed_from_lost_writes(#[case] case: WriteCase) {
+    let (port, mut requests) = serve(case.reply).await;
     assert_eq!(verdict(&(port.write)(write(3)).await), case.verdict);
-    let head = heads.recv().await.unwrap().to_lowercase();
-    assert!(head.starts_with("put /v1/objects/config/a%2fb "), "{head}");
-    assert!(head.contains("if-match: \"3\""), "{head}");
+    let request = requests.recv().await.unwrap().to_lowercase();
+    assert!(
+        request.starts_with("put /v1/objects/config/a%2fb "),
+        "{request}"
+    );
+    assert!(request.contains("if-match: \"3\""), "{request}");
 }
 
 #[tokio::test]
 async fn a_new_object_requires_that_none_exists() {
     let reply = Reply::Text("HTTP/1.1 200 OK\r\netag: \"1\"\r\ncontent-length: 0\r\n\r\n");
-    let (port, mut heads) = serve(reply).await;
+    let (port, mut requests) = serve(reply).await;
     assert_eq!(verdict(&(port.write)(write(0)).await), Verdict::Done(1));
-    let head = heads.recv().await.unwrap().to_lowercase();
-    assert!(head.contains("if-none-match: *"), "{head}");
-    assert!(!head.contains("if-match"), "{head}");
+    let request = requests.recv().await.unwrap().to_lowercase();
+    assert!(request.contains("if-none-match: *"), "{request}");
+    assert!(!request.contains("if-match"), "{request}");
 }
 
 #[tokio::test]
@@ -172,7 +175,7 @@
 #[case::error(Reply::Text("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n"))]
 #[case::closed(Reply::Close)]
 #[case::hang(Reply::Hang)]
-#[case::cut(Reply::Text("HTTP/1.1 200 OK\r\netag: \"4\"\r\ncontent-length: 20\r\n\r\nhi"))]
+#[case::truncated(Reply::Text("HTTP/1.1 200 OK\r\netag: \"4\"\r\ncontent-length: 20\r\n\r\nhi"))]
 #[tokio::test]
 async fn failed_reads_are_unavailable(#[case] reply: Reply) {
     let (port, _heads) = serve(reply).await;
@@ -185,7 +188,7 @@
 
 #[tokio::test]
 async fn watches_from_a_revision() {
-    let (port, mut heads) = serve(Reply::Text(
+    let (port, mut requests) = serve(Reply::Text(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n\
          {\"revision\":12,\"objects\":[{\"name\":\"n\",\"version\":11,\"value\":\"aGk=\"},\
          {\"name\":\"d\",\"version\":12}]}",
@@ -200,10 +203,10 @@
     assert_eq!(batch.revision, 12);
     assert_eq!(batch.objects[0].value.as_deref(), Some(b"hi".as_slice()));
     assert_eq!(batch.objects[1].value, None);
-    let head = heads.recv().await.unwrap();
+    let request = requests.recv().await.unwrap();
     assert!(
-        head.starts_with("GET /v1/watch/config?since=10&wait_ms=250 "),
-        "{head}"
+        request.starts_with("GET /v1/watch/config?since=10&wait_ms=250 "),
+        "{request}"
     );
 }
 
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -61,7 +61,7 @@
 #[case::target(ReachCase { centres: &[36; 19], watchers: 2 })]
 /// A hint from one daemon must reach all others, although no daemon may link to all: the
 /// cost of control would grow with the square of the fleet size.
-fn a_hint_reaches_everybody_over_few_links(#[case] case: ReachCase) {
+fn a_hint_reaches_all_daemons_over_few_links(#[case] case: ReachCase) {
     let fleet = fleet(case.centres);
     let daemons: Vec<DaemonId> = fleet.daemons.keys().cloned().collect();
     let topologies: IndexMap<DaemonId, PeerTopology> = daemons
@@ -75,14 +75,14 @@
             linked.entry(peer).or_default().insert(id);
         }
     }
-    let most = 2 * case.watchers * case.centres.len() + case.centres.iter().max().unwrap();
-    assert!(linked.values().all(|peers| peers.len() <= most));
+    let max_links = 2 * case.watchers * case.centres.len() + case.centres.iter().max().unwrap();
+    assert!(linked.values().all(|peers| peers.len() <= max_links));
     for origin in daemons.iter().step_by(7) {
         let mut reached = IndexSet::from([origin]);
         let mut queue = vec![origin];
         while let Some(at) = queue.pop() {
             for peer in linked.get(at).into_iter().flatten() {
-                let sent = at == origin || topologies[at].passes(at, origin, peer);
+                let sent = at == origin || topologies[at].forwards(at, origin, peer);
                 if sent && reached.insert(peer) {
                     queue.push(peer);
                 }
@@ -123,31 +123,31 @@
     }
 }
 
-struct SumCase {
+struct TotalCase {
     hints: &'static [(u64, u64, f64)],
-    news: usize,
+    accepted: usize,
     cost: f64,
 }
 
 #[rstest]
-#[case::first_marks(SumCase { hints: &[(1, 1, 50.0)], news: 1, cost: 0.0 })]
-#[case::grows(SumCase { hints: &[(1, 1, 50.0), (1, 2, 53.0)], news: 2, cost: 3.0 })]
-#[case::doubled(SumCase { hints: &[(1, 1, 50.0), (1, 2, 53.0), (1, 2, 53.0)], news: 2, cost: 3.0 })]
-#[case::crossed(SumCase { hints: &[(1, 1, 50.0), (1, 3, 55.0), (1, 2, 53.0)], news: 2, cost: 5.0 })]
-#[case::lost(SumCase { hints: &[(1, 1, 50.0), (1, 9, 60.0)], news: 2, cost: 10.0 })]
-#[case::restarted(SumCase { hints: &[(1, 1, 50.0), (2, 1, 4.0), (2, 2, 6.0)], news: 3, cost: 2.0 })]
-#[case::restarted_with_more(SumCase { hints: &[(1, 1, 50.0), (2, 1, 60.0)], news: 2, cost: 0.0 })]
-#[case::old_life(SumCase { hints: &[(2, 1, 4.0), (1, 9, 50.0)], news: 1, cost: 0.0 })]
+#[case::first_is_the_baseline(TotalCase { hints: &[(1, 1, 50.0)], accepted: 1, cost: 0.0 })]
+#[case::grows(TotalCase { hints: &[(1, 1, 50.0), (1, 2, 53.0)], accepted: 2, cost: 3.0 })]
+#[case::duplicated(TotalCase { hints: &[(1, 1, 50.0), (1, 2, 53.0), (1, 2, 53.0)], accepted: 2, cost: 3.0 })]
+#[case::out_of_order(TotalCase { hints: &[(1, 1, 50.0), (1, 3, 55.0), (1, 2, 53.0)], accepted: 2, cost: 5.0 })]
+#[case::lost(TotalCase { hints: &[(1, 1, 50.0), (1, 9, 60.0)], accepted: 2, cost: 10.0 })]
+#[case::restarted(TotalCase { hints: &[(1, 1, 50.0), (2, 1, 4.0), (2, 2, 6.0)], accepted: 3, cost: 2.0 })]
+#[case::restarted_with_more(TotalCase { hints: &[(1, 1, 50.0), (2, 1, 60.0)], accepted: 2, cost: 0.0 })]
+#[case::old_incarnation(TotalCase { hints: &[(2, 1, 4.0), (1, 9, 50.0)], accepted: 1, cost: 0.0 })]
 /// Hints arrive twice (from two watchers), late, out of order or not at all, and a peer
 /// restarts. The total must equal the cost that was used; otherwise a workspace's share
 /// would be wrong.
-fn sums_of_hints_count_once(#[case] case: SumCase) {
+fn totals_of_hints_count_once(#[case] case: TotalCase) {
     let mut hints = PeerHints::default();
-    let mut news = 0;
+    let mut accepted = 0;
     for (incarnation, sequence, cost) in case.hints {
-        news += usize::from(hints.note(hint(*incarnation, *sequence, *cost), MonoTime(1)));
+        accepted += usize::from(hints.note(hint(*incarnation, *sequence, *cost), MonoTime(1)));
     }
-    assert_eq!(news, case.news);
+    assert_eq!(accepted, case.accepted);
     let cost = hints.take_costs().get(&WorkspaceName::from("w")).copied();
     assert!((cost.unwrap_or(0.0) - case.cost).abs() < 1e-9, "{cost:?}");
     let work = hints.take_work();
@@ -161,7 +161,7 @@
 /// A hint omits an idle workspace and the next one includes it again. If it were treated
 /// as new, its whole total would be counted at once.
 #[test]
-fn a_sum_left_out_stays_known() {
+fn an_omitted_total_is_kept() {
     let mut hints = PeerHints::default();
     hints.note(hint(1, 1, 50.0), MonoTime(1));
     let quiet = PeerHint {
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn messages_survive_the_wire() {
+fn messages_are_encoded_and_decoded() {
     let object = ObjectName {
         kind: "config".to_owned(),
         name: "bucket-001".to_owned(),
@@ -249,12 +249,12 @@
     peers: PeerHandle,
 }
 
-struct Bench {
+struct TestFleet {
     platform: FakePlatform,
     listeners: IndexMap<String, TcpListener>,
 }
 
-impl Bench {
+impl TestFleet {
     fn new(daemons: &[&str]) -> Self {
         let platform = FakePlatform::default();
         let mut listeners = IndexMap::new();
@@ -347,7 +347,7 @@
         .contains_key(&WorkspaceName::from(name))
 }
 
-fn hears(node: &Node, peers: &[&str]) -> bool {
+fn has_live_peers(node: &Node, peers: &[&str]) -> bool {
     let snapshot = node.control.snapshot.load();
     peers.iter().all(|id| {
         let view = snapshot.fleet.daemons.get(&DaemonId::from(*id));
@@ -366,24 +366,24 @@
 #[tokio::test]
 async fn changes_are_relayed_and_confirmed() {
     let ids = ["a", "b", "c"];
-    let mut bench = Bench::new(&ids);
-    let nodes = ids.map(|id| bench.start(id, "secret"));
+    let mut test_fleet = TestFleet::new(&ids);
+    let nodes = ids.map(|id| test_fleet.start(id, "secret"));
     for node in &nodes {
-        until("all reachable", || hears(node, &ids)).await;
+        until("all reachable", || has_live_peers(node, &ids)).await;
     }
     // A watch that started before a watcher's first hint still runs to its end.
-    let mut begun = u32::MAX;
+    let mut started = u32::MAX;
     for _ in 0..100 {
-        let before = bench.platform.books().watches;
+        let before = test_fleet.platform.books().watches;
         tokio::time::sleep(Duration::from_millis(350)).await;
-        begun = bench.platform.books().watches - before;
-        if begun <= 4 {
+        started = test_fleet.platform.books().watches - before;
+        if started <= 4 {
             break;
         }
     }
     assert!(
-        begun <= 4,
-        "more than one daemon watches both kinds: {begun}"
+        started <= 4,
+        "more than one daemon watches both kinds: {started}"
     );
     for (number, node) in nodes.iter().enumerate() {
         let name = format!("w{number}");
@@ -406,26 +406,26 @@
 #[tokio::test]
 async fn a_dead_watcher_is_replaced() {
     let ids = ["a", "b", "c"];
-    let mut bench = Bench::new(&ids);
+    let mut test_fleet = TestFleet::new(&ids);
     let mut nodes: IndexMap<&str, Node> = ids
         .iter()
-        .map(|id| (*id, bench.start(id, "secret")))
+        .map(|id| (*id, test_fleet.start(id, "secret")))
         .collect();
     for node in nodes.values() {
-        until("all reachable", || hears(node, &ids)).await;
+        until("all reachable", || has_live_peers(node, &ids)).await;
     }
     let fleet = nodes["a"].control.snapshot.load().fleet.clone();
     let topology = PeerTopology::new(&fleet, &DaemonId::from("a"), 1);
     let watcher = topology.local_watchers[0].clone();
     let dead = nodes.swap_remove(watcher.as_str()).unwrap();
     end(dead).await;
-    let before = bench.platform.books().watches;
+    let before = test_fleet.platform.books().watches;
     until("the survivors watch", || {
-        bench.platform.books().watches >= before + 8
+        test_fleet.platform.books().watches >= before + 8
     })
     .await;
-    let (_, writer) = nodes.first().unwrap();
-    change(writer, "late").await;
+    let (_, node) = nodes.first().unwrap();
+    change(node, "late").await;
     for node in nodes.values() {
         until("in force", || has_workspace(node, "late")).await;
     }
@@ -439,16 +439,22 @@
 #[tokio::test]
 async fn a_wrong_secret_gets_no_link() {
     let ids = ["a", "b", "stranger"];
-    let mut bench = Bench::new(&ids);
-    let nodes = [bench.start("a", "secret"), bench.start("b", "secret")];
-    let stranger = bench.start("stranger", "guess");
+    let mut test_fleet = TestFleet::new(&ids);
+    let nodes = [
+        test_fleet.start("a", "secret"),
+        test_fleet.start("b", "secret"),
+    ];
+    let stranger = test_fleet.start("stranger", "guess");
     for node in &nodes {
-        until("peers heard", || hears(node, &["a", "b"])).await;
+        until("peers reachable", || has_live_peers(node, &["a", "b"])).await;
     }
     for node in &nodes {
-        assert!(!hears(node, &["stranger"]));
-        let asked = (node.peers.request)((DaemonId::from("stranger"), b"x".to_vec())).await;
-        assert!(matches!(asked, Err(PeerError::NotSent { .. })), "{asked:?}");
+        assert!(!has_live_peers(node, &["stranger"]));
+        let result = (node.peers.request)((DaemonId::from("stranger"), b"x".to_vec())).await;
+        assert!(
+            matches!(result, Err(PeerError::NotSent { .. })),
+            "{result:?}"
+        );
     }
     end(stranger).await;
     for node in nodes {
@@ -459,25 +465,25 @@
 #[tokio::test]
 async fn requests_are_answered_refused_or_not_sent() {
     let ids = ["a", "b", "c"];
-    let mut bench = Bench::new(&ids);
-    let nodes = ["a", "b"].map(|id| bench.start(id, "secret"));
+    let mut test_fleet = TestFleet::new(&ids);
+    let nodes = ["a", "b"].map(|id| test_fleet.start(id, "secret"));
     for node in &nodes {
-        until("peers heard", || hears(node, &["a", "b"])).await;
+        until("peers reachable", || has_live_peers(node, &["a", "b"])).await;
     }
-    let ask = |peer: &str, text: &str| {
+    let request = |peer: &str, text: &str| {
         (nodes[0].peers.request)((DaemonId::from(peer), text.as_bytes().to_vec()))
     };
-    assert_eq!(ask("b", "hi").await, Ok(b"b to a: hi".to_vec()));
+    assert_eq!(request("b", "hi").await, Ok(b"b to a: hi".to_vec()));
     assert!(matches!(
-        ask("b", "refuse").await,
+        request("b", "refuse").await,
         Err(PeerError::Refused { .. })
     ));
     assert!(matches!(
-        ask("c", "hi").await,
+        request("c", "hi").await,
         Err(PeerError::NotSent { .. })
     ));
     assert!(matches!(
-        ask("nobody", "hi").await,
+        request("nobody", "hi").await,
         Err(PeerError::NotSent { .. })
     ));
     for node in nodes {
@@ -488,14 +494,14 @@
 /// A daemon announces that it is leaving. Its peers must mark it as leaving although the
 /// instance list still shows it as live.
 #[tokio::test]
-async fn leaving_spreads_between_peers() {
+async fn leaving_is_announced_to_peers() {
     let ids = ["a", "b"];
-    let mut bench = Bench::new(&ids);
-    let nodes = ids.map(|id| bench.start(id, "secret"));
+    let mut test_fleet = TestFleet::new(&ids);
+    let nodes = ids.map(|id| test_fleet.start(id, "secret"));
     for node in &nodes {
-        until("peers heard", || hears(node, &ids)).await;
+        until("peers reachable", || has_live_peers(node, &ids)).await;
     }
-    let (done, _told) = oneshot::channel();
+    let (done, _stopped) = oneshot::channel();
     nodes[0]
         .control
         .events
--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -7,14 +7,14 @@
 use control_fakes::{FakePlatform, WriteFault};
 use pistachiowick::config::buckets::{self, BucketIndex, BucketRecord, ConfigState};
 use pistachiowick::config::catalogue::{ItemSpec, WorkspaceSpec};
-use pistachiowick::config::store::{ChangePatience, ChangeRequest, StoredChange, run_change};
+use pistachiowick::config::store::{ChangeRequest, ChangeRetryPolicy, StoredChange, run_change};
 use pistachiowick::control::snapshot::ConfigView;
 use pistachiowick::control::{ChangeError, ItemChange};
 use pistachiowick::names::{UnixTime, WorkspaceName};
 use pistachiowick::ports::{ConditionalWrite, ObjectVersion, StoredObject};
 use rstest::rstest;
 
-const PATIENCE: ChangePatience = ChangePatience {
+const RETRY_POLICY: ChangeRetryPolicy = ChangeRetryPolicy {
     total: Duration::from_millis(400),
     pause: Duration::from_millis(1),
 };
@@ -43,7 +43,7 @@
         view: &ConfigView::default(),
         applied: ObjectVersion(0),
     };
-    run_change(&platform.port(), request, PATIENCE).await
+    run_change(&platform.port(), request, RETRY_POLICY).await
 }
 
 fn bucket_of(platform: &FakePlatform, change: &ItemChange) -> BucketRecord {
@@ -65,14 +65,14 @@
 }
 
 /// Returns a change of another workspace in the same bucket.
-fn neighbour(of: &ItemChange) -> ItemChange {
+fn other_item_of_bucket(of: &ItemChange) -> ItemChange {
     (0..)
         .map(|n| change(&format!("n{n}"), 1, 0))
         .find(|c| BucketIndex::of(&c.item) == BucketIndex::of(&of.item))
         .unwrap()
 }
 
-fn race(on: &FakePlatform, change: &ItemChange) -> ConditionalWrite {
+fn concurrent_write(on: &FakePlatform, change: &ItemChange) -> ConditionalWrite {
     let object = BucketIndex::of(&change.item).object();
     let found = on.books().objects.get(&object).cloned();
     let (expected, bucket) = match found {
@@ -103,12 +103,12 @@
 #[case::answer_lost(FaultCase { faults: &[WriteFault::AnswerLost], stale_reads: 0, land_after_read: false })]
 #[case::never_arrives(FaultCase { faults: &[WriteFault::NeverArrives], stale_reads: 0, land_after_read: false })]
 #[case::lost_then_stale(FaultCase { faults: &[WriteFault::AnswerLost], stale_reads: 2, land_after_read: false })]
-#[case::lands_after_the_read(FaultCase { faults: &[WriteFault::Delayed], stale_reads: 0, land_after_read: true })]
+#[case::applied_after_the_read(FaultCase { faults: &[WriteFault::Delayed], stale_reads: 0, land_after_read: true })]
 #[case::twice(FaultCase {
     faults: &[WriteFault::Delayed, WriteFault::AnswerLost], stale_reads: 0, land_after_read: false,
 })]
 #[tokio::test]
-async fn a_change_is_taken_once(#[case] case: FaultCase) {
+async fn a_change_is_stored_once(#[case] case: FaultCase) {
     let platform = FakePlatform::default();
     let first = change("w", 1, 0);
     run(&platform, &first, "first").await.unwrap();
@@ -145,21 +145,21 @@
 /// item of the bucket before the read. The latest mark is then the other writer's; the
 /// change must still be found, or it would be reported as a conflict with itself.
 #[tokio::test]
-async fn finds_its_mark_beneath_a_rivals() {
+async fn finds_its_mark_below_another_writers() {
     let platform = FakePlatform::default();
     let own = change("w", 1, 0);
     platform.books().faults.push_back(WriteFault::AnswerLost);
     let port = platform.clone();
     let watched = own.clone();
-    let rival = tokio::spawn(async move {
+    let other_writer = tokio::spawn(async move {
         while port.books().objects.is_empty() {
             tokio::task::yield_now().await;
         }
-        let write = race(&port, &neighbour(&watched));
+        let write = concurrent_write(&port, &other_item_of_bucket(&watched));
         port.books().take(&write).unwrap();
     });
     let done = run(&platform, &own, "own").await.unwrap();
-    rival.await.unwrap();
+    other_writer.await.unwrap();
     assert_eq!(done.revision, 1);
     assert_eq!(bucket_of(&platform, &own).sequence, 2);
 }
@@ -168,11 +168,11 @@
 /// write can no longer take effect: the operator must get a conflict with the other
 /// writer's revision.
 #[tokio::test]
-async fn a_lost_write_overtaken_by_a_rival_is_a_conflict() {
+async fn a_lost_write_overtaken_by_another_writer_is_a_conflict() {
     let platform = FakePlatform::default();
     run(&platform, &change("w", 1, 0), "first").await.unwrap();
     {
-        let write = race(&platform, &change("w", 7, 1));
+        let write = concurrent_write(&platform, &change("w", 7, 1));
         let mut books = platform.books();
         books
             .faults
@@ -193,10 +193,10 @@
 /// A concurrent writer changes another item of the bucket between read and write. Both
 /// changes must be stored, and the operator must get no conflict.
 #[tokio::test]
-async fn a_neighbours_change_is_no_conflict() {
+async fn a_change_of_another_item_is_no_conflict() {
     let platform = FakePlatform::default();
     let own = change("w", 1, 0);
-    let write = race(&platform, &neighbour(&own));
+    let write = concurrent_write(&platform, &other_item_of_bucket(&own));
     platform.books().before_write.push_back(write);
     let done = run(&platform, &own, "own").await.unwrap();
     assert_eq!(done.revision, 2);
@@ -209,7 +209,7 @@
 #[case::before(false)]
 #[case::after_a_lost_write(true)]
 #[tokio::test]
-async fn tells_unavailable_from_unknown(#[case] loses: bool) {
+async fn distinguishes_unavailable_from_unknown(#[case] loses: bool) {
     let platform = FakePlatform::default();
     if loses {
         platform.books().faults.push_back(WriteFault::Delayed);
--- a/tests/control_thread.rs
+++ b/tests/control_thread.rs
@@ -100,7 +100,7 @@
 /// it would refuse every caller's key. It must become ready when the platform is back and
 /// stay ready with its last state when the platform goes down again.
 #[tokio::test]
-async fn ready_only_with_a_whole_configuration() {
+async fn ready_only_with_a_complete_configuration() {
     let platform = FakePlatform::default();
     platform.books().instances = vec![row("e", InstanceKind::Engine)];
     platform.set_down(true);
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_change_is_in_force_before_it_is_accepted_and_reaches_others() {
+async fn a_change_is_applied_before_it_is_accepted_and_reaches_other_daemons() {
     let platform = FakePlatform::default();
     platform.books().instances = vec![
         row("a", InstanceKind::Entry),
@@ -154,7 +154,7 @@
 /// One daemon receives twenty operators' changes of the same bucket at once. All must be
 /// stored, each by a single write: concurrent writes would fail each other's conditions.
 #[tokio::test]
-async fn changes_of_one_bucket_follow_each_other() {
+async fn changes_of_one_bucket_are_serialized() {
     let platform = FakePlatform::default();
     let handle = start("a", &platform, &FakeEngines::default());
     let bucket = BucketIndex::of(&workspace("w", 0).item);
@@ -209,9 +209,9 @@
     let handle = start("a", &platform, &FakeEngines::default());
     let cell = handle.snapshot.clone();
     until("ready", || cell.load().ready).await;
-    let (done, told) = oneshot::channel();
+    let (done, stopped) = oneshot::channel();
     handle.events.send(ControlEvent::Stop { done }).unwrap();
-    told.await.unwrap();
+    stopped.await.unwrap();
     let snapshot = cell.load();
     assert!(snapshot.stopping && !snapshot.ready);
     let own = &snapshot.fleet.daemons[&DaemonId::from("a")];
