--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -323,7 +323,7 @@
                     sequence,
                     ..hint.clone()
                 };
-                hints.note(hint, NOW)
+                hints.apply(hint, NOW)
             });
         });
     }
--- a/lab/src/direct.rs
+++ b/lab/src/direct.rs
@@ -69,7 +69,7 @@
 async fn ask_engine(port: &EnginePort, address: &str, number: usize) -> Result<()> {
     let call = TargetCall {
         address: address.to_owned(),
-        patience: PATIENCE,
+        timeout: PATIENCE,
         body: GenerateBody {
             request_id: format!("direct-{number}").into(),
             attempt: 1,
--- a/lab/src/footprint.rs
+++ b/lab/src/footprint.rs
@@ -211,7 +211,7 @@
         };
         let bytes = PeerMessage::Hint(Box::new(hint)).encode();
         if let Ok(PeerMessage::Hint(hint)) = PeerMessage::decode(&bytes) {
-            hints.note(*hint, NOW);
+            hints.apply(*hint, NOW);
         }
     }
     hints
--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -143,7 +143,7 @@
                 group: group.clone(),
                 holder: observed.record.holder.clone(),
                 fence: observed.record.fence,
-                own_until: self.authority(group, now).map(|a| a.until),
+                authority_deadline: self.authority(group, now).map(|a| a.until),
             })
         });
         known.collect()
--- a/src/control/authority_ports.rs
+++ b/src/control/authority_ports.rs
@@ -23,7 +23,7 @@
     /// Port to the engines.
     pub engines: EnginePort,
     /// Timeout of a platform call.
-    pub call_wait: Duration,
+    pub call_timeout: Duration,
     /// Longest time that an order may be in transit.
     pub order_flight: Duration,
     /// Channel for the results.
@@ -41,7 +41,7 @@
     }
 
     fn read(&self, tag: CallTag, object: ObjectName) {
-        let read = timeout(self.call_wait, (self.platform.read)(object));
+        let read = timeout(self.call_timeout, (self.platform.read)(object));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
             let result = read.await.unwrap_or_else(|_| Err(read_timed_out()));
@@ -50,7 +50,7 @@
     }
 
     fn write(&self, tag: CallTag, mark: String, write: ConditionalWrite) {
-        let answer = timeout(self.call_wait, (self.platform.write)(write.clone()));
+        let answer = timeout(self.call_timeout, (self.platform.write)(write.clone()));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
             let result = answer.await.unwrap_or_else(|_| Err(write_timed_out()));
@@ -79,7 +79,7 @@
         };
         let call = TargetCall {
             address,
-            patience: self.order_flight,
+            timeout: self.order_flight,
             body,
         };
         let answer = timeout(self.order_flight, (self.engines.order)(call));
--- a/src/control/feeds.rs
+++ b/src/control/feeds.rs
@@ -235,7 +235,7 @@
 ) {
     let call = TargetCall {
         address,
-        patience: POLL_TIMEOUT,
+        timeout: POLL_TIMEOUT,
         body: (),
     };
     let answer = tokio::time::timeout(POLL_TIMEOUT, (engines.state)(call)).await;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -91,7 +91,7 @@
         reply: oneshot::Sender<Result<ChangeReport, ChangeError>>,
     },
     /// A call to a target succeeded or failed.
-    TargetSeen {
+    TargetContacted {
         /// Target that was called.
         target: TargetId,
         /// Whether the target answered.
@@ -105,7 +105,7 @@
         address: String,
     },
     /// Work accepted since the last such event, for the forecast of the workload mix.
-    WorkSeen {
+    WorkAccepted {
         /// Requested model.
         model: ModelName,
         /// Prompt tokens that were not cached.
@@ -114,7 +114,7 @@
         decode_tokens: u64,
     },
     /// Cost of a workspace's requests on this daemon, for fleet-wide fair shares.
-    CostSeen {
+    CostUsed {
         /// Workspace that was served.
         workspace: WorkspaceName,
         /// Class that was served.
--- a/src/control/peer_exchange.rs
+++ b/src/control/peer_exchange.rs
@@ -102,7 +102,7 @@
     /// Returns whether a hint was received recently from any peer.
     #[must_use]
     pub fn has_reachable_peer(&self) -> bool {
-        self.hints.heard() > 0
+        self.hints.reachable_count() > 0
     }
 
     /// Adds work accepted by this daemon.
@@ -160,7 +160,7 @@
             let _ = outbox.send(PeerCommand::Links(links));
         }
         let mut watchers = self.topology.local_watchers.iter();
-        let has_feed = watchers.any(|id| self.linked.contains(id) && self.hints.has_heard(id));
+        let has_feed = watchers.any(|id| self.linked.contains(id) && self.hints.is_reachable(id));
         let watching = self.topology.is_watcher || !has_feed;
         self.watching.send_if_modified(|old| {
             let changed = *old != watching;
@@ -199,7 +199,7 @@
             costs: recent.map(|(w, (sum, _))| (w.clone(), *sum)).collect(),
             applied: applied.map(|(n, (v, _))| (n.clone(), *v)).collect(),
             engines: self.engines.drain(..).map(|(_, state)| state).collect(),
-            works: self.crashes.lock().due_reports(now),
+            crash_reports: self.crashes.lock().due_reports(now),
         };
         let linked = self.linked.iter().cloned().collect();
         self.send(linked, PeerMessage::Hint(Box::new(hint)));
@@ -213,10 +213,10 @@
         now: MonoTime,
     ) -> Option<PeerHint> {
         let origin = hint.daemon.clone()?;
-        if origin == self.own || !self.hints.note(hint.clone(), now) {
+        if origin == self.own || !self.hints.apply(hint.clone(), now) {
             return None;
         }
-        for report in &hint.works {
+        for report in &hint.crash_reports {
             // Hints are forwarded unchanged, so their reports need no further broadcast.
             self.crashes.lock().apply_report(report, false, now);
         }
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -48,7 +48,7 @@
     /// Fencing number of that holder.
     pub fence: FenceNumber,
     /// Time at which this daemon's authority ends; `None` if it does not hold the lease.
-    pub own_until: Option<MonoTime>,
+    pub authority_deadline: Option<MonoTime>,
 }
 
 /// State published by the control thread.
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -77,7 +77,7 @@
         let ports = AuthorityPorts {
             platform: inputs.platform.clone(),
             engines: inputs.engines.clone(),
-            call_wait: settings.platform.call_wait(),
+            call_timeout: settings.platform.call_wait(),
             order_flight: Duration::from_millis(settings.leases.order_flight_ms),
             feeds: feeds.clone(),
         };
@@ -110,7 +110,7 @@
     pub(crate) fn on_event(&mut self, event: ControlEvent) {
         match event {
             ControlEvent::Change { change, reply } => self.start_change(change, reply),
-            ControlEvent::TargetSeen { target, answered } => {
+            ControlEvent::TargetContacted { target, answered } => {
                 let now = clock::mono_now();
                 self.membership
                     .note_call(&target, CallSource::Work, answered, now);
@@ -119,7 +119,7 @@
                 let now = clock::mono_now();
                 self.membership.note_target_leaving(&target, &address, now);
             }
-            ControlEvent::WorkSeen {
+            ControlEvent::WorkAccepted {
                 model,
                 prefill_tokens,
                 decode_tokens,
@@ -128,7 +128,7 @@
                 let work = WorkAmount::of_request(speeds, prefill_tokens, decode_tokens);
                 mix::add_work(&mut self.local_work, &model, work);
             }
-            ControlEvent::CostSeen {
+            ControlEvent::CostUsed {
                 workspace, cost, ..
             } => {
                 let cost = cost.as_secs_f64();
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -100,7 +100,7 @@
     /// Identity of this daemon and the shared secret.
     pub identity: PeerIdentity,
     /// Time without a message after which a link is dropped.
-    pub silence: Duration,
+    pub link_timeout: Duration,
     /// Control thread, which receives the events of the links.
     pub control: ControlHandle,
     /// Handler for requests of peers.
@@ -138,7 +138,7 @@
 struct PeerLinks {
     state: Mutex<LinkTable>,
     identity: PeerIdentity,
-    silence: Duration,
+    link_timeout: Duration,
     control: ControlHandle,
     handler: PeerHandler,
     linked: Notify,
@@ -155,7 +155,7 @@
     let peers = Arc::new(PeerLinks {
         state: Mutex::default(),
         identity: inputs.identity,
-        silence: inputs.silence,
+        link_timeout: inputs.link_timeout,
         control: inputs.control,
         handler: inputs.handler,
         linked: Notify::new(),
@@ -285,7 +285,7 @@
         }
         let _ = timeout(SEND_TIMEOUT, sink.close()).await;
     });
-    while let Ok(Some(Ok(message))) = timeout(peers.silence, source.next()).await {
+    while let Ok(Some(Ok(message))) = timeout(peers.link_timeout, source.next()).await {
         if !peers.receive(&peer, &message) || writing.is_finished() {
             break;
         }
--- a/src/peers/requests.rs
+++ b/src/peers/requests.rs
@@ -50,7 +50,7 @@
 
 /// Returns the call that sends operations on records to another daemon.
 #[must_use]
-pub fn records_call(peers: &PeerHandle) -> LinkCall {
+pub fn records_link(peers: &PeerHandle) -> LinkCall {
     let peers = peers.clone();
     Arc::new(move |(daemon, body)| {
         let reply = (peers.request)((daemon, encode_request(RECORDS, &body)));
@@ -67,7 +67,7 @@
 /// # Errors
 ///
 /// Returns a [`PeerError`] if the daemon was not reached or did not reply.
-pub async fn cancel_there(
+pub async fn cancel_on_peer(
     peers: &PeerHandle,
     daemon: &DaemonId,
     request_id: &RequestId,
--- a/src/peers/state.rs
+++ b/src/peers/state.rs
@@ -126,7 +126,7 @@
     ///
     /// The totals in a hint count from the start of the process, so a lost hint loses
     /// nothing and one received twice, from two watchers, counts once.
-    pub fn note(&mut self, hint: PeerHint, now: MonoTime) -> bool {
+    pub fn apply(&mut self, hint: PeerHint, now: MonoTime) -> bool {
         let Some(daemon) = hint.daemon.clone() else {
             return false;
         };
@@ -169,13 +169,13 @@
 
     /// Returns the number of peers whose hints were received recently.
     #[must_use]
-    pub fn heard(&self) -> usize {
+    pub fn reachable_count(&self) -> usize {
         self.peers.len()
     }
 
     /// Returns whether a hint of a peer was received recently.
     #[must_use]
-    pub fn has_heard(&self, daemon: &DaemonId) -> bool {
+    pub fn is_reachable(&self, daemon: &DaemonId) -> bool {
         self.peers.contains_key(daemon)
     }
 
--- a/src/peers/wire.rs
+++ b/src/peers/wire.rs
@@ -34,7 +34,7 @@
     pub engines: Vec<EngineState>,
     /// Reports of work that crashed targets, sent in rotation
     /// ([`crate::crashes::broadcasts`]).
-    pub works: Vec<CrashReport>,
+    pub crash_reports: Vec<CrashReport>,
 }
 
 /// A message between daemons.
@@ -108,8 +108,8 @@
     costs: Vec<(WorkspaceName, f64)>,
     applied: Vec<(String, u64)>,
     engines: Vec<EngineState>,
-    #[serde(default)]
-    works: Vec<CrashReport>,
+    #[serde(default, rename = "works")]
+    crash_reports: Vec<CrashReport>,
 }
 
 #[derive(Deserialize, Serialize)]
@@ -144,7 +144,7 @@
             costs: hint.costs.iter().map(|(w, c)| (w.clone(), *c)).collect(),
             applied: hint.applied.iter().map(|(n, v)| (n.clone(), v.0)).collect(),
             engines: hint.engines.clone(),
-            works: hint.works.clone(),
+            crash_reports: hint.crash_reports.clone(),
         }
     }
 }
@@ -174,7 +174,7 @@
             costs: wire.costs.into_iter().collect(),
             applied: applied.map(|(n, v)| (n, ObjectVersion(v))).collect(),
             engines: wire.engines,
-            works: wire.works,
+            crash_reports: wire.crash_reports,
         })
     }
 }
--- a/src/ports.rs
+++ b/src/ports.rs
@@ -168,7 +168,7 @@
     /// IP address and port.
     pub address: String,
     /// Timeout for the first byte of the answer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Request body.
     pub body: B,
 }
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -218,7 +218,7 @@
         self.sink.note_dispatched();
         let call = TargetCall {
             address: choice.address.clone(),
-            patience: first_silence(choice).min(self.request.time_left()),
+            timeout: first_silence(choice).min(self.request.time_left()),
             body: self.body(choice, attempt),
         };
         let opened = (self.context.engines.generate)(call).await;
@@ -244,7 +244,7 @@
     ) -> Result<LineStream, TargetError> {
         let call = TargetCall {
             address: choice.address.clone(),
-            patience: SIDE_CALL.min(self.request.time_left()),
+            timeout: SIDE_CALL.min(self.request.time_left()),
             body: StreamPosition {
                 request_id: self.request.id.clone(),
                 attempt,
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -126,7 +126,7 @@
 
     /// Tells the control thread what a call says of its target.
     pub fn report_call(&self, choice: &TargetChoice, error: Option<&TargetError>) {
-        self.report(ControlEvent::TargetSeen {
+        self.report(ControlEvent::TargetContacted {
             target: choice.target.clone(),
             answered: !matches!(error, Some(TargetError::NotDelivered { .. })),
         });
@@ -203,7 +203,7 @@
         let Some((spec, cost)) = state.scheduler.placed_cost(number) else {
             return;
         };
-        let event = ControlEvent::CostSeen {
+        let event = ControlEvent::CostUsed {
             workspace: spec.workspace.clone(),
             class: spec.class.clone(),
             cost: Duration::from_secs_f64(cost),
--- a/src/requests/run_call.rs
+++ b/src/requests/run_call.rs
@@ -121,7 +121,7 @@
     let key = service_key(request);
     let call = TargetCall {
         address: choice.address.clone(),
-        patience: patience.max(Duration::from_millis(1)),
+        timeout: patience.max(Duration::from_millis(1)),
         body: ServiceBody {
             request_id: request.id.clone(),
             workspace: request.workspace().clone(),
--- a/src/requests/run_stream.rs
+++ b/src/requests/run_stream.rs
@@ -172,7 +172,7 @@
     };
     let call = TargetCall {
         address,
-        patience: SIDE_CALL,
+        timeout: SIDE_CALL,
         body: request_id.clone(),
     };
     tokio::spawn((context.engines.cancel)(call));
--- a/src/requests/traffic.rs
+++ b/src/requests/traffic.rs
@@ -230,7 +230,7 @@
         let PoolKey::Model(model) = &request.pool else {
             return;
         };
-        let event = ControlEvent::WorkSeen {
+        let event = ControlEvent::WorkAccepted {
             model: model.clone(),
             prefill_tokens: u64::from(request.submit.prompt_tokens),
             decode_tokens: u64::from(output_tokens),
--- a/src/rpc/operations.rs
+++ b/src/rpc/operations.rs
@@ -333,7 +333,7 @@
         holder: lease.holder.to_string(),
         fence: lease.fence.0,
         remaining_ms: lease
-            .own_until
+            .authority_deadline
             .map_or(0, |until| small(millis(until.since(now)))),
     }
 }
--- a/src/rpc/requests.rs
+++ b/src/rpc/requests.rs
@@ -21,7 +21,7 @@
 };
 use crate::pb;
 use crate::pb::requests_server::Requests;
-use crate::peers::requests::cancel_there;
+use crate::peers::requests::cancel_on_peer;
 use crate::ports::TargetCall;
 use crate::requests::answer_sink::{AnswerEvent, AnswerSink, FinalOutcome};
 use crate::requests::request::CallerRequest;
@@ -225,7 +225,7 @@
             return true;
         }
         if token.daemon != context.daemon {
-            let asked = cancel_there(&context.peers, &token.daemon, &token.request_id).await;
+            let asked = cancel_on_peer(&context.peers, &token.daemon, &token.request_id).await;
             if let Ok(stopped) = asked {
                 return stopped;
             }
@@ -246,7 +246,7 @@
     async fn cancel_at_engine(&self, token: &ResumeToken) -> bool {
         let call = TargetCall {
             address: token.target_address.clone(),
-            patience: SIDE_CALL,
+            timeout: SIDE_CALL,
             body: token.request_id.clone(),
         };
         (self.context.engines.cancel)(call).await.unwrap_or(false)
--- a/src/server.rs
+++ b/src/server.rs
@@ -27,7 +27,7 @@
 use crate::pb::requests_server::RequestsServer;
 use crate::peers::handshake::PeerIdentity;
 use crate::peers::link::{PeerHandle, PeerInputs, start_peers};
-use crate::peers::requests::{TrafficCell, records_call, request_handler};
+use crate::peers::requests::{TrafficCell, records_link, request_handler};
 use crate::ports::PlatformPort;
 use crate::requests::dispatch::JobDispatcher;
 use crate::requests::journal::DecisionJournal;
@@ -250,7 +250,7 @@
             incarnation,
             secret: settings.peers.secret.clone(),
         },
-        silence: Duration::from_millis(settings.peers.silence_ms),
+        link_timeout: Duration::from_millis(settings.peers.silence_ms),
         control: control.clone(),
         handler: request_handler(&traffic),
     })
@@ -301,7 +301,7 @@
             let owner = owners.owner(shard, &snapshot.load().fleet);
             owner.filter(|daemon| *daemon != own)
         }),
-        call: records_call(peers),
+        call: records_link(peers),
     }
 }
 
--- a/src/targets/engine_http.rs
+++ b/src/targets/engine_http.rs
@@ -27,16 +27,16 @@
     Ok(EnginePort {
         generate: Arc::new(move |call| {
             let url = format!("http://{}/v1/streams", call.address);
-            open_stream(c1.post(url).json(&call.body), call.patience)
+            open_stream(c1.post(url).json(&call.body), call.timeout)
         }),
         resume: Arc::new(move |call| {
-            let patience = call.patience;
+            let patience = call.timeout;
             open_stream(c2.get(resume_url(&call)), patience)
         }),
         cancel: Arc::new(move |call| cancel(&c3, &call)),
         state: Arc::new(move |call| {
             let url = format!("http://{}/v1/state", call.address);
-            fetch(c4.get(url), call.patience)
+            fetch(c4.get(url), call.timeout)
         }),
         cache_events: Arc::new(move |call| cache_events(&c5, &call)),
         order: Arc::new(move |call| order(&c6, &call)),
@@ -66,7 +66,7 @@
 fn cancel(client: &Client, call: &TargetCall<RequestId>) -> PortFuture<Result<bool, TargetError>> {
     let url = format!("http://{}/v1/streams/{}", call.address, call.body);
     let request = client.delete(url);
-    let patience = call.patience;
+    let patience = call.timeout;
     Box::pin(async move {
         match send(request, patience).await {
             Ok(_) => Ok(true),
@@ -84,7 +84,7 @@
         "http://{}/v1/cache-events?since={}",
         call.address, call.body
     );
-    let reply = fetch::<CacheEvents>(client.get(url), call.patience);
+    let reply = fetch::<CacheEvents>(client.get(url), call.timeout);
     Box::pin(async move { Ok(reply.await?.events) })
 }
 
@@ -93,7 +93,7 @@
     call: &TargetCall<OrderBody>,
 ) -> PortFuture<Result<EngineState, TargetError>> {
     let url = format!("http://{}/v1/orders", call.address);
-    fetch(client.post(url).json(&call.body), call.patience)
+    fetch(client.post(url).json(&call.body), call.timeout)
 }
 
 /// Sends a call and reads its whole answer as JSON within `patience`.
--- a/src/targets/service_http.rs
+++ b/src/targets/service_http.rs
@@ -20,7 +20,7 @@
         call: Arc::new(move |call| {
             let url = format!("http://{}/v1/calls", call.address);
             let request = client.post(url).json(&call.body);
-            Box::pin(run_call(request, call.patience))
+            Box::pin(run_call(request, call.timeout))
         }),
     })
 }
--- a/tests/client_losses.rs
+++ b/tests/client_losses.rs
@@ -2,7 +2,9 @@
 
 mod fakes;
 
-use fakes::{FakeDaemons, FakeStep, SeenCall, accepted, answered, chunk, digest, ended, refused};
+use fakes::{
+    FakeDaemons, FakeStep, ReceivedCall, accepted, answered, chunk, digest, ended, refused,
+};
 use pistachiowick::client::error::ClientError;
 use pistachiowick::client::{AnswerOutcome, ClientOptions, PistachioClient};
 use pistachiowick::pb;
@@ -117,8 +119,11 @@
         whole.end.reason
     );
     assert_eq!(whole.data, ANSWER.as_bytes());
-    let resumes: Vec<pb::ResumeRequest> =
-        daemons.seen().into_iter().filter_map(as_resume).collect();
+    let resumes: Vec<pb::ResumeRequest> = daemons
+        .received_calls()
+        .into_iter()
+        .filter_map(as_resume)
+        .collect();
     let offsets: Vec<u64> = resumes.iter().map(|resume| resume.offset).collect();
     assert_eq!(offsets, case.resumes_at);
     for (index, resume) in resumes.iter().enumerate() {
@@ -149,7 +154,7 @@
         .collect()
         .await
         .expect("a final outcome");
-    let places = daemons.seen_at();
+    let places = daemons.receiver_addresses();
     assert_eq!(places.len(), 2);
     assert_ne!(places[0], places[1]);
 }
@@ -201,7 +206,7 @@
             .expect("an outcome");
         assert_eq!(whole.end.outcome, AnswerOutcome::Answered);
     }
-    let first: Vec<bool> = daemons.seen().iter().map(says_first).collect();
+    let first: Vec<bool> = daemons.received_calls().iter().map(says_first).collect();
     assert_eq!(first, [true, false, false]);
 }
 
@@ -220,7 +225,7 @@
         ..once_only("receipt-1")
     };
     client.submit(old).collect().await.expect("an outcome");
-    let first: Vec<bool> = daemons.seen().iter().map(says_first).collect();
+    let first: Vec<bool> = daemons.received_calls().iter().map(says_first).collect();
     assert_eq!(first, [false]);
 }
 
@@ -240,7 +245,7 @@
         .await
         .expect("an outcome");
     let resume = daemons
-        .seen()
+        .received_calls()
         .into_iter()
         .find_map(as_resume)
         .expect("one resume");
@@ -296,7 +301,7 @@
         .expect("an outcome");
     assert_eq!(whole.end.outcome, case.outcome, "{}", whole.end.reason);
     assert_eq!(whole.data, case.data.as_bytes());
-    let questions = daemons.seen().into_iter().filter_map(as_question);
+    let questions = daemons.received_calls().into_iter().filter_map(as_question);
     assert!(questions.clone().count() > 0, "the record was not asked");
     for question in questions {
         assert_eq!(question.key, "receipt-1");
@@ -323,7 +328,7 @@
             .expect("an outcome");
         assert_eq!(whole.end.outcome, AnswerOutcome::Unknown);
     }
-    let submissions = daemons.seen().len();
+    let submissions = daemons.received_calls().len();
     assert!(
         submissions <= requests + 10,
         "{submissions} submissions of {requests} requests"
@@ -378,7 +383,7 @@
     };
     let whole = client.submit(submit).collect().await.expect("an outcome");
     assert_eq!(whole.end.outcome, AnswerOutcome::RefusedNotRun);
-    assert_eq!(daemons.seen().len(), 1);
+    assert_eq!(daemons.received_calls().len(), 1);
 }
 
 #[rstest]
@@ -422,7 +427,7 @@
         ),
         "{error}"
     );
-    assert_eq!(daemons.seen().len(), 1);
+    assert_eq!(daemons.received_calls().len(), 1);
 }
 
 #[tokio::test]
@@ -438,10 +443,10 @@
             .await
             .expect("an outcome");
     }
-    let places = daemons.seen_at();
+    let places = daemons.receiver_addresses();
     let used: indexmap::IndexSet<_> = places.iter().collect();
     assert_eq!(used.len(), 3);
-    assert_eq!(daemons.state.lock().expect("no panic").locates, 1);
+    assert_eq!(daemons.state.lock().expect("no panic").locate_calls, 1);
 }
 
 struct ConnectCase {
@@ -472,20 +477,20 @@
     assert!(error.to_string().contains(case.said), "{error}");
 }
 
-fn as_resume(call: SeenCall) -> Option<pb::ResumeRequest> {
+fn as_resume(call: ReceivedCall) -> Option<pb::ResumeRequest> {
     match call {
-        SeenCall::Resume(resume) => Some(resume),
+        ReceivedCall::Resume(resume) => Some(resume),
         _ => None,
     }
 }
 
-fn as_question(call: SeenCall) -> Option<pb::OutcomeRequest> {
+fn as_question(call: ReceivedCall) -> Option<pb::OutcomeRequest> {
     match call {
-        SeenCall::Outcome(question) => Some(question),
+        ReceivedCall::Outcome(question) => Some(question),
         _ => None,
     }
 }
 
-fn says_first(call: &SeenCall) -> bool {
-    matches!(call, SeenCall::Submit(submit) if submit.first_submission)
+fn says_first(call: &ReceivedCall) -> bool {
+    matches!(call, ReceivedCall::Submit(submit) if submit.first_submission)
 }
--- a/tests/control_authority.rs
+++ b/tests/control_authority.rs
@@ -101,7 +101,7 @@
 fn holds(handle: &ControlHandle, group: &str) -> bool {
     let snapshot = handle.snapshot.load();
     let mut leases = snapshot.leases.iter();
-    leases.any(|lease| lease.group.as_str() == group && lease.own_until.is_some())
+    leases.any(|lease| lease.group.as_str() == group && lease.authority_deadline.is_some())
 }
 
 async fn end(handle: ControlHandle) {
@@ -169,7 +169,7 @@
     let mut drained = [false, false];
     until("two orders", || {
         for (handle, drained) in handles.iter().zip(&mut drained) {
-            let event = ControlEvent::WorkSeen {
+            let event = ControlEvent::WorkAccepted {
                 model: ModelName::from("m"),
                 prefill_tokens: 2_000,
                 decode_tokens: 10,
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -145,7 +145,7 @@
     let mut hints = PeerHints::default();
     let mut accepted = 0;
     for (incarnation, sequence, cost) in case.hints {
-        accepted += usize::from(hints.note(hint(*incarnation, *sequence, *cost), MonoTime(1)));
+        accepted += usize::from(hints.apply(hint(*incarnation, *sequence, *cost), MonoTime(1)));
     }
     assert_eq!(accepted, case.accepted);
     let cost = hints.take_costs().get(&WorkspaceName::from("w")).copied();
@@ -163,21 +163,21 @@
 #[test]
 fn an_omitted_total_is_kept() {
     let mut hints = PeerHints::default();
-    hints.note(hint(1, 1, 50.0), MonoTime(1));
+    hints.apply(hint(1, 1, 50.0), MonoTime(1));
     let quiet = PeerHint {
         costs: IndexMap::new(),
         work: WorkTotals::new(),
         ..hint(1, 2, 0.0)
     };
-    hints.note(quiet, MonoTime(2));
-    hints.note(hint(1, 3, 52.0), MonoTime(3));
+    hints.apply(quiet, MonoTime(2));
+    hints.apply(hint(1, 3, 52.0), MonoTime(3));
     assert_eq!(hints.take_costs()[&WorkspaceName::from("w")], 2.0);
 }
 
 #[test]
 fn confirmations_come_from_hints() {
     let mut hints = PeerHints::default();
-    hints.note(hint(1, 5, 0.0), MonoTime(1));
+    hints.apply(hint(1, 5, 0.0), MonoTime(1));
     let peer = DaemonId::from("peer");
     assert!(
         hints
@@ -187,7 +187,7 @@
     assert!(hints.confirmed("bucket-001", ObjectVersion(6)).is_empty());
     assert!(hints.confirmed("bucket-002", ObjectVersion(1)).is_empty());
     hints.expire(MonoTime(10_000), Duration::from_secs(3));
-    assert_eq!(hints.heard(), 0);
+    assert_eq!(hints.reachable_count(), 0);
 }
 
 #[test]
@@ -305,7 +305,7 @@
                 incarnation: ProcessIncarnation(1),
                 secret: secret.to_owned(),
             },
-            silence: Duration::from_millis(500),
+            link_timeout: Duration::from_millis(500),
             control: control.clone(),
             handler: Arc::new(move |(from, body)| {
                 let text = String::from_utf8_lossy(&body).into_owned();
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -24,7 +24,7 @@
 
 /// A call received by the scripted daemons.
 #[derive(Clone, Debug)]
-pub enum SeenCall {
+pub enum ReceivedCall {
     Submit(pb::SubmitRequest),
     Resume(pb::ResumeRequest),
     Outcome(pb::OutcomeRequest),
@@ -35,8 +35,8 @@
     scripts: VecDeque<Vec<FakeStep>>,
     outcomes: VecDeque<pb::OutcomeReply>,
     addresses: Vec<String>,
-    pub seen: Vec<(SocketAddr, SeenCall)>,
-    pub locates: usize,
+    pub received: Vec<(SocketAddr, ReceivedCall)>,
+    pub locate_calls: usize,
 }
 
 /// Scripted daemons that share one list of scripts.
@@ -89,14 +89,18 @@
             .expect("the fakes answer")
     }
 
-    pub fn seen(&self) -> Vec<SeenCall> {
+    pub fn received_calls(&self) -> Vec<ReceivedCall> {
         let state = self.state.lock().expect("no panic");
-        state.seen.iter().map(|(_, call)| call.clone()).collect()
+        state
+            .received
+            .iter()
+            .map(|(_, call)| call.clone())
+            .collect()
     }
 
-    pub fn seen_at(&self) -> Vec<SocketAddr> {
+    pub fn receiver_addresses(&self) -> Vec<SocketAddr> {
         let state = self.state.lock().expect("no panic");
-        state.seen.iter().map(|(address, _)| *address).collect()
+        state.received.iter().map(|(address, _)| *address).collect()
     }
 }
 
@@ -108,10 +112,10 @@
 type EventStream = ReceiverStream<Result<pb::AnswerEvent, Status>>;
 
 impl FakeDaemon {
-    async fn play(&self, call: SeenCall) -> Result<Response<EventStream>, Status> {
+    async fn play(&self, call: ReceivedCall) -> Result<Response<EventStream>, Status> {
         let script = {
             let mut state = self.state.lock().expect("no panic");
-            state.seen.push((self.address, call));
+            state.received.push((self.address, call));
             state.scripts.pop_front()
         };
         let script = script.ok_or_else(|| Status::invalid_argument("no script is left"))?;
@@ -143,14 +147,14 @@
         if bearer.is_none_or(|value| value != "Bearer key-of-the-test") {
             return Err(Status::unauthenticated("no such key"));
         }
-        self.play(SeenCall::Submit(request.into_inner())).await
+        self.play(ReceivedCall::Submit(request.into_inner())).await
     }
 
     async fn resume(
         &self,
         request: Request<pb::ResumeRequest>,
     ) -> Result<Response<EventStream>, Status> {
-        self.play(SeenCall::Resume(request.into_inner())).await
+        self.play(ReceivedCall::Resume(request.into_inner())).await
     }
 
     async fn cancel(
@@ -165,8 +169,8 @@
         request: Request<pb::OutcomeRequest>,
     ) -> Result<Response<pb::OutcomeReply>, Status> {
         let mut state = self.state.lock().expect("no panic");
-        let call = SeenCall::Outcome(request.into_inner());
-        state.seen.push((self.address, call));
+        let call = ReceivedCall::Outcome(request.into_inner());
+        state.received.push((self.address, call));
         let reply = state.outcomes.pop_front();
         reply
             .map(Response::new)
@@ -178,7 +182,7 @@
         _: Request<pb::LocateRequest>,
     ) -> Result<Response<pb::LocateReply>, Status> {
         let mut state = self.state.lock().expect("no panic");
-        state.locates += 1;
+        state.locate_calls += 1;
         let addresses = state.addresses.iter().map(|address| pb::Address {
             address: address.clone(),
             data_centre: "hala-racice".to_owned(),
