--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -98,14 +98,14 @@
         for (model, bins) in std::mem::take(&mut self.local_work) {
             self.peers.add_local_work(&model, &bins);
             let total = bins.map(|work| work.times(scale as f64));
-            self.mix.note(&model, &total);
+            self.mix.add_work(&model, &total);
         }
         for (model, bins) in self.peers.take_work() {
-            self.mix.note(&model, &bins);
+            self.mix.add_work(&model, &bins);
         }
         self.mix.tick(now);
         for (workspace, cost) in self.peers.take_costs() {
-            self.shares.note(&workspace, cost);
+            self.shares.add_cost(&workspace, cost);
         }
         if self.shares.tick(now) {
             self.update_shares();
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 
 use crate::config::catalogue::{ClassSpec, ItemName, ItemSpec, ModelSpec, WorkspaceSpec};
-use crate::decide::shares::ShareView;
+use crate::decide::shares::WeightCorrections;
 use crate::membership::fleet::FleetView;
 use crate::names::{
     ClassName, DaemonId, FenceNumber, GroupName, ModelName, MonoTime, TargetId, WorkspaceName,
@@ -59,7 +59,7 @@
     /// Applied configuration.
     pub config: Arc<ConfigView>,
     /// Local corrections of the workspaces' weights for fair shares across the fleet.
-    pub shares: Arc<ShareView>,
+    pub shares: Arc<WeightCorrections>,
     /// Leases by group.
     pub leases: Vec<LeaseView>,
     /// Whether a complete configuration and an instance list have been received, and this
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -15,7 +15,7 @@
 use crate::control::peer_exchange::PeerExchange;
 use crate::control::snapshot::{ControlSnapshot, SnapshotCell};
 use crate::control::{ControlEvent, ControlInputs};
-use crate::decide::shares::{ShareState, ShareView};
+use crate::decide::shares::{ShareTracker, WeightCorrections};
 use crate::membership::fleet::UseState;
 use crate::membership::suspicion::CallSource;
 use crate::membership::{self, MembershipLimits, MembershipState, StateChange};
@@ -40,8 +40,8 @@
     pub(crate) mix: MixForecast,
     pub(crate) local_work: WorkTotals,
     pub(crate) peers: PeerExchange,
-    pub(crate) shares: ShareState,
-    pub(crate) share_view: Arc<ShareView>,
+    pub(crate) shares: ShareTracker,
+    pub(crate) share_view: Arc<WeightCorrections>,
     pub(crate) confirmations: Vec<PendingConfirmation>,
     pub(crate) stop_replies: Vec<oneshot::Sender<()>>,
     pub(crate) running_changes: usize,
@@ -87,7 +87,7 @@
             mix: MixForecast::default(),
             local_work: WorkTotals::new(),
             peers: PeerExchange::new(settings, inputs.incarnation, inputs.crashes.clone()),
-            shares: ShareState::default(),
+            shares: ShareTracker::default(),
             share_view: Arc::default(),
             confirmations: Vec::new(),
             stop_replies: Vec::new(),
@@ -132,7 +132,7 @@
                 workspace, cost, ..
             } => {
                 let cost = cost.as_secs_f64();
-                self.shares.note(&workspace, cost);
+                self.shares.add_cost(&workspace, cost);
                 self.peers.add_cost(&workspace, cost, clock::mono_now());
             }
             ControlEvent::Peer(event) => self.on_peer(event),
--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -1,8 +1,8 @@
-//! Admission, queueing and placement of one daemon's requests: pure and synchronous.
+//! Admission, queueing and placement of one daemon's requests, without I/O or clock.
 //!
-//! Every call takes the time and returns what has to happen; the dispatcher carries
-//! it out. Refusals made here are certain to be true: a request known only to this
-//! queue has been sent to no target.
+//! Every call is given the time and returns the actions that the dispatcher has to carry
+//! out. A request refused here has certainly not run: requests in this queue have been
+//! sent to no target.
 
 use std::time::Duration;
 
@@ -14,64 +14,64 @@
 use crate::decide::cost::{CostModel, SpeedSettings};
 use crate::decide::fair_queue::{FairQueue, JobNumber, QueuedJob};
 use crate::decide::placement::{
-    OwnWork, PlacementInputs, PlacementNeed, PoolKey, RunningJob, SharedFleet, TargetChoice,
-    WorkSide, choose_target,
+    LocalWork, PlacementInputs, PlacementNeed, PoolKey, PoolSide, RunningJob, SharedFleet,
+    TargetChoice, choose_target,
 };
 use crate::decide::prefix_index::PrefixIndex;
 use crate::invariants::{self, Invariant};
 use crate::membership::fleet::UseState;
 use crate::names::{ClassName, MonoTime, TargetId, WorkspaceName, millis};
-use crate::roles::work_mix::{PlacedPace, WorkMix};
+use crate::roles::work_mix::{PlacementRate, WorkMix};
 use crate::settings::{LimitSettings, PlacementPolicy, PolicySettings};
 use crate::targets::wire::{CacheEvent, EngineRole};
 
-/// Waiting requests looked at for one free target.
+/// Maximum number of queued requests tried for each placement.
 const LOOK_AHEAD: usize = 16;
-/// Engine-seconds per unit of weight within which urgency decides before shares.
+/// Engine-seconds per unit of weight within which urgency takes precedence over shares.
 const FAIR_QUANTUM_S: f64 = 1.0;
-/// Steps of reading from which a prompt counts as long.
-const READING_STEPS: f64 = 2.0;
-/// Factor on the expected wait before a deadline counts as kept: a queue that is let
-/// grow to the very deadline serves everything a moment too late.
+/// Number of prefill steps above which a prompt counts as long.
+const LONG_PROMPT_STEPS: f64 = 2.0;
+/// Safety factor on the expected wait in the deadline check: a queue that may grow up to
+/// the deadline itself serves every request slightly too late.
 const WAIT_MARGIN: f64 = 2.0;
-/// Least pace assumed, as a share of what the targets could give.
-const LEAST_PACE: f64 = 0.1;
-/// Shortest time after which a refused caller is asked to come back.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
-/// Longest time after which a refused caller is asked to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(30);
-/// Ended requests remembered per target to correct its next report.
-const MOST_ENDED: usize = 256;
+/// Minimum service rate assumed, as a share of the targets' capacity.
+const MIN_RATE_SHARE: f64 = 0.1;
+/// Minimum time after which a refused caller is told to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Maximum time after which a refused caller is told to retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Maximum number of ended requests kept per target to correct its last report.
+const MAX_ENDED: usize = 256;
 
 /// A request as the scheduler sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSpec {
-    /// Workspace that asks.
+    /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// Class of the work.
+    /// Request class.
     pub class: ClassName,
-    /// Share of the workspace, corrected by what it got across the fleet.
+    /// Weight of the workspace, corrected by its use across the fleet.
     pub weight: f64,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// When the whole answer is due.
+    /// When the complete answer is due.
     pub deadline: MonoTime,
-    /// Most output tokens.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
-    /// What it needs of a target.
+    /// Requirements on the target.
     pub need: PlacementNeed,
 }
 
-/// Why a request is not taken, or no longer waited for.
+/// Why a request is not admitted, or removed from the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRefusal {
-    /// What happened, for people.
+    /// What happened, as shown to the caller.
     pub reason: String,
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
 
-/// A request that got a target.
+/// A request with the target chosen for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobGrant {
     /// The request.
@@ -80,31 +80,31 @@
     pub choice: TargetChoice,
 }
 
-/// What has to happen after a call.
+/// An action that the dispatcher has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScheduleAction {
     /// Send the request to its target.
     Start(JobGrant),
-    /// Refuse a waiting request, which has not run.
-    GiveUp(JobNumber, JobRefusal),
+    /// Refuse a queued request, which has not run.
+    Refuse(JobNumber, JobRefusal),
 }
 
-/// How a placed request ended, for what can be learned from it.
+/// Measurements of a placed request, from which cost estimates are learned.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct JobMeasure {
+pub struct JobMeasurement {
     /// Seconds from dispatch to the first token.
     pub first_token_s: Option<f64>,
     /// Mean seconds between tokens.
-    pub gap_s: Option<f64>,
-    /// Tokens of a whole answer; `None` when it did not end whole.
-    pub whole_tokens: Option<u32>,
+    pub token_gap_s: Option<f64>,
+    /// Output tokens of a complete answer; `None` if the answer is incomplete.
+    pub complete_answer_tokens: Option<u32>,
 }
 
-/// Requests that wait for the same targets.
+/// Key of a queue: requests that wait for the same targets.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct QueueKey {
     pool: PoolKey,
-    side: WorkSide,
+    side: PoolSide,
 }
 
 #[derive(Clone, Debug)]
@@ -120,20 +120,20 @@
     placed_at: MonoTime,
 }
 
-/// Inputs that do not change while a daemon runs.
+/// Inputs that do not change while the daemon runs.
 #[derive(Clone, Debug)]
 pub struct SchedulerInputs {
-    /// Policy.
+    /// Scheduling policy.
     pub policy: PolicySettings,
-    /// Bounds of the queue.
+    /// Queue limits.
     pub limits: LimitSettings,
-    /// First guesses of engine speeds.
+    /// Initial estimates of engine speeds.
     pub speeds: SpeedSettings,
-    /// Seed of the generator that draws candidates.
+    /// Seed of the random generator that draws candidates.
     pub seed: u64,
 }
 
-/// Requests waiting and running in one daemon.
+/// Queues and places the requests of one daemon.
 pub struct Scheduler {
     policy: PolicySettings,
     limits: LimitSettings,
@@ -144,17 +144,17 @@
     prefixes: PrefixIndex,
     queues: IndexMap<QueueKey, FairQueue>,
     mixes: IndexMap<PoolKey, WorkMix>,
-    paces: IndexMap<QueueKey, PlacedPace>,
+    placement_rates: IndexMap<QueueKey, PlacementRate>,
     waiting: IndexMap<JobNumber, WaitingJob>,
     placed: IndexMap<JobNumber, PlacedJob>,
-    own: IndexMap<TargetId, OwnWork>,
+    local: IndexMap<TargetId, LocalWork>,
     next_number: u64,
-    turn: usize,
+    cursor: usize,
     rng: SmallRng,
 }
 
 impl Scheduler {
-    /// Creates a scheduler that knows no fleet yet.
+    /// Creates a scheduler with an empty fleet.
     #[must_use]
     pub fn new(inputs: SchedulerInputs) -> Self {
         Self {
@@ -167,17 +167,17 @@
             prefixes: PrefixIndex::default(),
             queues: IndexMap::new(),
             mixes: IndexMap::new(),
-            paces: IndexMap::new(),
+            placement_rates: IndexMap::new(),
             waiting: IndexMap::new(),
             placed: IndexMap::new(),
-            own: IndexMap::new(),
+            local: IndexMap::new(),
             next_number: 0,
-            turn: 0,
+            cursor: 0,
             rng: SmallRng::seed_from_u64(inputs.seed),
         }
     }
 
-    /// Takes over a new view of the fleet and places what can now be placed.
+    /// Applies a new view of the fleet and places the requests that can now be placed.
     pub fn update_fleet(
         &mut self,
         fleet: SharedFleet,
@@ -185,38 +185,38 @@
         now: MonoTime,
     ) -> Vec<ScheduleAction> {
         self.live_daemons = live_daemons.max(1);
-        // Most views bring new load reports and nothing else.
-        if !candidates::has_same_shape(&self.fleet, &fleet) {
+        // Most views contain only new load reports.
+        if !candidates::has_same_candidates(&self.fleet, &fleet) {
             self.index = CandidateIndex::build(&fleet);
             self.costs.retain_targets(|t| fleet.targets.contains_key(t));
-            self.own
-                .retain(|t, o| fleet.targets.contains_key(t) || !o.running.is_empty());
+            self.local
+                .retain(|t, work| fleet.targets.contains_key(t) || !work.running.is_empty());
         }
-        self.note_reports(&fleet);
+        self.apply_reports(&fleet);
         self.fleet = fleet;
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// Takes in an engine's cache events.
-    pub fn note_cache_events(&mut self, target: &TargetId, events: &[CacheEvent]) {
+    /// Applies an engine's cache events.
+    pub fn apply_cache_events(&mut self, target: &TargetId, events: &[CacheEvent]) {
         for event in events {
-            self.prefixes.note_event(target, event);
+            self.prefixes.apply_event(target, event);
         }
     }
 
-    /// Admits a request to the queue, or refuses it at once.
+    /// Adds a request to the queue, or refuses it immediately.
     ///
     /// # Errors
     ///
-    /// Returns the refusal when the queue is full, no target offers the work, or the
-    /// deadline cannot be met.
+    /// Returns the refusal if the queue is full, no target serves the request's model or
+    /// service, or the deadline cannot be met.
     pub fn admit(&mut self, mut spec: JobSpec, now: MonoTime) -> Result<JobNumber, JobRefusal> {
-        spec.need.due = self.policy.refuse_early.then_some(spec.deadline);
+        spec.need.deadline = self.policy.refuse_early.then_some(spec.deadline);
         spec.need.output_tokens = self.expected_output(&spec);
         self.check_room(&spec)?;
         self.check_pool(&spec)?;
         let queued = self.queued_job(&spec);
-        self.note_mix(&spec, queued.cost, now);
+        self.record_mix(&spec, queued.cost, now);
         if self.policy.refuse_early {
             self.check_deadline(&spec, &queued, now)?;
         }
@@ -226,7 +226,7 @@
         Ok(number)
     }
 
-    /// Puts a request back whose target failed; it waits with its old rank.
+    /// Queues a placed request again after its target failed, with its old number.
     pub fn retry(&mut self, number: JobNumber, need: PlacementNeed) {
         let Some(placed) = self.take_placed(number) else {
             return;
@@ -243,62 +243,63 @@
         self.waiting.insert(number, WaitingJob { spec, queued });
     }
 
-    /// Drops a waiting request; true when it was still waiting.
-    pub fn withdraw(&mut self, number: JobNumber) -> bool {
+    /// Removes a queued request; returns whether it was still queued.
+    pub fn cancel(&mut self, number: JobNumber) -> bool {
         let Some(waiting) = self.waiting.swap_remove(&number) else {
             return false;
         };
         self.queue_of(&waiting.spec.need).remove(&waiting.queued)
     }
 
-    /// Notes the end of a placed request and learns from it.
-    pub fn finish(&mut self, number: JobNumber, measure: JobMeasure, now: MonoTime) {
+    /// Removes a placed request that ended and learns from its measurements.
+    pub fn finish(&mut self, number: JobNumber, measurement: JobMeasurement, now: MonoTime) {
         let Some(placed) = self.take_placed(number) else {
             return;
         };
-        if let Some(own) = self.own.get_mut(&placed.choice.target) {
-            if own.ended.len() == MOST_ENDED {
-                own.ended.remove(0);
+        if let Some(local) = self.local.get_mut(&placed.choice.target) {
+            if local.ended.len() == MAX_ENDED {
+                local.ended.remove(0);
             }
-            own.ended.push((placed.placed_at, now));
+            local.ended.push((placed.placed_at, now));
         }
-        self.learn(&placed, measure);
+        self.learn(&placed, measurement);
     }
 
-    /// Places what can be placed and gives up what can no longer be in time.
-    pub fn pump(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
-        let mut actions = self.give_up_overdue(now);
+    /// Refuses queued requests that can no longer meet their deadline, and places those
+    /// that can be placed.
+    pub fn schedule(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
+        let mut actions = self.refuse_overdue(now);
         for key in self.queues.keys().cloned().collect::<Vec<_>>() {
             while let Some(grant) = self.place_next(&key, now) {
                 actions.push(ScheduleAction::Start(grant));
             }
             let waits = self.queues.get(&key).is_some_and(|q| !q.is_empty());
-            let pace = self.paces.entry(key).or_default();
-            pace.note_waiting(waits, now);
+            let placement_rate = self.placement_rates.entry(key).or_default();
+            placement_rate.record_waiting(waits, now);
         }
         actions
     }
 
-    /// Returns the number of own requests at a target.
+    /// Returns the number of this daemon's requests in flight at a target.
     #[must_use]
-    pub fn own_in_flight(&self, target: &TargetId) -> usize {
-        self.own.get(target).map_or(0, |o| o.running.len())
+    pub fn local_in_flight(&self, target: &TargetId) -> usize {
+        self.local.get(target).map_or(0, |work| work.running.len())
     }
 
-    /// Returns the numbers of waiting and of placed requests.
+    /// Returns the numbers of queued and of placed requests.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         (self.waiting.len(), self.placed.len())
     }
 
-    /// Returns a placed request with the engine-seconds it is expected to take.
+    /// Returns a placed request with its expected cost in engine-seconds.
     #[must_use]
     pub fn placed_cost(&self, number: JobNumber) -> Option<(&JobSpec, f64)> {
         let placed = self.placed.get(&number)?;
         Some((&placed.spec, self.expected_cost(&placed.spec)))
     }
 
-    /// Returns the engine-seconds a request is expected to take.
+    /// Returns the expected cost of a request in engine-seconds.
     #[must_use]
     pub fn expected_cost(&self, spec: &JobSpec) -> f64 {
         let output = self.expected_output(spec);
@@ -306,8 +307,8 @@
             .engine_seconds(unshared_tokens(&spec.need), output)
     }
 
-    /// Takes in the load reports that are newer than the known ones.
-    fn note_reports(&mut self, fleet: &SharedFleet) {
+    /// Applies the load reports that are newer than the known ones.
+    fn apply_reports(&mut self, fleet: &SharedFleet) {
         if fleet.version == self.fleet.version {
             return;
         }
@@ -320,27 +321,27 @@
                 continue;
             };
             if known.is_none_or(|k| k.taken_at < report.taken_at) {
-                let reads = report.prefill_backlog_tokens > 0;
-                self.costs.observe_reading(id, reads);
-                if let Some(own) = self.own.get_mut(id) {
-                    // The report counts them no more, so nothing is left to correct.
-                    own.ended.retain(|(_, ended)| *ended > report.taken_at);
+                let is_prefilling = report.prefill_backlog_tokens > 0;
+                self.costs.observe_prefill_activity(id, is_prefilling);
+                if let Some(local) = self.local.get_mut(id) {
+                    // The new report no longer counts these, so it needs no correction.
+                    local.ended.retain(|(_, ended)| *ended > report.taken_at);
                 }
             }
         }
     }
 
     fn check_room(&self, spec: &JobSpec) -> Result<(), JobRefusal> {
-        let own: usize = self
+        let queued: usize = self
             .queues
             .values()
             .map(|q| q.len_of(&spec.workspace))
             .sum();
-        if own >= self.limits.queue_per_workspace {
-            return Err(self.refusal("the workspace's queue is full".to_owned(), 1.0));
+        if queued >= self.limits.queue_per_workspace {
+            return Err(self.refusal("the queue of the workspace is full".to_owned(), 1.0));
         }
         if self.waiting.len() >= self.limits.queue_length {
-            return Err(self.refusal("the queue is full".to_owned(), 1.0));
+            return Err(self.refusal("the queue of the daemon is full".to_owned(), 1.0));
         }
         Ok(())
     }
@@ -350,8 +351,8 @@
             return Ok(());
         }
         let what = match &spec.need.pool {
-            PoolKey::Model(model) => format!("no engine in use holds model {model}"),
-            PoolKey::Service(service) => format!("no instance of service {service} is in use"),
+            PoolKey::Model(model) => format!("no available engine has model {model} loaded"),
+            PoolKey::Service(service) => format!("no instance of service {service} is available"),
         };
         Err(self.refusal(what, 2.0))
     }
@@ -369,7 +370,8 @@
         }
         let late_s = (millis(ready_at.since(queued.latest_start))) as f64 / 1_000.0;
         let reason = format!(
-            "the deadline cannot be met: about {wait_s:.2} s of waiting would end {late_s:.2} s late"
+            "the deadline cannot be met: after an expected wait of {wait_s:.2} s, the request \
+             would start {late_s:.2} s too late"
         );
         Err(self.refusal(reason, late_s))
     }
@@ -380,30 +382,33 @@
             return 0.0;
         };
         let before = queue.cost_before(&spec.workspace, spec.weight, spec.priority);
-        before / self.pace(&key, now)
+        before / self.service_rate(&key, now)
     }
 
-    /// Engine-seconds per second at which a queue is served: as seen while it was busy,
-    /// else as many as its targets could give.
-    fn pace(&self, key: &QueueKey, now: MonoTime) -> f64 {
+    /// Returns the engine-seconds per second at which a queue is served: as observed
+    /// while requests waited, otherwise the capacity of its targets.
+    fn service_rate(&self, key: &QueueKey, now: MonoTime) -> f64 {
         let capacity = self.capacity(key);
-        let seen = self.paces.get(key).and_then(|p| p.rate(now));
-        seen.map_or(capacity, |rate| rate.clamp(capacity * LEAST_PACE, capacity))
+        let observed = self.placement_rates.get(key).and_then(|p| p.rate(now));
+        observed.map_or(capacity, |rate| {
+            rate.clamp(capacity * MIN_RATE_SHARE, capacity)
+        })
     }
 
-    /// Engine-seconds per second that this daemon's share of the targets could give.
+    /// Returns the capacity of this daemon's share of the targets, in engine-seconds per
+    /// second.
     fn capacity(&self, key: &QueueKey) -> f64 {
         let live = self.candidates(key).map_or(0, |side| side.live());
-        let each = match &key.pool {
+        let per_target = match &key.pool {
             PoolKey::Model(_) => 1.0,
             PoolKey::Service(_) => self.policy.service_in_flight as f64,
         };
-        (live as f64 * each / self.live_daemons as f64).max(0.05)
+        (live as f64 * per_target / self.live_daemons as f64).max(0.05)
     }
 
     fn queued_job(&mut self, spec: &JobSpec) -> QueuedJob {
         self.next_number += 1;
-        let service_s = self.shortest_service(spec);
+        let service_s = self.min_service_seconds(spec);
         let latest_ms = millis(Duration::from_secs_f64(service_s));
         QueuedJob {
             number: JobNumber(self.next_number),
@@ -415,17 +420,19 @@
         }
     }
 
-    /// Seconds the work takes on an otherwise idle engine of the best role in use.
-    fn shortest_service(&self, spec: &JobSpec) -> f64 {
+    /// Returns the seconds that a request takes on an idle engine of the fastest role in
+    /// use.
+    fn min_service_seconds(&self, spec: &JobSpec) -> f64 {
         if matches!(spec.need.pool, PoolKey::Service(_)) {
             return 0.0;
         }
         let output = self.expected_output(spec);
-        let nowhere = TargetId::from("");
-        let read = unshared_tokens(&spec.need);
+        let unknown_target = TargetId::from("");
+        let prefill_tokens = unshared_tokens(&spec.need);
         let times = self.roles_in_use(&spec.need.pool).into_iter().map(|role| {
-            self.costs.prefill_seconds(&nowhere, role, read)
-                + output * self.costs.gap_seconds(&nowhere, role, 0.0)
+            self.costs
+                .prefill_seconds(&unknown_target, role, prefill_tokens)
+                + output * self.costs.token_gap_seconds(&unknown_target, role, 0.0)
         });
         times.fold(f64::INFINITY, f64::min)
     }
@@ -443,7 +450,7 @@
             .expected_output(&spec.workspace, &spec.class, spec.max_output_tokens)
     }
 
-    fn give_up_overdue(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
+    fn refuse_overdue(&mut self, now: MonoTime) -> Vec<ScheduleAction> {
         let overdue: Vec<QueuedJob> = self
             .queues
             .values()
@@ -452,10 +459,10 @@
             .collect();
         let mut actions = Vec::with_capacity(overdue.len());
         for job in overdue {
-            self.withdraw(job.number);
-            let reason = "no target became free in time for the deadline".to_owned();
+            self.cancel(job.number);
+            let reason = "no target became available in time to meet the deadline".to_owned();
             let refusal = self.refusal(reason, 1.0);
-            actions.push(ScheduleAction::GiveUp(job.number, refusal));
+            actions.push(ScheduleAction::Refuse(job.number, refusal));
         }
         actions
     }
@@ -467,26 +474,26 @@
     }
 
     fn place_next(&mut self, key: &QueueKey, now: MonoTime) -> Option<JobGrant> {
-        let share = self.reading_share(&key.pool);
+        let share = self.prefill_share(&key.pool);
         let inputs = PlacementInputs {
             fleet: &self.fleet,
             candidates: self.index.side(&key.pool, key.side, share)?,
             costs: &self.costs,
             prefixes: &self.prefixes,
-            own: &self.own,
+            local: &self.local,
             policy: &self.policy,
             live_daemons: self.live_daemons,
             now,
         };
         let queue = self.queues.get_mut(key)?;
-        let (waiting, turn, rng) = (&self.waiting, &mut self.turn, &mut self.rng);
+        let (waiting, cursor, rng) = (&self.waiting, &mut self.cursor, &mut self.rng);
         let mut choice = None;
         let job = queue.take_first(LOOK_AHEAD, |job| {
             let spec = &waiting[&job.number].spec;
-            choice = choose_target(&spec.need, &inputs, turn, rng);
+            choice = choose_target(&spec.need, &inputs, cursor, rng);
             choice.is_some()
         })?;
-        self.paces
+        self.placement_rates
             .entry(key.clone())
             .or_default()
             .add(job.cost, now);
@@ -496,7 +503,7 @@
     fn place(&mut self, job: &QueuedJob, choice: TargetChoice, now: MonoTime) -> JobGrant {
         let state = self.fleet.targets.get(&choice.target).map(|t| t.state);
         invariants::check(state == Some(UseState::Live), Invariant::NoLateWork, || {
-            format!("work placed on {} in state {state:?}", choice.target)
+            format!("request placed on {} in state {state:?}", choice.target)
         });
         let number = job.number;
         if let Some(waiting) = self.waiting.swap_remove(&number) {
@@ -506,9 +513,9 @@
                 placed_at: now,
                 prefill_tokens: need.prompt_tokens,
             };
-            let own = self.own.entry(choice.target.clone()).or_default();
-            own.running.push(running);
-            self.prefixes.note_read(
+            let local = self.local.entry(choice.target.clone()).or_default();
+            local.running.push(running);
+            self.prefixes.record_cached(
                 &need.shared_prefix,
                 &choice.target,
                 need.shared_prefix_tokens,
@@ -526,24 +533,25 @@
 
     fn take_placed(&mut self, number: JobNumber) -> Option<PlacedJob> {
         let placed = self.placed.swap_remove(&number)?;
-        if let Some(own) = self.own.get_mut(&placed.choice.target) {
-            own.running.retain(|job| job.number != number);
+        if let Some(local) = self.local.get_mut(&placed.choice.target) {
+            local.running.retain(|job| job.number != number);
         }
         Some(placed)
     }
 
-    fn learn(&mut self, placed: &PlacedJob, measure: JobMeasure) {
+    fn learn(&mut self, placed: &PlacedJob, measurement: JobMeasurement) {
         let (spec, choice) = (&placed.spec, &placed.choice);
-        if let Some(tokens) = measure.whole_tokens {
+        if let Some(tokens) = measurement.complete_answer_tokens {
             self.costs
                 .observe_output(&spec.workspace, &spec.class, tokens, spec.max_output_tokens);
         }
-        if let Some(actual) = measure.first_token_s {
+        if let Some(actual) = measurement.first_token_s {
             self.costs
                 .observe_prefill(&choice.target, choice.first_token_s, actual);
         }
-        if let Some(actual) = measure.gap_s {
-            self.costs.observe_gap(&choice.target, choice.gap_s, actual);
+        if let Some(actual) = measurement.token_gap_s {
+            self.costs
+                .observe_token_gap(&choice.target, choice.token_gap_s, actual);
         }
     }
 
@@ -557,12 +565,12 @@
 
     fn queue_key(&self, need: &PlacementNeed) -> QueueKey {
         let step_s = self.costs.prefill_step_seconds();
-        let read_s = self.costs.engine_seconds(unshared_tokens(need), 0.0);
-        let long = read_s > READING_STEPS * step_s;
-        let side = if long && self.divides_work() {
-            WorkSide::Reading
+        let prefill_s = self.costs.engine_seconds(unshared_tokens(need), 0.0);
+        let is_long = prefill_s > LONG_PROMPT_STEPS * step_s;
+        let side = if is_long && self.splits_pools() {
+            PoolSide::Prefill
         } else {
-            WorkSide::Writing
+            PoolSide::Decode
         };
         QueueKey {
             pool: need.pool.clone(),
@@ -570,25 +578,25 @@
         }
     }
 
-    fn divides_work(&self) -> bool {
+    fn splits_pools(&self) -> bool {
         self.policy.placement == PlacementPolicy::Estimate
     }
 
-    fn note_mix(&mut self, spec: &JobSpec, cost: f64, now: MonoTime) {
+    fn record_mix(&mut self, spec: &JobSpec, cost: f64, now: MonoTime) {
         let side = self.queue_key(&spec.need).side;
         let mix = self.mixes.entry(spec.need.pool.clone()).or_default();
         mix.add(side, cost, now);
     }
 
-    fn reading_share(&self, pool: &PoolKey) -> f64 {
-        let whole = self.index.side(pool, WorkSide::Writing, 0.0);
-        let targets = whole.map_or(0, |side| side.len());
+    fn prefill_share(&self, pool: &PoolKey) -> f64 {
+        let all_targets = self.index.side(pool, PoolSide::Decode, 0.0);
+        let targets = all_targets.map_or(0, |side| side.len());
         let mix = self.mixes.get(pool);
-        mix.map_or(0.0, |mix| mix.reading_part(targets, self.live_daemons))
+        mix.map_or(0.0, |mix| mix.prefill_part(targets, self.live_daemons))
     }
 
     fn candidates(&self, key: &QueueKey) -> Option<CandidateSide<'_>> {
-        let share = self.reading_share(&key.pool);
+        let share = self.prefill_share(&key.pool);
         self.index.side(&key.pool, key.side, share)
     }
 
@@ -596,15 +604,16 @@
         let after = Duration::from_secs_f64(after_s.max(0.0));
         JobRefusal {
             reason,
-            retry_after: after.clamp(SHORTEST_RETRY, LONGEST_RETRY),
+            retry_after: after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 }
 
-/// Tokens of a prompt to be read where its shared part is cached, as it mostly is.
+/// Returns the prompt tokens to prefill if the shared part is cached, as it usually is.
 ///
-/// Counted in full, a popular rulebook makes every request look several times as
-/// dear, and requests are refused that would be in time.
+/// If the shared part counted in full, a long part in common use would make each request
+/// look several times as costly, and requests that can meet their deadline would be
+/// refused.
 fn unshared_tokens(need: &PlacementNeed) -> f64 {
     (need.prompt_tokens - f64::from(need.shared_prefix_tokens)).max(0.0)
 }
--- a/src/gateway/fleet_tasks/usage_reporter.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -83,7 +83,7 @@
             });
             return;
         };
-        let meter = gateway.duties.borrow();
+        let meter = gateway.fleet_tasks.borrow();
         let Some(current) = meter.usage.window_of(&meter.clock, now) else {
             return;
         };
@@ -189,7 +189,7 @@
 ) {
     let (ports, turn) = (gateway.ports.clone(), turn.clone());
     spawn_local(async move {
-        let sent = match ports.duties.filter(|_| turn.is_valid()) {
+        let sent = match ports.fleet_tasks.filter(|_| turn.is_valid()) {
             Some(duties) => {
                 let report = UsageReport { window, counts };
                 (duties.report_usage)((turn.caller, report)).await
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -70,7 +70,7 @@
     let mut ticks = timer.every(CHECK_INTERVAL);
     let mut loaded = false;
     while ticks.next().await.is_some() {
-        let needs_load = !loaded && gateway.duty.get().watches(Feed::Targets);
+        let needs_load = !loaded && gateway.watch_mode.get().watches(Feed::Targets);
         let result = if needs_load {
             gateway.load_quarantine().await
         } else {
@@ -214,7 +214,7 @@
             quarantined_at: clock::mono_now(),
             crashes: 0,
         };
-        self.held
+        self.quarantine
             .borrow_mut()
             .works
             .entry(work)
@@ -224,9 +224,9 @@
 
     /// Refutes crashes of targets whose entries show that they are alive.
     pub(in crate::gateway) fn refute_registered_targets(&self, now: MonoTime) {
-        let is_reachable = self.pulse.age(now) < STORE_TIMEOUT;
+        let is_reachable = self.store_liveness.age(now) < STORE_TIMEOUT;
         let reachable_since = {
-            let mut quarantine = self.held.borrow_mut();
+            let mut quarantine = self.quarantine.borrow_mut();
             let since = quarantine.reachable_since.filter(|_| is_reachable);
             quarantine.reachable_since = since.or(is_reachable.then_some(now));
             quarantine.reachable_since
@@ -235,8 +235,9 @@
             return;
         };
         let view = self.view();
-        let has_entry =
-            |target: &TargetIncarnation| view.holds(target) && !view.missing.contains_key(target);
+        let has_entry = |target: &TargetIncarnation| {
+            view.has_target(target) && !view.missing_entries.contains_key(target)
+        };
         let lapse_time = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
         crashes.refute_registered(has_entry, lapse_time, reachable_since, now);
@@ -244,13 +245,13 @@
 
     fn quarantine_object(&self, work: WorkDigest) -> ObjectName {
         ObjectName {
-            kind: self.ports.schema.held_kind.clone(),
+            kind: self.ports.schema.quarantine_kind.clone(),
             name: work.to_string(),
         }
     }
 
     async fn load_quarantine(&self) -> Result<(), PlatformError> {
-        let kind = self.ports.schema.held_kind.clone();
+        let kind = self.ports.schema.quarantine_kind.clone();
         let objects = match (self.ports.store.list)(kind).await {
             Ok(batch) => batch.objects,
             Err(PlatformError::Refused { reason }) => {
@@ -264,7 +265,7 @@
         for object in &objects {
             self.apply_stored_quarantine(object);
         }
-        let mut quarantine = self.held.borrow_mut();
+        let mut quarantine = self.quarantine.borrow_mut();
         quarantine.listed_at = Some(clock::mono_now());
         // Records that the store lost are written again.
         let names: Vec<&str> = objects.iter().map(|o| o.object.name.as_str()).collect();
@@ -289,7 +290,8 @@
                 }
                 let count = report.crashes.len();
                 self.apply_crash_report(&report, true, "", "store");
-                if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&report.work) {
+                if let Some(stored_work) = self.quarantine.borrow_mut().works.get_mut(&report.work)
+                {
                     stored_work.crashes = stored_work.crashes.max(count);
                 }
             }
@@ -301,7 +303,7 @@
         let quarantined: Vec<WorkDigest> = self.crashes.borrow().quarantined().collect();
         metrics::gauge!("pistachiowick_works_held").set(quarantined.len() as f64);
         let (now, rank) = (clock::mono_now(), self.full_view_rank(clock::mono_now()));
-        self.held
+        self.quarantine
             .borrow_mut()
             .works
             .retain(|work, _| quarantined.contains(work));
@@ -314,7 +316,7 @@
                 self.write_quarantine(work).await?;
             }
         }
-        let listed_at = self.held.borrow().listed_at;
+        let listed_at = self.quarantine.borrow().listed_at;
         if rank == 0 && listed_at.is_none_or(|at| now.since(at) >= RELEASE_CHECK_INTERVAL) {
             self.load_quarantine().await?;
         }
@@ -323,7 +325,7 @@
 
     fn needs_quarantine_write(&self, work: WorkDigest, delay: Duration, now: MonoTime) -> bool {
         let count = self.crashes.borrow().crashed_targets(work).len();
-        let quarantine = self.held.borrow();
+        let quarantine = self.quarantine.borrow();
         let known = quarantine.works.get(&work);
         known.is_some_and(|known| known.crashes < count && now.since(known.quarantined_at) >= delay)
     }
@@ -353,14 +355,14 @@
             };
             log::info!(work = work.to_string(), ends = crashes.len(); "recorded quarantined work in the store");
         }
-        if let Some(stored_work) = self.held.borrow_mut().works.get_mut(&work) {
+        if let Some(stored_work) = self.quarantine.borrow_mut().works.get_mut(&work) {
             stored_work.crashes = crashes.len();
         }
         Ok(())
     }
 
     fn quarantined_route(&self, work: WorkDigest) -> String {
-        let quarantine = self.held.borrow();
+        let quarantine = self.quarantine.borrow();
         let stored_work = quarantine.works.get(&work);
         stored_work
             .map(|stored_work| stored_work.route.clone())
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -151,7 +151,7 @@
         plan: SendPlan<'_>,
         order: &SendOrder,
     ) -> SendOutcome {
-        if !self.view().holds(&target.id) {
+        if !self.view().has_target(&target.id) {
             // It may have announced its departure after it was selected.
             return SendOutcome::NotSent(format!("{} is leaving or gone", target.id));
         }
@@ -276,7 +276,7 @@
             ));
         }
         // Answers to callers must be signed; the answer to a prefill stays in this daemon.
-        let is_run = order.mode != SendMode::ReadPrompt;
+        let is_run = order.mode != SendMode::Prefill;
         if is_run && head.status.is_success() && !marks.signed {
             return SendOutcome::Unclear(format!("{} sent an unsigned answer", target.id));
         }
--- a/src/roles/mod.rs
+++ b/src/roles/mod.rs
@@ -1,8 +1,8 @@
-//! Engine roles by forecast of the mix of work.
+//! Assignment of engine roles by a forecast of the prefill and decode load.
 
 pub mod capacity;
 pub mod mix;
 pub mod plan;
-pub mod plan_book;
 pub mod plan_inputs;
+pub mod plan_store;
 pub mod work_mix;
--- a/src/roles/work_mix.rs
+++ b/src/roles/work_mix.rs
@@ -1,111 +1,111 @@
-//! How much of the recent work was reading of long prompts.
+//! Recent work by side of a pool, and the rate at which a queue is served.
 
 use std::time::Duration;
 
-use crate::decide::placement::WorkSide;
+use crate::decide::placement::PoolSide;
 use crate::names::MonoTime;
 
-/// Time in which the weight of past work halves. Short against the minutes in which
-/// the mix swings, long against the gaps between requests.
+/// Time in which the weight of past work halves: short compared to the minutes over which
+/// the mix changes, long compared to the gaps between requests.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// Room that writing gets beyond its bare need, for what comes in bursts.
-const WRITING_ROOM: f64 = 1.3;
-/// Least part that reads while there is anything to read.
-const LEAST_PART: f64 = 1e-6;
+/// Factor on the capacity that the decode side needs, as headroom for bursts.
+const DECODE_HEADROOM: f64 = 1.3;
+/// Minimum part of a pool on the prefill side while there is any work for it.
+const MIN_PREFILL_PART: f64 = 1e-6;
 
-/// Decayed cost of what was placed, from which the pace of a queue is read.
+/// Exponentially decayed cost of placed work, which gives the service rate of a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PlacedPace {
-    placed: f64,
+pub struct PlacementRate {
+    placed_cost: f64,
     at: MonoTime,
-    busy_since: Option<MonoTime>,
+    waiting_since: Option<MonoTime>,
 }
 
-impl PlacedPace {
-    /// Adds placed work of some engine-seconds.
+impl PlacementRate {
+    /// Adds the cost of placed work in engine-seconds.
     pub fn add(&mut self, cost: f64, now: MonoTime) {
-        self.placed = self.placed * decay_since(self.at, now) + cost;
+        self.placed_cost = self.placed_cost * decay_factor(self.at, now) + cost;
         self.at = now;
     }
 
-    /// Notes whether anything waits.
-    pub fn note_waiting(&mut self, waits: bool, now: MonoTime) {
-        if !waits {
-            self.busy_since = None;
-        } else if self.busy_since.is_none() {
-            self.busy_since = Some(now);
+    /// Records whether requests are queued.
+    pub fn record_waiting(&mut self, has_waiting: bool, now: MonoTime) {
+        if !has_waiting {
+            self.waiting_since = None;
+        } else if self.waiting_since.is_none() {
+            self.waiting_since = Some(now);
         }
     }
 
-    /// Returns the engine-seconds placed per second while work waited; `None` before it
-    /// has waited long enough to tell.
+    /// Returns the engine-seconds placed per second; `None` unless requests have been
+    /// queued for at least one half-life.
     #[must_use]
     pub fn rate(&self, now: MonoTime) -> Option<f64> {
-        let busy = now.since(self.busy_since?);
-        if busy < HALF_LIFE {
+        let waited = now.since(self.waiting_since?);
+        if waited < HALF_LIFE {
             return None;
         }
-        let placed = self.placed * decay_since(self.at, now);
-        Some(placed * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64())
+        let placed_cost = self.placed_cost * decay_factor(self.at, now);
+        Some(placed_cost * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64())
     }
 }
 
-fn decay_since(at: MonoTime, now: MonoTime) -> f64 {
+fn decay_factor(at: MonoTime, now: MonoTime) -> f64 {
     let halves = now.since(at).as_secs_f64() / HALF_LIFE.as_secs_f64();
     0.5_f64.powf(halves)
 }
 
-/// Decayed cost of recent work by side.
+/// Exponentially decayed cost of recent work by side.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkMix {
-    reading: f64,
-    writing: f64,
+    prefill: f64,
+    decode: f64,
     at: MonoTime,
 }
 
 impl WorkMix {
-    /// Adds work of some engine-seconds.
-    pub fn add(&mut self, side: WorkSide, cost: f64, now: MonoTime) {
+    /// Adds the cost of work in engine-seconds.
+    pub fn add(&mut self, side: PoolSide, cost: f64, now: MonoTime) {
         self.decay(now);
         match side {
-            WorkSide::Reading => self.reading += cost,
-            WorkSide::Writing => self.writing += cost,
+            PoolSide::Prefill => self.prefill += cost,
+            PoolSide::Decode => self.decode += cost,
         }
     }
 
-    /// Returns the share of reading, 0 while there was no work.
+    /// Returns the share of work on the prefill side, 0 if there was no work.
     #[must_use]
-    pub fn reading_share(&self) -> f64 {
-        let total = self.reading + self.writing;
+    pub fn prefill_share(&self) -> f64 {
+        let total = self.prefill + self.decode;
         if total > 0.0 {
-            self.reading / total
+            self.prefill / total
         } else {
             0.0
         }
     }
 
-    /// Returns the part of a pool's targets that should read, where all daemons together
-    /// see `daemons` times this work.
+    /// Returns the part of a pool's targets that should form the prefill side, if all
+    /// daemons together have `daemons` times this work.
     ///
-    /// Writing gets its share of the targets, and at least what its work needs: long
-    /// prompts mostly may wait, and a flood of them must not leave the short, urgent
+    /// The decode side gets its share of the targets, and at least what its work needs:
+    /// long prompts can usually wait, and a flood of them must not leave short, urgent
     /// requests without engines.
     #[must_use]
-    pub fn reading_part(&self, targets: usize, daemons: usize) -> f64 {
-        if self.reading <= 0.0 || targets == 0 {
+    pub fn prefill_part(&self, targets: usize, daemons: usize) -> f64 {
+        if self.prefill <= 0.0 || targets == 0 {
             return 0.0;
         }
-        let pace = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
-        let needed = self.writing * pace * daemons as f64 * WRITING_ROOM;
+        let decay_rate = std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64();
+        let needed = self.decode * decay_rate * daemons as f64 * DECODE_HEADROOM;
         let part = 1.0 - needed / targets as f64;
-        self.reading_share().min(part).max(LEAST_PART)
+        self.prefill_share().min(part).max(MIN_PREFILL_PART)
     }
 
     fn decay(&mut self, now: MonoTime) {
-        let left = decay_since(self.at, now);
-        self.reading *= left;
-        self.writing *= left;
+        let left = decay_factor(self.at, now);
+        self.prefill *= left;
+        self.decode *= left;
         self.at = now;
     }
 }
