--- a/src/control/changes.rs
+++ b/src/control/changes.rs
@@ -184,10 +184,10 @@
     }
 
     pub(crate) fn peer_ids(&self) -> Vec<String> {
-        let own = &self.inputs.settings.daemon_id;
+        let local_id = &self.inputs.settings.daemon_id;
         let daemons = self.membership.fleet().daemons.values();
         daemons
-            .filter(|d| d.id != *own && d.state < UseState::Leaving)
+            .filter(|d| d.id != *local_id && d.state < UseState::Leaving)
             .map(|d| d.id.to_string())
             .collect()
     }
--- a/src/control/peer_exchange.rs
+++ b/src/control/peer_exchange.rs
@@ -31,7 +31,7 @@
 
 /// State that the control thread keeps for the exchange with its peers.
 pub struct PeerExchange {
-    own: DaemonId,
+    local_id: DaemonId,
     incarnation: ProcessIncarnation,
     watchers: usize,
     peer_timeout: Duration,
@@ -58,7 +58,7 @@
         crashes: SharedCrashTracker,
     ) -> Self {
         Self {
-            own: settings.daemon_id.clone(),
+            local_id: settings.daemon_id.clone(),
             incarnation,
             watchers: settings.peers.watchers,
             peer_timeout: Duration::from_millis(settings.peers.silence_ms),
@@ -131,15 +131,15 @@
     }
 
     /// Records the state of an engine that this daemon leads for the next hint.
-    pub fn note_engine(&mut self, target: &TargetId, state: &EngineState) {
+    pub fn add_engine_state(&mut self, target: &TargetId, state: &EngineState) {
         self.engines.insert(target.clone(), state.clone());
     }
 
     /// Returns whether a peer recently sent the state of an engine in its hints.
     #[must_use]
     pub fn is_reported_by_peer(&self, target: &TargetId, now: MonoTime) -> bool {
-        let seen = self.peer_reports.get(target);
-        seen.is_some_and(|at| now.since(*at) < self.peer_timeout / 2)
+        let last_report = self.peer_reports.get(target);
+        last_report.is_some_and(|at| now.since(*at) < self.peer_timeout / 2)
     }
 
     /// Recomputes which daemons to link to and which ones watch the platform.
@@ -154,7 +154,7 @@
             .retain(|_, at| now.since(*at) < peer_timeout);
         self.applied
             .retain(|_, (_, at)| now.since(*at) < UPDATE_RETENTION);
-        self.topology = PeerTopology::new(fleet, &self.own, self.watchers);
+        self.topology = PeerTopology::new(fleet, &self.local_id, self.watchers);
         if let Some(outbox) = &self.outbox {
             let links = self.topology.links.clone();
             let _ = outbox.send(PeerCommand::Links(links));
@@ -191,7 +191,7 @@
         let recent = costs.filter(|(_, (_, at))| now.since(*at) < UPDATE_RETENTION);
         let applied = self.applied.iter().rev().take(MAX_APPLIED_VERSIONS);
         let hint = PeerHint {
-            daemon: Some(self.own.clone()),
+            daemon: Some(self.local_id.clone()),
             incarnation: self.incarnation,
             sequence: self.sequence,
             leaving,
@@ -213,7 +213,7 @@
         now: MonoTime,
     ) -> Option<PeerHint> {
         let origin = hint.daemon.clone()?;
-        if origin == self.own || !self.hints.apply(hint.clone(), now) {
+        if origin == self.local_id || !self.hints.apply(hint.clone(), now) {
             return None;
         }
         for report in &hint.crash_reports {
@@ -226,7 +226,7 @@
         let receivers = self
             .linked
             .iter()
-            .filter(|peer| *peer != from && self.topology.forwards(&self.own, &origin, peer));
+            .filter(|peer| *peer != from && self.topology.forwards(&self.local_id, &origin, peer));
         let receivers: Vec<DaemonId> = receivers.cloned().collect();
         if !receivers.is_empty() {
             self.send(receivers, PeerMessage::Hint(Box::new(hint.clone())));
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -60,7 +60,7 @@
         feeds: mpsc::UnboundedSender<FeedEvent>,
     ) -> Self {
         let settings = &inputs.settings;
-        let own = membership::own_view(
+        let local_view = membership::own_view(
             settings.daemon_id.clone(),
             inputs.rpc_address.to_string(),
             inputs.peer_address.to_string(),
@@ -91,7 +91,7 @@
             share_view: Arc::default(),
             confirmations: Vec::new(),
             stop_replies: Vec::new(),
-            membership: MembershipState::new(own, limits),
+            membership: MembershipState::new(local_view, limits),
             bucket_locks: Arc::new(locks.collect()),
             inputs,
             cell,
@@ -148,7 +148,7 @@
                 self.list_received |= applied;
             }
             FeedEvent::Platform(reachable) => self.set_platform_reachable(reachable),
-            FeedEvent::Engine { target, report } => self.note_engine(&target, report.as_ref()),
+            FeedEvent::Engine { target, report } => self.record_poll(&target, report.as_ref()),
             FeedEvent::Orders(objects) => self.apply_orders(&objects, None),
             FeedEvent::Read { tag, result } => {
                 let (fleet, now) = (self.membership.fleet().clone(), clock::mono_now());
@@ -229,7 +229,7 @@
         metrics::gauge!("pistachiowick_platform_reachable").set(f64::from(u8::from(reachable)));
     }
 
-    pub(crate) fn note_engine(
+    pub(crate) fn record_poll(
         &mut self,
         target: &TargetId,
         report: Option<&(EngineState, Duration)>,
@@ -243,7 +243,7 @@
             let taken_at = MonoTime(now.0.saturating_sub(millis(*age)));
             self.authority.note_state(target, state, taken_at);
             if self.authority.leads(target) {
-                self.peers.note_engine(target, state);
+                self.peers.add_engine_state(target, state);
             }
         }
     }
--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -32,7 +32,7 @@
 /// is missing or wrong.
 pub async fn authenticate_caller(
     socket: &mut Socket,
-    own: &PeerIdentity,
+    local: &PeerIdentity,
 ) -> Option<(DaemonId, ProcessIncarnation)> {
     let challenge = new_challenge();
     send(socket, &HandshakeMessage::Challenge(challenge.clone())).await?;
@@ -45,18 +45,18 @@
     else {
         return None;
     };
-    let mac = sign(&own.secret, CALLER, &challenge, &daemon, incarnation)?;
+    let mac = sign(&local.secret, CALLER, &challenge, &daemon, incarnation)?;
     mac.verify_slice(&proof).ok()?;
     let proof = sign(
-        &own.secret,
+        &local.secret,
         LISTENER,
         &peer_challenge,
-        &own.daemon,
-        own.incarnation,
+        &local.daemon,
+        local.incarnation,
     )?;
     let welcome = HandshakeMessage::Welcome {
-        daemon: own.daemon.clone(),
-        incarnation: own.incarnation,
+        daemon: local.daemon.clone(),
+        incarnation: local.incarnation,
         proof: proof.finalize().into_bytes().to_vec(),
     };
     send(socket, &welcome).await?;
@@ -67,22 +67,22 @@
 /// `None` if its proof is missing or wrong.
 pub async fn authenticate_listener(
     socket: &mut Socket,
-    own: &PeerIdentity,
+    local: &PeerIdentity,
 ) -> Option<(DaemonId, ProcessIncarnation)> {
     let HandshakeMessage::Challenge(peer_challenge) = receive(socket).await? else {
         return None;
     };
     let challenge = new_challenge();
     let proof = sign(
-        &own.secret,
+        &local.secret,
         CALLER,
         &peer_challenge,
-        &own.daemon,
-        own.incarnation,
+        &local.daemon,
+        local.incarnation,
     )?;
     let hello = HandshakeMessage::Hello {
-        daemon: own.daemon.clone(),
-        incarnation: own.incarnation,
+        daemon: local.daemon.clone(),
+        incarnation: local.incarnation,
         proof: proof.finalize().into_bytes().to_vec(),
         challenge: challenge.clone(),
     };
@@ -95,7 +95,7 @@
     else {
         return None;
     };
-    let mac = sign(&own.secret, LISTENER, &challenge, &daemon, incarnation)?;
+    let mac = sign(&local.secret, LISTENER, &challenge, &daemon, incarnation)?;
     mac.verify_slice(&proof).ok()?;
     Some((daemon, incarnation))
 }
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -187,7 +187,8 @@
             Ok(Ok((stream, _))) => {
                 let peers = peers.clone();
                 tokio::spawn(async move {
-                    let authenticated = timeout(HANDSHAKE_TIMEOUT, answer(&peers, stream)).await;
+                    let authenticated =
+                        timeout(HANDSHAKE_TIMEOUT, accept_link(&peers, stream)).await;
                     drop(permit);
                     if let Ok(Some((socket, peer, incarnation))) = authenticated {
                         run_link(peers, socket, peer, incarnation).await;
@@ -202,7 +203,7 @@
 
 type AuthenticatedPeer = (WebSocketStream<TcpStream>, DaemonId, ProcessIncarnation);
 
-async fn answer(peers: &PeerLinks, stream: TcpStream) -> Option<AuthenticatedPeer> {
+async fn accept_link(peers: &PeerLinks, stream: TcpStream) -> Option<AuthenticatedPeer> {
     let _ = stream.set_nodelay(true);
     let socket = accept_async_with_config(stream, Some(socket_config())).await;
     let mut socket = socket.ok()?;
--- a/src/peers/state.rs
+++ b/src/peers/state.rs
@@ -52,27 +52,27 @@
 }
 
 impl PeerTopology {
-    /// Computes the topology for the daemon `own`.
+    /// Computes the topology for the daemon `local_id`.
     #[must_use]
-    pub fn new(fleet: &FleetView, own: &DaemonId, watchers: usize) -> Self {
+    pub fn new(fleet: &FleetView, local_id: &DaemonId, watchers: usize) -> Self {
         let daemons = fleet.daemons.values();
         let centres: IndexMap<DaemonId, CentreName> = daemons
             .map(|d| (d.id.clone(), d.data_centre.clone()))
             .collect();
-        let own_centre = centres.get(own);
+        let local_centre = centres.get(local_id);
         let names: IndexSet<&CentreName> = centres.values().collect();
         let mut all = IndexSet::new();
         let mut local = IndexSet::new();
         for centre in names {
             let found = watchers_of(fleet, centre, watchers);
-            if Some(centre) == own_centre {
+            if Some(centre) == local_centre {
                 local.extend(found.iter().cloned());
             }
             all.extend(found);
         }
-        let is_watcher = local.contains(own);
+        let is_watcher = local.contains(local_id);
         let peers = if is_watcher { &all } else { &local };
-        let links = peers.iter().filter(|id| *id != own).cloned().collect();
+        let links = peers.iter().filter(|id| *id != local_id).cloned().collect();
         Self {
             is_watcher,
             links,
@@ -88,11 +88,11 @@
     /// and hints from those to remote watchers and to the other non-watchers. Watchers
     /// receive each other's hints directly.
     #[must_use]
-    pub fn forwards(&self, own: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
-        if !self.is_watcher || origin == peer || peer == own || origin == own {
+    pub fn forwards(&self, local_id: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
+        if !self.is_watcher || origin == peer || peer == local_id || origin == local_id {
             return false;
         }
-        let here = self.centres.get(own);
+        let here = self.centres.get(local_id);
         let origin_here = self.centres.get(origin) == here;
         let peer_here = self.centres.get(peer) == here;
         let origin_watches = self.watchers.contains(origin);
--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -147,10 +147,10 @@
 #[tokio::test]
 async fn finds_its_mark_below_another_writers() {
     let platform = FakePlatform::default();
-    let own = change("w", 1, 0);
+    let local_change = change("w", 1, 0);
     platform.books().faults.push_back(WriteFault::AnswerLost);
     let port = platform.clone();
-    let watched = own.clone();
+    let watched = local_change.clone();
     let other_writer = tokio::spawn(async move {
         while port.books().objects.is_empty() {
             tokio::task::yield_now().await;
@@ -158,10 +158,10 @@
         let write = concurrent_write(&port, &other_item_of_bucket(&watched));
         port.books().take(&write).unwrap();
     });
-    let done = run(&platform, &own, "own").await.unwrap();
+    let done = run(&platform, &local_change, "own").await.unwrap();
     other_writer.await.unwrap();
     assert_eq!(done.revision, 1);
-    assert_eq!(bucket_of(&platform, &own).sequence, 2);
+    assert_eq!(bucket_of(&platform, &local_change).sequence, 2);
 }
 
 /// The write is lost in transit and a concurrent writer changes the same item. The lost
@@ -195,12 +195,12 @@
 #[tokio::test]
 async fn a_change_of_another_item_is_no_conflict() {
     let platform = FakePlatform::default();
-    let own = change("w", 1, 0);
-    let write = concurrent_write(&platform, &other_item_of_bucket(&own));
+    let local_change = change("w", 1, 0);
+    let write = concurrent_write(&platform, &other_item_of_bucket(&local_change));
     platform.books().before_write.push_back(write);
-    let done = run(&platform, &own, "own").await.unwrap();
+    let done = run(&platform, &local_change, "own").await.unwrap();
     assert_eq!(done.revision, 2);
-    assert_eq!(bucket_of(&platform, &own).items.len(), 2);
+    assert_eq!(bucket_of(&platform, &local_change).items.len(), 2);
 }
 
 /// The platform becomes unavailable before or after a write is lost. Only in the first case
@@ -238,9 +238,9 @@
 #[tokio::test]
 async fn the_stored_bucket_can_be_applied_at_once() {
     let platform = FakePlatform::default();
-    let own = change("w", 3, 0);
-    let done = run(&platform, &own, "own").await.unwrap();
+    let local_change = change("w", 3, 0);
+    let done = run(&platform, &local_change, "own").await.unwrap();
     let mut state = ConfigState::default();
     state.apply(&done.stored).unwrap();
-    assert_eq!(state.view().items[&own.item].revision, 1);
+    assert_eq!(state.view().items[&local_change.item].revision, 1);
 }
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -213,11 +213,11 @@
     }))
 }
 
-pub fn answered(whole: &str) -> FakeStep {
+pub fn answered(text: &str) -> FakeStep {
     ended(pb::Final {
         outcome: pb::Outcome::Answered.into(),
-        length: whole.len() as u64,
-        digest: digest(whole),
+        length: text.len() as u64,
+        digest: digest(text),
         ..pb::Final::default()
     })
 }
@@ -235,6 +235,6 @@
     FakeStep::Send(Event::Final(end))
 }
 
-pub fn digest(whole: &str) -> Vec<u8> {
-    Sha256::digest(whole.as_bytes()).to_vec()
+pub fn digest(text: &str) -> Vec<u8> {
+    Sha256::digest(text.as_bytes()).to_vec()
 }
