--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -1,15 +1,15 @@
-//! Hubs: in large fleets one daemon of each data centre speaks for it.
+//! Hubs: in large fleets one daemon of each data centre relays messages for the others.
 //!
-//! With links from each daemon to each other one, messages grow with the square of
-//! the fleet: 90 daemons would exchange 40,000 hints a second. With hubs a daemon
-//! has one link, and a hub one to each of its members and to each other hub. Only
-//! hubs watch the store and pass on what changes.
+//! In a full mesh, the number of messages grows with the square of the fleet: 90 daemons
+//! would exchange 40,000 hints a second. With hubs, a member has one link, and a hub has one
+//! to each of its members and to each other hub. Only hubs watch the store and relay its
+//! changes.
 //!
-//! One hub follows the store for the others, which take over when they do not hear of
-//! it for a part of the time in which a change has to be in force.
+//! One hub watches the store for the others. They take over when they receive nothing of
+//! the store from it for a part of the time in which a change has to be in force.
 //!
-//! Nothing is agreed on: each daemon takes the first of its data centre that it
-//! hears as its hub. One that others take for their hub acts as one.
+//! There is no consensus: each daemon selects the first reachable daemon of its data centre
+//! as its hub. A daemon that others have selected acts as a hub.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -18,31 +18,31 @@
 
 use crate::gateway::deciding::load::WorkByTarget;
 use crate::gateway::members::{DaemonRecord, InstanceCapacity};
-use crate::gateway::peers::book::PeerTable;
 use crate::gateway::peers::member_broadcasts::MemberBroadcasts;
+use crate::gateway::peers::peer_table::PeerTable;
 use crate::gateway::peers::wire::{CachedPartsUpdate, MemberStatus, PeerHint};
 use crate::names::{CentreName, DaemonId, MonoTime};
 
-/// Largest fleet without hubs: below it, links to all cost less than the delay of
-/// two further hops.
-const MOST_WITHOUT_HUBS: usize = 16;
-/// Silence after which another daemon is taken for the hub.
-const HUB_SILENCE: Duration = Duration::from_millis(1_200);
-/// Time for a new hub to be heard.
-const HUB_START: Duration = Duration::from_millis(2_500);
-/// Time for which a silent hub is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(6);
-/// Time since a member's last hint for which a daemon acts as its hub.
+/// Largest fleet without hubs: up to this size, a full mesh costs less than the delay of
+/// two more hops.
+const MAX_MESH_SIZE: usize = 16;
+/// Silence after which another daemon is selected as the hub.
+const HUB_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time that a new hub has to send its first message.
+const HUB_START_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time for which a silent hub is not selected again.
+const SKIP_TIME: Duration = Duration::from_secs(6);
+/// Time after the last hint of a member for which a daemon goes on acting as its hub.
 const ACTING_TIME: Duration = Duration::from_millis(1_500);
 
-/// What a daemon is among the others.
+/// Role of a daemon in the fleet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PeerRole {
-    /// Links to all.
+    /// Has links to all other daemons.
     Mesh,
-    /// Speaks for its data centre.
+    /// Relays messages for its data centre.
     Hub,
-    /// Talks to this hub only.
+    /// Exchanges messages with this hub only.
     Member(DaemonId),
 }
 
@@ -58,53 +58,53 @@
     }
 }
 
-/// What is said on a link.
+/// Kind of the messages that are sent on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkKind {
-    /// Own hints.
+    /// Hints of this daemon.
     Hint,
-    /// The own data centre's summary.
+    /// Summaries of the local data centre, to another hub.
     OtherHub,
-    /// The fleet's summary and the store's objects.
+    /// Summaries of the fleet and objects of the store, to a member.
     Member,
 }
 
-/// What a daemon keeps to know its hub.
+/// Selects the hub of this daemon's data centre.
 #[derive(Debug, Default)]
 pub struct HubSelector {
     role: Option<PeerRole>,
     hub_since: Option<(DaemonId, MonoTime)>,
-    passed_over: IndexMap<DaemonId, MonoTime>,
+    skipped: IndexMap<DaemonId, MonoTime>,
     last_hints: IndexMap<DaemonId, MonoTime>,
-    // When hubs had heard the store.
-    store_heard: IndexMap<DaemonId, MonoTime>,
+    // When hubs had their last response from the store.
+    store_contact: IndexMap<DaemonId, MonoTime>,
 }
 
 impl HubSelector {
-    /// Notes a hint: whoever sends one to a daemon of a large fleet takes it for a hub.
-    pub fn note_hint(&mut self, from: &DaemonId, now: MonoTime) {
+    /// Records a hint: in a large fleet, daemons send hints only to the hub they selected.
+    pub fn record_hint(&mut self, from: &DaemonId, now: MonoTime) {
         self.last_hints.insert(from.clone(), now);
     }
 
-    /// Notes how long ago a hub had heard the store.
-    pub fn note_store(&mut self, hub: &DaemonId, age: Duration, now: MonoTime) {
+    /// Records how long ago a hub had its last response from the store.
+    pub fn record_store_age(&mut self, hub: &DaemonId, age: Duration, now: MonoTime) {
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        let heard = MonoTime(now.0.saturating_sub(age));
-        self.store_heard.insert(hub.clone(), heard);
+        let contact = MonoTime(now.0.saturating_sub(age));
+        self.store_contact.insert(hub.clone(), contact);
     }
 
-    /// Returns when a hub had heard the store, as far as it told.
+    /// Returns when a hub had its last response from the store, by its own report.
     #[must_use]
-    pub fn store_heard(&self, hub: &DaemonId) -> Option<MonoTime> {
-        self.store_heard.get(hub).copied()
+    pub fn store_contact(&self, hub: &DaemonId) -> Option<MonoTime> {
+        self.store_contact.get(hub).copied()
     }
 
-    /// Whether a hub passes on a store that was heard within a time. A hub that is cut
-    /// from the store would otherwise keep its whole data centre on an old configuration.
+    /// Whether a hub had a response from the store within a time. Otherwise a hub that is
+    /// cut off from the store would keep its whole data centre on an old configuration.
     #[must_use]
-    pub fn is_fed_by(&self, hub: &DaemonId, within: Duration, now: MonoTime) -> bool {
-        let heard = self.store_heard(hub);
-        heard.is_some_and(|at| now.since(at) < within)
+    pub fn has_recent_store(&self, hub: &DaemonId, within: Duration, now: MonoTime) -> bool {
+        let contact = self.store_contact(hub);
+        contact.is_some_and(|at| now.since(at) < within)
     }
 
     /// Whether this daemon acts as a hub.
@@ -113,40 +113,40 @@
         self.role == Some(PeerRole::Hub)
     }
 
-    /// Decides what this daemon is now.
+    /// Decides the current role of this daemon.
     pub fn role(
         &mut self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerTable,
         now: MonoTime,
     ) -> PeerRole {
-        let role = self.decide(own, daemons, peers, now);
+        let role = self.select_role(local, daemons, peers, now);
         self.role = Some(role.clone());
         role
     }
 
-    fn decide(
+    fn select_role(
         &mut self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerTable,
         now: MonoTime,
     ) -> PeerRole {
         let known = |id: &DaemonId| daemons.iter().any(|d| d.id == *id);
-        self.store_heard.retain(|hub, _| known(hub));
+        self.store_contact.retain(|hub, _| known(hub));
         let staying = daemons.iter().filter(|d| !d.leaving).count();
-        if staying <= MOST_WITHOUT_HUBS {
+        if staying <= MAX_MESH_SIZE {
             return PeerRole::Mesh;
         }
-        self.passed_over.retain(|_, until| now < *until);
+        self.skipped.retain(|_, until| now < *until);
         self.last_hints.retain(|_, at| now.since(*at) < ACTING_TIME);
-        self.pass_over_silent(peers, now);
-        let centre = daemons.iter().find(|d| d.id == *own).map(|d| &d.centre);
-        let hub = centre.and_then(|centre| self.first_of(centre, own, daemons));
+        self.skip_unresponsive(peers, now);
+        let centre = daemons.iter().find(|d| d.id == *local).map(|d| &d.centre);
+        let hub = centre.and_then(|centre| self.first_in_centre(centre, local, daemons));
         let acting = !self.last_hints.is_empty();
         match hub {
-            Some(hub) if hub != *own && !acting => {
+            Some(hub) if hub != *local && !acting => {
                 let since = self.hub_since.take().filter(|(known, _)| *known == hub);
                 self.hub_since = Some(since.unwrap_or((hub.clone(), now)));
                 PeerRole::Member(hub)
@@ -155,53 +155,53 @@
         }
     }
 
-    fn pass_over_silent(&mut self, peers: &PeerTable, now: MonoTime) {
+    fn skip_unresponsive(&mut self, peers: &PeerTable, now: MonoTime) {
         let Some((hub, since)) = &self.hub_since else {
             return;
         };
-        let started = now.since(*since) > HUB_START;
-        if started && !peers.was_heard_within(hub, HUB_SILENCE, now) {
-            log::warn!(hub = hub.as_str(); "hub is silent; the next daemon is taken");
-            self.passed_over.insert(hub.clone(), now.plus(PASSED_OVER));
+        let started = now.since(*since) > HUB_START_TIMEOUT;
+        if started && !peers.was_reachable_within(hub, HUB_TIMEOUT, now) {
+            log::warn!(hub = hub.as_str(); "hub does not respond; selecting the next daemon as hub");
+            self.skipped.insert(hub.clone(), now.plus(SKIP_TIME));
             self.hub_since = None;
         }
     }
 
-    fn first_of(
+    fn first_in_centre(
         &self,
         centre: &CentreName,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
     ) -> Option<DaemonId> {
-        let there = daemons.iter().filter(|d| d.centre == *centre && !d.leaving);
-        let sound = |id: &DaemonId| id == own || !self.passed_over.contains_key(id);
-        first_in_order(there.filter(|d| sound(&d.id)))
+        let candidates = daemons.iter().filter(|d| d.centre == *centre && !d.leaving);
+        let eligible = |id: &DaemonId| id == local || !self.skipped.contains_key(id);
+        first_in_order(candidates.filter(|d| eligible(&d.id)))
     }
 
-    /// Returns the hub that follows the store for this one; `None` where this hub is the
-    /// first of those that it hears.
+    /// Returns the hub that watches the store for this one; `None` if this hub is the first
+    /// of those that are reachable.
     #[must_use]
     pub fn store_hub(
         &self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerTable,
         now: MonoTime,
     ) -> Option<DaemonId> {
-        let hubs = self.links(&PeerRole::Hub, own, daemons).into_iter();
+        let hubs = self.links(&PeerRole::Hub, local, daemons).into_iter();
         let hubs = hubs.filter(|(_, kind)| *kind == LinkKind::OtherHub);
-        let heard = hubs.filter(|(d, _)| peers.was_heard_within(&d.id, HUB_SILENCE, now));
-        let others: Vec<DaemonRecord> = heard.map(|(d, _)| d).collect();
-        let itself = daemons.iter().filter(|d| d.id == *own);
-        first_in_order(others.iter().chain(itself)).filter(|first| first != own)
+        let reachable = hubs.filter(|(d, _)| peers.was_reachable_within(&d.id, HUB_TIMEOUT, now));
+        let others: Vec<DaemonRecord> = reachable.map(|(d, _)| d).collect();
+        let local_record = daemons.iter().filter(|d| d.id == *local);
+        first_in_order(others.iter().chain(local_record)).filter(|first| first != local)
     }
 
-    /// Returns the place of this daemon among those that hear the whole fleet: all where
-    /// there are no hubs, else the hubs; `None` for a member.
+    /// Returns the rank of this daemon among those that receive the state of the whole
+    /// fleet: all daemons of a fleet without hubs, else the hubs; `None` for a member.
     #[must_use]
     pub fn full_view_rank(
         &self,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
         peers: &PeerTable,
         now: MonoTime,
@@ -210,58 +210,63 @@
         if matches!(role, PeerRole::Member(_)) {
             return None;
         }
-        let itself = daemons.iter().find(|d| d.id == *own)?;
-        let others = self.links(role, own, daemons).into_iter();
-        let speakers = others.filter(|(_, kind)| *kind != LinkKind::Member);
-        let heard = speakers.filter(|(d, _)| peers.was_heard_within(&d.id, HUB_SILENCE, now));
-        let before = |d: &DaemonRecord| precedence(d) < precedence(itself);
-        Some(heard.filter(|(d, _)| before(d)).count())
+        let local_record = daemons.iter().find(|d| d.id == *local)?;
+        let others = self.links(role, local, daemons).into_iter();
+        let full_view_peers = others.filter(|(_, kind)| *kind != LinkKind::Member);
+        let reachable =
+            full_view_peers.filter(|(d, _)| peers.was_reachable_within(&d.id, HUB_TIMEOUT, now));
+        let before = |d: &DaemonRecord| precedence(d) < precedence(local_record);
+        Some(reachable.filter(|(d, _)| before(d)).count())
     }
 
-    /// Links that a role asks for.
+    /// Returns the links that a role needs.
     #[must_use]
     pub fn links(
         &self,
         role: &PeerRole,
-        own: &DaemonId,
+        local: &DaemonId,
         daemons: &[DaemonRecord],
     ) -> Vec<(DaemonRecord, LinkKind)> {
-        let others = daemons.iter().filter(|d| d.id != *own);
+        let others = daemons.iter().filter(|d| d.id != *local);
         match role {
             PeerRole::Mesh => others.map(|d| (d.clone(), LinkKind::Hint)).collect(),
             PeerRole::Member(hub) => others
                 .filter(|d| d.id == *hub)
                 .map(|d| (d.clone(), LinkKind::Hint))
                 .collect(),
-            PeerRole::Hub => self.hub_links(own, daemons),
+            PeerRole::Hub => self.hub_links(local, daemons),
         }
     }
 
-    fn hub_links(&self, own: &DaemonId, daemons: &[DaemonRecord]) -> Vec<(DaemonRecord, LinkKind)> {
-        let centre = daemons.iter().find(|d| d.id == *own).map(|d| &d.centre);
+    fn hub_links(
+        &self,
+        local: &DaemonId,
+        daemons: &[DaemonRecord],
+    ) -> Vec<(DaemonRecord, LinkKind)> {
+        let centre = daemons.iter().find(|d| d.id == *local).map(|d| &d.centre);
         let kind = |daemon: &DaemonRecord| {
             if self.last_hints.contains_key(&daemon.id) {
                 return Some(LinkKind::Member);
             }
-            let first = self.first_of(&daemon.centre, own, daemons);
+            let first = self.first_in_centre(&daemon.centre, local, daemons);
             let is_hub = first.is_some_and(|first| first == daemon.id);
             if Some(&daemon.centre) != centre {
                 return is_hub.then_some(LinkKind::OtherHub);
             }
-            // The first of the own data centre learns what its stand-in knows.
+            // If another daemon acts as hub, the first of the data centre gets its summaries.
             Some(if is_hub {
                 LinkKind::OtherHub
             } else {
                 LinkKind::Member
             })
         };
-        let others = daemons.iter().filter(|d| d.id != *own);
+        let others = daemons.iter().filter(|d| d.id != *local);
         others.filter_map(|d| Some((d.clone(), kind(d)?))).collect()
     }
 }
 
-/// The order in which daemons are taken for hubs: those on the strongest instances first,
-/// which carry the words of a whole data centre, then by name.
+/// Order in which daemons are selected as hubs: those on the strongest instances first, as a
+/// hub carries the messages of a whole data centre, then by name.
 fn precedence(daemon: &DaemonRecord) -> (Reverse<InstanceCapacity>, &DaemonId) {
     (Reverse(daemon.capacity), &daemon.id)
 }
@@ -271,60 +276,60 @@
     first.map(|daemon| daemon.id.clone())
 }
 
-/// What passes through a hub on its way from some daemons to others.
+/// Updates that a hub relays between its members and other hubs.
 #[derive(Debug, Default)]
 pub struct RelayQueue {
-    // What engines came to hold: told by members, for other hubs and members.
-    members_held: Vec<CachedPartsUpdate>,
-    // Told by other hubs, for members.
-    hubs_held: Vec<CachedPartsUpdate>,
-    hub_turns: MemberBroadcasts,
-    member_turns: MemberBroadcasts,
+    // Newly cached prompt parts reported by members, for other hubs and members.
+    from_members: Vec<CachedPartsUpdate>,
+    // The same, reported by other hubs, for members.
+    from_hubs: Vec<CachedPartsUpdate>,
+    hub_broadcasts: MemberBroadcasts,
+    fleet_broadcasts: MemberBroadcasts,
 }
 
-/// Most notes that wait for the next word; a daemon that is no hub passes none on.
-const MOST_RELAYED: usize = 4_096;
+/// Most updates that wait for the next message; a daemon that is no hub relays none.
+const MAX_RELAYED: usize = 4_096;
 
 impl RelayQueue {
-    /// Keeps notes of a member.
-    pub fn keep_member(&mut self, notes: &[CachedPartsUpdate]) {
-        keep(&mut self.members_held, notes);
+    /// Queues updates from a member.
+    pub fn queue_from_member(&mut self, updates: &[CachedPartsUpdate]) {
+        queue_updates(&mut self.from_members, updates);
     }
 
-    /// Keeps notes of another hub.
-    pub fn keep_hub(&mut self, notes: &[CachedPartsUpdate]) {
-        keep(&mut self.hubs_held, notes);
+    /// Queues updates from another hub.
+    pub fn queue_from_hub(&mut self, updates: &[CachedPartsUpdate]) {
+        queue_updates(&mut self.from_hubs, updates);
     }
 
-    /// Returns what members and what other hubs told since the last word.
-    pub fn take_held(&mut self) -> (Vec<CachedPartsUpdate>, Vec<CachedPartsUpdate>) {
+    /// Takes the updates from members and those from other hubs since the last message.
+    pub fn take_cached_updates(&mut self) -> (Vec<CachedPartsUpdate>, Vec<CachedPartsUpdate>) {
         (
-            std::mem::take(&mut self.members_held),
-            std::mem::take(&mut self.hubs_held),
+            std::mem::take(&mut self.from_members),
+            std::mem::take(&mut self.from_hubs),
         )
     }
 
-    /// Returns the turns of notes for members, who are told of the `whole` fleet, or for
-    /// other hubs.
-    pub fn turns(&mut self, whole: bool) -> &mut MemberBroadcasts {
-        if whole {
-            &mut self.member_turns
+    /// Returns the broadcast schedule for members, which get the status of the whole fleet,
+    /// or the one for other hubs.
+    pub fn broadcasts(&mut self, whole_fleet: bool) -> &mut MemberBroadcasts {
+        if whole_fleet {
+            &mut self.fleet_broadcasts
         } else {
-            &mut self.hub_turns
+            &mut self.hub_broadcasts
         }
     }
 }
 
-fn keep(kept: &mut Vec<CachedPartsUpdate>, notes: &[CachedPartsUpdate]) {
-    if kept.len() >= MOST_RELAYED {
-        kept.clear();
+fn queue_updates(queue: &mut Vec<CachedPartsUpdate>, updates: &[CachedPartsUpdate]) {
+    if queue.len() >= MAX_RELAYED {
+        queue.clear();
     }
-    kept.extend_from_slice(notes);
+    queue.extend_from_slice(updates);
 }
 
-/// What a hub tells of itself.
+/// Returns the status that a hub reports about itself.
 #[must_use]
-pub fn own_note(hint: &PeerHint) -> MemberStatus {
+pub fn local_status(hint: &PeerHint) -> MemberStatus {
     MemberStatus {
         id: hint.from.clone(),
         age_ms: 0,
@@ -335,9 +340,9 @@
     }
 }
 
-/// Takes a daemon's own work, as it told it last, out of a sum that contains it.
-pub fn subtract(sum: &mut WorkByTarget, own: &WorkByTarget) {
-    for (target, work) in own {
+/// Subtracts a daemon's own work, as it last reported it, from a sum that contains it.
+pub fn subtract(sum: &mut WorkByTarget, local: &WorkByTarget) {
+    for (target, work) in local {
         if let Some(total) = sum.get_mut(target) {
             total.subtract(work);
         }
--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -1,10 +1,10 @@
-//! One daemon of a data centre places the requests of all its daemons.
+//! One daemon of a data centre chooses the engines for the requests of all its daemons.
 //!
-//! Daemons that each choose engines by hints choose alike: within the hundreds of
-//! milliseconds until they hear of each other's choices, they all take the engine
-//! that looked free. The hub sees every choice at once, because it makes them; a
-//! question costs one round trip inside the data centre. A daemon whose hub does not
-//! answer soon chooses by itself, so nothing but time to the first token hangs on it.
+//! Daemons that choose engines independently, by hints, make the same choice: in the
+//! hundreds of milliseconds until they learn of each other's choices, they all select the
+//! engine that looked free. The hub knows every choice at once, because it makes them; a
+//! placement request costs one round trip within the data centre. A daemon whose hub does
+//! not respond in time chooses by itself, so only the time to the first token depends on it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,23 +28,23 @@
 use crate::names::{DaemonId, MonoTime};
 use crate::target_incarnation::TargetIncarnation;
 
-/// Longest wait for an answer: a round trip takes 1 to 3 ms, and waiting longer than
-/// a choice without the others' knowledge costs, 100 ms and more, buys nothing.
-const ANSWER_WAIT: Duration = Duration::from_millis(40);
-/// Time for which a daemon that did not answer is not asked.
-const NOT_ASKED: Duration = Duration::from_millis(1_000);
+/// Time limit for a placement response. A round trip takes 1 to 3 ms; a choice without the
+/// hub costs a request 100 ms and more, and waiting longer than that gains nothing.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(40);
+/// Time for which a daemon that did not respond gets no placement requests.
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Where the answer to a question will come.
-pub type PlaceWait = oneshot::Receiver<Option<PlacedEngines>>;
+/// Receives the response to a placement request.
+pub type PlacementReceiver = oneshot::Receiver<Option<PlacedEngines>>;
 
-/// Time between two messages of a hub to the others on what it placed. The sums of work
-/// that hubs exchange are some hundred milliseconds old when they count; requests take
-/// about as long to read.
-const NOTE_EVERY: Duration = Duration::from_millis(40);
-/// Most placements that wait to be told; a daemon without other hubs tells nobody.
-const MOST_NOTES: usize = 1_024;
+/// Delay within which a hub announces its placements to the other hubs. The sums of work
+/// that hubs exchange are some hundred milliseconds old when they are used, about as long
+/// as the prefill of a request takes.
+const ANNOUNCE_DELAY: Duration = Duration::from_millis(40);
+/// Most placements that wait to be announced; without other hubs there is no receiver.
+const MAX_PENDING: usize = 1_024;
 
-/// What a hub has placed and has not told the other hubs.
+/// Placements of a hub that it has not announced to the other hubs yet.
 #[derive(Debug, Default)]
 pub struct PlacementOutbox {
     pending: Vec<PlacementRecord>,
@@ -52,9 +52,9 @@
 }
 
 impl PlacementOutbox {
-    fn note(&mut self, note: PlacementRecord) {
-        if self.pending.len() < MOST_NOTES {
-            self.pending.push(note);
+    fn push(&mut self, record: PlacementRecord) {
+        if self.pending.len() < MAX_PENDING {
+            self.pending.push(record);
         }
     }
 
@@ -67,152 +67,164 @@
     }
 }
 
-/// What a daemon keeps to ask another one for places.
+/// Sends placement requests to another daemon and matches the responses.
 #[derive(Debug, Default)]
 pub struct PlacementClient {
-    // Whom to ask; `None` where this daemon places by itself.
-    placer: Option<DaemonId>,
+    // Daemon that chooses for this one; `None` if this one chooses by itself.
+    placement_hub: Option<DaemonId>,
     links: IndexMap<DaemonId, mpsc::UnboundedSender<Message>>,
     last_number: u64,
-    taken_through: u64,
+    used_through: u64,
     waiting: IndexMap<u64, oneshot::Sender<Option<PlacedEngines>>>,
-    not_before: Option<MonoTime>,
+    retry_at: Option<MonoTime>,
 }
 
 impl PlacementClient {
-    /// Sets whom to ask.
-    pub fn set_placer(&mut self, placer: Option<DaemonId>) {
-        if self.placer != placer {
-            self.placer = placer;
-            self.not_before = None;
+    /// Sets the daemon that placement requests are sent to.
+    pub fn set_placement_hub(&mut self, placement_hub: Option<DaemonId>) {
+        if self.placement_hub != placement_hub {
+            self.placement_hub = placement_hub;
+            self.retry_at = None;
         }
     }
 
-    /// Whether another daemon is asked for places.
+    /// Whether placement requests are sent to another daemon.
     #[must_use]
-    pub fn has_placer(&self) -> bool {
-        self.placer.is_some()
+    pub fn has_placement_hub(&self) -> bool {
+        self.placement_hub.is_some()
     }
 
-    /// Opens a queue of messages that a link sends between its regular ones.
+    /// Opens a queue of messages that a link sends between its status messages.
     pub fn open_link(&mut self, daemon: &DaemonId) -> mpsc::UnboundedReceiver<Message> {
         let (sender, queue) = mpsc::unbounded_channel();
         self.links.insert(daemon.clone(), sender);
         queue
     }
 
-    /// Number of the last question whose answer was taken; the work that it brought
-    /// is in this daemon's hints from now on.
+    /// Returns the number of the last placement request whose response was used; the
+    /// resulting work is included in this daemon's hints from now on.
     #[must_use]
-    pub fn taken_through(&self) -> u64 {
-        self.taken_through
+    pub fn used_through(&self) -> u64 {
+        self.used_through
     }
 
     fn send_to(&self, daemons: &[DaemonId], message: &PeerMessage) {
         let encoded = message.encode();
         for link in daemons.iter().filter_map(|daemon| self.links.get(daemon)) {
-            // A link that ended is opened again, with a queue of its own.
+            // A closed link is reopened with a new queue.
             let _ = link.send(encoded.clone());
         }
     }
 
-    /// Sends a message between the regular ones; false where no link is up.
+    /// Sends a message between the status messages; returns false if no link is up.
     pub fn send(&self, to: &DaemonId, message: &PeerMessage) -> bool {
         let link = self.links.get(to);
         link.is_some_and(|link| link.send(message.encode()).is_ok())
     }
 
-    /// Sends a question and returns its number and where the answer will come; `None`
-    /// where nobody is to be asked, or nobody can be now.
-    pub fn ask(&mut self, question: PlacementRequest, now: MonoTime) -> Option<(u64, PlaceWait)> {
-        let placer = self.placer.clone()?;
-        if self.not_before.is_some_and(|until| now < until) {
+    /// Sends a placement request and returns its number and the receiver of the response;
+    /// `None` if no other daemon chooses for this one, or it cannot be asked now.
+    pub fn send_request(
+        &mut self,
+        request: PlacementRequest,
+        now: MonoTime,
+    ) -> Option<(u64, PlacementReceiver)> {
+        let placement_hub = self.placement_hub.clone()?;
+        if self.retry_at.is_some_and(|until| now < until) {
             return None;
         }
         let number = self.last_number + 1;
-        let question = PlacementRequest { number, ..question };
-        if !self.send(&placer, &PeerMessage::Place(question)) {
+        let request = PlacementRequest { number, ..request };
+        if !self.send(&placement_hub, &PeerMessage::PlacementRequest(request)) {
             return None;
         }
         self.last_number = number;
-        let (answer, waits) = oneshot::channel();
-        self.waiting.insert(number, answer);
-        Some((number, waits))
+        let (response, receiver) = oneshot::channel();
+        self.waiting.insert(number, response);
+        Some((number, receiver))
     }
 
-    /// Hands an answer to the request that waits for it.
-    pub fn take_answer(&mut self, answer: PlacementResponse) {
-        if let Some(waiting) = self.waiting.swap_remove(&answer.number) {
-            // Who asked may have given up meanwhile.
-            let _ = waiting.send(answer.engines);
+    /// Passes a response to the request that waits for it.
+    pub fn deliver_response(&mut self, response: PlacementResponse) {
+        if let Some(waiting) = self.waiting.swap_remove(&response.number) {
+            // The request may have stopped waiting in the meantime.
+            let _ = waiting.send(response.engines);
         }
     }
 
-    /// Notes that a request goes by the answer to a question from now on.
-    pub fn note_taken(&mut self, number: u64) {
-        self.taken_through = self.taken_through.max(number);
+    /// Records that the response to a placement request was used.
+    pub fn record_use(&mut self, number: u64) {
+        self.used_through = self.used_through.max(number);
     }
 
-    /// Notes that a question was not answered in time.
-    pub fn note_silence(&mut self, number: u64, now: MonoTime) {
+    /// Records that a placement request had no response in time.
+    pub fn record_timeout(&mut self, number: u64, now: MonoTime) {
         self.waiting.swap_remove(&number);
-        self.not_before = Some(now.plus(NOT_ASKED));
+        self.retry_at = Some(now.plus(RETRY_DELAY));
     }
 }
 
 impl Gateway {
-    /// Chooses the engines of a request: the daemon that places for this one is asked,
-    /// and this one chooses where it does not answer or knows other engines.
+    /// Chooses the engines for a request: asks the hub, and chooses locally if it does not
+    /// respond or returns no engines that are known here.
     pub async fn place_request(
         &self,
         call: &RoutedRequest,
-        trail: &SendHistory,
+        history: &SendHistory,
     ) -> Option<EnginePlacement> {
-        match self.ask_placer(call, trail).await {
+        match self.request_placement(call, history).await {
             Some(place) => Some(place),
-            None => self.place_alone(call, trail),
+            None => self.place_locally(call, history),
         }
     }
 
-    fn place_alone(&self, call: &RoutedRequest, trail: &SendHistory) -> Option<EnginePlacement> {
-        let place = self.place(call, trail)?;
+    fn place_locally(
+        &self,
+        call: &RoutedRequest,
+        history: &SendHistory,
+    ) -> Option<EnginePlacement> {
+        let place = self.place(call, history)?;
         if let Some(prompt) = &call.caller.prompt {
-            self.note_placement(prompt, &place);
+            self.queue_placement(prompt, &place);
         }
         Some(place)
     }
 
-    async fn ask_placer(
+    async fn request_placement(
         &self,
         call: &RoutedRequest,
-        trail: &SendHistory,
+        history: &SendHistory,
     ) -> Option<EnginePlacement> {
         let now = clock::mono_now();
-        let question = self.question(call, trail);
-        let (number, answer) = self.placing.borrow_mut().ask(question, now)?;
-        let answer = timeout(ANSWER_WAIT, answer).await;
-        let mut placing = self.placing.borrow_mut();
-        let Ok(Ok(engines)) = answer else {
-            placing.note_silence(number, clock::mono_now());
+        let request = self.placement_request(call, history);
+        let (number, response) = self
+            .placement_client
+            .borrow_mut()
+            .send_request(request, now)?;
+        let response = timeout(RESPONSE_TIMEOUT, response).await;
+        let mut placing = self.placement_client.borrow_mut();
+        let Ok(Ok(engines)) = response else {
+            placing.record_timeout(number, clock::mono_now());
             metrics::counter!("pistachiowick_place_questions_total", "outcome" => "silence")
                 .increment(1);
             return None;
         };
-        placing.note_taken(number);
+        placing.record_use(number);
         metrics::counter!("pistachiowick_place_questions_total", "outcome" => "answered")
             .increment(1);
         self.resolve(call, &engines?)
     }
 
-    fn question(&self, call: &RoutedRequest, trail: &SendHistory) -> PlacementRequest {
+    fn placement_request(&self, call: &RoutedRequest, history: &SendHistory) -> PlacementRequest {
         let prompt = call.caller.prompt.clone().unwrap_or_default();
         let now = clock::mono_now();
         let core = self.core.borrow();
         let engines = call.view.service_targets(&call.service.name).iter();
-        let avoided = engines.filter(|e| trail.has(&e.id) || core.health.view(&e.id, now).avoided);
+        let avoided =
+            engines.filter(|e| history.has(&e.id) || core.health.view(&e.id, now).avoided);
         PlacementRequest {
             from: self.daemon.clone(),
-            life: self.incarnation,
+            incarnation: self.incarnation,
             number: 0,
             service: call.service.name.clone(),
             avoided: avoided.map(|engine| engine.id.clone()).collect(),
@@ -224,8 +236,8 @@
         }
     }
 
-    // The answer counts only with engines that this daemon knows for the request's own
-    // route, whatever configuration the other one runs.
+    // A response is valid only with engines that this daemon knows for the request's own
+    // route, as the other daemon may run another configuration.
     fn resolve(&self, call: &RoutedRequest, engines: &PlacedEngines) -> Option<EnginePlacement> {
         let newest = self.view();
         let known = call.view.service_targets(&call.service.name);
@@ -233,104 +245,110 @@
             let found = known.iter().find(|engine| engine.id == *id)?;
             newest.has_target(id).then(|| found.clone())
         };
-        let reader = match &engines.reader {
+        let prefill_engine = match &engines.prefill_engine {
             Some(id) => Some(find(id)?),
             None => None,
         };
         Some(EnginePlacement {
-            prefill_engine: reader,
-            decode_engine: find(&engines.writer)?,
+            prefill_engine,
+            decode_engine: find(&engines.decode_engine)?,
             fetch_from: engines.fetch_from.as_ref().and_then(find),
             rank: engines.rank,
             expected_ms: engines.expected_ms,
-            own_prefill_ms: engines.own_ms,
-            pending_prefill_tokens: engines.unread_tokens,
-            recomputed_tokens: engines.reread_tokens,
-            queued_ahead_tokens: engines.waiting_tokens,
-            deprioritized: engines.gives_way,
+            own_prefill_ms: engines.own_prefill_ms,
+            pending_prefill_tokens: engines.pending_prefill_tokens,
+            recomputed_tokens: engines.recomputed_tokens,
+            queued_ahead_tokens: engines.queued_ahead_tokens,
+            deprioritized: engines.deprioritized,
         })
     }
 
-    /// Answers a daemon that asks for a place.
-    pub fn answer_place(&self, question: &PlacementRequest) {
+    /// Answers a placement request of another daemon.
+    pub fn answer_placement_request(&self, request: &PlacementRequest) {
         let view = self.view();
-        let asker = (&question.from, question.life);
-        if !view.daemons.iter().any(|d| (&d.id, d.incarnation) == asker) {
+        let requester = (&request.from, request.incarnation);
+        if !view
+            .daemons
+            .iter()
+            .any(|d| (&d.id, d.incarnation) == requester)
+        {
             return;
         }
         let prompt = PromptShape {
             model: String::new(),
-            prompt_tokens: question.prompt_tokens,
-            output_tokens: question.output_tokens,
-            parts: parts_of(&question.parts),
+            prompt_tokens: request.prompt_tokens,
+            output_tokens: request.output_tokens,
+            parts: parts_of(&request.parts),
         };
-        let order = PlacementQuery {
+        let query = PlacementQuery {
             choices: EngineCandidates {
-                engines: view.service_targets(&question.service),
+                engines: view.service_targets(&request.service),
                 changing: &self.changing(),
-                excluded: &question.avoided,
+                excluded: &request.avoided,
             },
             prompt: &prompt,
-            urgency: question.urgency,
-            objective_left: Duration::from_millis(u64::from(question.objective_left_ms)),
+            urgency: request.urgency,
+            objective_left: Duration::from_millis(u64::from(request.objective_left_ms)),
         };
-        let place = self.core.borrow().place(&order, clock::mono_now());
+        let place = self.core.borrow().place(&query, clock::mono_now());
         if let Some(place) = &place {
-            self.count_place(question, &prompt, place);
-            self.note_placement(&prompt, place);
+            self.count_placement(request, &prompt, place);
+            self.queue_placement(&prompt, place);
         }
-        let answer = PeerMessage::Placed(PlacementResponse {
-            number: question.number,
+        let response = PeerMessage::PlacementResponse(PlacementResponse {
+            number: request.number,
             engines: place.map(|place| PlacedEngines::from(&place)),
         });
-        // An asker whose link is not up yet places by itself.
-        self.placing.borrow().send(&question.from, &answer);
+        // A requester whose link is not up yet chooses by itself.
+        self.placement_client
+            .borrow()
+            .send(&request.from, &response);
     }
 
-    /// Notes what this daemon has placed as a hub, for the other hubs.
-    pub fn note_placement(&self, prompt: &PromptShape, place: &EnginePlacement) {
+    /// Queues a placement of this daemon for the other hubs, if it is a hub.
+    pub fn queue_placement(&self, prompt: &PromptShape, place: &EnginePlacement) {
         if !self.hubs.borrow().is_hub() {
             return;
         }
-        let reader = place
+        let prefill_engine = place
             .prefill_engine
             .as_ref()
             .unwrap_or(&place.decode_engine);
-        let writer = place
+        let decode_engine = place
             .prefill_engine
             .as_ref()
             .map(|_| place.decode_engine.id.clone());
-        self.placements.borrow_mut().note(PlacementRecord {
-            reader: reader.id.clone(),
-            writer,
+        self.placements.borrow_mut().push(PlacementRecord {
+            prefill_engine: prefill_engine.id.clone(),
+            decode_engine,
             rank: place.rank,
-            unread_tokens: place.pending_prefill_tokens,
+            pending_prefill_tokens: place.pending_prefill_tokens,
             parts: prompt.parts.iter().map(|p| (p.key, p.tokens)).collect(),
         });
-        self.placed.notify_one();
+        self.placements_changed.notify_one();
     }
 
-    /// Tells the other hubs what this one has placed; returns the number of the last
-    /// notes that were sent.
-    pub fn tell_placements(&self) -> u64 {
-        let mut log = self.placements.borrow_mut();
-        if let Some((number, placed)) = log.take() {
-            let notes = PeerMessage::Placements(PlacementBatch {
+    /// Announces the queued placements to the other hubs; returns the number of the last
+    /// batch that was sent.
+    pub fn announce_placements(&self) -> u64 {
+        let mut outbox = self.placements.borrow_mut();
+        if let Some((number, placements)) = outbox.take() {
+            let batch = PeerMessage::Placements(PlacementBatch {
                 from: self.daemon.clone(),
-                life: self.incarnation,
+                incarnation: self.incarnation,
                 number,
-                placed,
+                placements,
             });
             let hubs = self.other_hubs.borrow();
-            self.placing.borrow().send_to(&hubs, &notes);
+            self.placement_client.borrow().send_to(&hubs, &batch);
         }
-        log.last_number
+        outbox.last_number
     }
 
-    /// Takes what another hub has placed.
-    pub fn take_placements(&self, notes: &PlacementBatch) {
+    /// Applies the placements of another hub.
+    pub fn apply_placements(&self, batch: &PlacementBatch) {
         let view = self.view();
-        let sender = (&notes.from, notes.life);
+        let sender = (&batch.from, batch.incarnation);
         if !view
             .daemons
             .iter()
@@ -340,57 +358,64 @@
         }
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
-        let numbered = (&notes.from, notes.number);
-        for note in &notes.placed {
-            core.load
-                .reserve(numbered, &note.reader, (note.rank, note.unread_tokens), now);
-            if let Some(writer) = &note.writer {
-                core.load.reserve(numbered, writer, (note.rank, 0), now);
+        let numbered = (&batch.from, batch.number);
+        for record in &batch.placements {
+            core.load.reserve(
+                numbered,
+                &record.prefill_engine,
+                (record.rank, record.pending_prefill_tokens),
+                now,
+            );
+            if let Some(decode_engine) = &record.decode_engine {
+                core.load
+                    .reserve(numbered, decode_engine, (record.rank, 0), now);
             }
-            core.note_parts(&note.reader, &parts_of(&note.parts), false, now);
+            core.note_parts(&record.prefill_engine, &parts_of(&record.parts), false, now);
         }
     }
 
-    // The next choice has to know of this one before the asker's hint tells of it.
-    fn count_place(
+    // Counts a placement before the requester's hint reports it, for the choices until then.
+    fn count_placement(
         &self,
-        question: &PlacementRequest,
+        request: &PlacementRequest,
         prompt: &PromptShape,
         place: &EnginePlacement,
     ) {
         let now = clock::mono_now();
-        let reader = place
+        let prefill_engine = place
             .prefill_engine
             .as_ref()
             .unwrap_or(&place.decode_engine);
         let mut core = self.core.borrow_mut();
-        let asker = (&question.from, question.number);
+        let requester = (&request.from, request.number);
         core.load.reserve(
-            asker,
-            &reader.id,
+            requester,
+            &prefill_engine.id,
             (place.rank, place.pending_prefill_tokens),
             now,
         );
         if place.prefill_engine.is_some() {
             core.load
-                .reserve(asker, &place.decode_engine.id, (place.rank, 0), now);
+                .reserve(requester, &place.decode_engine.id, (place.rank, 0), now);
         }
-        core.note_parts(&reader.id, &prompt.parts, false, now);
+        core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
     }
 
-    /// Hands an answer to the request that waits for it.
-    pub fn take_place(&self, answer: PlacementResponse) {
-        self.placing.borrow_mut().take_answer(answer);
+    /// Passes a response to the request that waits for it.
+    pub fn handle_placement_response(&self, response: PlacementResponse) {
+        self.placement_client
+            .borrow_mut()
+            .deliver_response(response);
     }
 }
 
-/// Tells the other hubs of placements, as long as the process runs. Without any, it
-/// does not wake up.
-pub async fn tell_regularly(gateway: Rc<Gateway>) {
+/// Announces placements to the other hubs until the process ends. Does not wake up while
+/// there are none.
+pub async fn announce_regularly(gateway: Rc<Gateway>) {
     loop {
-        gateway.placed.notified().await;
-        sleep(NOTE_EVERY).await;
-        gateway.tell_placements();
+        gateway.placements_changed.notified().await;
+        sleep(ANNOUNCE_DELAY).await;
+        gateway.announce_placements();
     }
 }
 
@@ -405,19 +430,19 @@
 impl From<&EnginePlacement> for PlacedEngines {
     fn from(place: &EnginePlacement) -> Self {
         Self {
-            reader: place
+            prefill_engine: place
                 .prefill_engine
                 .as_ref()
-                .map(|reader| reader.id.clone()),
-            writer: place.decode_engine.id.clone(),
+                .map(|prefill_engine| prefill_engine.id.clone()),
+            decode_engine: place.decode_engine.id.clone(),
             fetch_from: place.fetch_from.as_ref().map(|holder| holder.id.clone()),
             rank: place.rank,
             expected_ms: place.expected_ms,
-            own_ms: place.own_prefill_ms,
-            unread_tokens: place.pending_prefill_tokens,
-            reread_tokens: place.recomputed_tokens,
-            waiting_tokens: place.queued_ahead_tokens,
-            gives_way: place.deprioritized,
+            own_prefill_ms: place.own_prefill_ms,
+            pending_prefill_tokens: place.pending_prefill_tokens,
+            recomputed_tokens: place.recomputed_tokens,
+            queued_ahead_tokens: place.queued_ahead_tokens,
+            deprioritized: place.deprioritized,
         }
     }
 }
