--- a/src/intents/forward.rs
+++ b/src/intents/forward.rs
@@ -1,4 +1,4 @@
-//! Operations on their way to the owner of a shard, one message at a time.
+//! Forwards operations to the owner of a shard, with one message in flight at a time.
 
 use std::future;
 use std::time::Duration;
@@ -7,24 +7,25 @@
 
 use crate::intents::driver::OpWaiter;
 use crate::intents::link::{
-    IntentLink, LINK_PAUSE, LINK_WAIT, LinkError, LinkOutcome, LinkReply, LinkRequest, MAX_LINK_OPS,
+    IntentLink, LINK_PAUSE, LINK_TIMEOUT, LinkError, LinkOutcome, LinkReply, LinkRequest,
+    MAX_LINK_OPS,
 };
 use crate::intents::writer::ShardOp;
 use crate::ports::{ObjectVersion, PortFuture};
 
-/// An operation that goes to the owner: a claim or a close of this daemon's own.
+/// An operation for the owner of the shard: a claim or a close made by this daemon.
 pub(crate) struct ForwardOp {
-    /// The operation as this daemon would carry it out.
+    /// The operation in the form that this daemon executes itself.
     pub(crate) op: ShardOp,
-    /// Whoever waits for it.
+    /// Recipient of the result.
     pub(crate) waiter: Option<OpWaiter>,
 }
 
 impl ForwardOp {
-    fn carried(&self) -> Option<ShardOp> {
+    fn forwarded(&self) -> Option<ShardOp> {
         match &self.op {
-            ShardOp::Claim(claim) => Some(ShardOp::Carry(claim.clone())),
-            ShardOp::Close { key, claim, record } => Some(ShardOp::CarryClose {
+            ShardOp::Claim(claim) => Some(ShardOp::ForwardedClaim(claim.clone())),
+            ShardOp::Close { key, claim, record } => Some(ShardOp::ForwardedClose {
                 key: key.clone(),
                 claim: *claim,
                 record: record.clone(),
@@ -34,26 +35,26 @@
     }
 }
 
-/// What became of a message.
+/// Result of one message to the owner.
 pub(crate) struct ForwardResult {
-    /// A version at which the recorded operations are recorded.
+    /// Version of the shard that contains all recorded operations.
     pub(crate) version: ObjectVersion,
     /// The operations and their outcomes.
     pub(crate) ops: Vec<(ForwardOp, LinkOutcome)>,
 }
 
-/// Operations of one shard on their way to its owner.
-pub(crate) struct ForwardStage {
+/// Queue of operations on one shard for its owner.
+pub(crate) struct ForwardQueue {
     link: Option<IntentLink>,
     shard: u32,
     shards: u32,
     outbox: Vec<ForwardOp>,
     sent: Vec<ForwardOp>,
-    flight: Option<PortFuture<Result<LinkReply, LinkError>>>,
+    pending_call: Option<PortFuture<Result<LinkReply, LinkError>>>,
     paused_until: Option<Instant>,
 }
 
-impl ForwardStage {
+impl ForwardQueue {
     pub(crate) fn new(link: Option<IntentLink>, shard: u32, shards: u32) -> Self {
         Self {
             link,
@@ -61,31 +62,32 @@
             shards,
             outbox: Vec::new(),
             sent: Vec::new(),
-            flight: None,
+            pending_call: None,
             paused_until: None,
         }
     }
 
-    /// Returns the number of operations under way.
+    /// Returns the number of operations queued or in flight.
     pub(crate) fn len(&self) -> usize {
         self.outbox.len() + self.sent.len()
     }
 
-    /// Tells whether an operation is for the owner.
-    pub(crate) fn takes(&self, op: &ShardOp) -> bool {
-        matches!(op, ShardOp::Claim(_) | ShardOp::Close { .. }) && self.open_link().is_some()
+    /// Returns whether an operation is to be sent to the owner.
+    pub(crate) fn accepts(&self, op: &ShardOp) -> bool {
+        matches!(op, ShardOp::Claim(_) | ShardOp::Close { .. }) && self.available_owner().is_some()
     }
 
     pub(crate) fn push(&mut self, op: ForwardOp) {
         self.outbox.push(op);
     }
 
-    /// Sends the operations that wait. Returns those that no owner is there for any more.
-    pub(crate) fn start(&mut self, known_at: ObjectVersion) -> Vec<ForwardOp> {
-        if self.flight.is_some() || self.outbox.is_empty() {
+    /// Sends the queued operations. Returns them instead when there is no owner to send them
+    /// to any more.
+    pub(crate) fn send_next(&mut self, known_at: ObjectVersion) -> Vec<ForwardOp> {
+        if self.pending_call.is_some() || self.outbox.is_empty() {
             return Vec::new();
         }
-        let Some((link, owner)) = self.open_link() else {
+        let Some((link, owner)) = self.available_owner() else {
             return std::mem::take(&mut self.outbox);
         };
         let count = self.outbox.len().min(MAX_LINK_OPS);
@@ -94,12 +96,12 @@
             shard: self.shard,
             shards: self.shards,
             known_at,
-            ops: sent.iter().filter_map(ForwardOp::carried).collect(),
+            ops: sent.iter().filter_map(ForwardOp::forwarded).collect(),
         };
-        let wait = longest_wait(&sent);
+        let wait = reply_timeout(&sent);
         let call = (link.call)((owner, request.encode()));
         self.sent = sent;
-        self.flight = Some(Box::pin(async move {
+        self.pending_call = Some(Box::pin(async move {
             let reply = tokio::time::timeout(wait, call).await;
             let reply = reply.map_err(|_| LinkError::NoReply {
                 reason: "timeout".to_owned(),
@@ -109,18 +111,19 @@
         Vec::new()
     }
 
-    /// Waits for the reply to the message under way.
-    pub(crate) async fn next(&mut self) -> Result<LinkReply, LinkError> {
-        match &mut self.flight {
+    /// Waits for the reply to the message in flight.
+    pub(crate) async fn next_reply(&mut self) -> Result<LinkReply, LinkError> {
+        match &mut self.pending_call {
             Some(call) => call.await,
             None => future::pending().await,
         }
     }
 
-    /// Ends the message under way. After a failure the shard is written directly for a
-    /// while, so that an owner that is gone doesn't delay each claim.
+    /// Applies the reply to the message in flight. After a failure, this daemon writes the
+    /// shard directly for [`LINK_PAUSE`], so that an owner that is gone does not delay
+    /// every claim.
     pub(crate) fn finish(&mut self, reply: Result<LinkReply, LinkError>) -> ForwardResult {
-        self.flight = None;
+        self.pending_call = None;
         let sent = std::mem::take(&mut self.sent);
         let count = sent.len();
         let reply = reply.unwrap_or_else(|_| {
@@ -128,7 +131,7 @@
             metrics::counter!("pistachiowick_intent_link_failures_total").increment(1);
             LinkReply {
                 version: ObjectVersion::default(),
-                outcomes: vec![LinkOutcome::Unsure; count],
+                outcomes: vec![LinkOutcome::Uncertain; count],
             }
         });
         ForwardResult {
@@ -137,7 +140,7 @@
         }
     }
 
-    fn open_link(&self) -> Option<(IntentLink, crate::names::DaemonId)> {
+    fn available_owner(&self) -> Option<(IntentLink, crate::names::DaemonId)> {
         if self
             .paused_until
             .is_some_and(|until| Instant::now() < until)
@@ -149,10 +152,11 @@
     }
 }
 
-/// Leaves every waiter half of its time for the direct way.
-fn longest_wait(ops: &[ForwardOp]) -> Duration {
+/// Returns how long to wait for the owner. Every waiter keeps half of its remaining time
+/// for a direct write.
+fn reply_timeout(ops: &[ForwardOp]) -> Duration {
     let now = Instant::now();
     let waiters = ops.iter().filter_map(|op| op.waiter.as_ref());
-    let left = waiters.map(|w| w.deadline.saturating_duration_since(now) / 2);
-    left.min().unwrap_or(LINK_WAIT).min(LINK_WAIT)
+    let remaining = waiters.map(|w| w.deadline.saturating_duration_since(now) / 2);
+    remaining.min().unwrap_or(LINK_TIMEOUT).min(LINK_TIMEOUT)
 }
--- a/src/intents/ops.rs
+++ b/src/intents/ops.rs
@@ -1,38 +1,38 @@
-//! Operations on a shard of intents, and what applying them comes to.
+//! Operations on a shard of intents, and how they are applied.
 
 use std::time::Duration;
 
 use crate::intents::wire::decode_ledger;
 use crate::intents::{
-    ClaimEntry, ClaimId, ClaimStep, CloseRecord, CloseStep, IntentKey, KeyFault, LedgerLimits,
-    RecordView, SettleStep, ShardLedger,
+    ClaimEntry, ClaimId, ClaimOutcome, CloseOutcome, CloseRecord, IntentKey, KeyError,
+    LedgerLimits, RecordView, SettleOutcome, ShardLedger,
 };
 use crate::invariants::{self, Invariant};
 use crate::names::{MonoTime, UnixTime};
 use crate::ports::{ObjectVersion, StoredObject};
 
-/// Wait before a full shard is asked again.
+/// Time after which callers should retry an operation on a full shard.
 const FULL_RETRY: Duration = Duration::from_secs(1);
 
-/// Both clocks at the moment of an event.
+/// Readings of both clocks for an event.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WriterTime {
-    /// Monotonic clock, for waits.
+    /// Monotonic clock, used for waits.
     pub mono: MonoTime,
-    /// Wall clock, for the age of keys.
+    /// Wall clock, used for the age of keys.
     pub unix: UnixTime,
 }
 
-/// Numbers the operations of one writer.
+/// Sequence number of an operation in one writer.
 pub type OpNumber = u64;
 
 /// An operation on a shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ShardOp {
-    /// Records another daemon's claim for it; whether it is granted is that daemon's to say.
-    Carry(ClaimEntry),
-    /// Closes another daemon's granted claim for it.
-    CarryClose {
+    /// Records a claim on behalf of another daemon, which alone decides whether it is granted.
+    ForwardedClaim(ClaimEntry),
+    /// Closes a granted claim on behalf of another daemon.
+    ForwardedClose {
         /// Identity of the request.
         key: IntentKey,
         /// Claim that was granted.
@@ -42,7 +42,7 @@
     },
     /// Records a claim.
     Claim(ClaimEntry),
-    /// Closes a granted claim; has no result.
+    /// Closes a granted claim; returns no result.
     Close {
         /// Identity of the request.
         key: IntentKey,
@@ -53,22 +53,23 @@
     },
     /// Reads a record.
     Lookup(IntentKey),
-    /// Closes an open key as not run.
+    /// Closes an unused key as not run.
     Settle {
         /// Identity of the request.
         key: IntentKey,
         /// Identity of the settlement.
         claim: ClaimId,
     },
-    /// Closes an abandoned claim as not run, if it ever arrives; has no result.
+    /// Closes an abandoned claim as not run if its write takes effect after all; returns no
+    /// result.
     Release {
         /// Identity of the request.
         key: IntentKey,
         /// Claim that was abandoned.
         claim: ClaimId,
     },
-    /// Closes an abandoned claim that another daemon may record at any time, and closes
-    /// its key where it isn't recorded yet; has no result.
+    /// Closes an abandoned claim that another daemon may record at any time, or closes its
+    /// key if the claim is not recorded yet; returns no result.
     Void {
         /// Identity of the request.
         key: IntentKey,
@@ -78,11 +79,11 @@
 }
 
 impl ShardOp {
-    /// Tells whether somebody waits for a result.
+    /// Returns whether a caller waits for a result.
     pub(crate) fn has_result(&self) -> bool {
         match self {
-            Self::Carry(_)
-            | Self::CarryClose { .. }
+            Self::ForwardedClaim(_)
+            | Self::ForwardedClose { .. }
             | Self::Claim(_)
             | Self::Lookup(_)
             | Self::Settle { .. } => true,
@@ -94,38 +95,38 @@
 /// Result of an operation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OpResult {
-    /// The close is recorded, or its key is too old to matter.
+    /// The close is recorded, or its key has expired.
     Closed,
-    /// The claim is recorded; its claimant may dispatch once.
+    /// The claim is recorded; its claimant may dispatch the request once.
     Granted,
-    /// The key is recorded so, or absent where that was asked.
+    /// What is recorded for the key; absent only as the result of a lookup.
     Record(RecordView),
     /// The key is not acceptable.
-    Invalid(KeyFault),
-    /// Nothing was decided.
+    Invalid(KeyError),
+    /// The operation ended undecided.
     GivenUp {
         /// Why.
         reason: String,
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
-        /// Whether the operation is certain to have no effect later.
-        untouched: bool,
+        /// Whether the operation certainly has no effect, now or later.
+        no_effect: bool,
     },
 }
 
-/// What the driver does next.
+/// An action for the driver to execute.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WriterAction {
     /// Reads the shard's object.
     Read,
     /// Writes the shard's object.
     Write {
-        /// Version it must have.
+        /// Version that the object must have.
         expected: ObjectVersion,
         /// New value.
         value: Vec<u8>,
     },
-    /// Hands a result to whoever waits for it.
+    /// Sends a result to the caller that waits for it.
     Reply {
         /// Operation.
         number: OpNumber,
@@ -134,165 +135,170 @@
     },
 }
 
-/// How a writer works.
+/// Configuration of a writer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WriterRules {
-    /// Bounds of the ledger.
+    /// Limits of the ledger.
     pub limits: LedgerLimits,
-    /// Shortest time between two writes.
+    /// Minimum time between two writes.
     pub commit: Duration,
-    /// Seed of the waits after conflicts.
+    /// Seed for the random waits after conflicts.
     pub seed: u64,
 }
 
-/// What applying an operation came to.
-pub(crate) enum OpStep {
-    /// Decided by the copy at hand, once a write before it is confirmed.
+/// Outcome of applying an operation to the local copy of the shard.
+pub(crate) enum OpOutcome {
+    /// Decided by the copy; if the copy has unconfirmed changes, once their write is confirmed.
     Decided(Option<OpResult>),
-    /// Decided, but for a copy from after the operation's submission.
+    /// Decided, but the copy must be read again first, as it is older than the operation.
     Stale(Option<OpResult>),
     /// Decided once the platform confirms the write.
     Changed(Option<OpResult>),
 }
 
-pub(crate) fn view_result(view: Result<RecordView, KeyFault>) -> OpResult {
+pub(crate) fn view_result(view: Result<RecordView, KeyError>) -> OpResult {
     match view {
         Ok(view) => OpResult::Record(view),
-        Err(fault) => OpResult::Invalid(fault),
+        Err(error) => OpResult::Invalid(error),
     }
 }
 
-/// Lets a record that may still change be answered only from a copy that was read
-/// after the question; an older one would show a request as open that ended long ago.
-fn decide(result: OpResult, fresh: bool) -> OpStep {
-    let lasting = match &result {
+/// Requires a copy that was read after the operation was submitted, unless the result is
+/// final. An older copy could show a request as unfinished that ended long ago.
+fn decide(result: OpResult, fresh: bool) -> OpOutcome {
+    let is_final = match &result {
         OpResult::Record(view) => view.is_final(),
         OpResult::GivenUp { .. } => false,
         OpResult::Closed | OpResult::Granted | OpResult::Invalid(_) => true,
     };
-    if lasting || fresh {
-        OpStep::Decided(Some(result))
+    if is_final || fresh {
+        OpOutcome::Decided(Some(result))
     } else {
-        OpStep::Stale(Some(result))
+        OpOutcome::Stale(Some(result))
     }
 }
 
 fn full_result() -> OpResult {
     OpResult::GivenUp {
-        reason: "the shard of the key is full; wait for older keys to expire, or raise \
+        reason: "the shard that records the key is full; wait for older keys to expire, or raise \
                  intents.shards"
             .to_owned(),
         retry_after: FULL_RETRY,
-        untouched: false,
+        no_effect: false,
     }
 }
 
-fn claim_step(step: ClaimStep, fresh: bool) -> OpStep {
-    match step {
-        ClaimStep::Added => OpStep::Changed(Some(OpResult::Granted)),
-        ClaimStep::Owned => decide(OpResult::Granted, fresh),
-        ClaimStep::Present(view) => decide(OpResult::Record(view), fresh),
-        ClaimStep::Invalid(fault) => decide(OpResult::Invalid(fault), fresh),
-        ClaimStep::Full => decide(full_result(), fresh),
+fn claim_outcome(outcome: ClaimOutcome, fresh: bool) -> OpOutcome {
+    match outcome {
+        ClaimOutcome::Added => OpOutcome::Changed(Some(OpResult::Granted)),
+        ClaimOutcome::Owned => decide(OpResult::Granted, fresh),
+        ClaimOutcome::Present(view) => decide(OpResult::Record(view), fresh),
+        ClaimOutcome::Invalid(error) => decide(OpResult::Invalid(error), fresh),
+        ClaimOutcome::Full => decide(full_result(), fresh),
     }
 }
 
-fn settle_step(step: SettleStep, fresh: bool) -> OpStep {
-    match step {
-        SettleStep::Added => OpStep::Changed(Some(OpResult::Record(RecordView::NotRun))),
-        SettleStep::Present(view) => decide(OpResult::Record(view), fresh),
-        SettleStep::Invalid(fault) => decide(OpResult::Invalid(fault), fresh),
-        SettleStep::Full => decide(full_result(), fresh),
+fn settle_outcome(outcome: SettleOutcome, fresh: bool) -> OpOutcome {
+    match outcome {
+        SettleOutcome::Added => OpOutcome::Changed(Some(OpResult::Record(RecordView::NotRun))),
+        SettleOutcome::Present(view) => decide(OpResult::Record(view), fresh),
+        SettleOutcome::Invalid(error) => decide(OpResult::Invalid(error), fresh),
+        SettleOutcome::Full => decide(full_result(), fresh),
     }
 }
 
-fn close_step(step: CloseStep, result: Option<OpResult>) -> OpStep {
-    match step {
-        CloseStep::Changed => OpStep::Changed(result),
-        CloseStep::Unchanged | CloseStep::Missing => OpStep::Decided(result),
+fn close_outcome(outcome: CloseOutcome, result: Option<OpResult>) -> OpOutcome {
+    match outcome {
+        CloseOutcome::Changed => OpOutcome::Changed(result),
+        CloseOutcome::Unchanged | CloseOutcome::Missing => OpOutcome::Decided(result),
     }
 }
 
-/// The shard as the platform has it.
+/// Local copy of the shard.
 #[derive(Debug)]
 pub(crate) struct ShardCopy {
     pub(crate) version: ObjectVersion,
     pub(crate) ledger: ShardLedger,
-    /// Operations below this number were submitted before the copy was current.
+    /// Operations with a lower number were submitted before the copy was read or written.
     pub(crate) as_of: OpNumber,
 }
 
 /// Applies an operation to the copy.
 ///
-/// `fresh` tells whether the copy is from after the operation's submission, `lost_at`
-/// the newest version that a write with a lost answer expected.
+/// `fresh` says whether the copy was read after the operation was submitted.
+/// `lost_write_version` is the newest expected version of a write whose response was lost.
 pub(crate) fn apply_op(
     op: &ShardOp,
     copy: &mut ShardCopy,
     fresh: bool,
-    lost_at: Option<ObjectVersion>,
+    lost_write_version: Option<ObjectVersion>,
     limits: &LedgerLimits,
     now: UnixTime,
-) -> OpStep {
+) -> OpOutcome {
     let ledger = &mut copy.ledger;
     match op {
-        ShardOp::Carry(claim) | ShardOp::Claim(claim) => {
-            claim_step(ledger.claim(claim, limits, now), fresh)
+        ShardOp::ForwardedClaim(claim) | ShardOp::Claim(claim) => {
+            claim_outcome(ledger.claim(claim, limits, now), fresh)
         }
         ShardOp::Settle { key, claim } => {
-            settle_step(ledger.settle(key, *claim, limits, now), fresh)
+            settle_outcome(ledger.settle(key, *claim, limits, now), fresh)
         }
         ShardOp::Lookup(key) => decide(view_result(ledger.view(key, limits, now)), fresh),
         ShardOp::Close { key, claim, record } => {
-            close_step(close_granted(ledger, key, *claim, record, limits), None)
+            close_outcome(close_granted(ledger, key, *claim, record, limits), None)
         }
-        ShardOp::CarryClose { key, claim, record } => {
-            let step = close_granted(ledger, key, *claim, record, limits);
-            close_step(step, Some(OpResult::Closed))
+        ShardOp::ForwardedClose { key, claim, record } => {
+            let outcome = close_granted(ledger, key, *claim, record, limits);
+            close_outcome(outcome, Some(OpResult::Closed))
         }
         ShardOp::Release { key, claim } => {
-            let step = ledger.close(key.entry_id(), *claim, &CloseRecord::NotRun, limits);
-            release_step(step, copy.version, lost_at)
+            let outcome = ledger.close(key.entry_id(), *claim, &CloseRecord::NotRun, limits);
+            release_outcome(outcome, copy.version, lost_write_version)
         }
-        ShardOp::Void { key, claim } => close_step(ledger.void(key, *claim, limits), None),
+        ShardOp::Void { key, claim } => close_outcome(ledger.void(key, *claim, limits), None),
     }
 }
 
-/// Closes a granted claim and asserts that it was in its shard, unless its key is too old.
+/// Closes a granted claim and asserts that it is in its shard, unless its key has expired.
 fn close_granted(
     ledger: &mut ShardLedger,
     key: &IntentKey,
     claim: ClaimId,
     record: &CloseRecord,
     limits: &LedgerLimits,
-) -> CloseStep {
-    let step = ledger.close(key.entry_id(), claim, record, limits);
-    let lost = step == CloseStep::Missing && key.minted_at > ledger.horizon();
-    invariants::check(!lost, Invariant::AtMostOnce, || {
-        format!("granted claim {claim} is gone from its shard before its key expired")
+) -> CloseOutcome {
+    let outcome = ledger.close(key.entry_id(), claim, record, limits);
+    let is_lost = outcome == CloseOutcome::Missing && key.minted_at > ledger.horizon();
+    invariants::check(!is_lost, Invariant::AtMostOnce, || {
+        format!("granted claim {claim} is missing from its shard although its key has not expired")
     });
-    step
+    outcome
 }
 
-/// Concludes nothing from the claim's absence while the shard stands at a version
-/// that a lost write expected: that write may take effect after the read. Writing
-/// the shard again settles it, as whichever write comes first refuses the other.
-fn release_step(step: CloseStep, version: ObjectVersion, lost_at: Option<ObjectVersion>) -> OpStep {
-    match step {
-        CloseStep::Missing if lost_at >= Some(version) => OpStep::Changed(None),
-        step => close_step(step, None),
+/// Does not rely on the claim's absence while the shard has a version that a write with
+/// a lost response expected: that write may still take effect after the read. Writing the
+/// shard again resolves this, as only one of two writes with the same expected version
+/// succeeds.
+fn release_outcome(
+    outcome: CloseOutcome,
+    version: ObjectVersion,
+    lost_write_version: Option<ObjectVersion>,
+) -> OpOutcome {
+    match outcome {
+        CloseOutcome::Missing if lost_write_version >= Some(version) => OpOutcome::Changed(None),
+        outcome => close_outcome(outcome, None),
     }
 }
 
-/// A shard that was deleted has lost its records: taking it for empty would let
-/// every recorded request run again.
+/// Decodes the ledger of a shard. A deleted shard is an error: treating it as empty would
+/// let every recorded request run again.
 pub(crate) fn read_ledger(found: Option<StoredObject>) -> Result<ShardLedger, String> {
     let Some(object) = found else {
         return Ok(ShardLedger::default());
     };
     let value = object.value.ok_or_else(|| {
         format!(
-            "the object {}/{} was deleted; restore it",
+            "the platform object {}/{} was deleted; restore it",
             object.object.kind, object.object.name
         )
     })?;
