--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -325,7 +325,7 @@
                     sequence,
                     ..hint.clone()
                 };
-                hints.note(hint, NOW)
+                hints.apply(hint, NOW)
             });
         });
     }
--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -1,8 +1,8 @@
-//! Checks that a changed item holds together, by itself and with the others.
+//! Validation of changed items, by themselves and against the other items.
 //!
-//! A workspace and its classes are checked against their common bucket and hold
-//! for certain. Models are checked against this daemon's view, which may be seconds
-//! old: a class can outlive its model, and admission then refuses its requests.
+//! A workspace and its classes are checked against their common bucket, which is reliable.
+//! Models are checked against this daemon's view, which may be seconds old: a class can
+//! outlive its model, and admission then refuses its requests.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -14,20 +14,20 @@
 use crate::control::snapshot::ConfigView;
 use crate::control::{ChangeError, ItemChange};
 
-const NAME_LENGTH: usize = 128;
-const REASON_LENGTH: usize = 1_024;
-const HASH_LENGTH: usize = 64;
-const MOST_ENTRIES: usize = 256;
+const MAX_NAME_LENGTH: usize = 128;
+const MAX_REASON_BYTES: usize = 1_024;
+const HASH_DIGITS: usize = 64;
+const MAX_ENTRIES: usize = 256;
 const WEIGHTS: RangeInclusive<u32> = 1..=1_000_000;
 const DEADLINES: RangeInclusive<u32> = 1..=86_400_000;
 const PRIORITIES: RangeInclusive<u32> = 0..=1_000;
-const LEAST_ENGINES: RangeInclusive<u32> = 0..=100_000;
+const ENGINE_COUNTS: RangeInclusive<u32> = 0..=100_000;
 
-/// Checks a change against its bucket and the other buckets' items.
+/// Checks a change against its bucket and the items of other buckets.
 ///
 /// # Errors
 ///
-/// Fails with the field, the value found, its range and the remedy.
+/// Fails with the field, its value, the allowed range and the remedy.
 pub fn check_change(
     bucket: &BucketRecord,
     view: &ConfigView,
@@ -38,7 +38,7 @@
     };
     if spec.item_name() != change.item {
         return Err(invalid(format!(
-            "item name is {:?} and its content names {:?}; they must be the same: correct either",
+            "the item name is {:?}, but its content names {:?}; correct either, as they must be equal",
             change.item.name,
             spec.item_name().name
         )));
@@ -47,7 +47,7 @@
         ItemSpec::Class(class) => check_class(bucket, view, class),
         ItemSpec::Hold(hold) => {
             check_name("target", hold.target.as_str())?;
-            check_length("reason", &hold.reason, REASON_LENGTH)
+            check_length("reason", &hold.reason, MAX_REASON_BYTES)
         }
         ItemSpec::Model(model) => check_model(model),
         ItemSpec::Workspace(workspace) => check_workspace(view, workspace),
@@ -102,8 +102,8 @@
         let owner = view.key_owners.get(&hash.to_lowercase());
         if let Some(other) = owner.filter(|name| **name != workspace.name) {
             return Err(invalid(format!(
-                "key_hashes holds {hash:?}, which belongs to workspace {other:?}; a key names one \
-                 workspace: make another key",
+                "key_hashes contains {hash:?}, which belongs to workspace {other:?}; a key can \
+                 belong to only one workspace: create another key",
                 other = other.as_str()
             )));
         }
@@ -113,12 +113,12 @@
 
 fn check_hash(hash: &str) -> Result<(), ChangeError> {
     let digits = hash.bytes().all(|b| b.is_ascii_hexdigit());
-    if hash.len() == HASH_LENGTH && digits {
+    if hash.len() == HASH_DIGITS && digits {
         return Ok(());
     }
     Err(invalid(format!(
-        "key_hashes holds {hash:?}; each must be {HASH_LENGTH} hexadecimal digits: give the \
-         SHA-256 of the key"
+        "key_hashes contains {hash:?}; each hash must have {HASH_DIGITS} hexadecimal digits: \
+         use the SHA-256 of the key"
     )))
 }
 
@@ -151,7 +151,7 @@
 fn check_choice(view: &ConfigView, choice: &ModelChoice) -> Result<(), ChangeError> {
     if choice.models.is_empty() {
         return Err(invalid(
-            "models is empty; name at least 1 model, or a service".to_owned(),
+            "models is empty; give at least 1 model, or a service".to_owned(),
         ));
     }
     check_count("models", choice.models.len())?;
@@ -176,13 +176,13 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} holds {value:?}, which none of the class's models has; add it to a model first"
+        "{field} contains {value:?}, which none of the class's models has; add it to a model first"
     )))
 }
 
 fn check_model(model: &ModelSpec) -> Result<(), ChangeError> {
     check_name("name", model.name.as_str())?;
-    check_range("least_engines", model.least_engines, &LEAST_ENGINES)?;
+    check_range("least_engines", model.least_engines, &ENGINE_COUNTS)?;
     check_count("versions", model.versions.len())?;
     check_count("adapters", model.adapters.len())?;
     for version in &model.versions {
@@ -194,35 +194,36 @@
     Ok(())
 }
 
-// `/`, `@` and `+` join names elsewhere (WORKSPACE/CLASS, MODEL@VERSION+ADAPTER).
+// `/`, `@` and `+` are separators in combined names (WORKSPACE/CLASS,
+// MODEL@VERSION+ADAPTER).
 fn check_name(field: &str, name: &str) -> Result<(), ChangeError> {
-    let sane = |c: char| c.is_ascii_alphanumeric() || "._-:".contains(c);
-    if !name.is_empty() && name.len() <= NAME_LENGTH && name.chars().all(sane) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "._-:".contains(c);
+    if !name.is_empty() && name.len() <= MAX_NAME_LENGTH && name.chars().all(is_allowed) {
         return Ok(());
     }
-    let shown: String = name.chars().take(NAME_LENGTH).collect();
+    let shown: String = name.chars().take(MAX_NAME_LENGTH).collect();
     Err(invalid(format!(
-        "{field} is {shown:?}; it must have 1 to {NAME_LENGTH} letters, digits, '.', '_', '-' or \
-         ':': choose another name"
+        "{field} is {shown:?}, but it must consist of 1 to {MAX_NAME_LENGTH} letters, digits, '.', \
+         '_', '-' or ':'; choose another name"
     )))
 }
 
-fn check_length(field: &str, text: &str, most: usize) -> Result<(), ChangeError> {
-    if text.len() <= most {
+fn check_length(field: &str, text: &str, max_bytes: usize) -> Result<(), ChangeError> {
+    if text.len() <= max_bytes {
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} has {} bytes of at most {most}; shorten it",
+        "{field} has {} bytes, but at most {max_bytes} are allowed; shorten it",
         text.len()
     )))
 }
 
 fn check_count(field: &str, count: usize) -> Result<(), ChangeError> {
-    if count <= MOST_ENTRIES {
+    if count <= MAX_ENTRIES {
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} has {count} entries of at most {MOST_ENTRIES}; remove some"
+        "{field} has {count} entries, but at most {MAX_ENTRIES} are allowed; remove some"
     )))
 }
 
@@ -235,7 +236,7 @@
         return Ok(());
     }
     Err(invalid(format!(
-        "{field} is {value}; it must be {} to {}: set it within the range",
+        "{field} is {value}, but it must be {} to {}; set it within the range",
         range.start(),
         range.end()
     )))
--- a/src/control/authority_ports.rs
+++ b/src/control/authority_ports.rs
@@ -1,4 +1,4 @@
-//! Carries out what leases, orders and the plan decide.
+//! Executes the platform and engine calls requested by leases, orders and the plan.
 
 use std::time::Duration;
 
@@ -15,29 +15,24 @@
     ConditionalWrite, EnginePort, ObjectName, PlatformError, PlatformPort, TargetCall, TargetError,
 };
 
-/// Ports and channel of the authority's calls.
+/// Ports for the authority's calls and the channel for their results.
 #[derive(Clone)]
 pub struct AuthorityPorts {
-    /// The platform.
+    /// Port to the platform.
     pub platform: PlatformPort,
-    /// Engines.
+    /// Port to the engines.
     pub engines: EnginePort,
-    /// Longest wait for an answer of the platform.
-    pub call_wait: Duration,
-    /// Longest time an order may be under way.
+    /// Timeout of a platform call.
+    pub call_timeout: Duration,
+    /// Longest time that an order may be in transit.
     pub order_flight: Duration,
-    /// Where answers go.
+    /// Channel for the results.
     pub feeds: mpsc::UnboundedSender<FeedEvent>,
 }
 
 impl AuthorityPorts {
-    /// Starts an action; its answer arrives as an event.
-    pub fn carry_out(
-        &self,
-        action: AuthorityAction,
-        state: &mut AuthorityState,
-        fleet: &FleetView,
-    ) {
+    /// Starts an action; its result arrives as an event.
+    pub fn execute(&self, action: AuthorityAction, state: &mut AuthorityState, fleet: &FleetView) {
         match action {
             AuthorityAction::Read { tag, object } => self.read(tag, object),
             AuthorityAction::Write {
@@ -50,19 +45,19 @@
     }
 
     fn read(&self, tag: CallTag, object: ObjectName) {
-        let read = timeout(self.call_wait, (self.platform.read)(object));
+        let read = timeout(self.call_timeout, (self.platform.read)(object));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
-            let result = read.await.unwrap_or_else(|_| Err(late_read()));
+            let result = read.await.unwrap_or_else(|_| Err(read_timed_out()));
             let _ = feeds.send(FeedEvent::Read { tag, result });
         });
     }
 
     fn write(&self, tag: CallTag, mark: String, write: ConditionalWrite) {
-        let answer = timeout(self.call_wait, (self.platform.write)(write.clone()));
+        let answer = timeout(self.call_timeout, (self.platform.write)(write.clone()));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
-            let result = answer.await.unwrap_or_else(|_| Err(late_write()));
+            let result = answer.await.unwrap_or_else(|_| Err(write_timed_out()));
             let _ = feeds.send(FeedEvent::Written {
                 tag,
                 mark,
@@ -72,9 +67,9 @@
         });
     }
 
-    // The lease is looked at on a fresh clock and the call is made in the same breath.
-    // The call is dropped after one order flight, so that none leaves later than a
-    // successor allows for.
+    // Checks the lease against the current time immediately before the call. The call is
+    // cancelled after `order_flight`, so that no order leaves later than a successor
+    // allows for.
     fn send(
         &self,
         group: GroupName,
@@ -88,13 +83,13 @@
         };
         let call = TargetCall {
             address,
-            patience: self.order_flight,
+            timeout: self.order_flight,
             body,
         };
         let answer = timeout(self.order_flight, (self.engines.order)(call));
         let feeds = self.feeds.clone();
         tokio::spawn(async move {
-            let result = answer.await.unwrap_or_else(|_| Err(late_order()));
+            let result = answer.await.unwrap_or_else(|_| Err(order_timed_out()));
             let _ = feeds.send(FeedEvent::Ordered {
                 group,
                 target,
@@ -104,21 +99,21 @@
     }
 }
 
-fn late_read() -> PlatformError {
+fn read_timed_out() -> PlatformError {
     PlatformError::Unavailable {
-        reason: "no answer in time".to_owned(),
+        reason: "the platform call timed out".to_owned(),
         retry_after: Duration::ZERO,
     }
 }
 
-fn late_write() -> PlatformError {
+fn write_timed_out() -> PlatformError {
     PlatformError::Lost {
-        reason: "no answer in time".to_owned(),
+        reason: "the platform call timed out".to_owned(),
     }
 }
 
-fn late_order() -> TargetError {
+fn order_timed_out() -> TargetError {
     TargetError::Lost {
-        reason: "no answer in time".to_owned(),
+        reason: "the order timed out".to_owned(),
     }
 }
--- a/src/control/feeds.rs
+++ b/src/control/feeds.rs
@@ -1,4 +1,4 @@
-//! Tasks that feed the control loop from the platform and the engines.
+//! Tasks that read from the platform and the engines and send events to the control loop.
 
 use std::time::Duration;
 
@@ -20,78 +20,78 @@
 use crate::store::wire::InstanceRow;
 use crate::targets::wire::EngineState;
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
-const POLL_PATIENCE: Duration = Duration::from_secs(1);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where an operator's change is answered.
+/// Channel for the result of an operator's change.
 pub type ChangeReply = oneshot::Sender<Result<ChangeReport, ChangeError>>;
 
-/// What the feeding tasks tell the control loop.
+/// An event that these tasks send to the control loop.
 #[derive(Debug)]
 pub enum FeedEvent {
-    /// Configuration objects; a whole listing or those changed.
+    /// Configuration objects: a complete listing or only the changed ones.
     Config {
-        /// The objects.
+        /// Listed or changed objects.
         objects: Vec<StoredObject>,
-        /// Whether these are all there are.
-        whole: bool,
+        /// Whether this is the complete listing.
+        complete: bool,
     },
-    /// The instance list.
+    /// Rows of the instance list.
     Instances(Vec<InstanceRow>),
-    /// Whether the platform answered a call.
+    /// Whether the platform answered the last call.
     Platform(bool),
-    /// The state of an engine, or that it did not answer.
+    /// Result of polling an engine.
     Engine {
-        /// Engine read.
+        /// Polled engine.
         target: TargetId,
-        /// Its report and the report's age.
+        /// Its report and the report's age; `None` if it did not answer.
         report: Option<(EngineState, Duration)>,
     },
-    /// Objects of orders and the plan.
+    /// Objects that contain orders and the plan.
     Orders(Vec<StoredObject>),
-    /// A read for leases, orders or the plan was answered.
+    /// Result of a read for leases, orders or the plan.
     Read {
-        /// Who asked.
+        /// Originator of the read.
         tag: CallTag,
-        /// The answer.
+        /// Object, `None` if it never existed, or why the read failed.
         result: Result<Option<StoredObject>, PlatformError>,
     },
-    /// A write for leases, orders or the plan was answered.
+    /// Result of a write for leases, orders or the plan.
     Written {
-        /// Who asked.
+        /// Originator of the write.
         tag: CallTag,
-        /// Mark of the write.
+        /// Unique mark of the write.
         mark: String,
-        /// What was written.
+        /// The write that was sent.
         write: ConditionalWrite,
-        /// The answer.
+        /// New version, or why the write failed.
         result: Result<ObjectVersion, PlatformError>,
     },
-    /// An order was answered.
+    /// Result of an order to an engine.
     Ordered {
         /// Group of the engine.
         group: GroupName,
-        /// Engine.
+        /// Engine that received the order.
         target: TargetId,
-        /// The answer.
+        /// State of the engine, or why the order failed.
         result: Result<EngineState, TargetError>,
     },
-    /// An operator's change was decided.
+    /// Result of an operator's change.
     Changed {
-        /// The change.
+        /// Requested change.
         change: ItemChange,
-        /// Revision and bucket, or why it was not accepted.
+        /// Revision and bucket, or why the change was not accepted.
         result: Result<(u64, StoredObject), ChangeError>,
-        /// Where the answer goes.
+        /// Channel that receives the result.
         reply: ChangeReply,
     },
 }
 
-/// Waits that grow with each failure and differ between daemons.
+/// Exponential backoff with jitter.
 ///
-/// Without jitter all daemons would come back to a recovered platform in the same
-/// instant and bring it down again.
+/// Without jitter all daemons would return to a recovered platform at the same moment and
+/// overload it again.
 #[derive(Debug)]
 pub struct BackoffState {
     wait: Duration,
@@ -99,34 +99,35 @@
 }
 
 impl BackoffState {
-    /// Creates a backoff with its own seed.
+    /// Creates a backoff whose jitter is derived from `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
-            wait: FIRST_BACKOFF,
+            wait: MIN_BACKOFF,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Starts again from the shortest wait.
+    /// Resets the backoff to the shortest wait.
     pub fn reset(&mut self) {
-        self.wait = FIRST_BACKOFF;
+        self.wait = MIN_BACKOFF;
     }
 
-    /// Returns the next wait, at least as long as the platform asked for.
+    /// Returns the next wait, which is at least as long as the platform requested, up to the
+    /// longest backoff.
     pub fn next_wait(&mut self, error: &PlatformError) -> Duration {
-        let asked = match error {
+        let requested = match error {
             PlatformError::Unavailable { retry_after, .. } => *retry_after,
             _ => Duration::ZERO,
         };
         let wait = self.wait.mul_f64(self.rng.random_range(0.5..1.5));
-        self.wait = (self.wait * 2).min(LONGEST_BACKOFF);
-        wait.max(asked.min(LONGEST_BACKOFF))
+        self.wait = (self.wait * 2).min(MAX_BACKOFF);
+        wait.max(requested.min(MAX_BACKOFF))
     }
 }
 
-/// Feeds the objects of a kind: lists them, then watches them from there.
-pub async fn feed_objects(
+/// Lists the objects of a kind, then watches them from the listed revision on.
+pub async fn watch_objects(
     platform: PlatformPort,
     kind: &'static str,
     watch_wait: Duration,
@@ -137,8 +138,9 @@
     let mut backoff = BackoffState::new(seed);
     let mut since: Option<u64> = None;
     while !feeds.is_closed() {
-        // The first listing is always an own one; from then on peers may feed this
-        // daemon, and the watch goes on where it stood when they fall silent.
+        // This daemon always reads the first listing itself. Later it may receive updates
+        // from peers; when they become unreachable, the watch continues from its last
+        // revision.
         if since.is_some() && watching.wait_for(|on| *on).await.is_err() {
             return;
         }
@@ -149,13 +151,13 @@
         match result {
             Ok(batch) => {
                 backoff.reset();
-                since = deliver(kind, batch, since, &feeds);
+                since = send_batch(kind, batch, since, &feeds);
             }
             Err(error) => {
-                let _ = feeds.send(FeedEvent::Platform(is_answer(&error)));
-                // The revision may be too old to continue from: start over. After an
-                // outage the watch goes on where it stood, which spares the platform
-                // a whole listing by every daemon at once.
+                let _ = feeds.send(FeedEvent::Platform(proves_reachable(&error)));
+                // A refused watch may mean that the revision is too old: list again. After
+                // an outage the watch continues from its last revision, which saves the
+                // platform a complete listing by every daemon at once.
                 if matches!(error, PlatformError::Refused { .. }) {
                     since = None;
                 }
@@ -179,31 +181,31 @@
     (platform.watch)(query).await
 }
 
-// A revision that goes back means that the platform lost its history: list again.
-fn deliver(
+// A lower revision than before means that the platform lost its history: list again.
+fn send_batch(
     kind: &str,
     batch: ObjectBatch,
     since: Option<u64>,
     feeds: &mpsc::UnboundedSender<FeedEvent>,
 ) -> Option<u64> {
-    let went_back = since.is_some_and(|revision| batch.revision < revision);
+    let history_lost = since.is_some_and(|revision| batch.revision < revision);
     let _ = feeds.send(FeedEvent::Platform(true));
     let event = if kind == CONFIG_KIND {
         FeedEvent::Config {
             objects: batch.objects,
-            whole: since.is_none(),
+            complete: since.is_none(),
         }
     } else {
         FeedEvent::Orders(batch.objects)
     };
     let _ = feeds.send(event);
-    (!went_back).then_some(batch.revision)
+    (!history_lost).then_some(batch.revision)
 }
 
-/// Feeds the instance list at a steady pace.
-pub async fn feed_instances(
+/// Reads the instance list at regular intervals.
+pub async fn poll_instances(
     platform: PlatformPort,
-    pace: Duration,
+    interval: Duration,
     seed: u64,
     feeds: mpsc::UnboundedSender<FeedEvent>,
 ) {
@@ -214,17 +216,17 @@
                 backoff.reset();
                 let _ = feeds.send(FeedEvent::Platform(true));
                 let _ = feeds.send(FeedEvent::Instances(rows));
-                sleep(pace).await;
+                sleep(interval).await;
             }
             Err(error) => {
-                let _ = feeds.send(FeedEvent::Platform(is_answer(&error)));
+                let _ = feeds.send(FeedEvent::Platform(proves_reachable(&error)));
                 sleep(backoff.next_wait(&error)).await;
             }
         }
     }
 }
 
-/// Reads one engine's state.
+/// Polls the state of one engine.
 pub async fn poll_engine(
     engines: EnginePort,
     target: TargetId,
@@ -233,10 +235,10 @@
 ) {
     let call = TargetCall {
         address,
-        patience: POLL_PATIENCE,
+        timeout: POLL_TIMEOUT,
         body: (),
     };
-    let answer = tokio::time::timeout(POLL_PATIENCE, (engines.state)(call)).await;
+    let answer = tokio::time::timeout(POLL_TIMEOUT, (engines.state)(call)).await;
     let state = answer.ok().and_then(Result::ok);
     let report = state.map(|report| {
         let age = membership::report_age(&report, clock::unix_now());
@@ -245,9 +247,9 @@
     let _ = feeds.send(FeedEvent::Engine { target, report });
 }
 
-/// Tells whether an error shows that the platform is there.
+/// Returns whether an error shows that the platform is reachable.
 #[must_use]
-pub fn is_answer(error: &PlatformError) -> bool {
+pub fn proves_reachable(error: &PlatformError) -> bool {
     matches!(
         error,
         PlatformError::Conflict { .. } | PlatformError::Refused { .. }
--- a/src/control/peer_desk.rs
+++ b/src/control/peer_exchange.rs
@@ -1,4 +1,5 @@
-//! The control thread's side of the links: hints out, hints in, objects passed on.
+//! Exchange with peers in the control thread: sends, receives and forwards hints and
+//! objects.
 
 use std::time::Duration;
 
@@ -19,21 +20,21 @@
 use crate::target_incarnation::TargetIncarnation;
 use crate::targets::wire::EngineState;
 
-const NEWS_AGE: Duration = Duration::from_secs(10);
+const UPDATE_RETENTION: Duration = Duration::from_secs(10);
 const BATCH_BYTES: usize = 1 << 20;
-const MOST_NEWS: usize = 512;
-/// Age of an engine's report that shows that it is alive.
-const FRESH_REPORT: Duration = Duration::from_secs(1);
-/// Time after which such a report shows that the engine did not end before.
-const REPORT_PROOF: Duration = Duration::from_secs(5);
-const MOST_WORKSPACES: usize = 8_192;
+const MAX_APPLIED_VERSIONS: usize = 512;
+/// Age up to which a report shows that its engine is alive.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
+/// Time after a reported crash from which a report of the same incarnation refutes it.
+const REFUTATION_DELAY: Duration = Duration::from_secs(5);
+const MAX_WORKSPACES: usize = 8_192;
 
-/// What the control thread keeps for its peers.
-pub struct PeerDesk {
-    own: DaemonId,
+/// State that the control thread keeps for the exchange with its peers.
+pub struct PeerExchange {
+    local_id: DaemonId,
     incarnation: ProcessIncarnation,
     watchers: usize,
-    silence: Duration,
+    peer_timeout: Duration,
     outbox: Option<mpsc::UnboundedSender<PeerCommand>>,
     topology: PeerTopology,
     hints: PeerHints,
@@ -43,13 +44,13 @@
     costs: IndexMap<WorkspaceName, (f64, MonoTime)>,
     applied: IndexMap<String, (ObjectVersion, MonoTime)>,
     engines: IndexMap<TargetId, EngineState>,
-    digests: IndexMap<TargetId, MonoTime>,
+    peer_reports: IndexMap<TargetId, MonoTime>,
     crashes: SharedCrashTracker,
     watching: watch::Sender<bool>,
 }
 
-impl PeerDesk {
-    /// Creates the desk of a daemon without links, which watches the platform itself.
+impl PeerExchange {
+    /// Creates the state of a daemon without links, which watches the platform itself.
     #[must_use]
     pub fn new(
         settings: &DaemonSettings,
@@ -57,10 +58,10 @@
         crashes: SharedCrashTracker,
     ) -> Self {
         Self {
-            own: settings.daemon_id.clone(),
+            local_id: settings.daemon_id.clone(),
             incarnation,
             watchers: settings.peers.watchers,
-            silence: Duration::from_millis(settings.peers.silence_ms),
+            peer_timeout: Duration::from_millis(settings.peers.silence_ms),
             outbox: None,
             topology: PeerTopology::default(),
             hints: PeerHints::default(),
@@ -70,42 +71,42 @@
             costs: IndexMap::new(),
             applied: IndexMap::new(),
             engines: IndexMap::new(),
-            digests: IndexMap::new(),
+            peer_reports: IndexMap::new(),
             crashes,
             watching: watch::Sender::new(true),
         }
     }
 
-    /// Tells feeding tasks whether to watch the platform.
+    /// Returns a receiver of whether this daemon has to watch the platform itself.
     #[must_use]
     pub fn watching(&self) -> watch::Receiver<bool> {
         self.watching.subscribe()
     }
 
-    /// Takes the links into use.
+    /// Sets the channel for commands to the links.
     pub fn connect(&mut self, outbox: mpsc::UnboundedSender<PeerCommand>) {
         self.outbox = Some(outbox);
     }
 
-    /// Notes that a link came up, and tells the other side what is held here.
-    pub fn link_up(&mut self, peer: &DaemonId, held: Vec<(ObjectName, ObjectVersion)>) {
+    /// Records a new link and sends the peer the versions of the local objects.
+    pub fn link_up(&mut self, peer: &DaemonId, versions: Vec<(ObjectName, ObjectVersion)>) {
         self.linked.insert(peer.clone());
-        self.send(vec![peer.clone()], PeerMessage::Versions(held));
+        self.send(vec![peer.clone()], PeerMessage::Versions(versions));
     }
 
-    /// Notes that a link went down.
+    /// Records that the link to a peer is down.
     pub fn link_down(&mut self, peer: &DaemonId) {
         self.linked.swap_remove(peer);
     }
 
-    /// Tells whether any peer was heard lately.
+    /// Returns whether a hint was received recently from any peer.
     #[must_use]
-    pub fn is_heard(&self) -> bool {
-        self.hints.heard() > 0
+    pub fn has_reachable_peer(&self) -> bool {
+        self.hints.reachable_count() > 0
     }
 
-    /// Adds work accepted here.
-    pub fn note_work(&mut self, model: &ModelName, bins: &WorkBins) {
+    /// Adds work accepted by this daemon.
+    pub fn add_local_work(&mut self, model: &ModelName, bins: &WorkBins) {
         let sums = self.work.entry(model.clone()).or_default();
         for (sum, work) in sums.iter_mut().zip(bins) {
             sum.prefill += work.prefill;
@@ -113,9 +114,9 @@
         }
     }
 
-    /// Adds cost used here.
-    pub fn note_cost(&mut self, workspace: &WorkspaceName, cost: f64, now: MonoTime) {
-        if self.costs.len() >= MOST_WORKSPACES && !self.costs.contains_key(workspace) {
+    /// Adds cost used on this daemon.
+    pub fn add_cost(&mut self, workspace: &WorkspaceName, cost: f64, now: MonoTime) {
+        if self.costs.len() >= MAX_WORKSPACES && !self.costs.contains_key(workspace) {
             return;
         }
         let (sum, at) = self.costs.entry(workspace.clone()).or_insert((0.0, now));
@@ -123,42 +124,44 @@
         *at = now;
     }
 
-    /// Notes a configuration bucket applied here, to be confirmed to the others.
-    pub fn note_applied(&mut self, stored: &StoredObject, now: MonoTime) {
+    /// Records an applied configuration bucket, which the next hints confirm to the peers.
+    pub fn record_applied(&mut self, stored: &StoredObject, now: MonoTime) {
         let entry = (stored.version, now);
         self.applied.insert(stored.object.name.clone(), entry);
     }
 
-    /// Notes the state of an engine that this daemon leads, for the others.
-    pub fn note_engine(&mut self, target: &TargetId, state: &EngineState) {
+    /// Records the state of an engine that this daemon leads for the next hint.
+    pub fn add_engine_state(&mut self, target: &TargetId, state: &EngineState) {
         self.engines.insert(target.clone(), state.clone());
     }
 
-    /// Tells whether a peer reads an engine's state for all.
+    /// Returns whether a peer recently sent the state of an engine in its hints.
     #[must_use]
-    pub fn is_digested(&self, target: &TargetId, now: MonoTime) -> bool {
-        let seen = self.digests.get(target);
-        seen.is_some_and(|at| now.since(*at) < self.silence / 2)
+    pub fn is_reported_by_peer(&self, target: &TargetId, now: MonoTime) -> bool {
+        let last_report = self.peer_reports.get(target);
+        last_report.is_some_and(|at| now.since(*at) < self.peer_timeout / 2)
     }
 
-    /// Works out anew whom to link to and who watches the platform.
+    /// Recomputes which daemons to link to and which ones watch the platform.
     ///
-    /// A daemon that does not watch is fed by the watchers of its data centre. Once
-    /// none of them is linked and heard it watches by itself, or it would go on with an
-    /// old configuration without a sign.
+    /// A daemon that does not watch receives updates from the watchers of its data centre.
+    /// When none of them is both linked and reachable, it watches the platform itself;
+    /// otherwise it would keep an outdated configuration unnoticed.
     pub fn update(&mut self, fleet: &FleetView, now: MonoTime) {
-        self.hints.expire(now, self.silence);
-        let silence = self.silence;
-        self.digests.retain(|_, at| now.since(*at) < silence);
-        self.applied.retain(|_, (_, at)| now.since(*at) < NEWS_AGE);
-        self.topology = PeerTopology::new(fleet, &self.own, self.watchers);
+        self.hints.expire(now, self.peer_timeout);
+        let peer_timeout = self.peer_timeout;
+        self.peer_reports
+            .retain(|_, at| now.since(*at) < peer_timeout);
+        self.applied
+            .retain(|_, (_, at)| now.since(*at) < UPDATE_RETENTION);
+        self.topology = PeerTopology::new(fleet, &self.local_id, self.watchers);
         if let Some(outbox) = &self.outbox {
             let links = self.topology.links.clone();
             let _ = outbox.send(PeerCommand::Links(links));
         }
-        let mut feeders = self.topology.local_watchers.iter();
-        let fed = feeders.any(|id| self.linked.contains(id) && self.hints.has_heard(id));
-        let watching = self.topology.watches || !fed;
+        let mut watchers = self.topology.local_watchers.iter();
+        let has_feed = watchers.any(|id| self.linked.contains(id) && self.hints.is_reachable(id));
+        let watching = self.topology.is_watcher || !has_feed;
         self.watching.send_if_modified(|old| {
             let changed = *old != watching;
             *old = watching;
@@ -166,29 +169,29 @@
         });
     }
 
-    /// Drops suspicions of engines that still report in the same life.
+    /// Refutes reported crashes of engines that still report in the same incarnation.
     pub fn refute_by_reports(&self, fleet: &FleetView, now: MonoTime) {
         let reports = |target: &TargetIncarnation| {
             let report = fleet.targets.get(target.name())?.report.as_ref()?;
             let same = target.started_at() == Some(UnixTime(report.incarnation.0));
-            (same && now.since(report.taken_at) < FRESH_REPORT).then_some(())
+            (same && now.since(report.taken_at) < MAX_REPORT_AGE).then_some(())
         };
         self.crashes.lock().refute_registered(
             |target| reports(target).is_some(),
-            REPORT_PROOF,
+            REFUTATION_DELAY,
             MonoTime(0),
             now,
         );
     }
 
-    /// Says what there is to say to all linked peers.
+    /// Sends a hint with this daemon's state to all linked peers.
     pub fn send_hint(&mut self, leaving: bool, now: MonoTime) {
         self.sequence += 1;
         let costs = self.costs.iter();
-        let recent = costs.filter(|(_, (_, at))| now.since(*at) < NEWS_AGE);
-        let applied = self.applied.iter().rev().take(MOST_NEWS);
+        let recent = costs.filter(|(_, (_, at))| now.since(*at) < UPDATE_RETENTION);
+        let applied = self.applied.iter().rev().take(MAX_APPLIED_VERSIONS);
         let hint = PeerHint {
-            daemon: Some(self.own.clone()),
+            daemon: Some(self.local_id.clone()),
             incarnation: self.incarnation,
             sequence: self.sequence,
             leaving,
@@ -196,67 +199,70 @@
             costs: recent.map(|(w, (sum, _))| (w.clone(), *sum)).collect(),
             applied: applied.map(|(n, (v, _))| (n.clone(), *v)).collect(),
             engines: self.engines.drain(..).map(|(_, state)| state).collect(),
-            works: self.crashes.lock().due_reports(now),
+            crash_reports: self.crashes.lock().due_reports(now),
         };
         let linked = self.linked.iter().cloned().collect();
         self.send(linked, PeerMessage::Hint(Box::new(hint)));
     }
 
-    /// Takes a hint; returns it when it is news, after passing it on.
-    pub fn take_hint(
+    /// Applies and forwards a received hint; returns it if it is newer than the known one.
+    pub fn apply_hint(
         &mut self,
         from: &DaemonId,
         hint: PeerHint,
         now: MonoTime,
     ) -> Option<PeerHint> {
         let origin = hint.daemon.clone()?;
-        if origin == self.own || !self.hints.note(hint.clone(), now) {
+        if origin == self.local_id || !self.hints.apply(hint.clone(), now) {
             return None;
         }
-        for note in &hint.works {
-            // Hints are passed on whole; what they tell needs no word of its own.
-            self.crashes.lock().apply_report(note, false, now);
+        for report in &hint.crash_reports {
+            // Hints are forwarded unchanged, so their reports need no further broadcast.
+            self.crashes.lock().apply_report(report, false, now);
         }
         for state in &hint.engines {
-            self.digests.insert(state.target.clone(), now);
+            self.peer_reports.insert(state.target.clone(), now);
         }
-        let passed = self
+        let receivers = self
             .linked
             .iter()
-            .filter(|peer| *peer != from && self.topology.passes(&self.own, &origin, peer));
-        let passed: Vec<DaemonId> = passed.cloned().collect();
-        if !passed.is_empty() {
-            self.send(passed, PeerMessage::Hint(Box::new(hint.clone())));
+            .filter(|peer| *peer != from && self.topology.forwards(&self.local_id, &origin, peer));
+        let receivers: Vec<DaemonId> = receivers.cloned().collect();
+        if !receivers.is_empty() {
+            self.send(receivers, PeerMessage::Hint(Box::new(hint.clone())));
         }
         Some(hint)
     }
 
-    /// Passes on objects that were news here.
+    /// Forwards objects that were new to this daemon.
     pub fn relay(&self, from: Option<&DaemonId>, objects: &[StoredObject]) {
         let peers = self.linked.iter().filter(|peer| Some(*peer) != from);
         self.send_objects(&peers.cloned().collect::<Vec<_>>(), objects);
     }
 
-    /// Sends a peer the objects of which it holds older versions.
-    pub fn answer_versions(
+    /// Sends a peer the objects of which it has older versions or none.
+    pub fn send_newer_objects(
         &self,
         peer: &DaemonId,
-        theirs: &[(ObjectName, ObjectVersion)],
-        held: &[StoredObject],
+        peer_versions: &[(ObjectName, ObjectVersion)],
+        local_objects: &[StoredObject],
     ) {
-        let theirs: IndexMap<&ObjectName, ObjectVersion> = theirs
+        let peer_versions: IndexMap<&ObjectName, ObjectVersion> = peer_versions
             .iter()
             .map(|(object, version)| (object, *version))
             .collect();
-        let newer = held.iter().filter(|stored| {
-            let known = theirs.get(&stored.object).copied().unwrap_or_default();
+        let newer = local_objects.iter().filter(|stored| {
+            let known = peer_versions
+                .get(&stored.object)
+                .copied()
+                .unwrap_or_default();
             stored.version > known
         });
         let newer: Vec<StoredObject> = newer.cloned().collect();
         self.send_objects(std::slice::from_ref(peer), &newer);
     }
 
-    // Split, so that no message grows past what a link takes.
+    // Splits the objects into batches, so that messages stay within the size limit of links.
     fn send_objects(&self, peers: &[DaemonId], objects: &[StoredObject]) {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -264,8 +270,8 @@
             bytes += stored.value.as_ref().map_or(0, Vec::len);
             batch.push(stored.clone());
             if bytes >= BATCH_BYTES {
-                let whole = std::mem::take(&mut batch);
-                self.send(peers.to_vec(), PeerMessage::Objects(whole));
+                let batch_objects = std::mem::take(&mut batch);
+                self.send(peers.to_vec(), PeerMessage::Objects(batch_objects));
                 bytes = 0;
             }
         }
@@ -274,18 +280,18 @@
         }
     }
 
-    /// Returns the peers that confirmed a version of a bucket.
+    /// Returns the peers that confirmed a bucket at `version` or later.
     #[must_use]
     pub fn confirmed(&self, bucket: &str, version: ObjectVersion) -> IndexSet<DaemonId> {
         self.hints.confirmed(bucket, version)
     }
 
-    /// Takes the work that peers accepted since the last call.
+    /// Takes the work that peers have accepted since the last call.
     pub fn take_work(&mut self) -> WorkTotals {
         self.hints.take_work()
     }
 
-    /// Takes the cost that peers' workspaces used since the last call.
+    /// Takes the cost that workspaces have used on peers since the last call.
     pub fn take_costs(&mut self) -> IndexMap<WorkspaceName, f64> {
         self.hints.take_costs()
     }
--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -1,4 +1,4 @@
-//! Mutual proof of the shared secret when a link comes up.
+//! Mutual authentication by a shared secret when a link is set up.
 
 use futures_util::{SinkExt, StreamExt};
 use hmac::{Hmac, Mac};
@@ -15,23 +15,24 @@
 const CALLER: &str = "caller";
 const LISTENER: &str = "listener";
 
-/// Who this daemon is to its peers.
+/// Identity of this daemon towards its peers.
 #[derive(Clone, Debug)]
 pub struct PeerIdentity {
     /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
-    /// Secret that all daemons share; empty closes the port.
+    /// Secret shared by all daemons; an empty secret disables links.
     pub secret: String,
 }
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// Answers a caller; returns who it is once it has proved the secret.
-pub async fn greet_caller(
+/// Authenticates a daemon that has connected; returns its identity, or `None` if its proof
+/// is missing or wrong.
+pub async fn authenticate_caller(
     socket: &mut Socket,
-    own: &PeerIdentity,
+    local: &PeerIdentity,
 ) -> Option<(DaemonId, ProcessIncarnation)> {
     let challenge = new_challenge();
     send(socket, &HandshakeMessage::Challenge(challenge.clone())).await?;
@@ -39,36 +40,49 @@
         daemon,
         incarnation,
         proof,
-        challenge: theirs,
+        challenge: peer_challenge,
     } = receive(socket).await?
     else {
         return None;
     };
-    let claim = sign(&own.secret, CALLER, &challenge, &daemon, incarnation)?;
-    claim.verify_slice(&proof).ok()?;
-    let proof = sign(&own.secret, LISTENER, &theirs, &own.daemon, own.incarnation)?;
+    let mac = sign(&local.secret, CALLER, &challenge, &daemon, incarnation)?;
+    mac.verify_slice(&proof).ok()?;
+    let proof = sign(
+        &local.secret,
+        LISTENER,
+        &peer_challenge,
+        &local.daemon,
+        local.incarnation,
+    )?;
     let welcome = HandshakeMessage::Welcome {
-        daemon: own.daemon.clone(),
-        incarnation: own.incarnation,
+        daemon: local.daemon.clone(),
+        incarnation: local.incarnation,
         proof: proof.finalize().into_bytes().to_vec(),
     };
     send(socket, &welcome).await?;
     Some((daemon, incarnation))
 }
 
-/// Calls a listener; returns who it is once it has proved the secret.
-pub async fn greet_listener(
+/// Authenticates the daemon that this one has connected to; returns its identity, or
+/// `None` if its proof is missing or wrong.
+pub async fn authenticate_listener(
     socket: &mut Socket,
-    own: &PeerIdentity,
+    local: &PeerIdentity,
 ) -> Option<(DaemonId, ProcessIncarnation)> {
-    let HandshakeMessage::Challenge(theirs) = receive(socket).await? else {
+    let HandshakeMessage::Challenge(peer_challenge) = receive(socket).await? else {
         return None;
     };
     let challenge = new_challenge();
-    let proof = sign(&own.secret, CALLER, &theirs, &own.daemon, own.incarnation)?;
+    let proof = sign(
+        &local.secret,
+        CALLER,
+        &peer_challenge,
+        &local.daemon,
+        local.incarnation,
+    )?;
     let hello = HandshakeMessage::Hello {
-        daemon: own.daemon.clone(),
-        incarnation: own.incarnation,
+        daemon: local.daemon.clone(),
+        incarnation: local.incarnation,
         proof: proof.finalize().into_bytes().to_vec(),
         challenge: challenge.clone(),
     };
@@ -81,8 +95,8 @@
     else {
         return None;
     };
-    let claim = sign(&own.secret, LISTENER, &challenge, &daemon, incarnation)?;
-    claim.verify_slice(&proof).ok()?;
+    let mac = sign(&local.secret, LISTENER, &challenge, &daemon, incarnation)?;
+    mac.verify_slice(&proof).ok()?;
     Some((daemon, incarnation))
 }
 
@@ -92,8 +106,8 @@
     bytes
 }
 
-// The side is signed as well: without it a listener's challenge could be sent back to
-// it as an own one, and its answer used as the proof.
+// The signature covers the side as well. Otherwise an attacker could send a listener's
+// challenge back as its own and use the answer as proof (reflection attack).
 fn sign(
     secret: &str,
     side: &str,
--- a/src/peers/state.rs
+++ b/src/peers/state.rs
@@ -1,8 +1,8 @@
-//! Who links to whom, what is passed on, and what peers' hints add up to.
+//! Link topology, forwarding of hints, and the state accumulated from peers' hints.
 //!
 //! Every daemon links to the watchers of its data centre; watchers also link to the
-//! watchers of the other data centres. Watchers pass hints between the two, so that a
-//! hint reaches each daemon over at most three links and nobody links to everybody.
+//! watchers of the other data centres. Watchers forward hints between the two, so that a
+//! hint reaches each daemon over at most three links and no daemon links to all others.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use crate::ports::ObjectVersion;
 use crate::roles::mix::{WorkAmount, WorkTotals};
 
-const MOST_PEERS: usize = 4_096;
-const MOST_APPLIED: usize = 512;
+const MAX_PEERS: usize = 4_096;
+const MAX_APPLIED: usize = 512;
 
 /// Returns the daemons that watch the platform for a data centre.
 #[must_use]
@@ -36,45 +36,45 @@
     matches!(daemon.state, UseState::Live | UseState::Suspect)
 }
 
-/// Where a daemon stands among the others.
+/// The links and watchers that one daemon derives from the fleet.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct PeerTopology {
     /// Whether this daemon watches the platform for its data centre.
-    pub watches: bool,
-    /// Daemons to keep a link to.
+    pub is_watcher: bool,
+    /// Daemons to keep links to.
     pub links: IndexSet<DaemonId>,
     /// Watchers of this data centre.
     pub local_watchers: IndexSet<DaemonId>,
     /// Data centre of each daemon.
     pub centres: IndexMap<DaemonId, CentreName>,
-    /// All watchers.
+    /// Watchers of all data centres.
     pub watchers: IndexSet<DaemonId>,
 }
 
 impl PeerTopology {
-    /// Works out the topology for one daemon.
+    /// Computes the topology for the daemon `local_id`.
     #[must_use]
-    pub fn new(fleet: &FleetView, own: &DaemonId, watchers: usize) -> Self {
+    pub fn new(fleet: &FleetView, local_id: &DaemonId, watchers: usize) -> Self {
         let daemons = fleet.daemons.values();
         let centres: IndexMap<DaemonId, CentreName> = daemons
             .map(|d| (d.id.clone(), d.data_centre.clone()))
             .collect();
-        let own_centre = centres.get(own);
+        let local_centre = centres.get(local_id);
         let names: IndexSet<&CentreName> = centres.values().collect();
         let mut all = IndexSet::new();
         let mut local = IndexSet::new();
         for centre in names {
             let found = watchers_of(fleet, centre, watchers);
-            if Some(centre) == own_centre {
+            if Some(centre) == local_centre {
                 local.extend(found.iter().cloned());
             }
             all.extend(found);
         }
-        let watches = local.contains(own);
-        let wanted = if watches { &all } else { &local };
-        let links = wanted.iter().filter(|id| *id != own).cloned().collect();
+        let is_watcher = local.contains(local_id);
+        let peers = if is_watcher { &all } else { &local };
+        let links = peers.iter().filter(|id| *id != local_id).cloned().collect();
         Self {
-            watches,
+            is_watcher,
             links,
             local_watchers: local,
             centres,
@@ -82,16 +82,17 @@
         }
     }
 
-    /// Tells whether a hint of `origin` is passed on to `peer` by this daemon.
+    /// Returns whether this daemon forwards a hint from `origin` to `peer`.
     ///
-    /// From outside to the daemons of this data centre that do not watch; from those to
-    /// the watchers outside and to each other. Watchers hear each other directly.
+    /// Watchers forward hints from other data centres to the non-watchers of their own,
+    /// and hints from those to remote watchers and to the other non-watchers. Watchers
+    /// receive each other's hints directly.
     #[must_use]
-    pub fn passes(&self, own: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
-        if !self.watches || origin == peer || peer == own || origin == own {
+    pub fn forwards(&self, local_id: &DaemonId, origin: &DaemonId, peer: &DaemonId) -> bool {
+        if !self.is_watcher || origin == peer || peer == local_id || origin == local_id {
             return false;
         }
-        let here = self.centres.get(own);
+        let here = self.centres.get(local_id);
         let origin_here = self.centres.get(origin) == here;
         let peer_here = self.centres.get(peer) == here;
         let origin_watches = self.watchers.contains(origin);
@@ -108,24 +109,24 @@
 #[derive(Clone, Debug)]
 struct PeerRecord {
     hint: PeerHint,
-    heard_at: MonoTime,
+    received_at: MonoTime,
     applied: IndexMap<String, ObjectVersion>,
 }
 
-/// What the peers have said.
+/// Latest hints of the peers, and the work and cost not yet taken from them.
 #[derive(Clone, Debug, Default)]
 pub struct PeerHints {
     peers: IndexMap<DaemonId, PeerRecord>,
-    fresh_work: WorkTotals,
-    fresh_costs: IndexMap<WorkspaceName, f64>,
+    new_work: WorkTotals,
+    new_costs: IndexMap<WorkspaceName, f64>,
 }
 
 impl PeerHints {
-    /// Takes a hint; returns whether it is news.
+    /// Applies a hint; returns whether it is newer than the known one.
     ///
-    /// The sums in a hint run since the start of a process, so a lost hint loses nothing
-    /// and one heard twice, over two watchers, counts once.
-    pub fn note(&mut self, hint: PeerHint, now: MonoTime) -> bool {
+    /// The totals in a hint count from the start of the process, so a lost hint loses
+    /// nothing and one received twice, from two watchers, counts once.
+    pub fn apply(&mut self, hint: PeerHint, now: MonoTime) -> bool {
         let Some(daemon) = hint.daemon.clone() else {
             return false;
         };
@@ -134,49 +135,51 @@
         if known.is_some_and(|k| order(&k.hint) >= order(&hint)) {
             return false;
         }
-        if known.is_none() && self.peers.len() >= MOST_PEERS {
+        if known.is_none() && self.peers.len() >= MAX_PEERS {
             return false;
         }
-        let same_life = known.filter(|k| k.hint.incarnation == hint.incarnation);
-        let before = same_life.map(|k| &k.hint);
-        add_growth(&mut self.fresh_work, &mut self.fresh_costs, before, &hint);
-        let mut applied = same_life.map(|k| k.applied.clone()).unwrap_or_default();
+        let same_incarnation = known.filter(|k| k.hint.incarnation == hint.incarnation);
+        let before = same_incarnation.map(|k| &k.hint);
+        add_increase(&mut self.new_work, &mut self.new_costs, before, &hint);
+        let mut applied = same_incarnation
+            .map(|k| k.applied.clone())
+            .unwrap_or_default();
         for (name, version) in &hint.applied {
             let newest = applied.entry(name.clone()).or_default();
             *newest = (*newest).max(*version);
         }
-        applied.truncate(MOST_APPLIED);
+        applied.truncate(MAX_APPLIED);
         let mut hint = hint;
         if let Some(before) = before {
-            keep_sums(&mut hint, before);
+            keep_omitted_totals(&mut hint, before);
         }
         let record = PeerRecord {
             hint,
-            heard_at: now,
+            received_at: now,
             applied,
         };
         self.peers.insert(daemon, record);
         true
     }
 
-    /// Forgets peers not heard of for long.
-    pub fn expire(&mut self, now: MonoTime, silence: Duration) {
-        self.peers.retain(|_, p| now.since(p.heard_at) < silence);
+    /// Removes peers whose last hint is older than the timeout.
+    pub fn expire(&mut self, now: MonoTime, timeout: Duration) {
+        self.peers.retain(|_, p| now.since(p.received_at) < timeout);
     }
 
-    /// Returns the peers heard lately.
+    /// Returns the number of peers whose hints were received recently.
     #[must_use]
-    pub fn heard(&self) -> usize {
+    pub fn reachable_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Tells whether a peer was heard lately.
+    /// Returns whether a hint of a peer was received recently.
     #[must_use]
-    pub fn has_heard(&self, daemon: &DaemonId) -> bool {
+    pub fn is_reachable(&self, daemon: &DaemonId) -> bool {
         self.peers.contains_key(daemon)
     }
 
-    /// Returns the peers that run a version of a bucket or a later one.
+    /// Returns the peers that have applied a bucket at `version` or later.
     #[must_use]
     pub fn confirmed(&self, bucket: &str, version: ObjectVersion) -> IndexSet<DaemonId> {
         let run = self
@@ -186,7 +189,7 @@
         run.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Returns the incarnation a peer gave.
+    /// Returns the incarnation in a peer's latest hint.
     #[must_use]
     pub fn incarnation(&self, daemon: &DaemonId) -> Option<ProcessIncarnation> {
         self.peers.get(daemon).map(|p| p.hint.incarnation)
@@ -194,17 +197,17 @@
 
     /// Takes the work that peers have accepted since the last call.
     pub fn take_work(&mut self) -> WorkTotals {
-        std::mem::take(&mut self.fresh_work)
+        std::mem::take(&mut self.new_work)
     }
 
-    /// Takes the cost that peers' workspaces have used since the last call.
+    /// Takes the cost that workspaces have used on peers since the last call.
     pub fn take_costs(&mut self) -> IndexMap<WorkspaceName, f64> {
-        std::mem::take(&mut self.fresh_costs)
+        std::mem::take(&mut self.new_costs)
     }
 }
 
-// A hint leaves out what did not change lately; its sums stay known.
-fn keep_sums(hint: &mut PeerHint, before: &PeerHint) {
+// Hints omit totals that have not changed recently; those are kept from the previous hint.
+fn keep_omitted_totals(hint: &mut PeerHint, before: &PeerHint) {
     for (workspace, cost) in &before.costs {
         hint.costs.entry(workspace.clone()).or_insert(*cost);
     }
@@ -213,8 +216,8 @@
     }
 }
 
-// The first word of a sum only sets the mark: what went before is no news.
-fn add_growth(
+// The first report of a total only sets the baseline: work done before it is not counted.
+fn add_increase(
     work: &mut WorkTotals,
     costs: &mut IndexMap<WorkspaceName, f64>,
     before: Option<&PeerHint>,
--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -1,4 +1,4 @@
-//! Operators' changes against a platform that loses answers and takes writes late.
+//! Operators' changes on a platform that loses answers and applies writes late.
 
 mod control_fakes;
 
@@ -7,14 +7,14 @@
 use control_fakes::{FakePlatform, WriteFault};
 use pistachiowick::config::buckets::{self, BucketIndex, BucketRecord, ConfigState};
 use pistachiowick::config::catalogue::{ItemSpec, WorkspaceSpec};
-use pistachiowick::config::store::{ChangePatience, ChangeRequest, StoredChange, run_change};
+use pistachiowick::config::store::{ChangeRequest, ChangeRetryPolicy, StoredChange, run_change};
 use pistachiowick::control::snapshot::ConfigView;
 use pistachiowick::control::{ChangeError, ItemChange};
 use pistachiowick::names::{UnixTime, WorkspaceName};
 use pistachiowick::ports::{ConditionalWrite, ObjectVersion, StoredObject};
 use rstest::rstest;
 
-const PATIENCE: ChangePatience = ChangePatience {
+const RETRY_POLICY: ChangeRetryPolicy = ChangeRetryPolicy {
     total: Duration::from_millis(400),
     pause: Duration::from_millis(1),
 };
@@ -43,7 +43,7 @@
         view: &ConfigView::default(),
         applied: ObjectVersion(0),
     };
-    run_change(&platform.port(), request, PATIENCE).await
+    run_change(&platform.port(), request, RETRY_POLICY).await
 }
 
 fn bucket_of(platform: &FakePlatform, change: &ItemChange) -> BucketRecord {
@@ -64,15 +64,15 @@
     }
 }
 
-/// Another workspace of the same bucket.
-fn neighbour(of: &ItemChange) -> ItemChange {
+/// Returns a change of another workspace in the same bucket.
+fn other_item_of_bucket(of: &ItemChange) -> ItemChange {
     (0..)
         .map(|n| change(&format!("n{n}"), 1, 0))
         .find(|c| BucketIndex::of(&c.item) == BucketIndex::of(&of.item))
         .unwrap()
 }
 
-fn race(on: &FakePlatform, change: &ItemChange) -> ConditionalWrite {
+fn concurrent_write(on: &FakePlatform, change: &ItemChange) -> ConditionalWrite {
     let object = BucketIndex::of(&change.item).object();
     let found = on.data().objects.get(&object).cloned();
     let (expected, bucket) = match found {
@@ -94,21 +94,21 @@
     land_after_read: bool,
 }
 
-/// The answer to the write is lost, with or without effect, once or twice, and the read
-/// that follows may be stale or come before a delayed write lands. The operator is told
-/// "accepted" and the change stands exactly once.
+/// The answer to the write is lost once or twice, with or without effect, and the read that
+/// follows may be stale or precede a delayed write. The change must be reported as accepted
+/// and be stored exactly once.
 #[rstest]
 #[case::no_fault(FaultCase { faults: &[], stale_reads: 0, land_after_read: false })]
 #[case::busy(FaultCase { faults: &[WriteFault::Busy], stale_reads: 0, land_after_read: false })]
 #[case::answer_lost(FaultCase { faults: &[WriteFault::AnswerLost], stale_reads: 0, land_after_read: false })]
 #[case::never_arrives(FaultCase { faults: &[WriteFault::NeverArrives], stale_reads: 0, land_after_read: false })]
 #[case::lost_then_stale(FaultCase { faults: &[WriteFault::AnswerLost], stale_reads: 2, land_after_read: false })]
-#[case::lands_after_the_read(FaultCase { faults: &[WriteFault::Delayed], stale_reads: 0, land_after_read: true })]
+#[case::applied_after_the_read(FaultCase { faults: &[WriteFault::Delayed], stale_reads: 0, land_after_read: true })]
 #[case::twice(FaultCase {
     faults: &[WriteFault::Delayed, WriteFault::AnswerLost], stale_reads: 0, land_after_read: false,
 })]
 #[tokio::test]
-async fn a_change_is_taken_once(#[case] case: FaultCase) {
+async fn a_change_is_stored_once(#[case] case: FaultCase) {
     let platform = FakePlatform::default();
     let first = change("w", 1, 0);
     run(&platform, &first, "first").await.unwrap();
@@ -119,7 +119,7 @@
     }
     let second = change("w", 2, 1);
     if case.land_after_read {
-        // The first read of the change comes before its write: arm after it.
+        // The first read of the change precedes its write, so this waits for the write.
         let port = platform.clone();
         let arm = tokio::spawn(async move {
             while port.data().delayed.is_empty() {
@@ -135,43 +135,44 @@
         assert_eq!(done.revision, 2);
     }
     for late in platform.data().land_delayed() {
-        assert!(late.is_err(), "a superseded write landed");
+        assert!(late.is_err(), "a superseded write took effect");
     }
     assert_eq!(weight_of(&platform, &second), 2);
     assert_eq!(bucket_of(&platform, &second).sequence, 2);
 }
 
-/// The answer is lost after the effect, and a rival changes another item of the bucket
-/// before the read. The mark of the last writer is the rival's; the change must still
-/// be found, or it would be reported as a conflict with itself.
+/// The write takes effect but its answer is lost, and a concurrent writer changes another
+/// item of the bucket before the read. The latest mark is then the other writer's; the
+/// change must still be found, or it would be reported as a conflict with itself.
 #[tokio::test]
-async fn finds_its_mark_beneath_a_rivals() {
+async fn finds_its_mark_below_another_writers() {
     let platform = FakePlatform::default();
-    let own = change("w", 1, 0);
+    let local_change = change("w", 1, 0);
     platform.data().faults.push_back(WriteFault::AnswerLost);
     let port = platform.clone();
-    let watched = own.clone();
-    let rival = tokio::spawn(async move {
+    let watched = local_change.clone();
+    let other_writer = tokio::spawn(async move {
         while port.data().objects.is_empty() {
             tokio::task::yield_now().await;
         }
-        let write = race(&port, &neighbour(&watched));
-        port.data().apply(&write).unwrap();
+        let write = concurrent_write(&port, &other_item_of_bucket(&watched));
+        port.data().take(&write).unwrap();
     });
-    let done = run(&platform, &own, "own").await.unwrap();
-    rival.await.unwrap();
+    let done = run(&platform, &local_change, "own").await.unwrap();
+    other_writer.await.unwrap();
     assert_eq!(done.revision, 1);
-    assert_eq!(bucket_of(&platform, &own).sequence, 2);
+    assert_eq!(bucket_of(&platform, &local_change).sequence, 2);
 }
 
-/// The write is lost on the way and a rival changes the same item meanwhile. The lost
-/// write can never land any more: the operator hears of the rival's revision.
+/// The write is lost in transit and a concurrent writer changes the same item. The lost
+/// write can no longer take effect: the operator must get a conflict with the other
+/// writer's revision.
 #[tokio::test]
-async fn a_lost_write_overtaken_by_a_rival_is_a_conflict() {
+async fn a_lost_write_overtaken_by_another_writer_is_a_conflict() {
     let platform = FakePlatform::default();
     run(&platform, &change("w", 1, 0), "first").await.unwrap();
     {
-        let write = race(&platform, &change("w", 7, 1));
+        let write = concurrent_write(&platform, &change("w", 7, 1));
         let mut data = platform.data();
         data.faults
             .extend([WriteFault::Delayed, WriteFault::Delayed]);
@@ -188,26 +189,26 @@
     assert!(platform.data().land_delayed().iter().all(Result::is_err));
 }
 
-/// A rival changes another item of the bucket between read and write: no conflict for
-/// the operator, both changes stand.
+/// A concurrent writer changes another item of the bucket between read and write. Both
+/// changes must be stored, and the operator must get no conflict.
 #[tokio::test]
-async fn a_neighbours_change_is_no_conflict() {
+async fn a_change_of_another_item_is_no_conflict() {
     let platform = FakePlatform::default();
-    let own = change("w", 1, 0);
-    let write = race(&platform, &neighbour(&own));
+    let local_change = change("w", 1, 0);
+    let write = concurrent_write(&platform, &other_item_of_bucket(&local_change));
     platform.data().before_write.push_back(write);
-    let done = run(&platform, &own, "own").await.unwrap();
+    let done = run(&platform, &local_change, "own").await.unwrap();
     assert_eq!(done.revision, 2);
-    assert_eq!(bucket_of(&platform, &own).items.len(), 2);
+    assert_eq!(bucket_of(&platform, &local_change).items.len(), 2);
 }
 
-/// The platform goes down before, or after, a write was lost. "Nothing was changed" may
-/// only be said in the first case: in the second the write may land when it is back.
+/// The platform becomes unavailable before or after a write is lost. Only in the first case
+/// may "nothing was changed" be reported: in the second the write may take effect later.
 #[rstest]
 #[case::before(false)]
 #[case::after_a_lost_write(true)]
 #[tokio::test]
-async fn tells_unavailable_from_unknown(#[case] loses: bool) {
+async fn distinguishes_unavailable_from_unknown(#[case] loses: bool) {
     let platform = FakePlatform::default();
     if loses {
         platform.data().faults.push_back(WriteFault::Delayed);
@@ -236,9 +237,9 @@
 #[tokio::test]
 async fn the_stored_bucket_can_be_applied_at_once() {
     let platform = FakePlatform::default();
-    let own = change("w", 3, 0);
-    let done = run(&platform, &own, "own").await.unwrap();
+    let local_change = change("w", 3, 0);
+    let done = run(&platform, &local_change, "own").await.unwrap();
     let mut state = ConfigState::default();
     state.apply(&done.stored).unwrap();
-    assert_eq!(state.view().items[&own.item].revision, 1);
+    assert_eq!(state.view().items[&local_change.item].revision, 1);
 }
--- a/tests/fakes/mod.rs
+++ b/tests/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted daemons: each call to submit or resume plays the next script.
+//! Scripted daemons: each submit or resume call runs the next script.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-/// One thing a scripted daemon does on a stream.
+/// One step of a scripted daemon on a stream.
 #[derive(Clone, Debug)]
 pub enum FakeStep {
     /// Sends an event.
     Send(Event),
-    /// Ends the stream with a status, as a failing connection would.
+    /// Ends the stream with an error status, like a failing connection.
     Fail(tonic::Code),
 }
 
-/// What callers sent to the scripted daemons, in order.
+/// A call received by the scripted daemons.
 #[derive(Clone, Debug)]
-pub enum SeenCall {
+pub enum ReceivedCall {
     Submit(pb::SubmitRequest),
     Resume(pb::ResumeRequest),
     Outcome(pb::OutcomeRequest),
@@ -35,11 +35,11 @@
     scripts: VecDeque<Vec<FakeStep>>,
     outcomes: VecDeque<pb::OutcomeReply>,
     addresses: Vec<String>,
-    pub seen: Vec<(SocketAddr, SeenCall)>,
-    pub locates: usize,
+    pub received: Vec<(SocketAddr, ReceivedCall)>,
+    pub locate_calls: usize,
 }
 
-/// Several daemons that share one list of scripts.
+/// Scripted daemons that share one list of scripts.
 pub struct FakeDaemons {
     pub state: Arc<Mutex<FakeState>>,
 }
@@ -89,14 +89,18 @@
             .expect("the fakes answer")
     }
 
-    pub fn seen(&self) -> Vec<SeenCall> {
+    pub fn received_calls(&self) -> Vec<ReceivedCall> {
         let state = self.state.lock().expect("no panic");
-        state.seen.iter().map(|(_, call)| call.clone()).collect()
+        state
+            .received
+            .iter()
+            .map(|(_, call)| call.clone())
+            .collect()
     }
 
-    pub fn seen_at(&self) -> Vec<SocketAddr> {
+    pub fn receiver_addresses(&self) -> Vec<SocketAddr> {
         let state = self.state.lock().expect("no panic");
-        state.seen.iter().map(|(address, _)| *address).collect()
+        state.received.iter().map(|(address, _)| *address).collect()
     }
 }
 
@@ -108,13 +112,13 @@
 type EventStream = ReceiverStream<Result<pb::AnswerEvent, Status>>;
 
 impl FakeDaemon {
-    async fn play(&self, call: SeenCall) -> Result<Response<EventStream>, Status> {
+    async fn play(&self, call: ReceivedCall) -> Result<Response<EventStream>, Status> {
         let script = {
             let mut state = self.state.lock().expect("no panic");
-            state.seen.push((self.address, call));
+            state.received.push((self.address, call));
             state.scripts.pop_front()
         };
-        let script = script.ok_or_else(|| Status::invalid_argument("the scripts are used up"))?;
+        let script = script.ok_or_else(|| Status::invalid_argument("no script is left"))?;
         if let Some(FakeStep::Fail(code)) = script.first() {
             return Err(Status::new(*code, "scripted"));
         }
@@ -143,14 +147,14 @@
         if bearer.is_none_or(|value| value != "Bearer key-of-the-test") {
             return Err(Status::unauthenticated("no such key"));
         }
-        self.play(SeenCall::Submit(request.into_inner())).await
+        self.play(ReceivedCall::Submit(request.into_inner())).await
     }
 
     async fn resume(
         &self,
         request: Request<pb::ResumeRequest>,
     ) -> Result<Response<EventStream>, Status> {
-        self.play(SeenCall::Resume(request.into_inner())).await
+        self.play(ReceivedCall::Resume(request.into_inner())).await
     }
 
     async fn cancel(
@@ -165,12 +169,12 @@
         request: Request<pb::OutcomeRequest>,
     ) -> Result<Response<pb::OutcomeReply>, Status> {
         let mut state = self.state.lock().expect("no panic");
-        let call = SeenCall::Outcome(request.into_inner());
-        state.seen.push((self.address, call));
+        let call = ReceivedCall::Outcome(request.into_inner());
+        state.received.push((self.address, call));
         let reply = state.outcomes.pop_front();
         reply
             .map(Response::new)
-            .ok_or_else(|| Status::invalid_argument("no outcome left"))
+            .ok_or_else(|| Status::invalid_argument("no outcome is left"))
     }
 
     async fn locate(
@@ -178,7 +182,7 @@
         _: Request<pb::LocateRequest>,
     ) -> Result<Response<pb::LocateReply>, Status> {
         let mut state = self.state.lock().expect("no panic");
-        state.locates += 1;
+        state.locate_calls += 1;
         let addresses = state.addresses.iter().map(|address| pb::Address {
             address: address.clone(),
             data_centre: "hala-racice".to_owned(),
@@ -209,11 +213,11 @@
     }))
 }
 
-pub fn answered(whole: &str) -> FakeStep {
+pub fn answered(text: &str) -> FakeStep {
     ended(pb::Final {
         outcome: pb::Outcome::Answered.into(),
-        length: whole.len() as u64,
-        digest: digest(whole),
+        length: text.len() as u64,
+        digest: digest(text),
         ..pb::Final::default()
     })
 }
@@ -231,6 +235,6 @@
     FakeStep::Send(Event::Final(end))
 }
 
-pub fn digest(whole: &str) -> Vec<u8> {
-    Sha256::digest(whole.as_bytes()).to_vec()
+pub fn digest(text: &str) -> Vec<u8> {
+    Sha256::digest(text.as_bytes()).to_vec()
 }
