--- a/tests/control_store.rs
+++ b/tests/control_store.rs
@@ -156,7 +156,7 @@
             tokio::task::yield_now().await;
         }
         let write = concurrent_write(&port, &other_item_of_bucket(&watched));
-        port.data().take(&write).unwrap();
+        port.data().apply(&write).unwrap();
     });
     let done = run(&platform, &local_change, "own").await.unwrap();
     other_writer.await.unwrap();
