--- a/src/requests/answer.rs
+++ b/src/requests/answer.rs
@@ -56,7 +56,7 @@
     /// The line belongs to an attempt that is not the current one.
     OldAttempt,
     /// The line has only bytes that were delivered before.
-    Doubled,
+    Duplicate,
     /// The line has no bytes.
     Empty,
     /// The attempt was given up before.
@@ -72,7 +72,7 @@
         match self {
             Self::OtherRequest => "other_request",
             Self::OldAttempt => "old_attempt",
-            Self::Doubled => "doubled",
+            Self::Duplicate => "doubled",
             Self::Empty => "empty",
             Self::Broken => "broken",
             Self::Finished => "finished",
@@ -191,14 +191,14 @@
     ///
     /// Panics on a breach of that rule where invariants are fatal.
     pub fn begin_attempt(&mut self, attempt: u32) {
-        let rises = attempt > 0 && attempt >= self.attempt;
-        invariants::check(rises && !self.is_finished(), Invariant::WholeAnswer, || {
+        let valid = attempt > 0 && attempt >= self.attempt;
+        invariants::check(valid && !self.is_finished(), Invariant::WholeAnswer, || {
             format!(
                 "request {}: attempt {attempt} after attempt {} ({:?})",
                 self.request, self.attempt, self.state
             )
         });
-        if rises && !self.is_finished() {
+        if valid && !self.is_finished() {
             self.attempt = attempt;
             self.state = AttemptState::Open;
         }
@@ -210,25 +210,25 @@
     ///
     /// Panics on a breach of [`Invariant::WholeAnswer`] where invariants are fatal.
     pub fn accept(&mut self, line: &StreamLine) -> LineVerdict {
-        if let Some(cause) = self.foreign_cause(line) {
+        if let Some(cause) = self.drop_cause(line) {
             return self.drop_line(cause);
         }
         let Ok(data) = STANDARD.decode(&line.data) else {
             return self.break_attempt(BreakCause::Garbled);
         };
-        let Some(reach) = line.offset.checked_add(data.len() as u64) else {
+        let Some(end_offset) = line.offset.checked_add(data.len() as u64) else {
             return self.break_attempt(BreakCause::Garbled);
         };
         if line.offset > self.delivered {
             return self.break_attempt(BreakCause::Gap);
         }
         match &line.end {
-            Some(end) => self.accept_end(line, &data, reach, end),
-            None => self.accept_data(line, &data, reach),
+            Some(end) => self.accept_end(line, &data, end_offset, end),
+            None => self.accept_data(line, &data, end_offset),
         }
     }
 
-    fn foreign_cause(&self, line: &StreamLine) -> Option<DropCause> {
+    fn drop_cause(&self, line: &StreamLine) -> Option<DropCause> {
         if line.request_id != self.request {
             return Some(DropCause::OtherRequest);
         }
@@ -242,14 +242,14 @@
         }
     }
 
-    fn accept_data(&mut self, line: &StreamLine, data: &[u8], reach: u64) -> LineVerdict {
+    fn accept_data(&mut self, line: &StreamLine, data: &[u8], end_offset: u64) -> LineVerdict {
         if data.is_empty() {
             return self.drop_line(DropCause::Empty);
         }
-        if reach <= self.delivered {
-            return self.drop_line(DropCause::Doubled);
+        if end_offset <= self.delivered {
+            return self.drop_line(DropCause::Duplicate);
         }
-        LineVerdict::Deliver(self.take_new(line, data))
+        LineVerdict::Deliver(self.accept_new(line, data))
     }
 
     /// Takes the end only when it agrees with what was delivered, to the byte: an
@@ -258,13 +258,13 @@
         &mut self,
         line: &StreamLine,
         data: &[u8],
-        reach: u64,
+        end_offset: u64,
         end: &StreamEnd,
     ) -> LineVerdict {
-        if end.length != reach.max(self.delivered) {
+        if end.length != end_offset.max(self.delivered) {
             return self.break_attempt(BreakCause::Short);
         }
-        let part = (reach > self.delivered).then(|| self.take_new(line, data));
+        let part = (end_offset > self.delivered).then(|| self.accept_new(line, data));
         self.state = AttemptState::Finished;
         invariants::check(self.delivered == end.length, Invariant::WholeAnswer, || {
             format!(
@@ -280,16 +280,16 @@
     }
 
     /// Cuts off the bytes delivered before; the line reaches beyond them.
-    fn take_new(&mut self, line: &StreamLine, data: &[u8]) -> AnswerPart {
-        let known = usize::try_from(self.delivered - line.offset).unwrap_or(data.len());
-        let fresh = data.get(known..).unwrap_or_default();
+    fn accept_new(&mut self, line: &StreamLine, data: &[u8]) -> AnswerPart {
+        let skip = usize::try_from(self.delivered - line.offset).unwrap_or(data.len());
+        let new_data = data.get(skip..).unwrap_or_default();
         let part = AnswerPart {
             offset: self.delivered,
-            data: fresh.to_vec(),
-            tokens: tokens_of_part(line.tokens, fresh.len(), data.len()),
+            data: new_data.to_vec(),
+            tokens: tokens_of_part(line.tokens, new_data.len(), data.len()),
         };
-        self.digest.update(fresh);
-        self.delivered += fresh.len() as u64;
+        self.digest.update(new_data);
+        self.delivered += new_data.len() as u64;
         part
     }
 
@@ -309,14 +309,14 @@
     }
 }
 
-fn tokens_of_part(tokens: u32, fresh: usize, all: usize) -> u32 {
-    let share = u64::from(tokens) * fresh as u64 / all.max(1) as u64;
+fn tokens_of_part(tokens: u32, new_data: usize, all: usize) -> u32 {
+    let share = u64::from(tokens) * new_data as u64 / all.max(1) as u64;
     u32::try_from(share).unwrap_or(tokens)
 }
 
 /// Why a plain service's reply is not the answer to a request.
 #[derive(Clone, Copy, Debug, Eq, Error, Hash, PartialEq)]
-pub enum ReplyFault {
+pub enum ReplyError {
     /// The reply names another request or key.
     #[error("the service replied to another request; treat the call as possibly run")]
     OtherRequest,
@@ -333,20 +333,20 @@
 ///
 /// # Errors
 ///
-/// Returns a [`ReplyFault`] when it is not. The call may have run all the same.
+/// Returns a [`ReplyError`] when it is not. The call may have run all the same.
 pub fn accept_reply(
     reply: &ServiceReply,
     request: &RequestId,
     key: &RequestKey,
-) -> Result<Vec<u8>, ReplyFault> {
+) -> Result<Vec<u8>, ReplyError> {
     if reply.request_id != *request || reply.key != *key {
-        return Err(ReplyFault::OtherRequest);
+        return Err(ReplyError::OtherRequest);
     }
     let data = STANDARD
         .decode(&reply.data)
-        .map_err(|_| ReplyFault::Garbled)?;
+        .map_err(|_| ReplyError::Garbled)?;
     if data.len() as u64 != reply.length {
-        return Err(ReplyFault::Short);
+        return Err(ReplyError::Short);
     }
     Ok(data)
 }
--- a/src/requests/answer_sink.rs
+++ b/src/requests/answer_sink.rs
@@ -12,7 +12,7 @@
 use crate::requests::answer::{AnswerPart, AnswerSummary};
 
 /// Longest wait for a caller that does not read; it then counts as gone.
-const SLOW_CALLER: Duration = Duration::from_secs(10);
+const SLOW_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a caller receives.
 pub type AnswerEvent = Result<pb::AnswerEvent, Status>;
@@ -95,7 +95,7 @@
     events: mpsc::Sender<AnswerEvent>,
     request_id: RequestId,
     finished: bool,
-    gone: AtomicBool,
+    disconnected: AtomicBool,
     /// Whether any target may have run the request.
     may_have_run: bool,
 }
@@ -108,18 +108,18 @@
             events,
             request_id,
             finished: false,
-            gone: AtomicBool::new(false),
+            disconnected: AtomicBool::new(false),
             may_have_run: false,
         }
     }
 
     /// Notes that from now on the request may have run.
-    pub fn note_dispatched(&mut self) {
+    pub fn record_dispatch(&mut self) {
         self.may_have_run = true;
     }
 
     /// Notes that the last dispatch certainly did not run and was the only one.
-    pub fn note_not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         self.may_have_run = false;
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Tells the caller of acceptance, or of a new token.
-    pub async fn accepted(&self, token: String, attempt: u32, target: &TargetId) {
+    pub async fn send_accepted(&self, token: String, attempt: u32, target: &TargetId) {
         let accepted = pb::Accepted {
             request_id: self.request_id.to_string(),
             resume_token: token,
@@ -141,7 +141,7 @@
     }
 
     /// Hands bytes to the caller.
-    pub async fn part(&self, attempt: u32, part: AnswerPart) {
+    pub async fn send_part(&self, attempt: u32, part: AnswerPart) {
         let chunk = pb::Chunk {
             attempt,
             offset: part.offset,
@@ -173,15 +173,15 @@
     }
 
     async fn send(&self, event: pb::answer_event::Event) {
-        if self.gone.load(Ordering::Relaxed) {
+        if self.disconnected.load(Ordering::Relaxed) {
             return;
         }
         let message = pb::AnswerEvent { event: Some(event) };
-        let sent = tokio::time::timeout(SLOW_CALLER, self.events.send(Ok(message))).await;
+        let sent = tokio::time::timeout(SLOW_CALLER_TIMEOUT, self.events.send(Ok(message))).await;
         // The caller may be gone; the work goes on for its return. One event left
         // out ends the events for good, since a later one would hide the hole.
         if !matches!(sent, Ok(Ok(()))) {
-            self.gone.store(true, Ordering::Relaxed);
+            self.disconnected.store(true, Ordering::Relaxed);
         }
     }
 }
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -15,26 +15,26 @@
 use crate::requests::answer::{AnswerAssembly, AnswerPart, AnswerSummary, LineVerdict};
 use crate::requests::answer_sink::AnswerSink;
 use crate::requests::request::CallerRequest;
-use crate::requests::traffic::{RequestProgress, SIDE_CALL, TrafficContext};
+use crate::requests::traffic::{RequestProgress, SIDE_CALL_TIMEOUT, TrafficContext};
 use crate::targets::wire::GenerateBody;
 
 /// Silence that is always allowed between lines.
-const LEAST_SILENCE: Duration = Duration::from_secs(2);
+const MIN_LINE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Expected first-token times and token gaps after which an engine counts as stuck.
-const SILENT_GAPS: f64 = 50.0;
-const SILENT_FIRST_TOKENS: f64 = 4.0;
+const TIMEOUT_TOKEN_GAPS: f64 = 50.0;
+const TIMEOUT_FIRST_TOKENS: f64 = 4.0;
 /// Times a broken stream is taken up again at its engine.
-const MOST_RESUMES: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 
 /// Why an attempt ended without a whole answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AttemptFault {
+pub struct AttemptFailure {
     /// Whether the engine may have worked on the request.
     pub may_have_run: bool,
     /// Proof that it has not.
     pub proof: Option<UndeliveredProof>,
     /// Whether the target broke its answer off, or gave none.
-    pub cut: bool,
+    pub connection_lost: bool,
     /// What happened.
     pub reason: String,
     /// When to come back, where the engine said so.
@@ -45,22 +45,25 @@
 #[derive(Clone, Debug)]
 struct StreamBreak {
     // Whether the engine ended it, and not this daemon.
-    cut: bool,
+    connection_lost: bool,
     reason: String,
 }
 
 impl StreamBreak {
-    fn silence(silence: Duration) -> Self {
-        Self::garbled(format!("no line for {silence:?}"))
+    fn timeout(timeout: Duration) -> Self {
+        Self::abandoned(format!("no line for {timeout:?}"))
     }
 
-    fn garbled(reason: String) -> Self {
-        Self { cut: false, reason }
+    fn abandoned(reason: String) -> Self {
+        Self {
+            connection_lost: false,
+            reason,
+        }
     }
 
-    fn cut(reason: impl Into<String>) -> Self {
+    fn connection_lost(reason: impl Into<String>) -> Self {
         Self {
-            cut: true,
+            connection_lost: true,
             reason: reason.into(),
         }
     }
@@ -120,40 +123,43 @@
         &mut self,
         choice: &TargetChoice,
         attempt: u32,
-    ) -> Result<AnswerSummary, AttemptFault> {
+    ) -> Result<AnswerSummary, AttemptFailure> {
         self.announce(choice, attempt).await;
         let lines = self.open(choice, attempt).await?;
-        let mut ending = self.follow(lines, choice, attempt).await;
-        for _ in 0..MOST_RESUMES {
-            let Err(broken) = &ending else { break };
+        let mut result = self.follow(lines, choice, attempt).await;
+        for _ in 0..MAX_RESUMES {
+            let Err(broken) = &result else { break };
             log::debug!("request {}: {}", self.request.id, broken.reason);
             let Ok(lines) = self.reopen(choice, attempt).await else {
                 break;
             };
-            ending = self.follow(lines, choice, attempt).await;
+            result = self.follow(lines, choice, attempt).await;
         }
-        self.conclude(choice, ending)
+        self.conclude(choice, result)
     }
 
     // An engine that could not be asked to go on either has ended.
     fn conclude(
         &self,
         choice: &TargetChoice,
-        ending: Result<AnswerSummary, StreamBreak>,
-    ) -> Result<AnswerSummary, AttemptFault> {
-        match ending {
+        result: Result<AnswerSummary, StreamBreak>,
+    ) -> Result<AnswerSummary, AttemptFailure> {
+        match result {
             Ok(summary) => {
                 self.context.record_completion(self.request);
                 Ok(summary)
             }
-            Err(StreamBreak { cut, reason }) => {
-                if cut {
+            Err(StreamBreak {
+                connection_lost,
+                reason,
+            }) => {
+                if connection_lost {
                     self.context.record_connection_loss(self.request, choice);
                 }
-                Err(AttemptFault {
+                Err(AttemptFailure {
                     may_have_run: true,
                     proof: None,
-                    cut,
+                    connection_lost,
                     reason,
                     retry_after: Duration::ZERO,
                 })
@@ -166,16 +172,16 @@
     /// # Errors
     ///
     /// Returns a fault when the engine has the stream no more.
-    pub async fn take_up(
+    pub async fn resume_stream(
         &mut self,
         choice: &TargetChoice,
         attempt: u32,
-    ) -> Result<AnswerSummary, AttemptFault> {
+    ) -> Result<AnswerSummary, AttemptFailure> {
         let lines = self.reopen(choice, attempt).await;
-        let lines = lines.map_err(|error| AttemptFault::from(&error))?;
+        let lines = lines.map_err(|error| AttemptFailure::from(&error))?;
         self.announce(choice, attempt).await;
-        let ending = self.follow(lines, choice, attempt).await;
-        self.conclude(choice, ending)
+        let result = self.follow(lines, choice, attempt).await;
+        self.conclude(choice, result)
     }
 
     /// Returns what can be learned from the last attempt.
@@ -199,14 +205,16 @@
         let waited = clock::mono_now().since(self.request.arrived);
         self.progress.queueing.get_or_insert(waited);
         let token = self.context.token(self.request, Some(choice), attempt);
-        self.sink.accepted(token, attempt, &choice.target).await;
+        self.sink
+            .send_accepted(token, attempt, &choice.target)
+            .await;
     }
 
     async fn open(
         &mut self,
         choice: &TargetChoice,
         attempt: u32,
-    ) -> Result<LineStream, AttemptFault> {
+    ) -> Result<LineStream, AttemptFailure> {
         let ran_before = self.sink.may_have_run();
         self.assembly.begin_attempt(attempt);
         self.meter = GapMeter {
@@ -215,10 +223,10 @@
         };
         // Said before the call: a crash of this task in between must not let a
         // later refusal claim that nothing ran.
-        self.sink.note_dispatched();
+        self.sink.record_dispatch();
         let call = TargetCall {
             address: choice.address.clone(),
-            patience: first_silence(choice).min(self.request.time_left()),
+            patience: first_line_timeout(choice).min(self.request.time_left()),
             body: self.body(choice, attempt),
         };
         let opened = (self.context.engines.generate)(call).await;
@@ -226,14 +234,14 @@
             .dispatcher
             .report_call(choice, opened.as_ref().err());
         opened.map_err(|error| {
-            let fault = AttemptFault::from(&error);
-            if fault.cut {
+            let failure = AttemptFailure::from(&error);
+            if failure.connection_lost {
                 self.context.record_connection_loss(self.request, choice);
             }
-            if !fault.may_have_run && !ran_before {
-                self.sink.note_not_run();
+            if !failure.may_have_run && !ran_before {
+                self.sink.record_not_run();
             }
-            fault
+            failure
         })
     }
 
@@ -244,7 +252,7 @@
     ) -> Result<LineStream, TargetError> {
         let call = TargetCall {
             address: choice.address.clone(),
-            patience: SIDE_CALL.min(self.request.time_left()),
+            patience: SIDE_CALL_TIMEOUT.min(self.request.time_left()),
             body: StreamPosition {
                 request_id: self.request.id.clone(),
                 attempt,
@@ -263,11 +271,17 @@
         attempt: u32,
     ) -> Result<AnswerSummary, StreamBreak> {
         loop {
-            let silence = self.allowed_silence(choice);
-            let line = match tokio::time::timeout(silence, lines.next()).await {
-                Err(_) => return Err(StreamBreak::silence(silence)),
-                Ok(None) => return Err(StreamBreak::cut("the stream ended without its end")),
-                Ok(Some(Err(error))) => return Err(StreamBreak::cut(error.to_string())),
+            let timeout = self.line_timeout(choice);
+            let line = match tokio::time::timeout(timeout, lines.next()).await {
+                Err(_) => return Err(StreamBreak::timeout(timeout)),
+                Ok(None) => {
+                    return Err(StreamBreak::connection_lost(
+                        "the stream ended without its end",
+                    ));
+                }
+                Ok(Some(Err(error))) => {
+                    return Err(StreamBreak::connection_lost(error.to_string()));
+                }
                 Ok(Some(Ok(line))) => line,
             };
             match self.assembly.accept(&line) {
@@ -279,7 +293,7 @@
                     return Ok(summary);
                 }
                 LineVerdict::Drop(_) => {}
-                LineVerdict::Break(cause) => return Err(StreamBreak::garbled(cause.to_string())),
+                LineVerdict::Break(cause) => return Err(StreamBreak::abandoned(cause.to_string())),
             }
         }
     }
@@ -301,13 +315,13 @@
         self.meter.last = Some(now);
         self.meter.tokens += part.tokens;
         self.tokens += part.tokens;
-        self.sink.part(attempt, part).await;
+        self.sink.send_part(attempt, part).await;
     }
 
-    fn allowed_silence(&self, choice: &TargetChoice) -> Duration {
+    fn line_timeout(&self, choice: &TargetChoice) -> Duration {
         match self.meter.first {
-            None => first_silence(choice),
-            Some(_) => scaled(choice.token_gap_s, SILENT_GAPS),
+            None => first_line_timeout(choice),
+            Some(_) => scaled_timeout(choice.token_gap_s, TIMEOUT_TOKEN_GAPS),
         }
     }
 
@@ -336,7 +350,7 @@
     }
 }
 
-impl From<&TargetError> for AttemptFault {
+impl From<&TargetError> for AttemptFailure {
     fn from(error: &TargetError) -> Self {
         let (may_have_run, retry_after) = match error {
             TargetError::NotDelivered { .. } => (false, Duration::from_millis(100)),
@@ -348,17 +362,17 @@
         Self {
             may_have_run,
             proof: UndeliveredProof::from_error(error),
-            cut: matches!(error, TargetError::Lost { .. }),
+            connection_lost: matches!(error, TargetError::Lost { .. }),
             reason: error.to_string(),
             retry_after,
         }
     }
 }
 
-fn first_silence(choice: &TargetChoice) -> Duration {
-    scaled(choice.first_token_s, SILENT_FIRST_TOKENS)
+fn first_line_timeout(choice: &TargetChoice) -> Duration {
+    scaled_timeout(choice.first_token_s, TIMEOUT_FIRST_TOKENS)
 }
 
-fn scaled(expected_s: f64, factor: f64) -> Duration {
-    LEAST_SILENCE + Duration::from_secs_f64((expected_s * factor).clamp(0.0, 600.0))
+fn scaled_timeout(expected_s: f64, factor: f64) -> Duration {
+    MIN_LINE_TIMEOUT + Duration::from_secs_f64((expected_s * factor).clamp(0.0, 600.0))
 }
--- a/src/requests/claimant.rs
+++ b/src/requests/claimant.rs
@@ -36,15 +36,15 @@
     ///
     /// A daemon that leaves, or fails for the viewer, still counts as there.
     #[must_use]
-    pub fn standing(&self, fleet: &FleetView) -> ClaimantStanding {
+    pub fn status(&self, fleet: &FleetView) -> ClaimantStatus {
         let Some(view) = fleet.daemons.get(&self.daemon) else {
-            return ClaimantStanding::Unlisted;
+            return ClaimantStatus::Unlisted;
         };
         // An incarnation that is not known yet is zero, and so newer than none.
         if view.state == UseState::Gone || view.incarnation > self.incarnation {
-            return ClaimantStanding::Gone;
+            return ClaimantStatus::Gone;
         }
-        ClaimantStanding::There
+        ClaimantStatus::Present
     }
 }
 
@@ -52,28 +52,28 @@
 /// daemon takes work as soon as it has registered, and another one reads the list once
 /// a second: a caller who asked both would be told that the first is gone while it
 /// runs the request. Two reads and a slow one fit in.
-pub const UNLISTED_PATIENCE: Duration = Duration::from_secs(3);
+pub const UNLISTED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Where the process that claimed a request stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ClaimantStanding {
+pub enum ClaimantStatus {
     /// It is there.
-    There,
+    Present,
     /// It has ended, or a later process bears its name.
     Gone,
     /// No list read so far names it: it is new, or ended long ago.
     Unlisted,
 }
 
-impl ClaimantStanding {
+impl ClaimantStatus {
     /// Whether no end of its work is to be awaited, after it was looked for during
     /// `looked`.
     #[must_use]
-    pub fn is_final(self, looked: Duration) -> bool {
+    pub fn is_final(self, waited: Duration) -> bool {
         match self {
-            Self::There => false,
+            Self::Present => false,
             Self::Gone => true,
-            Self::Unlisted => looked >= UNLISTED_PATIENCE,
+            Self::Unlisted => waited >= UNLISTED_TIMEOUT,
         }
     }
 }
--- a/src/requests/crash_watch.rs
+++ b/src/requests/crash_watch.rs
@@ -13,11 +13,12 @@
 use crate::target_incarnation::TargetIncarnation;
 
 /// Why held work is not run.
-const HELD: &str = "targets ended under each run of this request; correct it, or ask the operators";
+const QUARANTINE_REASON: &str =
+    "targets ended under each run of this request; correct it, or ask the operators";
 /// Time to come back for work that is not tried again by itself.
-const HELD_WAIT: Duration = Duration::from_secs(3_600);
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(3_600);
 /// Ends of a target that reports no life count as one within this time.
-const LIFE_SPAN_MS: u64 = 5_000;
+const UNKNOWN_INCARNATION_MS: u64 = 5_000;
 
 impl TrafficContext {
     /// Refuses held work, except once in a while at the one daemon that tries it; true for
@@ -31,15 +32,15 @@
             return Ok(false);
         }
         let (work, now) = (work_of(request), clock::mono_now());
-        let tries = self.is_first_daemon();
-        match self.crashes.lock().status(work, tries, now) {
+        let may_try = self.is_first_daemon();
+        match self.crashes.lock().status(work, may_try, now) {
             WorkStatus::Allowed => Ok(false),
             WorkStatus::Trial => Ok(true),
             WorkStatus::Quarantined(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(JobRefusal {
-                    reason: HELD.to_owned(),
-                    retry_after: next.unwrap_or(HELD_WAIT),
+                    reason: QUARANTINE_REASON.to_owned(),
+                    retry_after: next.unwrap_or(QUARANTINE_RETRY_AFTER),
                 })
             }
         }
@@ -47,10 +48,10 @@
 
     /// Refuses a request that has waited for a target, if its work is held by now.
     #[must_use]
-    pub fn held_meanwhile(&self, request: &CallerRequest) -> Option<JobRefusal> {
+    pub fn recheck_quarantine(&self, request: &CallerRequest) -> Option<JobRefusal> {
         self.is_quarantined(request).then(|| JobRefusal {
-            reason: HELD.to_owned(),
-            retry_after: HELD_WAIT,
+            reason: QUARANTINE_REASON.to_owned(),
+            retry_after: QUARANTINE_RETRY_AFTER,
         })
     }
 
@@ -64,16 +65,16 @@
     /// Notes that a target broke its answer off and is not there to go on.
     pub fn record_connection_loss(&self, request: &CallerRequest, choice: &TargetChoice) {
         let work = work_of(request);
-        let holds = {
+        let newly_quarantined = {
             let mut crashes = self.crashes.lock();
-            crashes.record_crash(work, &life_of(choice), clock::mono_now())
+            crashes.record_crash(work, &incarnation_of(choice), clock::mono_now())
         };
         log::info!(
             "request {}: {} broke off an answer to work {work}",
             request.id,
             choice.target
         );
-        if holds {
+        if newly_quarantined {
             metrics::counter!("pistachiowick_works_held_total").increment(1);
             log::warn!("work {work} is held: targets ended under its runs");
         }
@@ -100,13 +101,13 @@
     WorkDigest::of(&[workspace, &request.fingerprint()])
 }
 
-fn life_of(choice: &TargetChoice) -> TargetIncarnation {
-    let born = choice.incarnation.map_or_else(
+fn incarnation_of(choice: &TargetChoice) -> TargetIncarnation {
+    let started_at = choice.incarnation.map_or_else(
         || {
             let now = clock::unix_now().0;
-            now - now % LIFE_SPAN_MS
+            now - now % UNKNOWN_INCARNATION_MS
         },
         |incarnation| incarnation.0,
     );
-    TargetIncarnation::new(choice.target.clone(), Some(UnixTime(born)))
+    TargetIncarnation::new(choice.target.clone(), Some(UnixTime(started_at)))
 }
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::targets::wire::CacheEvent;
 
 /// Time between looks at the queue when nothing else wakes it.
-const PUMP_INTERVAL: Duration = Duration::from_millis(20);
+const SCHEDULE_INTERVAL: Duration = Duration::from_millis(20);
 
 type GrantReply = Result<TargetChoice, JobRefusal>;
 
@@ -76,12 +76,12 @@
     /// Takes over fleet changes and places waiting work until `stopped` resolves.
     pub async fn run(self, stopped: impl Future<Output = ()>) {
         tokio::pin!(stopped);
-        let mut ticks = tokio::time::interval(PUMP_INTERVAL);
+        let mut ticks = tokio::time::interval(SCHEDULE_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = &mut stopped => return,
-                _ = ticks.tick() => self.take_snapshot(),
+                _ = ticks.tick() => self.apply_snapshot(),
             }
         }
     }
@@ -101,9 +101,9 @@
             self.journal
                 .record(DecisionKind::Refused, request_id.as_str(), reason);
         })?;
-        let ticket = self.wait_in(&mut state, number, request_id);
+        let ticket = self.add_waiter(&mut state, number, request_id);
         let actions = state.scheduler.schedule(now);
-        self.carry_out(&mut state, actions);
+        self.execute(&mut state, actions);
         Ok(ticket)
     }
 
@@ -145,7 +145,7 @@
         let _ = self.control.events.send(event);
     }
 
-    fn take_snapshot(&self) {
+    fn apply_snapshot(&self) {
         let snapshot = self.control.snapshot.load_full();
         let now = clock::mono_now();
         let mut state = self.lock();
@@ -153,10 +153,10 @@
         let actions = state
             .scheduler
             .update_fleet(fleet, snapshot.live_daemons, now);
-        self.carry_out(&mut state, actions);
+        self.execute(&mut state, actions);
     }
 
-    fn wait_in(
+    fn add_waiter(
         &self,
         state: &mut DispatchState,
         number: JobNumber,
@@ -176,7 +176,7 @@
         }
     }
 
-    fn carry_out(&self, state: &mut DispatchState, actions: Vec<ScheduleAction>) {
+    fn execute(&self, state: &mut DispatchState, actions: Vec<ScheduleAction>) {
         for action in actions {
             let (number, reply) = match action {
                 ScheduleAction::Start(grant) => (grant.number, Ok(grant.choice)),
@@ -286,9 +286,9 @@
         let dispatcher = self.dispatcher.clone();
         let mut state = dispatcher.lock();
         state.scheduler.retry(self.number, need);
-        let ticket = dispatcher.wait_in(&mut state, self.number, request_id);
+        let ticket = dispatcher.add_waiter(&mut state, self.number, request_id);
         let actions = state.scheduler.schedule(now);
-        dispatcher.carry_out(&mut state, actions);
+        dispatcher.execute(&mut state, actions);
         ticket
     }
 
@@ -298,7 +298,7 @@
         let mut state = self.dispatcher.lock();
         state.scheduler.finish(self.number, measure, now);
         let actions = state.scheduler.schedule(now);
-        self.dispatcher.carry_out(&mut state, actions);
+        self.dispatcher.execute(&mut state, actions);
     }
 }
 
--- a/src/requests/journal.rs
+++ b/src/requests/journal.rs
@@ -89,13 +89,13 @@
     /// Returns the newest records first, at most `most`, whose subject or reason
     /// contains `subject`.
     #[must_use]
-    pub fn recent(&self, subject: &str, most: usize) -> Vec<DecisionRecord> {
+    pub fn recent(&self, subject: &str, max: usize) -> Vec<DecisionRecord> {
         let records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
         records
             .iter()
             .rev()
             .filter(|r| r.subject.contains(subject) || r.reason.contains(subject))
-            .take(most)
+            .take(max)
             .cloned()
             .collect()
     }
--- a/src/requests/owner_cache.rs
+++ b/src/requests/owner_cache.rs
@@ -10,7 +10,7 @@
 
 /// Owners found for one version of the fleet.
 #[derive(Debug, Default)]
-struct FoundOwners {
+struct CachedOwners {
     version: u64,
     owners: IndexMap<u32, Option<DaemonId>>,
 }
@@ -19,19 +19,19 @@
 /// hashing each of hundreds of daemons for each write would cost more than the write.
 #[derive(Debug, Default)]
 pub struct OwnerCache {
-    found: Mutex<FoundOwners>,
+    cached: Mutex<CachedOwners>,
 }
 
 impl OwnerCache {
     /// Returns the owner of a shard; `None` when no daemon is live.
     pub fn owner(&self, shard: u32, fleet: &FleetView) -> Option<DaemonId> {
-        let mut found = self.found.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
         // Any other version counts: a thread may come with a view older than the last.
-        if found.version != fleet.version {
-            found.version = fleet.version;
-            found.owners.clear();
+        if cached.version != fleet.version {
+            cached.version = fleet.version;
+            cached.owners.clear();
         }
-        let owner = found.owners.entry(shard);
+        let owner = cached.owners.entry(shard);
         owner.or_insert_with(|| live_owner(shard, fleet)).clone()
     }
 }
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -18,9 +18,9 @@
 use crate::settings::LimitSettings;
 
 /// Longest key in bytes.
-const LONGEST_KEY: usize = 200;
+const MAX_REQUEST_KEY_BYTES: usize = 200;
 /// Most output tokens of one request.
-const MOST_OUTPUT_TOKENS: u32 = 1 << 20;
+const MAX_OUTPUT_TOKENS: u32 = 1 << 20;
 
 /// A checked request.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
 
 /// Why a message is not a request; nothing was run.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum RequestFault {
+pub enum RequestError {
     /// The class is not configured.
     #[error(
         "class {class:?} is not configured for workspace {workspace}; ask an operator or name another class"
@@ -74,8 +74,12 @@
     },
 }
 
-fn fault(field: &'static str, found: &dyn ToString, remedy: impl Into<String>) -> RequestFault {
-    RequestFault::Field {
+fn invalid_field(
+    field: &'static str,
+    found: &dyn ToString,
+    remedy: impl Into<String>,
+) -> RequestError {
+    RequestError::Field {
         field,
         found: found.to_string(),
         remedy: remedy.into(),
@@ -94,15 +98,15 @@
         submit: pb::SubmitRequest,
         snapshot: &ControlSnapshot,
         limits: &LimitSettings,
-    ) -> Result<Self, RequestFault> {
+    ) -> Result<Self, RequestError> {
         let config = &snapshot.config;
         let class = find_class(workspace, &submit.class, config)?;
-        let due = config.workspaces.get(workspace).map_or(1, |w| w.weight);
+        let configured = config.workspaces.get(workspace).map_or(1, |w| w.weight);
         let share_factor = snapshot.shares.factor(workspace);
-        let weight = f64::from(due) * share_factor;
+        let weight = f64::from(configured) * share_factor;
         let (pool, versions) = choose_pool(&class, &submit)?;
         check_sizes(&submit, &class)?;
-        let span = deadline_span(&submit, &class, limits)?;
+        let timeout = request_timeout(&submit, &class, limits)?;
         let intent = intent_key(workspace, &class, &submit)?;
         let arrived = clock::mono_now();
         Ok(Self {
@@ -111,8 +115,8 @@
             share_factor,
             pool,
             versions,
-            deadline: arrived.plus(span),
-            deadline_unix: clock::unix_now().plus(span),
+            deadline: arrived.plus(timeout),
+            deadline_unix: clock::unix_now().plus(timeout),
             arrived,
             intent,
             submit,
@@ -169,22 +173,22 @@
     pub fn fingerprint(&self) -> [u8; 16] {
         let submit = &self.submit;
         let mut digest = Sha256::new();
-        let texts = [
+        let fields = [
             submit.class.as_bytes(),
             submit.model.as_bytes(),
             submit.adapter.as_bytes(),
             submit.version.as_bytes(),
             submit.prompt.as_slice(),
         ];
-        for text in texts {
-            digest.update((text.len() as u64).to_le_bytes());
-            digest.update(text);
+        for field in fields {
+            digest.update((field.len() as u64).to_le_bytes());
+            digest.update(field);
         }
         digest.update(submit.max_output_tokens.to_le_bytes());
-        let whole: [u8; 32] = digest.finalize().into();
-        let mut short = [0; 16];
-        short.copy_from_slice(&whole[..16]);
-        short
+        let full: [u8; 32] = digest.finalize().into();
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&full[..16]);
+        truncated
     }
 }
 
@@ -192,10 +196,10 @@
     workspace: &WorkspaceName,
     class: &str,
     config: &ConfigView,
-) -> Result<Arc<ClassSpec>, RequestFault> {
+) -> Result<Arc<ClassSpec>, RequestError> {
     let name = (workspace.clone(), ClassName::from(class));
     let found = config.classes.get(&name);
-    found.cloned().ok_or_else(|| RequestFault::UnknownClass {
+    found.cloned().ok_or_else(|| RequestError::UnknownClass {
         class: class.to_owned(),
         workspace: workspace.clone(),
     })
@@ -204,7 +208,7 @@
 fn choose_pool(
     class: &ClassSpec,
     submit: &pb::SubmitRequest,
-) -> Result<(PoolKey, Vec<String>), RequestFault> {
+) -> Result<(PoolKey, Vec<String>), RequestError> {
     let choice = match &class.target {
         ClassTarget::Service(service) => {
             return Ok((PoolKey::Service(service.clone()), Vec::new()));
@@ -214,37 +218,37 @@
     let model = if submit.model.is_empty() {
         choice.models.first().cloned()
     } else {
-        let asked = ModelName::from(submit.model.as_str());
-        choice.models.contains(&asked).then_some(asked)
+        let requested = ModelName::from(submit.model.as_str());
+        choice.models.contains(&requested).then_some(requested)
     };
     let Some(model) = model else {
         let names: Vec<&str> = choice.models.iter().map(ModelName::as_str).collect();
         let remedy = format!("the class may use {}", names.join(", "));
-        return Err(fault("model", &submit.model, remedy));
+        return Err(invalid_field("model", &submit.model, remedy));
     };
     if !submit.adapter.is_empty() && !choice.adapters.contains(&submit.adapter) {
         let remedy = format!("the class may use none or {}", choice.adapters.join(", "));
-        return Err(fault("adapter", &submit.adapter, remedy));
+        return Err(invalid_field("adapter", &submit.adapter, remedy));
     }
     let versions = allowed_versions(&choice.versions, &submit.version)?;
     Ok((PoolKey::Model(model), versions))
 }
 
-fn allowed_versions(allowed: &[String], asked: &str) -> Result<Vec<String>, RequestFault> {
-    if asked.is_empty() {
+fn allowed_versions(allowed: &[String], requested: &str) -> Result<Vec<String>, RequestError> {
+    if requested.is_empty() {
         return Ok(allowed.to_vec());
     }
-    if !allowed.is_empty() && !allowed.iter().any(|v| v == asked) {
+    if !allowed.is_empty() && !allowed.iter().any(|v| v == requested) {
         let remedy = format!("the class may use {}", allowed.join(", "));
-        return Err(fault("version", &asked, remedy));
+        return Err(invalid_field("version", &requested, remedy));
     }
-    Ok(vec![asked.to_owned()])
+    Ok(vec![requested.to_owned()])
 }
 
-fn check_sizes(submit: &pb::SubmitRequest, class: &ClassSpec) -> Result<(), RequestFault> {
+fn check_sizes(submit: &pb::SubmitRequest, class: &ClassSpec) -> Result<(), RequestError> {
     if submit.shared_prefix_tokens > submit.prompt_tokens {
         let remedy = format!("send at most prompt_tokens ({})", submit.prompt_tokens);
-        return Err(fault(
+        return Err(invalid_field(
             "shared_prefix_tokens",
             &submit.shared_prefix_tokens,
             remedy,
@@ -254,15 +258,15 @@
         return Ok(());
     }
     if submit.prompt_tokens == 0 {
-        return Err(fault(
+        return Err(invalid_field(
             "prompt_tokens",
             &0,
             "send the prompt's length in tokens",
         ));
     }
-    if submit.max_output_tokens == 0 || submit.max_output_tokens > MOST_OUTPUT_TOKENS {
-        let remedy = format!("send 1 to {MOST_OUTPUT_TOKENS}");
-        return Err(fault(
+    if submit.max_output_tokens == 0 || submit.max_output_tokens > MAX_OUTPUT_TOKENS {
+        let remedy = format!("send 1 to {MAX_OUTPUT_TOKENS}");
+        return Err(invalid_field(
             "max_output_tokens",
             &submit.max_output_tokens,
             remedy,
@@ -271,17 +275,17 @@
     Ok(())
 }
 
-fn deadline_span(
+fn request_timeout(
     submit: &pb::SubmitRequest,
     class: &ClassSpec,
     limits: &LimitSettings,
-) -> Result<Duration, RequestFault> {
+) -> Result<Duration, RequestError> {
     if submit.deadline_ms == 0 {
         return Ok(class.deadline());
     }
     if submit.deadline_ms > limits.longest_deadline_ms {
         let remedy = format!("send at most {} ms", limits.longest_deadline_ms);
-        return Err(fault("deadline_ms", &submit.deadline_ms, remedy));
+        return Err(invalid_field("deadline_ms", &submit.deadline_ms, remedy));
     }
     Ok(Duration::from_millis(u64::from(submit.deadline_ms)))
 }
@@ -290,10 +294,10 @@
     workspace: &WorkspaceName,
     class: &ClassSpec,
     submit: &pb::SubmitRequest,
-) -> Result<Option<IntentKey>, RequestFault> {
-    if submit.key.len() > LONGEST_KEY {
-        let remedy = format!("send at most {LONGEST_KEY} bytes");
-        return Err(fault(
+) -> Result<Option<IntentKey>, RequestError> {
+    if submit.key.len() > MAX_REQUEST_KEY_BYTES {
+        let remedy = format!("send at most {MAX_REQUEST_KEY_BYTES} bytes");
+        return Err(invalid_field(
             "key",
             &format!("{} bytes long", submit.key.len()),
             remedy,
@@ -304,11 +308,11 @@
     }
     if submit.key.is_empty() {
         let remedy = "requests of this class may not be repeated and need a key";
-        return Err(fault("key", &"empty", remedy));
+        return Err(invalid_field("key", &"empty", remedy));
     }
     if submit.key_minted_at_ms == 0 {
         let remedy = "send the Unix time in milliseconds at which the key was made";
-        return Err(fault("key_minted_at_ms", &0, remedy));
+        return Err(invalid_field("key_minted_at_ms", &0, remedy));
     }
     Ok(Some(IntentKey {
         workspace: workspace.clone(),
--- a/src/requests/resume_token.rs
+++ b/src/requests/resume_token.rs
@@ -69,14 +69,14 @@
 /// Seals and opens tokens.
 #[derive(Clone)]
 pub struct TokenSigner {
-    first: TokenMac,
-    others: Vec<TokenMac>,
+    signing: TokenMac,
+    verify_only: Vec<TokenMac>,
 }
 
 impl fmt::Debug for TokenSigner {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("TokenSigner")
-            .field("secrets", &(self.others.len() + 1))
+            .field("secrets", &(self.verify_only.len() + 1))
             .finish()
     }
 }
@@ -95,10 +95,10 @@
         if macs.is_empty() {
             return Err(TokenError::NoSecret);
         }
-        let first = macs.remove(0);
+        let signing = macs.remove(0);
         Ok(Self {
-            first,
-            others: macs,
+            signing,
+            verify_only: macs,
         })
     }
 
@@ -112,7 +112,7 @@
         let mut sealed = vec![TOKEN_VERSION];
         ciborium::into_writer(&TokenWire::from(token), &mut sealed)
             .expect("a token's fields have a CBOR form");
-        let tag = self.first.clone().chain_update(&sealed).finalize();
+        let tag = self.signing.clone().chain_update(&sealed).finalize();
         sealed.extend_from_slice(&tag.into_bytes());
         URL_SAFE_NO_PAD.encode(sealed)
     }
@@ -146,8 +146,8 @@
 
     /// Compares in constant time, so that response times don't give a tag away byte by byte.
     fn verifies(&self, body: &[u8], tag: &[u8]) -> bool {
-        std::iter::once(&self.first)
-            .chain(&self.others)
+        std::iter::once(&self.signing)
+            .chain(&self.verify_only)
             .any(|mac| mac.clone().chain_update(body).verify_slice(tag).is_ok())
     }
 }
--- a/src/requests/run_call.rs
+++ b/src/requests/run_call.rs
@@ -14,13 +14,13 @@
 use crate::ports::{TargetCall, TargetError};
 use crate::requests::answer::{AnswerPart, AnswerSummary, accept_reply};
 use crate::requests::answer_sink::{AnswerSink, FinalOutcome};
-use crate::requests::attempt::AttemptFault;
+use crate::requests::attempt::AttemptFailure;
 use crate::requests::request::CallerRequest;
 use crate::requests::traffic::{RequestProgress, TrafficContext, until_cancelled};
 use crate::targets::wire::ServiceBody;
 
 /// Instances tried for one request.
-const MOST_ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Runs a request to its outcome.
 pub async fn run(
@@ -61,7 +61,7 @@
         Err(refusal) => return not_run(refusal.reason, refusal.retry_after),
     };
     let token = context.token(request, None, 0);
-    sink.accepted(token, 0, &"".into()).await;
+    sink.send_accepted(token, 0, &"".into()).await;
     let mut attempt = 0;
     loop {
         let slot = match ticket.wait().await {
@@ -69,7 +69,7 @@
             Err(refusal) if sink.may_have_run() => return unknown(refusal.reason),
             Err(refusal) => return not_run(refusal.reason, refusal.retry_after),
         };
-        if let Some(refusal) = context.held_meanwhile(request).filter(|_| !is_trial) {
+        if let Some(refusal) = context.recheck_quarantine(request).filter(|_| !is_trial) {
             slot.finish(JobMeasurement::default());
             return if sink.may_have_run() {
                 unknown(refusal.reason)
@@ -81,25 +81,27 @@
         let waited = clock::mono_now().since(request.arrived);
         progress.queueing.get_or_insert(waited);
         let token = context.token(request, Some(&slot.choice), attempt);
-        sink.accepted(token, attempt, &slot.choice.target).await;
+        sink.send_accepted(token, attempt, &slot.choice.target)
+            .await;
         let ran_before = sink.may_have_run();
-        sink.note_dispatched();
-        let fault = match call_service(context, request, &slot.choice, request.time_left()).await {
+        sink.record_dispatch();
+        let failure = match call_service(context, request, &slot.choice, request.time_left()).await
+        {
             Ok(data) => {
                 slot.finish(JobMeasurement::default());
                 return deliver(sink, attempt, data).await;
             }
-            Err(error) => AttemptFault::from(&error),
+            Err(error) => AttemptFailure::from(&error),
         };
-        if !fault.may_have_run && !ran_before {
-            sink.note_not_run();
+        if !failure.may_have_run && !ran_before {
+            sink.record_not_run();
         }
-        if attempt == MOST_ATTEMPTS || context.is_quarantined(request) || !context.spend_retry() {
+        if attempt == MAX_ATTEMPTS || context.is_quarantined(request) || !context.spend_retry() {
             slot.finish(JobMeasurement::default());
             return if sink.may_have_run() {
-                unknown(fault.reason)
+                unknown(failure.reason)
             } else {
-                not_run(fault.reason, fault.retry_after)
+                not_run(failure.reason, failure.retry_after)
             };
         }
         need.excluded.push(slot.choice.target.clone());
@@ -116,12 +118,12 @@
     context: &TrafficContext,
     request: &CallerRequest,
     choice: &TargetChoice,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Vec<u8>, TargetError> {
     let key = service_key(request);
     let call = TargetCall {
         address: choice.address.clone(),
-        patience: patience.max(Duration::from_millis(1)),
+        patience: timeout.max(Duration::from_millis(1)),
         body: ServiceBody {
             request_id: request.id.clone(),
             workspace: request.workspace().clone(),
@@ -137,8 +139,8 @@
         Err(TargetError::Lost { .. }) => context.record_connection_loss(request, choice),
         Err(_) => {}
     }
-    accept_reply(&reply?, &request.id, &key).map_err(|fault| TargetError::Lost {
-        reason: fault.to_string(),
+    accept_reply(&reply?, &request.id, &key).map_err(|error| TargetError::Lost {
+        reason: error.to_string(),
     })
 }
 
@@ -154,7 +156,7 @@
             data,
             tokens: 0,
         };
-        sink.part(attempt, part).await;
+        sink.send_part(attempt, part).await;
     }
     FinalOutcome::Answered {
         summary,
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -20,7 +20,7 @@
 use crate::intents::{AnswerRecord, IntentKey, RecordView};
 use crate::requests::answer::AnswerSummary;
 use crate::requests::answer_sink::{AnswerSink, FinalOutcome};
-use crate::requests::attempt::{AttemptFault, AttemptState};
+use crate::requests::attempt::{AttemptFailure, AttemptState};
 use crate::requests::claimant::ClaimantLife;
 use crate::requests::dispatch::JobSlot;
 use crate::requests::request::CallerRequest;
@@ -28,10 +28,10 @@
 use crate::requests::traffic::{RequestProgress, TrafficContext, until_cancelled};
 
 /// How long a reply is awaited past the caller's deadline, to record it.
-const RECORD_PATIENCE: Duration = Duration::from_secs(60);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(60);
 /// First and longest waits between looks at another daemon's claim.
-const FIRST_LOOK: Duration = Duration::from_millis(100);
-const LONGEST_LOOK: Duration = Duration::from_secs(2);
+const FIRST_LOOKUP_WAIT: Duration = Duration::from_millis(100);
+const MAX_LOOKUP_WAIT: Duration = Duration::from_secs(2);
 /// When a caller with an open outcome is asked to come back.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -58,24 +58,24 @@
         Err(outcome) => return outcome,
     };
     // A call that was sent cannot be stopped; a stream can.
-    let (came, listening) = match &request.pool {
-        PoolKey::Service(_) => (context.stop_listening(cancelled), None),
+    let (already_cancelled, cancel_receiver) = match &request.pool {
+        PoolKey::Service(_) => (context.close_cancellation(cancelled), None),
         PoolKey::Model(_) => {
-            let came = *cancelled.borrow();
-            (came, Some(cancelled))
+            let already_cancelled = *cancelled.borrow();
+            (already_cancelled, Some(cancelled))
         }
     };
-    if came {
+    if already_cancelled {
         permit.release();
         return FinalOutcome::Cancelled;
     }
     let waited = clock::mono_now().since(request.arrived);
     progress.queueing.get_or_insert(waited);
-    sink.note_dispatched();
-    match listening {
+    sink.record_dispatch();
+    match cancel_receiver {
         None => {
             let token = context.token(request, Some(&slot.choice), 1);
-            sink.accepted(token, 1, &slot.choice.target).await;
+            sink.send_accepted(token, 1, &slot.choice.target).await;
             run_on_service(context, request, sink, slot, permit).await
         }
         Some(cancelled) => {
@@ -102,7 +102,7 @@
         }
     };
     let token = context.token(request, None, 0);
-    sink.accepted(token, 0, &"".into()).await;
+    sink.send_accepted(token, 0, &"".into()).await;
     let waited = tokio::select! {
         granted = ticket.wait() => granted,
         () = until_cancelled(cancelled) => {
@@ -131,14 +131,19 @@
             reason,
             retry_after,
             key_may_exist,
-        } => Err(after_giving_up(request, reason, retry_after, key_may_exist)),
+        } => Err(after_abandoned_claim(
+            request,
+            reason,
+            retry_after,
+            key_may_exist,
+        )),
         ClaimResult::Invalid { reason } => Err(invalid(request, reason)),
     }
 }
 
 /// This daemon's claim is given up for good. Whether the key ran is certain only if
 /// nobody else can have claimed it.
-fn after_giving_up(
+fn after_abandoned_claim(
     request: &CallerRequest,
     reason: String,
     retry_after: Duration,
@@ -233,11 +238,11 @@
     });
     match tokio::time::timeout(request.time_left(), ended).await {
         Ok(Ok(Ok(data))) => deliver(sink, 1, data).await,
-        Ok(Ok(Err(fault))) => {
-            if !fault.may_have_run {
-                sink.note_not_run();
+        Ok(Ok(Err(failure))) => {
+            if !failure.may_have_run {
+                sink.record_not_run();
             }
-            from_fault(fault)
+            from_failure(failure)
         }
         Ok(Err(_)) => unknown("the daemon is going down".to_owned()),
         Err(_) => unknown(format!(
@@ -252,13 +257,13 @@
     request: CallerRequest,
     slot: JobSlot,
     permit: DispatchPermit,
-) -> Result<Vec<u8>, AttemptFault> {
+) -> Result<Vec<u8>, AttemptFailure> {
     // Past the caller's deadline too: a planned stop waits for the reply, since no
     // other daemon can learn it.
     let (_guard, _) = context.register(&request.id);
     let dispatched = permit.dispatch();
-    let patience = request.time_left() + RECORD_PATIENCE;
-    let ended = call_service(&context, &request, &slot.choice, patience).await;
+    let timeout = request.time_left() + RECORD_TIMEOUT;
+    let ended = call_service(&context, &request, &slot.choice, timeout).await;
     slot.finish(JobMeasurement::default());
     match ended {
         Ok(data) => {
@@ -266,8 +271,8 @@
             Ok(data)
         }
         Err(error) => {
-            record_fault(dispatched, UndeliveredProof::from_error(&error));
-            Err(AttemptFault::from(&error))
+            record_failure(dispatched, UndeliveredProof::from_error(&error));
+            Err(AttemptFailure::from(&error))
         }
     }
 }
@@ -304,22 +309,22 @@
                 reason: String::new(),
             }
         }
-        Err(fault) => {
-            if !fault.may_have_run {
+        Err(failure) => {
+            if !failure.may_have_run {
                 // The one dispatch was noted before its call; the engine turned it away.
-                sink.note_not_run();
+                sink.record_not_run();
             }
-            record_fault(dispatched, fault.proof);
-            from_fault(fault)
+            record_failure(dispatched, failure.proof);
+            from_failure(failure)
         }
     }
 }
 
-fn stopped(reason: &str) -> AttemptFault {
-    AttemptFault {
+fn stopped(reason: &str) -> AttemptFailure {
+    AttemptFailure {
         may_have_run: true,
         proof: None,
-        cut: false,
+        connection_lost: false,
         reason: reason.to_owned(),
         retry_after: Duration::ZERO,
     }
@@ -335,7 +340,7 @@
 }
 
 /// Records how a dispatch without an answer ended.
-fn record_fault(dispatched: DispatchedClaim, proof: Option<UndeliveredProof>) {
+fn record_failure(dispatched: DispatchedClaim, proof: Option<UndeliveredProof>) {
     match proof {
         Some(proof) => dispatched.not_run(proof),
         // Dropping the claim records that its end was lost.
@@ -343,13 +348,13 @@
     }
 }
 
-fn from_fault(fault: AttemptFault) -> FinalOutcome {
-    if fault.may_have_run {
-        return unknown(fault.reason);
+fn from_failure(failure: AttemptFailure) -> FinalOutcome {
+    if failure.may_have_run {
+        return unknown(failure.reason);
     }
     FinalOutcome::NotRun {
-        reason: fault.reason,
-        retry_after: fault.retry_after,
+        reason: failure.reason,
+        retry_after: failure.retry_after,
     }
 }
 
@@ -377,19 +382,19 @@
     request: &CallerRequest,
     key: &IntentKey,
 ) -> Result<RecordView, LookupError> {
-    let patience = request.time_left() / 2;
-    let begun = clock::mono_now();
-    let mut wait = FIRST_LOOK;
+    let timeout = request.time_left() / 2;
+    let started = clock::mono_now();
+    let mut wait = FIRST_LOOKUP_WAIT;
     loop {
         let record = context.intents.lookup(key, false).await?;
         if record != RecordView::Absent {
             return Ok(record);
         }
-        if clock::mono_now().since(begun) + wait > patience {
+        if clock::mono_now().since(started) + wait > timeout {
             return context.intents.lookup(key, true).await;
         }
         tokio::time::sleep(wait).await;
-        wait = (wait * 2).min(LONGEST_LOOK);
+        wait = (wait * 2).min(MAX_LOOKUP_WAIT);
     }
 }
 
@@ -401,17 +406,17 @@
     mut record: RecordView,
     offset: u64,
 ) -> FinalOutcome {
-    let begun = clock::mono_now();
-    let mut wait = FIRST_LOOK;
+    let started = clock::mono_now();
+    let mut wait = FIRST_LOOKUP_WAIT;
     while let RecordView::Intended { claimant, .. } = &record {
-        let looked = clock::mono_now().since(begun);
-        let gone = is_gone(context, claimant, looked).then(|| claimant.clone());
+        let waited = clock::mono_now().since(started);
+        let gone = is_gone(context, claimant, waited).then(|| claimant.clone());
         if gone.is_none() {
             if wait >= request.time_left() {
                 break;
             }
             tokio::time::sleep(wait).await;
-            wait = (wait * 2).min(LONGEST_LOOK);
+            wait = (wait * 2).min(MAX_LOOKUP_WAIT);
         }
         let Some(key) = &request.intent else { break };
         // Also after the claimant was seen gone: it may have recorded its end between
@@ -435,7 +440,7 @@
             result,
         } => {
             let token = context.token(request, None, 0);
-            sink.accepted(token, 0, &"".into()).await;
+            sink.send_accepted(token, 0, &"".into()).await;
             from_answer(sink, length, &digest, result, offset).await
         }
         RecordView::Absent => unknown("its record has expired".to_owned()),
@@ -450,11 +455,11 @@
 /// A claimant that is only cut off looks the same and may record its answer later.
 /// "Unknown" stays true even so, since it denies nothing; nobody dispatches the
 /// request again, and whoever asks after that gets the answer from the record.
-fn is_gone(context: &TrafficContext, claimant: &str, looked: Duration) -> bool {
+fn is_gone(context: &TrafficContext, claimant: &str, waited: Duration) -> bool {
     let snapshot = context.control.snapshot.load();
     // Before the first whole list, everybody would count as gone.
-    let life = ClaimantLife::parse(claimant).filter(|_| snapshot.ready);
-    life.is_some_and(|l| l.standing(&snapshot.fleet).is_final(looked))
+    let process = ClaimantLife::parse(claimant).filter(|_| snapshot.ready);
+    process.is_some_and(|p| p.status(&snapshot.fleet).is_final(waited))
 }
 
 async fn from_answer(
--- a/src/requests/run_resume.rs
+++ b/src/requests/run_resume.rs
@@ -14,8 +14,8 @@
 use crate::requests::traffic::{RequestProgress, TrafficContext, until_cancelled};
 
 /// Expected times at an engine whose load this daemon has not looked at.
-const USUAL_FIRST_TOKEN_S: f64 = 1.0;
-const USUAL_GAP_S: f64 = 0.05;
+const DEFAULT_FIRST_TOKEN_S: f64 = 1.0;
+const DEFAULT_TOKEN_GAP_S: f64 = 0.05;
 
 /// What the caller brought back.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     /// Bytes the caller holds.
     pub offset: u64,
     /// Whether the caller sent the request again, so that it can start anew.
-    pub again: bool,
+    pub resubmitted: bool,
 }
 
 /// Continues an answer to its final outcome.
@@ -39,7 +39,7 @@
     if request.intent.is_none() {
         // It was accepted before; whatever happens now, it may have run. One that
         // may not be repeated is answered from its record, which knows.
-        sink.note_dispatched();
+        sink.record_dispatch();
     }
     // Under the id in the caller's token, so that a cancel finds it here too.
     let (_guard, mut cancelled) = context.register(&resumption.token.request_id);
@@ -47,18 +47,18 @@
     let follow = follow_engine(&context, &request, &resumption, &mut sink, &mut progress);
     let followed = tokio::select! {
         followed = follow => followed,
-        () = until_cancelled(&mut cancelled) => Ok(stopped(&request)),
+        () = until_cancelled(&mut cancelled) => Ok(cancelled_outcome(&request)),
         () = tokio::time::sleep(request.time_left()) => Ok(FinalOutcome::Expired),
     };
     let outcome = match followed {
         Ok(outcome) => outcome,
         Err(offset) => {
-            let again = StartAgain {
+            let start = RestartPoint {
                 resumption: &resumption,
                 cancelled,
                 offset,
             };
-            start_again(&context, &request, again, &mut sink, &mut progress).await
+            restart(&context, &request, start, &mut sink, &mut progress).await
         }
     };
     sink.finish(&outcome).await;
@@ -66,7 +66,7 @@
 
 /// A caller who cancels a stream that may not be repeated learns its end from the
 /// record alone: the engine may have finished before the cancel came.
-fn stopped(request: &CallerRequest) -> FinalOutcome {
+fn cancelled_outcome(request: &CallerRequest) -> FinalOutcome {
     if request.intent.is_some() {
         return FinalOutcome::Unknown {
             reason: "cancelled after its dispatch".to_owned(),
@@ -76,7 +76,7 @@
 }
 
 /// What a resumed request starts again from.
-struct StartAgain<'a> {
+struct RestartPoint<'a> {
     resumption: &'a Resumption,
     cancelled: watch::Receiver<bool>,
     offset: u64,
@@ -99,7 +99,10 @@
         ..request.clone()
     };
     let mut state = AttemptState::new(context, &original, sink, progress, resumption.offset);
-    match state.take_up(&known_choice(token), token.attempt).await {
+    match state
+        .resume_stream(&choice_from_token(token), token.attempt)
+        .await
+    {
         Ok(summary) => Ok(FinalOutcome::Answered {
             summary,
             reason: String::new(),
@@ -108,36 +111,36 @@
     }
 }
 
-async fn start_again(
+async fn restart(
     context: &TrafficContext,
     request: &CallerRequest,
-    again: StartAgain<'_>,
+    start: RestartPoint<'_>,
     sink: &mut AnswerSink,
     progress: &mut RequestProgress,
 ) -> FinalOutcome {
-    let (offset, token) = (again.offset, &again.resumption.token);
+    let (offset, token) = (start.offset, &start.resumption.token);
     if request.intent.is_some() {
         return run_once::recorded_outcome(context, request, sink, offset).await;
     }
-    if !again.resumption.again {
+    if !start.resumption.resubmitted {
         return FinalOutcome::Unknown {
             reason: "its engine no longer has the stream; resume again with the request itself"
                 .to_owned(),
         };
     }
     let pinned = (offset > 0 && !token.model.is_empty()).then(|| token.model.clone());
-    let cancelled = again.cancelled;
+    let cancelled = start.cancelled;
     run_stream::continue_from(context, request, sink, cancelled, progress, offset, pinned).await
 }
 
-fn known_choice(token: &ResumeToken) -> TargetChoice {
+fn choice_from_token(token: &ResumeToken) -> TargetChoice {
     TargetChoice {
         incarnation: None,
         target: token.target.clone(),
         address: token.target_address.clone(),
         model: token.model.clone(),
-        first_token_s: USUAL_FIRST_TOKEN_S,
-        token_gap_s: USUAL_GAP_S,
+        first_token_s: DEFAULT_FIRST_TOKEN_S,
+        token_gap_s: DEFAULT_TOKEN_GAP_S,
         finish_s: 0.0,
         delay_s: 0.0,
         reason: String::new(),
--- a/src/requests/run_stream.rs
+++ b/src/requests/run_stream.rs
@@ -10,12 +10,14 @@
 use crate::names::RequestId;
 use crate::ports::TargetCall;
 use crate::requests::answer_sink::{AnswerSink, FinalOutcome};
-use crate::requests::attempt::{AttemptFault, AttemptState};
+use crate::requests::attempt::{AttemptFailure, AttemptState};
 use crate::requests::request::CallerRequest;
-use crate::requests::traffic::{RequestProgress, SIDE_CALL, TrafficContext, until_cancelled};
+use crate::requests::traffic::{
+    RequestProgress, SIDE_CALL_TIMEOUT, TrafficContext, until_cancelled,
+};
 
 /// Engines tried for one request.
-const MOST_ATTEMPTS: u32 = 5;
+const MAX_ATTEMPTS: u32 = 5;
 
 /// Address of the engine at work, so that a cancel finds it.
 type EngineAddress = Arc<Mutex<Option<String>>>;
@@ -77,7 +79,7 @@
         Err(refusal) => return refused(&state, &refusal),
     };
     let token = context.token(request, None, 0);
-    state.sink.accepted(token, 0, &"".into()).await;
+    state.sink.send_accepted(token, 0, &"".into()).await;
     let mut waiting = ticket;
     let mut attempt = 0;
     loop {
@@ -87,24 +89,24 @@
         };
         attempt += 1;
         // Its work may be held since it began to wait.
-        if let Some(refusal) = context.held_meanwhile(request).filter(|_| !is_trial) {
+        if let Some(refusal) = context.recheck_quarantine(request).filter(|_| !is_trial) {
             slot.finish(JobMeasurement::default());
             return refused(&state, &refusal);
         }
-        remember(engine, Some(slot.choice.address.clone()));
-        let fault = match state.run(&slot.choice, attempt).await {
+        set_engine(engine, Some(slot.choice.address.clone()));
+        let failure = match state.run(&slot.choice, attempt).await {
             Ok(summary) => {
                 context.report_work(request, state.tokens);
                 slot.finish(state.measure(true));
                 let reason = String::new();
                 return FinalOutcome::Answered { summary, reason };
             }
-            Err(fault) => fault,
+            Err(failure) => failure,
         };
         cancel_at(context, engine, &request.id);
-        if context.is_quarantined(request) || !may_retry(context, &fault, attempt) {
+        if context.is_quarantined(request) || !may_retry(context, &failure, attempt) {
             slot.finish(JobMeasurement::default());
-            return given_up(&state, &fault);
+            return abandoned(&state, &failure);
         }
         update_need(&mut need, &state, &slot.choice.target, &slot.choice.model);
         waiting = slot.retry(&request.id, need.clone());
@@ -113,8 +115,8 @@
 
 /// Continuations are always allowed: they are as rare as failing engines, and the
 /// caller already holds a part. Refused work counts against the budget.
-fn may_retry(context: &TrafficContext, fault: &AttemptFault, attempt: u32) -> bool {
-    attempt < MOST_ATTEMPTS && (fault.may_have_run || context.spend_retry())
+fn may_retry(context: &TrafficContext, failure: &AttemptFailure, attempt: u32) -> bool {
+    attempt < MAX_ATTEMPTS && (failure.may_have_run || context.spend_retry())
 }
 
 fn update_need(
@@ -124,12 +126,12 @@
     model: &str,
 ) {
     need.excluded.push(failed.clone());
-    let left = state
+    let remaining = state
         .request
         .submit
         .max_output_tokens
         .saturating_sub(state.tokens);
-    need.output_tokens = f64::from(left);
+    need.output_tokens = f64::from(remaining);
     if state.assembly.delivered() > 0 {
         // Another version would continue with words of its own.
         need.pinned_model = Some(model.to_owned());
@@ -148,19 +150,19 @@
     }
 }
 
-fn given_up(state: &AttemptState<'_>, fault: &AttemptFault) -> FinalOutcome {
+fn abandoned(state: &AttemptState<'_>, failure: &AttemptFailure) -> FinalOutcome {
     if state.sink.may_have_run() {
         return FinalOutcome::Unknown {
-            reason: fault.reason.clone(),
+            reason: failure.reason.clone(),
         };
     }
     FinalOutcome::NotRun {
-        reason: fault.reason.clone(),
-        retry_after: fault.retry_after,
+        reason: failure.reason.clone(),
+        retry_after: failure.retry_after,
     }
 }
 
-fn remember(engine: &EngineAddress, address: Option<String>) {
+fn set_engine(engine: &EngineAddress, address: Option<String>) {
     *engine.lock().unwrap_or_else(PoisonError::into_inner) = address;
 }
 
@@ -172,7 +174,7 @@
     };
     let call = TargetCall {
         address,
-        patience: SIDE_CALL,
+        patience: SIDE_CALL_TIMEOUT,
         body: request_id.clone(),
     };
     tokio::spawn((context.engines.cancel)(call));
--- a/src/requests/traffic.rs
+++ b/src/requests/traffic.rs
@@ -28,7 +28,7 @@
 use crate::telemetry::{RequestTimes, Telemetry};
 
 /// Patience for calls that are not part of an answer.
-pub const SIDE_CALL: Duration = Duration::from_secs(2);
+pub const SIDE_CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What every running request shares.
 pub struct TrafficContext {
@@ -117,7 +117,7 @@
         };
         sink.finish(&outcome).await;
         drop(guard);
-        self.measure(&request, &outcome, &progress);
+        self.record_times(&request, &outcome, &progress);
     }
 
     /// Seals a token for the request's present whereabouts.
@@ -174,11 +174,11 @@
     /// Under the lock that a cancel takes: one that comes later finds nobody
     /// listening, so that no caller is told "stopped" of what goes on.
     #[must_use]
-    pub fn stop_listening(&self, cancelled: watch::Receiver<bool>) -> bool {
+    pub fn close_cancellation(&self, cancelled: watch::Receiver<bool>) -> bool {
         let _running = lock(&self.running);
-        let came = *cancelled.borrow();
+        let already_cancelled = *cancelled.borrow();
         drop(cancelled);
-        came
+        already_cancelled
     }
 
     /// Returns the number of requests running here.
@@ -208,7 +208,12 @@
         lock(&self.budget).record_attempt();
     }
 
-    fn measure(&self, request: &CallerRequest, outcome: &FinalOutcome, progress: &RequestProgress) {
+    fn record_times(
+        &self,
+        request: &CallerRequest,
+        outcome: &FinalOutcome,
+        progress: &RequestProgress,
+    ) {
         let now = clock::mono_now();
         let total = now.since(request.arrived);
         let times = RequestTimes {
--- a/src/rpc/items.rs
+++ b/src/rpc/items.rs
@@ -11,7 +11,7 @@
 
 /// Why a message is not an item.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum ItemFault {
+pub enum ItemError {
     /// The message holds no item.
     #[error("item is empty; send a workspace, class, model or hold")]
     Empty,
@@ -32,10 +32,10 @@
 }
 
 impl TryFrom<pb::ConfigItem> for ItemSpec {
-    type Error = ItemFault;
+    type Error = ItemError;
 
     fn try_from(message: pb::ConfigItem) -> Result<Self, Self::Error> {
-        Ok(match message.item.ok_or(ItemFault::Empty)? {
+        Ok(match message.item.ok_or(ItemError::Empty)? {
             Item::Workspace(workspace) => Self::Workspace(workspace.into()),
             Item::Class(class) => Self::Class(class.try_into()?),
             Item::Model(model) => Self::Model(model.into()),
@@ -77,7 +77,7 @@
 }
 
 impl TryFrom<pb::WorkloadClass> for ClassSpec {
-    type Error = ItemFault;
+    type Error = ItemError;
 
     fn try_from(message: pb::WorkloadClass) -> Result<Self, Self::Error> {
         let target = match (message.models.is_empty(), message.service.is_empty()) {
@@ -89,7 +89,7 @@
             }),
             (models_empty, _) => {
                 let found = if models_empty { "neither" } else { "both" };
-                return Err(ItemFault::ClassTarget {
+                return Err(ItemError::ClassTarget {
                     class: message.name,
                     found,
                 });
@@ -175,13 +175,13 @@
 /// # Errors
 ///
 /// Returns a fault for a number that names no kind.
-pub fn item_kind(number: i32) -> Result<ItemKind, ItemFault> {
+pub fn item_kind(number: i32) -> Result<ItemKind, ItemError> {
     match pb::ItemKind::try_from(number) {
         Ok(pb::ItemKind::Workspace) => Ok(ItemKind::Workspace),
         Ok(pb::ItemKind::Class) => Ok(ItemKind::Class),
         Ok(pb::ItemKind::Model) => Ok(ItemKind::Model),
         Ok(pb::ItemKind::Hold) => Ok(ItemKind::Hold),
-        Ok(pb::ItemKind::Unspecified) | Err(_) => Err(ItemFault::Kind { found: number }),
+        Ok(pb::ItemKind::Unspecified) | Err(_) => Err(ItemError::Kind { found: number }),
     }
 }
 
--- a/src/rpc/operations.rs
+++ b/src/rpc/operations.rs
@@ -24,8 +24,8 @@
 /// Time between looks at the configuration for a watch.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// Decisions returned when the caller names no number, and at most.
-const USUAL_DECISIONS: u32 = 50;
-const MOST_DECISIONS: u32 = 1_000;
+const DEFAULT_DECISIONS: u32 = 50;
+const MAX_DECISIONS: u32 = 1_000;
 
 type ItemStream = Pin<Box<dyn Stream<Item = Result<pb::ItemReply, Status>> + Send>>;
 
@@ -92,11 +92,11 @@
 fn spec_of(item: Option<pb::ConfigItem>) -> Result<ItemSpec, Status> {
     item.unwrap_or_default()
         .try_into()
-        .map_err(|fault: crate::rpc::items::ItemFault| Status::invalid_argument(fault.to_string()))
+        .map_err(|error: crate::rpc::items::ItemError| Status::invalid_argument(error.to_string()))
 }
 
 fn kind_of(number: i32) -> Result<ItemKind, Status> {
-    item_kind(number).map_err(|fault| Status::invalid_argument(fault.to_string()))
+    item_kind(number).map_err(|error| Status::invalid_argument(error.to_string()))
 }
 
 #[tonic::async_trait]
@@ -181,8 +181,8 @@
         let kind = kind_of(request.into_inner().kind)?;
         let snapshot = self.snapshot();
         let of_kind = snapshot.config.items.iter().filter(|(n, _)| n.kind == kind);
-        let kept = of_kind.filter(|(_, record)| record.spec.is_some());
-        let items = kept
+        let existing = of_kind.filter(|(_, record)| record.spec.is_some());
+        let items = existing
             .map(|(name, record)| item_reply(name, record))
             .collect();
         Ok(Response::new(pb::ListItemsReply { items }))
@@ -259,11 +259,14 @@
     ) -> Result<Response<pb::ExplainReply>, Status> {
         self.check(&request)?;
         let message = request.into_inner();
-        let most = match message.most {
-            0 => USUAL_DECISIONS,
-            most => most.min(MOST_DECISIONS),
+        let limit = match message.most {
+            0 => DEFAULT_DECISIONS,
+            most => most.min(MAX_DECISIONS),
         };
-        let records = self.context.journal.recent(&message.subject, most as usize);
+        let records = self
+            .context
+            .journal
+            .recent(&message.subject, limit as usize);
         let decisions = records.into_iter().map(Into::into).collect();
         Ok(Response::new(pb::ExplainReply { decisions }))
     }
@@ -303,9 +306,9 @@
             state: target.state.as_str().to_owned(),
             role: report.map_or_else(String::new, |r| format!("{:?}", r.role).to_lowercase()),
             models: report.map_or_else(Vec::new, |r| r.models.clone()),
-            own_in_flight: small(context.dispatcher.local_in_flight(&target.id) as u64),
+            own_in_flight: saturating_u32(context.dispatcher.local_in_flight(&target.id) as u64),
             reported_in_flight: report.map_or(0, |r| r.in_flight),
-            report_age_ms: report.map_or(0, |r| small(millis(now.since(r.taken_at)))),
+            report_age_ms: report.map_or(0, |r| saturating_u32(millis(now.since(r.taken_at)))),
         }
     });
     let daemons = fleet.daemons.values().map(|daemon| pb::DaemonStatus {
@@ -334,7 +337,7 @@
         fence: lease.fence.0,
         remaining_ms: lease
             .own_until
-            .map_or(0, |until| small(millis(until.since(now)))),
+            .map_or(0, |until| saturating_u32(millis(until.since(now)))),
     }
 }
 
@@ -349,6 +352,6 @@
     }
 }
 
-fn small(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
--- a/src/rpc/requests.rs
+++ b/src/rpc/requests.rs
@@ -27,13 +27,13 @@
 use crate::requests::request::CallerRequest;
 use crate::requests::resume_token::ResumeToken;
 use crate::requests::run_resume;
-use crate::requests::traffic::{SIDE_CALL, TrafficContext};
+use crate::requests::traffic::{SIDE_CALL_TIMEOUT, TrafficContext};
 use crate::rpc::access::caller_workspace;
 
 /// Events that may wait for a caller who reads slowly.
-const EVENTS_AHEAD: usize = 64;
+const EVENT_BUFFER: usize = 64;
 /// When a caller turned away by a stopping daemon may go to another.
-const STOPPING_RETRY: Duration = Duration::from_millis(50);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 type EventStream = Pin<Box<dyn Stream<Item = AnswerEvent> + Send>>;
 
@@ -42,7 +42,7 @@
 pub struct RequestsService {
     context: Arc<TrafficContext>,
     incarnation: ProcessIncarnation,
-    numbers: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
 }
 
 impl RequestsService {
@@ -52,7 +52,7 @@
         Self {
             context,
             incarnation,
-            numbers: Arc::new(AtomicU64::new(0)),
+            next_number: Arc::new(AtomicU64::new(0)),
         }
     }
 
@@ -63,12 +63,12 @@
 
     /// Returns an identity that no other daemon and no other life of this one uses.
     fn new_id(&self) -> RequestId {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let daemon = &self.context.daemon;
         RequestId::from(format!("{daemon}-{:x}-{number:x}", self.incarnation.0))
     }
 
-    fn checked(
+    fn check_request(
         &self,
         workspace: &WorkspaceName,
         submit: pb::SubmitRequest,
@@ -77,10 +77,10 @@
         let limits = &self.context.settings.limits;
         let id = self.new_id();
         CallerRequest::check(id, workspace, submit, &snapshot, limits)
-            .map_err(|fault| Status::invalid_argument(fault.to_string()))
+            .map_err(|error| Status::invalid_argument(error.to_string()))
     }
 
-    fn opened(&self, workspace: &WorkspaceName, token: &str) -> Result<ResumeToken, Status> {
+    fn open_token(&self, workspace: &WorkspaceName, token: &str) -> Result<ResumeToken, Status> {
         let opened = self.context.signer.open(token);
         let token = opened.map_err(|error| Status::invalid_argument(error.to_string()))?;
         if token.workspace != *workspace {
@@ -111,15 +111,15 @@
         request: Request<pb::SubmitRequest>,
     ) -> Result<Response<EventStream>, Status> {
         let workspace = self.workspace(&request)?;
-        let request = self.checked(&workspace, request.into_inner())?;
-        let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
+        let request = self.check_request(&workspace, request.into_inner())?;
+        let (events, receiver) = mpsc::channel(EVENT_BUFFER);
         let mut sink = AnswerSink::new(events, request.id.clone());
         let stopping = self.context.closing.load(Ordering::Relaxed);
-        let fresh = request.intent.is_none() || request.submit.first_submission;
-        if stopping && fresh {
+        let never_run = request.intent.is_none() || request.submit.first_submission;
+        if stopping && never_run {
             let outcome = FinalOutcome::NotRun {
                 reason: "this daemon is leaving; use another address".to_owned(),
-                retry_after: STOPPING_RETRY,
+                retry_after: STOPPING_RETRY_AFTER,
             };
             sink.finish(&outcome).await;
         } else {
@@ -134,9 +134,9 @@
     ) -> Result<Response<EventStream>, Status> {
         let workspace = self.workspace(&request)?;
         let message = request.into_inner();
-        let token = self.opened(&workspace, &message.resume_token)?;
+        let token = self.open_token(&workspace, &message.resume_token)?;
         let submit = message.submit.unwrap_or_default();
-        let again = !submit.class.is_empty();
+        let resubmitted = !submit.class.is_empty();
         let submit = pb::SubmitRequest {
             class: token.class.to_string(),
             prompt_tokens: submit.prompt_tokens.max(1),
@@ -146,15 +146,15 @@
             first_submission: false,
             ..submit
         };
-        let mut request = self.checked(&workspace, submit)?;
+        let mut request = self.check_request(&workspace, submit)?;
         let left = token.deadline.since(clock::unix_now());
         request.deadline = clock::mono_now().plus(left);
         request.deadline_unix = token.deadline;
-        let (events, receiver) = mpsc::channel(EVENTS_AHEAD);
+        let (events, receiver) = mpsc::channel(EVENT_BUFFER);
         let resumption = run_resume::Resumption {
             token,
             offset: message.offset,
-            again,
+            resubmitted,
         };
         let context = Arc::clone(&self.context);
         tokio::spawn(run_resume::run(context, request, resumption, events));
@@ -166,8 +166,8 @@
         request: Request<pb::CancelRequest>,
     ) -> Result<Response<pb::CancelReply>, Status> {
         let workspace = self.workspace(&request)?;
-        let token = self.opened(&workspace, &request.into_inner().resume_token)?;
-        let stopped = self.cancel_where_it_runs(&token).await;
+        let token = self.open_token(&workspace, &request.into_inner().resume_token)?;
+        let stopped = self.cancel_running(&token).await;
         Ok(Response::new(pb::CancelReply { stopped }))
     }
 
@@ -196,7 +196,7 @@
         self.workspace(&request)?;
         let context = &self.context;
         let snapshot = context.control.snapshot.load();
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let mut rng = SmallRng::seed_from_u64(self.incarnation.0 ^ number);
         let keep_ms = context.settings.shutdown.keep_ms;
         let answer = addressing::locate(&snapshot, &context.daemon, None, keep_ms, &mut rng);
@@ -219,14 +219,14 @@
     /// go on elsewhere, and the caller be told "stopped" and then answered. The engine
     /// is asked only when that daemon is gone, and never for a request that may not be
     /// repeated, whose outcome would stay open.
-    async fn cancel_where_it_runs(&self, token: &ResumeToken) -> bool {
+    async fn cancel_running(&self, token: &ResumeToken) -> bool {
         let context = &self.context;
         if context.cancel_here(&token.request_id) {
             return true;
         }
         if token.daemon != context.daemon {
-            let asked = cancel_there(&context.peers, &token.daemon, &token.request_id).await;
-            if let Ok(stopped) = asked {
+            let reply = cancel_there(&context.peers, &token.daemon, &token.request_id).await;
+            if let Ok(stopped) = reply {
                 return stopped;
             }
             if self.is_in_use(&token.daemon) {
@@ -246,7 +246,7 @@
     async fn cancel_at_engine(&self, token: &ResumeToken) -> bool {
         let call = TargetCall {
             address: token.target_address.clone(),
-            patience: SIDE_CALL,
+            patience: SIDE_CALL_TIMEOUT,
             body: token.request_id.clone(),
         };
         (self.context.engines.cancel)(call).await.unwrap_or(false)
--- a/src/server.rs
+++ b/src/server.rs
@@ -44,15 +44,15 @@
 use crate::tls;
 
 /// Decisions kept for `explain`.
-const JOURNAL_LENGTH: usize = 10_000;
+const JOURNAL_CAPACITY: usize = 10_000;
 /// Connections accepted and not yet taken over by the server.
-const CONNECTIONS_AHEAD: usize = 64;
+const MAX_PENDING_CONNECTIONS: usize = 64;
 /// Longest wait for the leases to be handed over.
-const HAND_OVER_TIME: Duration = Duration::from_secs(5);
+const STOP_STEP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Least wait for the ends of claims to be recorded.
-const RECORD_TIME: Duration = Duration::from_secs(10);
+const MIN_RECORD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time between looks at whether the last request has ended.
-const FINISH_CHECK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A daemon that serves.
 pub struct RunningDaemon {
@@ -65,8 +65,8 @@
     context: Arc<TrafficContext>,
     closing: watch::Sender<bool>,
     ended: watch::Sender<bool>,
-    serving: JoinHandle<()>,
-    pumping: JoinHandle<()>,
+    server_task: JoinHandle<()>,
+    scheduling: JoinHandle<()>,
     _admin: AdminServer,
 }
 
@@ -103,7 +103,7 @@
     let peer = peer_listener.local_addr()?;
     let incarnation = clock::new_incarnation();
     let platform = platform_port(&settings.platform).wrap_err("cannot call the platform")?;
-    let journal = DecisionJournal::new(JOURNAL_LENGTH);
+    let journal = DecisionJournal::new(JOURNAL_CAPACITY);
     let crashes = SharedCrashTracker::default();
     let control = start_control(ControlInputs {
         settings: Arc::clone(&settings),
@@ -130,10 +130,10 @@
         crashes,
     )?;
     let (closing, _) = watch::channel(false);
-    let serving = serve(&context, listener, incarnation, &closing)?;
+    let server_task = serve(&context, listener, incarnation, &closing)?;
     let dispatcher = context.dispatcher.clone();
     let (ended, _) = watch::channel(false);
-    let pumping = tokio::spawn(dispatcher.run(until_closed(ended.subscribe())));
+    let scheduling = tokio::spawn(dispatcher.run(until_closed(ended.subscribe())));
     log::info!("daemon {} serves on {rpc}", settings.daemon_id);
     Ok(RunningDaemon {
         rpc,
@@ -142,8 +142,8 @@
         context,
         closing,
         ended,
-        serving,
-        pumping,
+        server_task,
+        scheduling,
         _admin: admin,
     })
 }
@@ -175,34 +175,36 @@
             .control
             .events
             .send(ControlEvent::Stop { done });
-        let _ = tokio::time::timeout(HAND_OVER_TIME, handed_over).await;
+        let _ = tokio::time::timeout(STOP_STEP_TIMEOUT, handed_over).await;
         let keep = Duration::from_millis(u64::from(settings.shutdown.keep_ms));
         tokio::time::sleep(keep).await;
         self.context.closing.store(true, Ordering::Relaxed);
         let finish = Duration::from_millis(settings.shutdown.finish_ms);
-        let begun = Instant::now();
+        let started = Instant::now();
         if tokio::time::timeout(finish, self.finish()).await.is_err() {
             let left = self.context.running_count();
             log::warn!("stopping with {left} requests running; raise shutdown.finish_ms");
         }
         // The end of a claim is recorded after its caller has the answer. One left
         // out would tell whoever asks for the key again that its outcome is unknown.
-        let rest = finish.saturating_sub(begun.elapsed()).max(RECORD_TIME);
+        let rest = finish
+            .saturating_sub(started.elapsed())
+            .max(MIN_RECORD_TIMEOUT);
         if !self.context.intents.drain(rest).await {
             log::warn!(
                 "stopping before the end of every claim is recorded; raise shutdown.finish_ms"
             );
         }
         self.ended.send_replace(true);
-        let _ = tokio::time::timeout(HAND_OVER_TIME, &mut self.pumping).await;
+        let _ = tokio::time::timeout(STOP_STEP_TIMEOUT, &mut self.scheduling).await;
         self.context.control.end();
         log::info!("daemon {} stopped", settings.daemon_id);
     }
 
     /// Ends at once, as a crash would: running requests are cut, leases left to expire.
     pub fn kill(self) {
-        self.serving.abort();
-        self.pumping.abort();
+        self.server_task.abort();
+        self.scheduling.abort();
         self.context.control.end();
     }
 
@@ -213,16 +215,16 @@
     /// wait, one who came just before the close would lose the answer to the end of
     /// the process.
     async fn finish(&mut self) {
-        self.idle().await;
+        self.wait_until_idle().await;
         self.closing.send_replace(true);
         // A caller that reads nothing more must not hold the stop up.
-        let _ = tokio::time::timeout(HAND_OVER_TIME, &mut self.serving).await;
-        self.idle().await;
+        let _ = tokio::time::timeout(STOP_STEP_TIMEOUT, &mut self.server_task).await;
+        self.wait_until_idle().await;
     }
 
-    async fn idle(&self) {
+    async fn wait_until_idle(&self) {
         while self.context.running_count() > 0 {
-            tokio::time::sleep(FINISH_CHECK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -262,7 +264,7 @@
         incarnation,
         unix_now: Arc::new(clock::unix_now),
     };
-    let link = record_link(settings, &control, &peers);
+    let link = intent_link(settings, &control, &peers);
     let intents = IntentStore::with_link(&inputs, &link);
     let dispatcher = JobDispatcher::new(scheduler, control.clone(), journal.clone());
     let context = Arc::new(TrafficContext {
@@ -288,18 +290,18 @@
 }
 
 /// Finds the owner of a shard among the live daemons and reaches it by the links.
-fn record_link(
+fn intent_link(
     settings: &Arc<DaemonSettings>,
     control: &ControlHandle,
     peers: &PeerHandle,
 ) -> IntentLink {
-    let own = settings.daemon_id.clone();
+    let local = settings.daemon_id.clone();
     let snapshot = control.snapshot.clone();
     let owners = OwnerCache::default();
     IntentLink {
         owner: Arc::new(move |shard| {
             let owner = owners.owner(shard, &snapshot.load().fleet);
-            owner.filter(|daemon| *daemon != own)
+            owner.filter(|daemon| *daemon != local)
         }),
         call: records_call(peers),
     }
@@ -318,10 +320,10 @@
     // once, each with its reset. Beyond the library's usual 20 that counts as an
     // attack, and closing the connection would cut every other answer on it. A pause
     // in which more are given up than a connection has streams still does so.
-    let given_up = usize::try_from(limits.streams_per_connection).ok();
+    let max_resets = usize::try_from(limits.streams_per_connection).ok();
     let mut server = Server::builder()
         .max_concurrent_streams(limits.streams_per_connection)
-        .http2_max_pending_accept_reset_streams(given_up);
+        .http2_max_pending_accept_reset_streams(max_resets);
     if let Some(tls) = &context.settings.listen.tls {
         let identity = Identity::from_pem(&tls.certificate_pem, &tls.key_pem);
         server = server
@@ -333,8 +335,8 @@
         .add_service(
             OperationsServer::new(operations).max_decoding_message_size(limits.message_bytes),
         );
-    let first_bytes = Duration::from_millis(limits.header_ms);
-    let connections = accept_connections(listener, first_bytes, closing.subscribe());
+    let first_byte_timeout = Duration::from_millis(limits.header_ms);
+    let connections = accept_connections(listener, first_byte_timeout, closing.subscribe());
     let closed = until_closed(closing.subscribe());
     Ok(tokio::spawn(async move {
         let served = router.serve_with_incoming_shutdown(connections, closed);
@@ -350,10 +352,10 @@
 /// each hold a server task for good.
 fn accept_connections(
     listener: TcpListener,
-    first_bytes: Duration,
+    first_byte_timeout: Duration,
     closing: watch::Receiver<bool>,
 ) -> ReceiverStream<std::io::Result<TcpStream>> {
-    let (ready, connections) = mpsc::channel(CONNECTIONS_AHEAD);
+    let (ready, connections) = mpsc::channel(MAX_PENDING_CONNECTIONS);
     tokio::spawn(async move {
         let closed = until_closed(closing);
         tokio::pin!(closed);
@@ -364,22 +366,26 @@
             };
             let Ok((stream, _)) = accepted else {
                 // Out of descriptors, most likely: a pause lets some be freed.
-                tokio::time::sleep(FINISH_CHECK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             };
-            tokio::spawn(pass_on(stream, first_bytes, ready.clone()));
+            tokio::spawn(forward_connection(
+                stream,
+                first_byte_timeout,
+                ready.clone(),
+            ));
         }
     });
     ReceiverStream::new(connections)
 }
 
-async fn pass_on(
+async fn forward_connection(
     stream: TcpStream,
-    first_bytes: Duration,
+    first_byte_timeout: Duration,
     ready: mpsc::Sender<std::io::Result<TcpStream>>,
 ) {
     let _ = stream.set_nodelay(true);
-    let peeked = tokio::time::timeout(first_bytes, stream.peek(&mut [0])).await;
+    let peeked = tokio::time::timeout(first_byte_timeout, stream.peek(&mut [0])).await;
     if matches!(peeked, Ok(Ok(read)) if read > 0) {
         // A closed channel means the server is going down.
         let _ = ready.send(Ok(stream)).await;
--- a/tests/answer_fuzz.rs
+++ b/tests/answer_fuzz.rs
@@ -14,16 +14,16 @@
 const CASES: u32 = 1_024;
 const SEED: u64 = 20_261_202;
 
-fn variable(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 fn config() -> Config {
-    let cases = variable("PISTACHIOWICK_FUZZ_CASES").and_then(|c| u32::try_from(c).ok());
+    let cases = env_number("PISTACHIOWICK_FUZZ_CASES").and_then(|c| u32::try_from(c).ok());
     Config {
         cases: cases.unwrap_or(CASES),
         failure_persistence: None,
-        rng_seed: RngSeed::Fixed(variable("PISTACHIOWICK_FUZZ_SEED").unwrap_or(SEED)),
+        rng_seed: RngSeed::Fixed(env_number("PISTACHIOWICK_FUZZ_SEED").unwrap_or(SEED)),
         ..Config::default()
     }
 }
@@ -167,10 +167,10 @@
 
     fn check(&mut self, line: &StreamLine, verdict: LineVerdict) {
         match verdict {
-            LineVerdict::Deliver(part) => self.take(line, &part),
+            LineVerdict::Deliver(part) => self.check_part(line, &part),
             LineVerdict::Finish { part, summary } => {
                 if let Some(part) = &part {
-                    self.take(line, part);
+                    self.check_part(line, part);
                 }
                 let whole = self.attempts.last().unwrap();
                 assert_eq!(&self.delivered, whole, "the answer is not whole");
@@ -183,7 +183,7 @@
         assert_eq!(self.answer.delivered(), self.delivered.len() as u64);
     }
 
-    fn take(&mut self, line: &StreamLine, part: &AnswerPart) {
+    fn check_part(&mut self, line: &StreamLine, part: &AnswerPart) {
         assert!(!self.finished, "bytes after the end");
         assert_eq!(line.request_id.as_str(), "request-1");
         assert_eq!(line.attempt as usize, self.attempts.len(), "an old attempt");
--- a/tests/answer_lines.rs
+++ b/tests/answer_lines.rs
@@ -3,7 +3,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use pistachiowick::requests::answer::{
-    AnswerAssembly, BreakCause, DropCause, LineVerdict, ReplyFault, accept_reply,
+    AnswerAssembly, BreakCause, DropCause, LineVerdict, ReplyError, accept_reply,
 };
 use pistachiowick::targets::wire::{ServiceReply, StreamEnd, StreamLine};
 use rstest::rstest;
@@ -39,32 +39,32 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Seen {
+enum Observed {
     Bytes(usize, usize),
     Whole(usize),
     Dropped(DropCause),
     Broken(BreakCause),
 }
 
-fn see(verdict: LineVerdict) -> Seen {
+fn observe(verdict: LineVerdict) -> Observed {
     match verdict {
         LineVerdict::Deliver(part) => {
             let from = usize::try_from(part.offset).unwrap();
             let to = from + part.data.len();
             assert_eq!(part.data, WHOLE[from..to]);
-            Seen::Bytes(from, to)
+            Observed::Bytes(from, to)
         }
         LineVerdict::Finish { summary, .. } => {
-            Seen::Whole(usize::try_from(summary.length).unwrap())
+            Observed::Whole(usize::try_from(summary.length).unwrap())
         }
-        LineVerdict::Drop(cause) => Seen::Dropped(cause),
-        LineVerdict::Break(cause) => Seen::Broken(cause),
+        LineVerdict::Drop(cause) => Observed::Dropped(cause),
+        LineVerdict::Break(cause) => Observed::Broken(cause),
     }
 }
 
 struct LineCase {
     lines: Vec<StreamLine>,
-    seen: Vec<Seen>,
+    observed: Vec<Observed>,
 }
 
 // A cox reads a race-lane summary while its engine's second attempt is under way. Lines
@@ -73,78 +73,82 @@
 #[rstest]
 #[case::in_order(LineCase {
     lines: vec![line(2, 0, 10), line(2, 10, 24), end(2, 24)],
-    seen: vec![Seen::Bytes(0, 10), Seen::Bytes(10, 24), Seen::Whole(24)],
+    observed: vec![Observed::Bytes(0, 10), Observed::Bytes(10, 24), Observed::Whole(24)],
 })]
 #[case::former_attempt(LineCase {
     lines: vec![line(1, 0, 10), line(2, 0, 5), line(1, 5, 10), end(1, 5)],
-    seen: vec![
-        Seen::Dropped(DropCause::OldAttempt),
-        Seen::Bytes(0, 5),
-        Seen::Dropped(DropCause::OldAttempt),
-        Seen::Dropped(DropCause::OldAttempt),
+    observed: vec![
+        Observed::Dropped(DropCause::OldAttempt),
+        Observed::Bytes(0, 5),
+        Observed::Dropped(DropCause::OldAttempt),
+        Observed::Dropped(DropCause::OldAttempt),
     ],
 })]
 #[case::other_request(LineCase {
     lines: vec![line(2, 0, 5), of_other_request(line(2, 5, 10)), of_other_request(end(2, 5))],
-    seen: vec![
-        Seen::Bytes(0, 5),
-        Seen::Dropped(DropCause::OtherRequest),
-        Seen::Dropped(DropCause::OtherRequest),
+    observed: vec![
+        Observed::Bytes(0, 5),
+        Observed::Dropped(DropCause::OtherRequest),
+        Observed::Dropped(DropCause::OtherRequest),
     ],
 })]
 #[case::doubled_and_overlapping(LineCase {
     lines: vec![line(2, 0, 10), line(2, 0, 10), line(2, 4, 12), line(2, 10, 10)],
-    seen: vec![
-        Seen::Bytes(0, 10),
-        Seen::Dropped(DropCause::Doubled),
-        Seen::Bytes(10, 12),
-        Seen::Dropped(DropCause::Empty),
+    observed: vec![
+        Observed::Bytes(0, 10),
+        Observed::Dropped(DropCause::Duplicate),
+        Observed::Bytes(10, 12),
+        Observed::Dropped(DropCause::Empty),
     ],
 })]
 #[case::gap(LineCase {
     lines: vec![line(2, 0, 10), line(2, 12, 24), line(2, 10, 12), end(2, 24)],
-    seen: vec![
-        Seen::Bytes(0, 10),
-        Seen::Broken(BreakCause::Gap),
-        Seen::Dropped(DropCause::Broken),
-        Seen::Dropped(DropCause::Broken),
+    observed: vec![
+        Observed::Bytes(0, 10),
+        Observed::Broken(BreakCause::Gap),
+        Observed::Dropped(DropCause::Broken),
+        Observed::Dropped(DropCause::Broken),
     ],
 })]
 #[case::short(LineCase {
     lines: vec![line(2, 0, 10), StreamLine { offset: 10, ..end(2, 24) }],
-    seen: vec![Seen::Bytes(0, 10), Seen::Broken(BreakCause::Short)],
+    observed: vec![Observed::Bytes(0, 10), Observed::Broken(BreakCause::Short)],
 })]
 #[case::overlong(LineCase {
     lines: vec![line(2, 0, 10), end(2, 8)],
-    seen: vec![Seen::Bytes(0, 10), Seen::Broken(BreakCause::Short)],
+    observed: vec![Observed::Bytes(0, 10), Observed::Broken(BreakCause::Short)],
 })]
 #[case::garbled(LineCase {
     lines: vec![StreamLine { data: "*".to_owned(), ..line(2, 0, 5) }],
-    seen: vec![Seen::Broken(BreakCause::Garbled)],
+    observed: vec![Observed::Broken(BreakCause::Garbled)],
 })]
 #[case::offset_out_of_range(LineCase {
     lines: vec![StreamLine { offset: u64::MAX, ..line(2, 0, 5) }],
-    seen: vec![Seen::Broken(BreakCause::Garbled)],
+    observed: vec![Observed::Broken(BreakCause::Garbled)],
 })]
 #[case::after_the_end(LineCase {
     lines: vec![line(2, 0, 24), end(2, 24), line(2, 20, 24), end(2, 24)],
-    seen: vec![
-        Seen::Bytes(0, 24),
-        Seen::Whole(24),
-        Seen::Dropped(DropCause::Finished),
-        Seen::Dropped(DropCause::Finished),
+    observed: vec![
+        Observed::Bytes(0, 24),
+        Observed::Whole(24),
+        Observed::Dropped(DropCause::Finished),
+        Observed::Dropped(DropCause::Finished),
     ],
 })]
 fn lines_reach_the_caller_once_and_in_order(#[case] case: LineCase) {
     pistachiowick::invariants::make_fatal();
     let mut answer = AnswerAssembly::new("request-1".into());
     answer.begin_attempt(2);
-    let seen: Vec<Seen> = case.lines.iter().map(|l| see(answer.accept(l))).collect();
-    assert_eq!(seen, case.seen);
+    let observed: Vec<Observed> = case
+        .lines
+        .iter()
+        .map(|l| observe(answer.accept(l)))
+        .collect();
+    assert_eq!(observed, case.observed);
     let dropped = case
-        .seen
+        .observed
         .iter()
-        .filter(|s| matches!(s, Seen::Dropped(_)))
+        .filter(|s| matches!(s, Observed::Dropped(_)))
         .count();
     assert_eq!(answer.drops().values().sum::<u64>(), dropped as u64);
 }
@@ -155,9 +159,15 @@
 fn next_attempt_goes_on_from_the_bytes_delivered() {
     let mut answer = AnswerAssembly::new("request-1".into());
     answer.begin_attempt(1);
-    assert_eq!(see(answer.accept(&line(1, 0, 10))), Seen::Bytes(0, 10));
+    assert_eq!(
+        observe(answer.accept(&line(1, 0, 10))),
+        Observed::Bytes(0, 10)
+    );
     answer.begin_attempt(2);
-    assert_eq!(see(answer.accept(&line(2, 6, 20))), Seen::Bytes(10, 20));
+    assert_eq!(
+        observe(answer.accept(&line(2, 6, 20))),
+        Observed::Bytes(10, 20)
+    );
     let last = StreamLine {
         end: Some(StreamEnd { length: 24 }),
         ..line(2, 20, 24)
@@ -177,7 +187,10 @@
 fn resumed_answer_has_a_length_and_no_digest() {
     let mut answer = AnswerAssembly::resume_from("request-1".into(), 16);
     answer.begin_attempt(3);
-    assert_eq!(see(answer.accept(&line(3, 10, 24))), Seen::Bytes(16, 24));
+    assert_eq!(
+        observe(answer.accept(&line(3, 10, 24))),
+        Observed::Bytes(16, 24)
+    );
     match answer.accept(&end(3, 24)) {
         LineVerdict::Finish {
             part: None,
@@ -194,7 +207,7 @@
     key: &'static str,
     data: &'static str,
     length: u64,
-    accepted: Result<Vec<u8>, ReplyFault>,
+    accepted: Result<Vec<u8>, ReplyError>,
 }
 
 // A plain service answers another call's request or key, or only a part. A fee receipt
@@ -206,19 +219,19 @@
 })]
 #[case::other_request(ReplyCase {
     request: "request-2", key: "receipt", data: "cGFpZA==", length: 4,
-    accepted: Err(ReplyFault::OtherRequest),
+    accepted: Err(ReplyError::OtherRequest),
 })]
 #[case::other_key(ReplyCase {
     request: "request-1", key: "refund", data: "cGFpZA==", length: 4,
-    accepted: Err(ReplyFault::OtherRequest),
+    accepted: Err(ReplyError::OtherRequest),
 })]
 #[case::short(ReplyCase {
     request: "request-1", key: "receipt", data: "cGFp", length: 4,
-    accepted: Err(ReplyFault::Short),
+    accepted: Err(ReplyError::Short),
 })]
 #[case::garbled(ReplyCase {
     request: "request-1", key: "receipt", data: "?", length: 4,
-    accepted: Err(ReplyFault::Garbled),
+    accepted: Err(ReplyError::Garbled),
 })]
 fn reply_of_a_service_answers_its_own_call(#[case] case: ReplyCase) {
     let reply = ServiceReply {
--- a/tests/request_checks.rs
+++ b/tests/request_checks.rs
@@ -12,7 +12,7 @@
 use pistachiowick::decide::shares::WeightCorrections;
 use pistachiowick::names::WorkspaceName;
 use pistachiowick::pb::SubmitRequest;
-use pistachiowick::requests::request::{CallerRequest, RequestFault};
+use pistachiowick::requests::request::{CallerRequest, RequestError};
 use pistachiowick::settings::LimitSettings;
 use rstest::rstest;
 
@@ -68,7 +68,7 @@
     }
 }
 
-fn check_for(workspace: &str, submit: SubmitRequest) -> Result<CallerRequest, RequestFault> {
+fn check_for(workspace: &str, submit: SubmitRequest) -> Result<CallerRequest, RequestError> {
     let snapshot = ControlSnapshot {
         config: Arc::new(config()),
         ..ControlSnapshot::default()
@@ -77,7 +77,7 @@
     CallerRequest::check("r-1".into(), &workspace, submit, &snapshot, &limits())
 }
 
-fn check(submit: SubmitRequest) -> Result<CallerRequest, RequestFault> {
+fn check(submit: SubmitRequest) -> Result<CallerRequest, RequestError> {
     check_for(WORKSPACE, submit)
 }
 
@@ -101,94 +101,94 @@
     }
 }
 
-struct FaultCase {
-    spoil: fn(&mut SubmitRequest),
+struct InvalidCase {
+    change: fn(&mut SubmitRequest),
     field: &'static str,
     remedy: &'static str,
 }
 
 #[rstest]
-#[case::other_model(FaultCase {
-    spoil: |m| m.model = "huge".to_owned(),
+#[case::other_model(InvalidCase {
+    change: |m| m.model = "huge".to_owned(),
     field: "model is huge",
     remedy: "the class may use base, large",
 })]
-#[case::other_adapter(FaultCase {
-    spoil: |m| m.adapter = "tax".to_owned(),
+#[case::other_adapter(InvalidCase {
+    change: |m| m.adapter = "tax".to_owned(),
     field: "adapter is tax",
     remedy: "the class may use none or law",
 })]
-#[case::other_version(FaultCase {
-    spoil: |m| m.version = "9".to_owned(),
+#[case::other_version(InvalidCase {
+    change: |m| m.version = "9".to_owned(),
     field: "version is 9",
     remedy: "the class may use 1, 2",
 })]
-#[case::no_prompt_length(FaultCase {
-    spoil: |m| m.prompt_tokens = 0,
+#[case::no_prompt_length(InvalidCase {
+    change: |m| m.prompt_tokens = 0,
     field: "prompt_tokens is 0",
     remedy: "send the prompt's length in tokens",
 })]
-#[case::no_output(FaultCase {
-    spoil: |m| m.max_output_tokens = 0,
+#[case::no_output(InvalidCase {
+    change: |m| m.max_output_tokens = 0,
     field: "max_output_tokens is 0",
     remedy: "send 1 to 1048576",
 })]
-#[case::endless_output(FaultCase {
-    spoil: |m| m.max_output_tokens = (1 << 20) + 1,
+#[case::endless_output(InvalidCase {
+    change: |m| m.max_output_tokens = (1 << 20) + 1,
     field: "max_output_tokens is 1048577",
     remedy: "send 1 to 1048576",
 })]
-#[case::prefix_longer_than_prompt(FaultCase {
-    spoil: |m| m.shared_prefix_tokens = 101,
+#[case::prefix_longer_than_prompt(InvalidCase {
+    change: |m| m.shared_prefix_tokens = 101,
     field: "shared_prefix_tokens is 101",
     remedy: "send at most prompt_tokens (100)",
 })]
-#[case::deadline_too_far(FaultCase {
-    spoil: |m| m.deadline_ms = 60_001,
+#[case::deadline_too_far(InvalidCase {
+    change: |m| m.deadline_ms = 60_001,
     field: "deadline_ms is 60001",
     remedy: "send at most 60000 ms",
 })]
-#[case::key_too_long(FaultCase {
-    spoil: |m| m.key = "k".repeat(201),
+#[case::key_too_long(InvalidCase {
+    change: |m| m.key = "k".repeat(201),
     field: "key is 201 bytes long",
     remedy: "send at most 200 bytes",
 })]
-fn bad_message_to_a_model_is_refused(#[case] case: FaultCase) {
+fn bad_message_to_a_model_is_refused(#[case] case: InvalidCase) {
     let mut message = model_message();
-    (case.spoil)(&mut message);
+    (case.change)(&mut message);
     let text = check(message).expect_err("the message is bad").to_string();
     assert_eq!(text, format!("{}; {}", case.field, case.remedy));
 }
 
 #[rstest]
-#[case::no_key(FaultCase {
-    spoil: |m| m.key = String::new(),
+#[case::no_key(InvalidCase {
+    change: |m| m.key = String::new(),
     field: "key is empty",
     remedy: "requests of this class may not be repeated and need a key",
 })]
-#[case::key_too_long(FaultCase {
-    spoil: |m| m.key = "é".repeat(101),
+#[case::key_too_long(InvalidCase {
+    change: |m| m.key = "é".repeat(101),
     field: "key is 202 bytes long",
     remedy: "send at most 200 bytes",
 })]
-#[case::no_time_of_the_key(FaultCase {
-    spoil: |m| m.key_minted_at_ms = 0,
+#[case::no_time_of_the_key(InvalidCase {
+    change: |m| m.key_minted_at_ms = 0,
     field: "key_minted_at_ms is 0",
     remedy: "send the Unix time in milliseconds at which the key was made",
 })]
-#[case::deadline_too_far(FaultCase {
-    spoil: |m| m.deadline_ms = u32::MAX,
+#[case::deadline_too_far(InvalidCase {
+    change: |m| m.deadline_ms = u32::MAX,
     field: "deadline_ms is 4294967295",
     remedy: "send at most 60000 ms",
 })]
-#[case::prefix_without_prompt(FaultCase {
-    spoil: |m| m.shared_prefix_tokens = 1,
+#[case::prefix_without_prompt(InvalidCase {
+    change: |m| m.shared_prefix_tokens = 1,
     field: "shared_prefix_tokens is 1",
     remedy: "send at most prompt_tokens (0)",
 })]
-fn bad_message_to_a_service_is_refused(#[case] case: FaultCase) {
+fn bad_message_to_a_service_is_refused(#[case] case: InvalidCase) {
     let mut message = service_message();
-    (case.spoil)(&mut message);
+    (case.change)(&mut message);
     let text = check(message).expect_err("the message is bad").to_string();
     assert_eq!(text, format!("{}; {}", case.field, case.remedy));
 }
@@ -202,19 +202,19 @@
         class: name.to_owned(),
         ..model_message()
     };
-    let fault = check(message).expect_err("there is no such class");
-    assert!(matches!(fault, RequestFault::UnknownClass { .. }));
+    let error = check(message).expect_err("there is no such class");
+    assert!(matches!(error, RequestError::UnknownClass { .. }));
 }
 
 // A rival's workspace has no class of that name, though another workspace does.
 #[test]
 fn class_of_another_workspace_is_out_of_reach() {
     let checked = check_for("stores", model_message());
-    let fault = checked.expect_err("the class belongs to a rival");
-    assert!(matches!(fault, RequestFault::UnknownClass { .. }));
+    let error = checked.expect_err("the class belongs to a rival");
+    assert!(matches!(error, RequestError::UnknownClass { .. }));
 }
 
-struct TakenCase {
+struct ValidCase {
     message: fn() -> SubmitRequest,
     pool: PoolKey,
     versions: &'static [&'static str],
@@ -223,14 +223,14 @@
 }
 
 #[rstest]
-#[case::first_model(TakenCase {
+#[case::first_model(ValidCase {
     message: model_message,
     pool: PoolKey::Model("base".into()),
     versions: &["1", "2"],
     has_intent: false,
     deadline_ms: 4_000,
 })]
-#[case::named_model_and_version(TakenCase {
+#[case::named_model_and_version(ValidCase {
     message: || SubmitRequest {
         model: "large".to_owned(),
         version: "2".to_owned(),
@@ -242,7 +242,7 @@
     has_intent: false,
     deadline_ms: 4_000,
 })]
-#[case::free_version(TakenCase {
+#[case::free_version(ValidCase {
     message: || SubmitRequest {
         class: "any".to_owned(),
         version: "9".to_owned(),
@@ -253,28 +253,28 @@
     has_intent: false,
     deadline_ms: 4_000,
 })]
-#[case::own_deadline(TakenCase {
+#[case::own_deadline(ValidCase {
     message: || SubmitRequest { deadline_ms: 60_000, ..model_message() },
     pool: PoolKey::Model("base".into()),
     versions: &["1", "2"],
     has_intent: false,
     deadline_ms: 60_000,
 })]
-#[case::key_of_repeatable_class_is_no_intent(TakenCase {
+#[case::key_of_repeatable_class_is_no_intent(ValidCase {
     message: || SubmitRequest { key: "k".to_owned(), ..model_message() },
     pool: PoolKey::Model("base".into()),
     versions: &["1", "2"],
     has_intent: false,
     deadline_ms: 4_000,
 })]
-#[case::service(TakenCase {
+#[case::service(ValidCase {
     message: service_message,
     pool: PoolKey::Service("ledger".into()),
     versions: &[],
     has_intent: true,
     deadline_ms: 4_000,
 })]
-fn good_message_is_taken(#[case] case: TakenCase) {
+fn good_message_is_taken(#[case] case: ValidCase) {
     let request = check((case.message)()).expect("the message is good");
     assert_eq!(request.pool, case.pool);
     assert_eq!(request.versions, case.versions);
@@ -288,7 +288,7 @@
     assert_eq!(job.deadline, request.deadline);
 }
 
-struct PrintCase {
+struct FingerprintCase {
     change: fn(&mut SubmitRequest),
     same: bool,
 }
@@ -296,20 +296,20 @@
 // A key that comes again with other content is noticed by the fingerprint; what may
 // differ between two sendings of one request is left out of it.
 #[rstest]
-#[case::again(PrintCase { change: |_| {}, same: true })]
-#[case::later(PrintCase { change: |m| m.deadline_ms = 100, same: true })]
-#[case::not_first(PrintCase { change: |m| m.first_submission = true, same: true })]
-#[case::other_body(PrintCase { change: |m| m.prompt.push(b'!'), same: false })]
-#[case::other_model(PrintCase { change: |m| m.model = "large".to_owned(), same: false })]
-#[case::other_length(PrintCase { change: |m| m.max_output_tokens = 51, same: false })]
-#[case::moved_border(PrintCase {
+#[case::again(FingerprintCase { change: |_| {}, same: true })]
+#[case::later(FingerprintCase { change: |m| m.deadline_ms = 100, same: true })]
+#[case::not_first(FingerprintCase { change: |m| m.first_submission = true, same: true })]
+#[case::other_body(FingerprintCase { change: |m| m.prompt.push(b'!'), same: false })]
+#[case::other_model(FingerprintCase { change: |m| m.model = "large".to_owned(), same: false })]
+#[case::other_length(FingerprintCase { change: |m| m.max_output_tokens = 51, same: false })]
+#[case::moved_border(FingerprintCase {
     change: |m| {
         m.model = "base".to_owned();
         m.adapter = "law".to_owned();
     },
     same: false,
 })]
-fn fingerprint_tells_contents_apart(#[case] case: PrintCase) {
+fn fingerprint_tells_contents_apart(#[case] case: FingerprintCase) {
     let first = check(model_message()).expect("good").fingerprint();
     let mut message = model_message();
     (case.change)(&mut message);
--- a/tests/run_once_claimant.rs
+++ b/tests/run_once_claimant.rs
@@ -4,10 +4,10 @@
 use pistachiowick::names::{DaemonId, ProcessIncarnation};
 use std::time::Duration;
 
-use pistachiowick::requests::claimant::{ClaimantLife, ClaimantStanding, UNLISTED_PATIENCE};
+use pistachiowick::requests::claimant::{ClaimantLife, ClaimantStatus, UNLISTED_TIMEOUT};
 use rstest::rstest;
 
-const LIFE: u64 = 500;
+const INCARNATION: u64 = 500;
 
 fn fleet(seen: Option<(UseState, u64)>) -> FleetView {
     let mut fleet = FleetView::default();
@@ -26,26 +26,26 @@
     fleet
 }
 
-struct LifeCase {
+struct StatusCase {
     claimant: &'static str,
     /// State and incarnation of `entry-1` in the view.
     seen: Option<(UseState, u64)>,
-    standing: ClaimantStanding,
+    status: ClaimantStatus,
 }
 
 #[rstest]
-#[case::live(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Live, LIFE)), standing: ClaimantStanding::There })]
-#[case::leaving(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Leaving, LIFE)), standing: ClaimantStanding::There })]
-#[case::suspect(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Suspect, LIFE)), standing: ClaimantStanding::There })]
-#[case::incarnation_unknown(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Live, 0)), standing: ClaimantStanding::There })]
-#[case::incarnation_lags(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Live, LIFE - 1)), standing: ClaimantStanding::There })]
-#[case::restarted(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Live, LIFE + 1)), standing: ClaimantStanding::Gone })]
-#[case::out_of_use(LifeCase { claimant: "entry-1/500", seen: Some((UseState::Gone, LIFE)), standing: ClaimantStanding::Gone })]
-#[case::not_in_view(LifeCase { claimant: "entry-1/500", seen: None, standing: ClaimantStanding::Unlisted })]
-fn claimant_stands_as_its_life_shows(#[case] case: LifeCase) {
+#[case::live(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Live, INCARNATION)), status: ClaimantStatus::Present })]
+#[case::leaving(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Leaving, INCARNATION)), status: ClaimantStatus::Present })]
+#[case::suspect(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Suspect, INCARNATION)), status: ClaimantStatus::Present })]
+#[case::incarnation_unknown(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Live, 0)), status: ClaimantStatus::Present })]
+#[case::incarnation_lags(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Live, INCARNATION - 1)), status: ClaimantStatus::Present })]
+#[case::restarted(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Live, INCARNATION + 1)), status: ClaimantStatus::Gone })]
+#[case::out_of_use(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Gone, INCARNATION)), status: ClaimantStatus::Gone })]
+#[case::not_in_view(StatusCase { claimant: "entry-1/500", seen: None, status: ClaimantStatus::Unlisted })]
+fn claimant_stands_as_its_life_shows(#[case] case: StatusCase) {
     let claimant = ClaimantLife::parse(case.claimant).expect("a claimant's form");
     assert_eq!(claimant.to_string(), case.claimant);
-    assert_eq!(claimant.standing(&fleet(case.seen)), case.standing);
+    assert_eq!(claimant.status(&fleet(case.seen)), case.status);
 }
 
 #[rstest]
@@ -57,19 +57,19 @@
 }
 
 struct FinalCase {
-    standing: ClaimantStanding,
-    looked: Duration,
+    status: ClaimantStatus,
+    waited: Duration,
     is_final: bool,
 }
 
 /// A caller asks two daemons at once; the second one has not read a list that names the
 /// first. The claim is awaited then, and no longer than a list takes to tell.
 #[rstest]
-#[case::there(FinalCase { standing: ClaimantStanding::There, looked: UNLISTED_PATIENCE, is_final: false })]
-#[case::gone(FinalCase { standing: ClaimantStanding::Gone, looked: Duration::ZERO, is_final: true })]
-#[case::not_listed_yet(FinalCase { standing: ClaimantStanding::Unlisted, looked: Duration::ZERO, is_final: false })]
-#[case::listed_in_a_moment(FinalCase { standing: ClaimantStanding::Unlisted, looked: Duration::from_millis(2_999), is_final: false })]
-#[case::never_listed(FinalCase { standing: ClaimantStanding::Unlisted, looked: UNLISTED_PATIENCE, is_final: true })]
+#[case::there(FinalCase { status: ClaimantStatus::Present, waited: UNLISTED_TIMEOUT, is_final: false })]
+#[case::gone(FinalCase { status: ClaimantStatus::Gone, waited: Duration::ZERO, is_final: true })]
+#[case::not_listed_yet(FinalCase { status: ClaimantStatus::Unlisted, waited: Duration::ZERO, is_final: false })]
+#[case::listed_in_a_moment(FinalCase { status: ClaimantStatus::Unlisted, waited: Duration::from_millis(2_999), is_final: false })]
+#[case::never_listed(FinalCase { status: ClaimantStatus::Unlisted, waited: UNLISTED_TIMEOUT, is_final: true })]
 fn claimant_is_given_up_once_its_end_is_certain(#[case] case: FinalCase) {
-    assert_eq!(case.standing.is_final(case.looked), case.is_final);
+    assert_eq!(case.status.is_final(case.waited), case.is_final);
 }
--- a/tests/run_once_records.rs
+++ b/tests/run_once_records.rs
@@ -25,11 +25,11 @@
 const ANSWER: &[u8] = b"bearing set issued";
 
 /// Looks at the fleet before a test gives up waiting for a state of it.
-const MOST_LOOKS: usize = 2_000;
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const MAX_POLLS: usize = 2_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Time in which a daemon looks at an open record more than once.
-const SOME_LOOKS: Duration = Duration::from_millis(500);
+const SEVERAL_LOOKUPS: Duration = Duration::from_millis(500);
 
 /// Age of reads in a test of stale ones; the test ends the fault long before.
 const STALE_MS: u64 = 60_000;
@@ -47,17 +47,17 @@
 }
 
 async fn until(what: &str, done: impl Fn() -> bool) {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if done() {
             return;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     panic!("no {what}");
 }
 
 /// Returns the life of a daemon as another one knows it, or zero.
-fn known_life(fleet: &LabFleet, by: &str, daemon: &str) -> ProcessIncarnation {
+fn known_incarnation(fleet: &LabFleet, by: &str, daemon: &str) -> ProcessIncarnation {
     let snapshot = fleet.daemons[by].context().control.snapshot.load();
     let view = snapshot.fleet.daemons.get(&DaemonId::from(daemon));
     view.map(|v| v.incarnation).unwrap_or_default()
@@ -103,7 +103,7 @@
 }
 
 /// Asks for the key again and returns the bytes and the final outcome.
-async fn ask_again(fleet: &LabFleet, daemon: &str, minted_at: UnixTime) -> (Vec<u8>, Final) {
+async fn resubmit(fleet: &LabFleet, daemon: &str, minted_at: UnixTime) -> (Vec<u8>, Final) {
     let address = format!("http://{}", fleet.daemons[daemon].rpc);
     let mut client = RequestsClient::connect(address).await.expect("it listens");
     let submit = SubmitRequest {
@@ -115,8 +115,8 @@
         deadline_ms: 5_000,
         ..SubmitRequest::default()
     };
-    let asked = client.submit(with_key(submit, &workspace_key(WORKSPACE)));
-    let mut events = asked.await.expect("a well-formed request").into_inner();
+    let reply = client.submit(with_key(submit, &workspace_key(WORKSPACE)));
+    let mut events = reply.await.expect("a well-formed request").into_inner();
     let mut data = Vec::new();
     loop {
         let event = events.message().await.expect("the daemon lives");
@@ -152,13 +152,13 @@
 async fn key_of_a_claimant_that_is_gone_is_unknown_at_once(#[case] case: GoneCase) {
     let fleet = started(2, 1).await;
     until("life of the other daemon", || {
-        known_life(&fleet, "entry-0", "entry-1").0 > 0
+        known_incarnation(&fleet, "entry-0", "entry-1").0 > 0
     })
     .await;
     let minted_at = clock::unix_now();
     let claim = claim_as(&fleet, case.claimant, ProcessIncarnation(1), minted_at).await;
 
-    let (data, last) = ask_again(&fleet, "entry-0", minted_at).await;
+    let (data, last) = resubmit(&fleet, "entry-0", minted_at).await;
 
     assert_eq!(last.outcome(), Outcome::Unknown);
     assert!(last.reason.contains("is gone"), "told: {}", last.reason);
@@ -175,20 +175,20 @@
 async fn key_of_a_live_claimant_is_waited_for() {
     let fleet = started(2, 1).await;
     until("life of the other daemon", || {
-        known_life(&fleet, "entry-0", "entry-1").0 > 0
+        known_incarnation(&fleet, "entry-0", "entry-1").0 > 0
     })
     .await;
-    let life = known_life(&fleet, "entry-0", "entry-1");
+    let incarnation = known_incarnation(&fleet, "entry-0", "entry-1");
     let minted_at = clock::unix_now();
-    let claim = claim_as(&fleet, "entry-1", life, minted_at).await;
+    let claim = claim_as(&fleet, "entry-1", incarnation, minted_at).await;
 
-    let mut asked = Box::pin(ask_again(&fleet, "entry-0", minted_at));
+    let mut reply = Box::pin(resubmit(&fleet, "entry-0", minted_at));
     tokio::select! {
-        (_, last) = &mut asked => panic!("not waited for: {last:?}"),
-        () = tokio::time::sleep(SOME_LOOKS) => {}
+        (_, last) = &mut reply => panic!("not waited for: {last:?}"),
+        () = tokio::time::sleep(SEVERAL_LOOKUPS) => {}
     }
     claim.answered(whole_answer());
-    let (data, last) = asked.await;
+    let (data, last) = reply.await;
 
     assert_eq!(last.outcome(), Outcome::Answered, "{}", last.reason);
     assert_eq!((data.as_slice(), runs(&fleet)), (ANSWER, 0));
@@ -206,13 +206,13 @@
     let minted_at = clock::unix_now();
     let claim = claim_as(&fleet, "entry-9", ProcessIncarnation(1), minted_at).await;
 
-    let mut asked = Box::pin(ask_again(&fleet, "entry-0", minted_at));
+    let mut reply = Box::pin(resubmit(&fleet, "entry-0", minted_at));
     tokio::select! {
-        (_, last) = &mut asked => panic!("not waited for: {last:?}"),
-        () = tokio::time::sleep(SOME_LOOKS) => {}
+        (_, last) = &mut reply => panic!("not waited for: {last:?}"),
+        () = tokio::time::sleep(SEVERAL_LOOKUPS) => {}
     }
     claim.answered(whole_answer());
-    let (data, last) = asked.await;
+    let (data, last) = reply.await;
 
     assert_eq!(last.outcome(), Outcome::Answered, "{}", last.reason);
     assert_eq!((data.as_slice(), runs(&fleet)), (ANSWER, 0));
@@ -255,7 +255,7 @@
     }
     let conflicts = fleet.platform.books().conflicts;
 
-    let asked = ask_again(&fleet, "entry-0", minted_at);
+    let reply = resubmit(&fleet, "entry-0", minted_at);
     let freshened = async {
         until("close that meets the claim", || {
             fleet.platform.books().conflicts > conflicts
@@ -263,7 +263,7 @@
         .await;
         fleet.platform.set_faults(PlatformFaults::default());
     };
-    let ((data, last), ()) = tokio::join!(asked, freshened);
+    let ((data, last), ()) = tokio::join!(reply, freshened);
 
     assert_eq!(last.outcome(), case.outcome, "{}", last.reason);
     let expected = if case.answered { ANSWER } else { b"" };
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -21,13 +21,13 @@
 const VERSION: &str = "1";
 
 /// Longest wait for daemons to place work.
-const LIMIT: Duration = Duration::from_secs(30);
+const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time within which daemons know what others know.
-const SETTLED: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// Tokens of an answer that takes some seconds.
-const LONG: u32 = 1_200;
+const LONG_ANSWER_TOKENS: u32 = 1_200;
 
 /// Two daemons as processes, each of which has placed work on engines and on a service
 /// already: they learn of the two from different lists.
@@ -47,13 +47,16 @@
 }
 
 async fn until_answered(fleet: &ProveFleet, slot: usize, submit: impl Fn(usize) -> SubmitRequest) {
-    let begun = Instant::now();
+    let start = Instant::now();
     for tried in 0.. {
         let last = ask(fleet, slot, submit(tried)).await;
         if last.is_ok_and(|(_, last)| last.outcome() == Outcome::Answered) {
             return;
         }
-        assert!(begun.elapsed() < LIMIT, "daemon {slot} answers nothing");
+        assert!(
+            start.elapsed() < PLACEMENT_TIMEOUT,
+            "daemon {slot} answers nothing"
+        );
     }
 }
 
@@ -105,12 +108,12 @@
 
 /// What a caller holds of one answer.
 #[derive(Default)]
-struct HeldAnswer {
+struct ReceivedAnswer {
     token: String,
     data: Vec<u8>,
 }
 
-impl HeldAnswer {
+impl ReceivedAnswer {
     /// Reads until `enough`, the end of the answer, or a break.
     async fn read(
         &mut self,
@@ -144,10 +147,10 @@
     slot: usize,
     submit: SubmitRequest,
 ) -> Result<(Vec<u8>, Final), Status> {
-    let mut held = HeldAnswer::default();
+    let mut received = ReceivedAnswer::default();
     let mut events = open(fleet, slot, submit).await?;
-    let last = held.read_all(&mut events).await?;
-    Ok((held.data, last))
+    let last = received.read_all(&mut events).await?;
+    Ok((received.data, last))
 }
 
 fn runs_of(fleet: &ProveFleet, name: &str) -> u32 {
@@ -180,28 +183,28 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_whose_daemon_is_killed_goes_on_through_another() {
     let mut fleet = started().await;
-    let review = stream("review", "killed", LONG);
+    let review = stream("review", "killed", LONG_ANSWER_TOKENS);
     let whole = stream_answer(&review);
-    let mut held = HeldAnswer::default();
+    let mut received = ReceivedAnswer::default();
     let mut events = open(&fleet, 0, review.clone()).await.expect("taken");
-    let early = held.read(&mut events, 40).await.expect("not cut");
+    let early = received.read(&mut events, 40).await.expect("not cut");
     assert!(early.is_none(), "it ended before the kill: {early:?}");
     fleet.take_daemon(0).expect("it runs").kill().await;
-    let broken = held.read_all(&mut events).await;
+    let broken = received.read_all(&mut events).await;
     assert!(broken.is_err(), "a dead daemon answered: {broken:?}");
-    assert!(held.data.len() < whole.len());
+    assert!(received.data.len() < whole.len());
     let resume = ResumeRequest {
-        resume_token: held.token.clone(),
-        offset: held.data.len() as u64,
+        resume_token: received.token.clone(),
+        offset: received.data.len() as u64,
         submit: Some(review),
     };
     let resume = with_key(resume, &workspace_key(WORKSPACE));
     let resumed = client(&fleet, 1).await.resume(resume).await;
     let mut events = resumed.expect("taken").into_inner();
-    let last = held.read_all(&mut events).await.expect("not cut");
+    let last = received.read_all(&mut events).await.expect("not cut");
     assert_eq!(last.outcome(), Outcome::Answered, "{}", last.reason);
     assert_eq!(last.length, whole.len() as u64);
-    assert_eq!(held.data, whole);
+    assert_eq!(received.data, whole);
     fleet.end().await;
 }
 
@@ -210,15 +213,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_with_a_stream_open_cuts_nothing() {
     let mut fleet = started().await;
-    let review = stream("review", "stopped", LONG);
-    let mut held = HeldAnswer::default();
+    let review = stream("review", "stopped", LONG_ANSWER_TOKENS);
+    let mut received = ReceivedAnswer::default();
     let mut events = open(&fleet, 0, review.clone()).await.expect("taken");
-    let early = held.read(&mut events, 40).await.expect("not cut");
+    let early = received.read(&mut events, 40).await.expect("not cut");
     assert!(early.is_none(), "it ended before the stop: {early:?}");
     let stopped = tokio::spawn(fleet.take_daemon(0).expect("it runs").stop());
-    let last = held.read_all(&mut events).await.expect("not cut");
+    let last = received.read_all(&mut events).await.expect("not cut");
     assert_eq!(last.outcome(), Outcome::Answered, "{}", last.reason);
-    assert_eq!(held.data, stream_answer(&review));
+    assert_eq!(received.data, stream_answer(&review));
     stopped
         .await
         .expect("no panic")
@@ -242,7 +245,7 @@
         let expected = service_answer(WORKSPACE, &name, name.as_bytes());
         let answers = [first, second].map(|answer| answer.expect("not cut"));
         // What either was told says why the other was told something else.
-        let told = answers
+        let reported = answers
             .each_ref()
             .map(|(_, last)| format!("{:?}: {}", last.outcome(), last.reason));
         for (data, last) in answers {
@@ -263,12 +266,12 @@
     let fleet = started().await;
     let host = fleet.slots[0].host.as_ref().expect("it runs");
     let mut client = client(&fleet, 0).await;
-    let review = stream("review", "frozen", LONG);
+    let review = stream("review", "frozen", LONG_ANSWER_TOKENS);
     let key = workspace_key(WORKSPACE);
     let opened = client.submit(with_key(review.clone(), &key)).await;
     let mut events = opened.expect("taken").into_inner();
-    let mut held = HeldAnswer::default();
-    held.read(&mut events, 40).await.expect("not cut");
+    let mut received = ReceivedAnswer::default();
+    received.read(&mut events, 40).await.expect("not cut");
     host.set_frozen(true).await.expect("it is frozen");
     for number in 0..100 {
         let check = stream("check", &number.to_string(), 2);
@@ -277,9 +280,9 @@
         assert!(given_up.is_err(), "a frozen daemon answered");
     }
     host.set_frozen(false).await.expect("it is thawed");
-    let last = held.read_all(&mut events).await.expect("not cut");
+    let last = received.read_all(&mut events).await.expect("not cut");
     assert_eq!(last.outcome(), Outcome::Answered, "{}", last.reason);
-    assert_eq!(held.data, stream_answer(&review));
+    assert_eq!(received.data, stream_answer(&review));
     fleet.end().await;
 }
 
@@ -305,7 +308,7 @@
         sleep(Duration::from_millis(200)).await;
     }
     assert!(engine_crashes(&fleet) >= 3);
-    sleep(SETTLED).await;
+    sleep(PROPAGATION_TIME).await;
     let before = engine_crashes(&fleet);
     for tried in 0..12 {
         let ended = ask(&fleet, tried % 2, fatal()).await;
