--- a/src/intents/store.rs
+++ b/src/intents/store.rs
@@ -20,7 +20,7 @@
 use crate::intents::{ClaimEntry, ClaimId, CloseRecord};
 use crate::names::{DaemonId, ProcessIncarnation, TargetId, UnixTime};
 use crate::ports::{ObjectName, PlatformPort};
-use crate::requests::claimant::ClaimantLife;
+use crate::requests::claimant::ClaimantProcess;
 use crate::settings::IntentSettings;
 
 /// Kind of the platform objects that hold the records.
@@ -143,7 +143,7 @@
         let shards = (0..inputs.settings.shards.max(1))
             .map(|shard| start_shard(inputs, link.cloned(), shard, process))
             .collect();
-        let claimant = ClaimantLife {
+        let claimant = ClaimantProcess {
             daemon: inputs.daemon.clone(),
             incarnation: inputs.incarnation,
         };
--- a/src/peers/requests.rs
+++ b/src/peers/requests.rs
@@ -40,7 +40,7 @@
         }
         Some((&CANCEL, body)) => {
             let text = std::str::from_utf8(body).map_err(|error| error.to_string())?;
-            let stopped = context.cancel_here(&RequestId::from(text));
+            let stopped = context.cancel_local(&RequestId::from(text));
             let reply = if stopped { STOPPED } else { NOT_STOPPED };
             Ok(reply.to_vec())
         }
--- a/src/requests/claimant.rs
+++ b/src/requests/claimant.rs
@@ -8,20 +8,20 @@
 
 /// One life of a daemon, as records name it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ClaimantLife {
+pub struct ClaimantProcess {
     /// Its name.
     pub daemon: DaemonId,
     /// Life of its process.
     pub incarnation: ProcessIncarnation,
 }
 
-impl fmt::Display for ClaimantLife {
+impl fmt::Display for ClaimantProcess {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.daemon, self.incarnation.0)
     }
 }
 
-impl ClaimantLife {
+impl ClaimantProcess {
     /// Reads the claimant of a record; `None` when it names no life of a daemon.
     #[must_use]
     pub fn parse(claimant: &str) -> Option<Self> {
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -21,7 +21,7 @@
 use crate::requests::answer::AnswerSummary;
 use crate::requests::answer_sink::{AnswerSink, FinalOutcome};
 use crate::requests::attempt::{AttemptFailure, AttemptState};
-use crate::requests::claimant::ClaimantLife;
+use crate::requests::claimant::ClaimantProcess;
 use crate::requests::dispatch::JobSlot;
 use crate::requests::request::CallerRequest;
 use crate::requests::run_call::{call_service, deliver};
@@ -458,7 +458,7 @@
 fn is_gone(context: &TrafficContext, claimant: &str, waited: Duration) -> bool {
     let snapshot = context.control.snapshot.load();
     // Before the first whole list, everybody would count as gone.
-    let process = ClaimantLife::parse(claimant).filter(|_| snapshot.ready);
+    let process = ClaimantProcess::parse(claimant).filter(|_| snapshot.ready);
     process.is_some_and(|p| p.status(&snapshot.fleet).is_final(waited))
 }
 
--- a/src/requests/traffic.rs
+++ b/src/requests/traffic.rs
@@ -161,7 +161,7 @@
     /// A run that can't, such as a call already sent to a service, has given up its
     /// receiver: its caller must not be told that it was stopped.
     #[must_use]
-    pub fn cancel_here(&self, request_id: &RequestId) -> bool {
+    pub fn cancel_local(&self, request_id: &RequestId) -> bool {
         let running = lock(&self.running);
         running.get(request_id).is_some_and(|request| {
             request.cancel.send_replace(true);
--- a/src/rpc/requests.rs
+++ b/src/rpc/requests.rs
@@ -221,7 +221,7 @@
     /// repeated, whose outcome would stay open.
     async fn cancel_running(&self, token: &ResumeToken) -> bool {
         let context = &self.context;
-        if context.cancel_here(&token.request_id) {
+        if context.cancel_local(&token.request_id) {
             return true;
         }
         if token.daemon != context.daemon {
--- a/tests/run_once_claimant.rs
+++ b/tests/run_once_claimant.rs
@@ -4,7 +4,7 @@
 use pistachiowick::names::{DaemonId, ProcessIncarnation};
 use std::time::Duration;
 
-use pistachiowick::requests::claimant::{ClaimantLife, ClaimantStatus, UNLISTED_TIMEOUT};
+use pistachiowick::requests::claimant::{ClaimantProcess, ClaimantStatus, UNLISTED_TIMEOUT};
 use rstest::rstest;
 
 const INCARNATION: u64 = 500;
@@ -43,7 +43,7 @@
 #[case::out_of_use(StatusCase { claimant: "entry-1/500", seen: Some((UseState::Gone, INCARNATION)), status: ClaimantStatus::Gone })]
 #[case::not_in_view(StatusCase { claimant: "entry-1/500", seen: None, status: ClaimantStatus::Unlisted })]
 fn claimant_stands_as_its_life_shows(#[case] case: StatusCase) {
-    let claimant = ClaimantLife::parse(case.claimant).expect("a claimant's form");
+    let claimant = ClaimantProcess::parse(case.claimant).expect("a claimant's form");
     assert_eq!(claimant.to_string(), case.claimant);
     assert_eq!(claimant.status(&fleet(case.seen)), case.status);
 }
@@ -53,7 +53,7 @@
 #[case::no_incarnation("entry-1")]
 #[case::incarnation_out_of_form("entry-1/new")]
 fn other_texts_name_no_claimant(#[case] text: &str) {
-    assert_eq!(ClaimantLife::parse(text), None);
+    assert_eq!(ClaimantProcess::parse(text), None);
 }
 
 struct FinalCase {
