--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    fn connection_lost(reason: impl Into<String>) -> Self {
+    fn lost(reason: impl Into<String>) -> Self {
         Self {
             connection_lost: true,
             reason: reason.into(),
@@ -275,14 +275,8 @@
             let timeout = self.line_timeout(choice);
             let line = match tokio::time::timeout(timeout, lines.next()).await {
                 Err(_) => return Err(StreamBreak::timeout(timeout)),
-                Ok(None) => {
-                    return Err(StreamBreak::connection_lost(
-                        "the stream ended before its end line",
-                    ));
-                }
-                Ok(Some(Err(error))) => {
-                    return Err(StreamBreak::connection_lost(error.to_string()));
-                }
+                Ok(None) => return Err(StreamBreak::lost("the stream ended before its end line")),
+                Ok(Some(Err(error))) => return Err(StreamBreak::lost(error.to_string())),
                 Ok(Some(Ok(line))) => line,
             };
             match self.assembly.accept(&line) {
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -50,9 +50,7 @@
         match context.intents.lookup(key, false).await {
             Ok(RecordView::Absent) => {}
             Ok(record) => return from_record(context, request, sink, record, 0).await,
-            Err(error) => {
-                return unknown(format!("the record of the request cannot be read: {error}"));
-            }
+            Err(error) => return unknown(format!("the record cannot be read: {error}")),
         }
     }
     let (slot, permit) = match obtain_permit(context, request, key, sink, &mut cancelled).await {
@@ -374,7 +372,7 @@
     };
     match claimed_or_closed(context, request, key).await {
         Ok(record) => from_record(context, request, sink, record, offset).await,
-        Err(error) => unknown(format!("the record of the request cannot be read: {error}")),
+        Err(error) => unknown(format!("the record cannot be read: {error}")),
     }
 }
 
@@ -427,9 +425,7 @@
         // the last lookup and its exit.
         record = match context.intents.lookup(key, false).await {
             Ok(found) => found,
-            Err(error) => {
-                return unknown(format!("the record of the request cannot be read: {error}"));
-            }
+            Err(error) => return unknown(format!("the record cannot be read: {error}")),
         };
         if let (Some(claimant), RecordView::Intended { .. }) = (gone, &record) {
             return unknown(format!("{claimant} dispatched the request and is gone"));
@@ -451,7 +447,7 @@
         }
         RecordView::Absent => unknown("the record of the request has expired".to_owned()),
         RecordView::Intended { claimant, .. } => {
-            unknown(format!("{claimant} has dispatched the request"))
+            unknown(format!("{claimant} dispatched the request"))
         }
         RecordView::Unknown => unknown("the target's answer was lost".to_owned()),
     }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -41,18 +41,15 @@
     for slot in 0..2 {
         until_answered(&fleet, slot, |_| stream("check", "warm", 2)).await;
         // A refused key is closed, so each try has a key of its own.
-        until_answered(&fleet, slot, |attempt| {
-            call(&format!("warm-{slot}-{attempt}"))
-        })
-        .await;
+        until_answered(&fleet, slot, |round| call(&format!("warm-{slot}-{round}"))).await;
     }
     fleet
 }
 
 async fn until_answered(fleet: &ProveFleet, slot: usize, submit: impl Fn(usize) -> SubmitRequest) {
     let start = Instant::now();
-    for attempt in 0.. {
-        let last = run_request(fleet, slot, submit(attempt)).await;
+    for round in 0.. {
+        let last = run_request(fleet, slot, submit(round)).await;
         if last.is_ok_and(|(_, last)| last.outcome() == Outcome::Answered) {
             return;
         }
@@ -308,18 +305,18 @@
         prompt: FATAL_PROMPT.as_bytes().to_vec(),
         ..stream("review", "", 40)
     };
-    for attempt in 0..40 {
+    for round in 0..40 {
         if engine_crashes(&fleet) >= 3 {
             break;
         }
-        let _ = run_request(&fleet, attempt % 2, fatal()).await;
+        let _ = run_request(&fleet, round % 2, fatal()).await;
         sleep(Duration::from_millis(200)).await;
     }
     assert!(engine_crashes(&fleet) >= 3);
     sleep(PROPAGATION_TIME).await;
     let before = engine_crashes(&fleet);
-    for attempt in 0..12 {
-        let ended = run_request(&fleet, attempt % 2, fatal()).await;
+    for round in 0..12 {
+        let ended = run_request(&fleet, round % 2, fatal()).await;
         let outcome = ended.map(|(_, last)| last.outcome());
         assert_ne!(outcome.ok(), Some(Outcome::Answered));
         sleep(Duration::from_millis(200)).await;
