--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -446,9 +446,7 @@
             from_answer(sink, length, &digest, result, offset).await
         }
         RecordView::Absent => unknown("the record of the request has expired".to_owned()),
-        RecordView::Intended { claimant, .. } => {
-            unknown(format!("{claimant} dispatched the request"))
-        }
+        RecordView::Intended { claimant, .. } => unknown(format!("dispatched by {claimant}")),
         RecordView::Unknown => unknown("the target's answer was lost".to_owned()),
     }
 }
