--- a/src/rpc/operations.rs
+++ b/src/rpc/operations.rs
@@ -53,7 +53,7 @@
     async fn change(&self, change: ItemChange) -> Result<Response<pb::ChangeReply>, Status> {
         let (reply, answer) = oneshot::channel();
         let event = ControlEvent::Change { change, reply };
-        let gone = || Status::unavailable("this daemon is shutting down; use another");
+        let gone = || Status::unavailable("this daemon is shutting down; use another daemon");
         self.context
             .control
             .events
--- a/tests/request_checks.rs
+++ b/tests/request_checks.rs
@@ -191,7 +191,9 @@
 fn invalid_message_to_a_service_is_refused(#[case] case: InvalidCase) {
     let mut message = service_message();
     (case.change)(&mut message);
-    let text = check(message).expect_err("the message is bad").to_string();
+    let text = check(message)
+        .expect_err("the message is invalid")
+        .to_string();
     assert_eq!(text, format!("{}; {}", case.field, case.remedy));
 }
 
@@ -277,7 +279,7 @@
     deadline_ms: 4_000,
 })]
 fn valid_message_is_accepted(#[case] case: ValidCase) {
-    let request = check((case.message)()).expect("the message is good");
+    let request = check((case.message)()).expect("the message is valid");
     assert_eq!(request.pool, case.pool);
     assert_eq!(request.versions, case.versions);
     assert_eq!(request.intent.is_some(), case.has_intent);
@@ -312,10 +314,10 @@
     same: false,
 })]
 fn fingerprint_distinguishes_contents(#[case] case: FingerprintCase) {
-    let first = check(model_message()).expect("good").fingerprint();
+    let first = check(model_message()).expect("valid").fingerprint();
     let mut message = model_message();
     (case.change)(&mut message);
-    let second = check(message).expect("good").fingerprint();
+    let second = check(message).expect("valid").fingerprint();
     assert_eq!(first == second, case.same);
 }
 
@@ -336,7 +338,7 @@
         &snapshot,
         &limits(),
     )
-    .expect("the message is good");
+    .expect("the message is valid");
     let job = request.job_spec();
     assert!((job.weight - 1.5).abs() < 1e-9, "{}", job.weight);
     assert!((job.need.share_factor - 0.5).abs() < 1e-9);
