--- a/tests/request_checks.rs
+++ b/tests/request_checks.rs
@@ -314,10 +314,12 @@
     same: false,
 })]
 fn fingerprint_distinguishes_contents(#[case] case: FingerprintCase) {
-    let first = check(model_message()).expect("valid").fingerprint();
+    let first = check(model_message())
+        .expect("the message is valid")
+        .fingerprint();
     let mut message = model_message();
     (case.change)(&mut message);
-    let second = check(message).expect("valid").fingerprint();
+    let second = check(message).expect("the message is valid").fingerprint();
     assert_eq!(first == second, case.same);
 }
 
