--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -1,9 +1,10 @@
-//! Decides when this daemon may order the engines of a group.
+//! Decides when this daemon may send orders to the engines of a group.
 //!
-//! A group has one lease object. Its holder renews it by conditional update and
-//! stops ordering a guard time before the lease ends. Other daemons never compare
-//! wall clocks: they take over after they have seen the record unchanged, by their
-//! own monotonic clock, for as long as it lasts and an order may fly.
+//! A group has one lease object. Its holder renews it by conditional update and stops
+//! sending orders a guard time before the lease expires. Other daemons never compare
+//! wall clocks: they take over once the record has stayed unchanged, by their own
+//! monotonic clock, for the duration of a lease plus the longest time that an order may
+//! be in flight.
 
 use std::time::Duration;
 
@@ -11,48 +12,50 @@
 
 use crate::authority::lease_record::{LeaseRecord, lease_object};
 use crate::authority::lease_state::{
-    GroupLease, HeldLease, LeaseAction, LeaseAuthority, LeaseNews, LeaseTimes, ObservedRecord,
+    GroupLease, HeldLease, LeaseAction, LeaseAuthority, LeaseChange, LeaseTimes, ObservedRecord,
     SentWrite,
 };
 use crate::control::snapshot::LeaseView;
 use crate::names::{DaemonId, FenceNumber, GroupName, MonoTime, ProcessIncarnation, millis};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
-const MARKS_KEPT: usize = 8;
+const MAX_SENT_WRITES: usize = 8;
 const RENEWALS_PER_LEASE: u32 = 2;
 const READS_PER_LEASE: u32 = 3;
-const WRITE_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Leases of all groups as one daemon sees them.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
-    own: DaemonId,
+    daemon_id: DaemonId,
     incarnation: ProcessIncarnation,
     times: LeaseTimes,
     groups: IndexMap<GroupName, GroupLease>,
-    marks: u64,
+    write_count: u64,
     stopping: bool,
-    news: Vec<LeaseNews>,
+    changes: Vec<LeaseChange>,
 }
 
 impl LeaseTable {
     /// Creates a table without groups.
     #[must_use]
-    pub fn new(own: DaemonId, incarnation: ProcessIncarnation, times: LeaseTimes) -> Self {
+    pub fn new(daemon_id: DaemonId, incarnation: ProcessIncarnation, times: LeaseTimes) -> Self {
         Self {
-            own,
+            daemon_id,
             incarnation,
             times,
             groups: IndexMap::new(),
-            marks: 0,
+            write_count: 0,
             stopping: false,
-            news: Vec::new(),
+            changes: Vec::new(),
         }
     }
 
-    /// Takes the groups this daemon may lead, with its rank for each; 0 leads.
+    /// Sets the groups that this daemon is a candidate for, with its rank in each; rank
+    /// 0 should hold the lease.
     ///
-    /// A group that disappears is given up when held and forgotten once released.
+    /// The lease of a group that is missing is released if held, and the group is then
+    /// forgotten.
     pub fn set_groups(&mut self, ranks: &IndexMap<GroupName, usize>, now: MonoTime) {
         for (group, rank) in ranks {
             let lease = self.groups.entry(group.clone()).or_default();
@@ -68,19 +71,20 @@
                 lease.releasing |= lease.held.is_some();
             }
         }
-        self.groups
-            .retain(|_, lease| lease.rank.is_some() || lease.held.is_some() || lease.busy);
+        self.groups.retain(|_, lease| {
+            lease.rank.is_some() || lease.held.is_some() || lease.call_in_flight
+        });
     }
 
-    /// Returns the authority over a group, if there is any left now.
+    /// Returns the right to order a group's engines, unless this daemon lacks it now.
     #[must_use]
     pub fn authority(&self, group: &GroupName, now: MonoTime) -> Option<LeaseAuthority> {
         let lease = self.groups.get(group)?;
         let held = lease.held.filter(|_| !lease.releasing)?;
-        let until = MonoTime(held.expires_at.0.saturating_sub(self.guard_ms()));
-        (now < until).then_some(LeaseAuthority {
+        let deadline = MonoTime(held.expires_at.0.saturating_sub(self.guard_ms()));
+        (now < deadline).then_some(LeaseAuthority {
             fence: held.fence,
-            until,
+            deadline,
         })
     }
 
@@ -88,28 +92,29 @@
         millis(self.times.guard)
     }
 
-    /// Gives up a group because an engine has seen a later fence.
+    /// Gives up a group's lease because an engine has seen a later fence.
     pub fn give_up(&mut self, group: &GroupName, seen: FenceNumber, now: MonoTime) {
         let duration = self.times.duration;
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        lease.least_fence = lease.least_fence.max(seen);
-        lease.try_at = now.plus(duration);
+        lease.min_fence = lease.min_fence.max(seen);
+        lease.next_acquire_at = now.plus(duration);
         if lease.held.take().is_some() {
-            let reason = format!("an engine has seen fence {}", seen.0);
-            self.tell(group, false, reason);
+            let reason = format!("an engine has seen the later fence {}", seen.0);
+            self.record_change(group, false, reason);
         }
     }
 
-    /// Tells whether orders of a group may still be under way, for its release.
-    pub fn set_unsettled(&mut self, group: &GroupName, unsettled: bool) {
+    /// Sets whether an order of a group may be in flight, for the record of its
+    /// release.
+    pub fn set_order_in_flight(&mut self, group: &GroupName, order_in_flight: bool) {
         if let Some(lease) = self.groups.get_mut(group) {
-            lease.unsettled = unsettled;
+            lease.order_in_flight = order_in_flight;
         }
     }
 
-    /// Begins a planned stop: hands over every lease and takes no more.
+    /// Starts a planned stop: releases every lease and acquires no more.
     pub fn stop(&mut self) {
         self.stopping = true;
         for lease in self.groups.values_mut() {
@@ -117,24 +122,28 @@
         }
     }
 
-    /// Tells whether a planned stop has handed over everything.
+    /// Returns whether a planned stop has released every lease.
     #[must_use]
     pub fn is_handed_over(&self) -> bool {
-        self.stopping && self.groups.values().all(|l| l.held.is_none() && !l.busy)
+        self.stopping
+            && self
+                .groups
+                .values()
+                .all(|l| l.held.is_none() && !l.call_in_flight)
     }
 
-    /// Returns the changes of authority since the last call.
-    pub fn take_news(&mut self) -> Vec<LeaseNews> {
-        std::mem::take(&mut self.news)
+    /// Returns the leases acquired and lost since the last call.
+    pub fn take_changes(&mut self) -> Vec<LeaseChange> {
+        std::mem::take(&mut self.changes)
     }
 
-    /// Returns the groups with a lease held now, whether or not orders may be sent.
+    /// Returns the groups whose lease is held now, whether or not orders may be sent.
     pub fn held_groups(&self) -> impl Iterator<Item = &GroupName> {
         let held = self.groups.iter().filter(|(_, l)| l.held.is_some());
         held.map(|(group, _)| group)
     }
 
-    /// Returns what is known of each lease.
+    /// Returns the last known record of each lease.
     #[must_use]
     pub fn views(&self, now: MonoTime) -> Vec<LeaseView> {
         let known = self.groups.iter().filter_map(|(group, lease)| {
@@ -143,13 +152,13 @@
                 group: group.clone(),
                 holder: observed.record.holder.clone(),
                 fence: observed.record.fence,
-                own_until: self.authority(group, now).map(|a| a.until),
+                own_until: self.authority(group, now).map(|a| a.deadline),
             })
         });
         known.collect()
     }
 
-    /// Lets time pass.
+    /// Expires leases and returns the platform calls that are due.
     pub fn tick(&mut self, now: MonoTime) -> Vec<LeaseAction> {
         let names: Vec<GroupName> = self.groups.keys().cloned().collect();
         let mut actions = Vec::new();
@@ -167,32 +176,32 @@
         if lease.held.is_some_and(|held| now >= held.expires_at) {
             lease.held = None;
             lease.releasing = false;
-            self.tell(group, false, "it ended without a renewal".to_owned());
+            self.record_change(group, false, "it expired without a renewal".to_owned());
         }
     }
 
     fn next_action(&mut self, group: &GroupName, now: MonoTime) -> Option<LeaseAction> {
-        let handover = self.handover_wait();
+        let handover_wait = self.handover_wait();
         let lease = self.groups.get_mut(group)?;
-        if lease.busy && now < lease.busy_until {
+        if lease.call_in_flight && now < lease.call_deadline {
             return None;
         }
-        if lease.busy {
-            // The answer never came; a write may have landed.
-            lease.busy = false;
+        if lease.call_in_flight {
+            // The call timed out; a write may have taken effect.
+            lease.call_in_flight = false;
             lease.must_read = true;
-            lease.open_writes = true;
+            lease.unknown_writes = true;
         }
         let outranked = lease
             .outranked_since
-            .is_some_and(|since| now.since(since) >= handover);
+            .is_some_and(|since| now.since(since) >= handover_wait);
         lease.releasing |= outranked && lease.held.is_some();
         if lease.must_read {
             return self.read(group, now);
         }
-        let (held, releasing, write_at) = (lease.held, lease.releasing, lease.write_at);
+        let (held, releasing, next_write_at) = (lease.held, lease.releasing, lease.next_write_at);
         match held {
-            Some(_) if now < write_at => None,
+            Some(_) if now < next_write_at => None,
             Some(_) if releasing => self.write(group, now, true),
             Some(held) if self.is_renewal_due(held, now) => self.write(group, now, false),
             Some(_) => None,
@@ -201,7 +210,8 @@
         }
     }
 
-    // Long against the duration, so that a daemon that comes and goes moves no lease.
+    // Much longer than a lease, so that a daemon that joins and leaves repeatedly moves
+    // no lease.
     fn handover_wait(&self) -> Duration {
         self.times.duration * 10
     }
@@ -212,12 +222,13 @@
         left + step <= self.times.duration
     }
 
-    /// Whether a record may be overwritten by this daemon now.
+    /// Returns whether this daemon may overwrite a lease record now.
     ///
-    /// A holder counts its time from before its write left, and the write was seen here
-    /// after it took effect: once the record has been unchanged here for its duration,
-    /// the holder has stopped by its own clock, and after one order flight none of its
-    /// orders is under way. A holder that renewed unseen makes the update fail.
+    /// A holder counts its lease from before it sent the write, and this daemon saw the
+    /// write after it took effect. Once the record has stayed unchanged here for the
+    /// duration of a lease, the holder has therefore stopped by its own clock, and
+    /// `max_order_flight` later none of its orders is in flight. If it renewed in the
+    /// meantime, the conditional update fails.
     fn may_acquire(&self, group: &GroupName, now: MonoTime) -> bool {
         let Some(lease) = self.groups.get(group) else {
             return false;
@@ -225,44 +236,47 @@
         let Some(rank) = lease.rank.filter(|_| !self.stopping) else {
             return false;
         };
-        if now < lease.try_at || now < lease.write_at {
+        if now < lease.next_acquire_at || now < lease.next_write_at {
             return false;
         }
-        let patience = self.times.duration * u32::try_from(rank).unwrap_or(u32::MAX);
+        let rank_delay = self.times.duration * u32::try_from(rank).unwrap_or(u32::MAX);
         let Some(observed) = &lease.observed else {
             return lease
                 .absent_since
-                .is_some_and(|since| now.since(since) >= patience);
+                .is_some_and(|since| now.since(since) >= rank_delay);
         };
         let record = &observed.record;
         let seen_for = now.since(observed.since);
         if record.released {
-            let flight = match record.unsettled {
-                true => self.times.order_flight,
+            let flight = match record.order_in_flight {
+                true => self.times.max_order_flight,
                 false => Duration::ZERO,
             };
-            return seen_for >= flight + patience;
+            return seen_for >= flight + rank_delay;
         }
-        let lapse = self.times.duration + self.times.order_flight;
-        seen_for >= lapse + patience / 4
+        let expiry_wait = self.times.duration + self.times.max_order_flight;
+        seen_for >= expiry_wait + rank_delay / 4
     }
 
     fn read(&mut self, group: &GroupName, now: MonoTime) -> Option<LeaseAction> {
-        let pace = self.times.duration / READS_PER_LEASE;
+        let interval = self.times.duration / READS_PER_LEASE;
         let lease = self.groups.get_mut(group)?;
-        if now < lease.read_at || (lease.rank.is_none() && lease.held.is_none()) {
+        if now < lease.next_read_at || (lease.rank.is_none() && lease.held.is_none()) {
             return None;
         }
-        lease.read_at = now.plus(pace);
-        lease.busy = true;
-        lease.busy_until = now.plus(pace);
+        lease.next_read_at = now.plus(interval);
+        lease.call_in_flight = true;
+        lease.call_deadline = now.plus(interval);
         Some(LeaseAction::Read(group.clone()))
     }
 
     fn write(&mut self, group: &GroupName, now: MonoTime, released: bool) -> Option<LeaseAction> {
-        self.marks += 1;
-        let mark = format!("{}-{}-{}", self.own, self.incarnation.0, self.marks);
-        let patience = self.times.duration / READS_PER_LEASE;
+        self.write_count += 1;
+        let write_id = format!(
+            "{}-{}-{}",
+            self.daemon_id, self.incarnation.0, self.write_count
+        );
+        let timeout = self.times.duration / READS_PER_LEASE;
         let lease = self.groups.get_mut(group)?;
         let observed = lease.observed.as_ref();
         let seen = observed.map_or(FenceNumber(0), |o| o.record.fence);
@@ -270,30 +284,30 @@
             Some(held) => (held.version, held.fence),
             None => (
                 observed.map_or(ObjectVersion(0), |o| o.version),
-                FenceNumber(seen.max(lease.least_fence).0 + 1),
+                FenceNumber(seen.max(lease.min_fence).0 + 1),
             ),
         };
         let record = LeaseRecord {
-            holder: self.own.clone(),
+            holder: self.daemon_id.clone(),
             incarnation: self.incarnation,
             fence,
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             released,
-            unsettled: released && lease.unsettled,
+            order_in_flight: released && lease.order_in_flight,
         };
-        lease.busy = true;
-        lease.busy_until = now.plus(patience);
+        lease.call_in_flight = true;
+        lease.call_deadline = now.plus(timeout);
         lease.sent.push(SentWrite {
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             fence,
             sent_at: now,
             released,
         });
-        let surplus = lease.sent.len().saturating_sub(MARKS_KEPT);
-        lease.sent.drain(..surplus);
+        let excess = lease.sent.len().saturating_sub(MAX_SENT_WRITES);
+        lease.sent.drain(..excess);
         Some(LeaseAction::Write {
             group: group.clone(),
-            mark,
+            write_id,
             write: ConditionalWrite {
                 object: lease_object(group),
                 expected,
@@ -302,7 +316,7 @@
         })
     }
 
-    /// Notes what a read found.
+    /// Handles the result of a read.
     pub fn note_read(
         &mut self,
         group: &GroupName,
@@ -312,7 +326,7 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        lease.busy = false;
+        lease.call_in_flight = false;
         match result {
             Ok(Some(stored)) => {
                 lease.must_read = false;
@@ -322,8 +336,9 @@
                 lease.must_read = false;
                 lease.absent_since.get_or_insert(now);
             }
-            // Only a holder in doubt is in a hurry; the others spare a failing platform.
-            Err(_) if lease.held.is_some() => lease.read_at = now.plus(WRITE_PAUSE),
+            // Only a holder that doubts its lease retries soon; other daemons don't add
+            // load to a failing platform.
+            Err(_) if lease.held.is_some() => lease.next_read_at = now.plus(RETRY_PAUSE),
             Err(_) => {}
         }
     }
@@ -332,35 +347,38 @@
         let record = match LeaseRecord::decode(stored) {
             Ok(record) => record,
             Err(error) => {
-                log::error!("lease not usable: {error}");
+                log::error!("lease record unusable: {error}");
                 return;
             }
         };
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        let known = lease.observed.as_ref().map(|o| o.version);
-        // A stale read shows an older record; taking it would restart no clock but
-        // could bring back a fence already passed.
-        if known.is_some_and(|version| stored.version <= version) {
+        let known_version = lease.observed.as_ref().map(|o| o.version);
+        // A stale read shows an older record. Applying it would restart the wait for a
+        // takeover and could bring back an earlier fence.
+        if known_version.is_some_and(|version| stored.version <= version) {
             return;
         }
-        let own_write = lease.sent.iter().find(|sent| sent.mark == record.mark);
-        let own_write = own_write.cloned();
-        lease.open_writes = false;
+        let local_write = lease
+            .sent
+            .iter()
+            .find(|sent| sent.write_id == record.write_id);
+        let local_write = local_write.cloned();
+        lease.unknown_writes = false;
         lease.observed = Some(ObservedRecord {
             version: stored.version,
             record,
             since: now,
         });
-        match own_write {
-            Some(sent) => self.landed(group, &sent, stored.version, now),
-            None => self.displaced(group, stored.version),
+        match local_write {
+            Some(sent) => self.apply_local_write(group, &sent, stored.version, now),
+            None => self.apply_remote_write(group, stored.version),
         }
     }
 
-    // An own write is now known to have landed.
-    fn landed(
+    // Applies a write of this daemon that is now known to have taken effect.
+    fn apply_local_write(
         &mut self,
         group: &GroupName,
         sent: &SentWrite,
@@ -371,12 +389,12 @@
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        let had = lease.held.is_some();
+        let was_held = lease.held.is_some();
         if sent.released {
             lease.held = None;
             lease.releasing = false;
-            lease.try_at = now.plus(self.times.duration);
-            self.tell(group, false, "handed over".to_owned());
+            lease.next_acquire_at = now.plus(self.times.duration);
+            self.record_change(group, false, "the lease was released".to_owned());
             return;
         }
         if now >= expires_at {
@@ -389,81 +407,86 @@
             expires_at,
         });
         lease.releasing |= self.stopping;
-        if !had {
-            // A daemon that took over because those before it were away has not held the
-            // lease beside them yet.
+        if !was_held {
+            // A daemon that took over while those ranked before it were unreachable has
+            // not held the lease alongside them yet, so the handover wait starts now.
             lease.outranked_since = lease.outranked_since.map(|_| now);
             let reason = format!("acquired with fence {}", sent.fence.0);
-            self.tell(group, true, reason);
+            self.record_change(group, true, reason);
         }
     }
 
-    fn displaced(&mut self, group: &GroupName, version: ObjectVersion) {
+    fn apply_remote_write(&mut self, group: &GroupName, version: ObjectVersion) {
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
         if lease.held.take_if(|held| held.version < version).is_some() {
             lease.releasing = false;
-            self.tell(group, false, "another daemon has taken it".to_owned());
+            self.record_change(group, false, "another daemon has acquired it".to_owned());
         }
     }
 
-    /// Notes the answer to a write.
+    /// Handles the result of a write.
     pub fn note_write(
         &mut self,
         group: &GroupName,
-        mark: &str,
+        write_id: &str,
         result: &Result<ObjectVersion, PlatformError>,
         now: MonoTime,
     ) {
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
-        lease.busy = false;
-        let sent = lease.sent.iter().find(|sent| sent.mark == mark).cloned();
+        lease.call_in_flight = false;
+        let sent = lease
+            .sent
+            .iter()
+            .find(|sent| sent.write_id == write_id)
+            .cloned();
         match (result, sent) {
-            (Ok(version), Some(sent)) => self.wrote(group, &sent, *version, now),
-            (Err(PlatformError::Conflict { .. }), _) => self.conflicted(group, now),
+            (Ok(version), Some(sent)) => self.apply_written(group, &sent, *version, now),
+            (Err(PlatformError::Conflict { .. }), _) => self.handle_conflict(group, now),
             (Err(PlatformError::Lost { .. }), _) => {
                 lease.must_read = true;
-                lease.open_writes = true;
-                lease.read_at = now;
+                lease.unknown_writes = true;
+                lease.next_read_at = now;
             }
             (Err(_), _) | (Ok(_), None) => {
-                let pace = self.times.duration / READS_PER_LEASE;
+                let interval = self.times.duration / READS_PER_LEASE;
                 let pause = if lease.held.is_some() {
-                    WRITE_PAUSE
+                    RETRY_PAUSE
                 } else {
-                    pace
+                    interval
                 };
-                lease.write_at = now.plus(pause);
+                lease.next_write_at = now.plus(pause);
             }
         }
     }
 
-    /// The record has another version than expected.
+    /// Handles a write that failed because the record has another version than
+    /// expected.
     ///
-    /// It may be an own write whose answer was lost: then nobody else can have taken
-    /// the lease before its end, and the record tells. Otherwise it is another's, and
-    /// ordering stops at once.
-    fn conflicted(&mut self, group: &GroupName, now: MonoTime) {
+    /// The record may be this daemon's own write whose response was lost: then no other
+    /// daemon can have taken the lease before it expires, and a read of the record
+    /// settles it. Otherwise another daemon wrote it, and ordering stops at once.
+    fn handle_conflict(&mut self, group: &GroupName, now: MonoTime) {
         let Some(lease) = self.groups.get_mut(group) else {
             return;
         };
         lease.must_read = true;
-        lease.read_at = now;
-        lease.write_at = now.plus(WRITE_PAUSE);
-        if !lease.open_writes && lease.held.take().is_some() {
+        lease.next_read_at = now;
+        lease.next_write_at = now.plus(RETRY_PAUSE);
+        if !lease.unknown_writes && lease.held.take().is_some() {
             lease.releasing = false;
-            self.tell(
+            self.record_change(
                 group,
                 false,
-                "its record changed under a renewal".to_owned(),
+                "its record changed before the renewal".to_owned(),
             );
         }
     }
 
-    fn wrote(
+    fn apply_written(
         &mut self,
         group: &GroupName,
         sent: &SentWrite,
@@ -480,26 +503,26 @@
         {
             return;
         }
-        lease.open_writes = false;
+        lease.unknown_writes = false;
         lease.observed = Some(ObservedRecord {
             version,
             record: LeaseRecord {
-                holder: self.own.clone(),
+                holder: self.daemon_id.clone(),
                 incarnation: self.incarnation,
                 fence: sent.fence,
-                mark: sent.mark.clone(),
+                write_id: sent.write_id.clone(),
                 released: sent.released,
-                unsettled: false,
+                order_in_flight: false,
             },
             since: now,
         });
-        self.landed(group, sent, version, now);
+        self.apply_local_write(group, sent, version, now);
     }
 
-    fn tell(&mut self, group: &GroupName, held: bool, reason: String) {
+    fn record_change(&mut self, group: &GroupName, held: bool, reason: String) {
         metrics::counter!("pistachiowick_lease_changes_total", "held" => held.to_string())
             .increment(1);
-        self.news.push(LeaseNews {
+        self.changes.push(LeaseChange {
             group: group.clone(),
             held,
             reason,
--- a/src/authority/lease_state.rs
+++ b/src/authority/lease_state.rs
@@ -1,4 +1,4 @@
-//! Types of the lease table: its times, actions and what it keeps of each group.
+//! Types of the lease table: durations, actions and the state of each group.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use crate::ports::{ConditionalWrite, ObjectVersion};
 use crate::settings::LeaseSettings;
 
-/// Times of leases.
+/// Durations of leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
     /// How long a lease lasts.
     pub duration: Duration,
-    /// How long before its end the holder stops ordering.
+    /// How long before the lease expires the holder stops ordering.
     pub guard: Duration,
-    /// Longest time an order may be under way.
-    pub order_flight: Duration,
+    /// Longest time that an order may be in flight.
+    pub max_order_flight: Duration,
 }
 
 impl From<&LeaseSettings> for LeaseTimes {
@@ -23,45 +23,47 @@
         Self {
             duration: Duration::from_millis(settings.duration_ms),
             guard: Duration::from_millis(settings.guard_ms),
-            order_flight: Duration::from_millis(settings.order_flight_ms),
+            max_order_flight: Duration::from_millis(settings.order_flight_ms),
         }
     }
 }
 
-/// What the table wants done.
+/// A platform call that the table asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseAction {
-    /// Read a lease object; answered by [`LeaseTable::note_read`].
+    /// Read a lease object; the result goes to
+    /// [`crate::authority::lease::LeaseTable::note_read`].
     Read(GroupName),
-    /// Write a lease object; answered by [`LeaseTable::note_write`].
+    /// Write a lease object; the result goes to
+    /// [`crate::authority::lease::LeaseTable::note_write`].
     Write {
         /// Group concerned.
         group: GroupName,
-        /// Mark of the write.
-        mark: String,
+        /// Unique id of the write.
+        write_id: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
 }
 
-/// A change of authority, for the journal.
+/// A lease acquired or lost, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct LeaseNews {
+pub struct LeaseChange {
     /// Group concerned.
     pub group: GroupName,
-    /// Whether this daemon now has the lease.
+    /// Whether this daemon now holds the lease.
     pub held: bool,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
 }
 
-/// The right to order the engines of a group.
+/// The right to send orders to the engines of a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseAuthority {
-    /// Fence that goes on each order.
+    /// Fence to send with each order.
     pub fence: FenceNumber,
     /// When ordering must have stopped, on this daemon's clock.
-    pub until: MonoTime,
+    pub deadline: MonoTime,
 }
 
 #[derive(Clone, Debug)]
@@ -78,11 +80,11 @@
     pub(crate) expires_at: MonoTime,
 }
 
-// A write that was sent. Authority counts from before it left: counted from the
-// answer it would outlast the record that others watch.
+// A write that was sent. The lease counts from before that: counted from the response,
+// it would outlast the time that other daemons wait before they take over.
 #[derive(Clone, Debug)]
 pub(crate) struct SentWrite {
-    pub(crate) mark: String,
+    pub(crate) write_id: String,
     pub(crate) fence: FenceNumber,
     pub(crate) sent_at: MonoTime,
     pub(crate) released: bool,
@@ -95,15 +97,15 @@
     pub(crate) absent_since: Option<MonoTime>,
     pub(crate) held: Option<HeldLease>,
     pub(crate) sent: Vec<SentWrite>,
-    pub(crate) busy_until: MonoTime,
-    pub(crate) busy: bool,
+    pub(crate) call_deadline: MonoTime,
+    pub(crate) call_in_flight: bool,
     pub(crate) must_read: bool,
-    pub(crate) open_writes: bool,
-    pub(crate) read_at: MonoTime,
-    pub(crate) write_at: MonoTime,
-    pub(crate) try_at: MonoTime,
-    pub(crate) least_fence: FenceNumber,
+    pub(crate) unknown_writes: bool,
+    pub(crate) next_read_at: MonoTime,
+    pub(crate) next_write_at: MonoTime,
+    pub(crate) next_acquire_at: MonoTime,
+    pub(crate) min_fence: FenceNumber,
     pub(crate) releasing: bool,
-    pub(crate) unsettled: bool,
+    pub(crate) order_in_flight: bool,
     pub(crate) outranked_since: Option<MonoTime>,
 }
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -89,7 +89,7 @@
     let times = LeaseTimes {
         duration: LEASE_DURATION,
         guard: LEASE_GUARD,
-        order_flight: MAX_ORDER_FLIGHT,
+        max_order_flight: MAX_ORDER_FLIGHT,
     };
     let mut controller = StageController {
         lease: LeaseManager::new(gateway.clone(), LEASE_GROUP, times),
@@ -264,7 +264,7 @@
             change.in_flight = true;
             let (gateway, event_sender) = (self.gateway.clone(), self.event_sender.clone());
             let (engine, stage, fence) = (engine.clone(), change.stage, authority.fence);
-            let until = authority.until;
+            let until = authority.deadline;
             spawn_local(async move {
                 let result = gateway.order_stage(&engine, stage, fence, until).await;
                 // The receiver ends only with the process.
--- a/src/membership/departures.rs
+++ b/src/membership/departures.rs
@@ -1,4 +1,5 @@
-//! Remembers what has begun to leave, so that no older word puts it back into use.
+//! Remembers the processes that are leaving, so that no older report puts them back
+//! into use.
 
 use std::time::Duration;
 
@@ -7,12 +8,13 @@
 use crate::names::{MonoTime, ProcessIncarnation};
 use crate::store::wire::InstanceState;
 
-/// Most departures remembered; beyond it the one unheard of for longest is dropped.
-pub const MOST_DEPARTURES: usize = 20_000;
+/// Maximum number of departures; beyond it, the one not reported for the longest time
+/// is dropped.
+pub const MAX_DEPARTURES: usize = 20_000;
 
-/// One life of a process: its name and address, since each life has but one.
+/// Identifies a process by its name and address, which stay the same while it runs.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct LifeKey {
+pub struct ProcessKey {
     /// Name of the daemon or target.
     pub id: String,
     /// Address it listens on.
@@ -22,42 +24,43 @@
 #[derive(Clone, Copy, Debug)]
 struct DepartureRecord {
     incarnation: Option<ProcessIncarnation>,
-    heard_at: MonoTime,
-    // A newer life was seen; the word "leaving" may still be about the older one.
+    last_contact: MonoTime,
+    // A newer incarnation was seen; a report of "leaving" may still be about the older
+    // one.
     superseded: bool,
 }
 
-/// Everything known to be leaving.
+/// Processes known to be leaving.
 ///
-/// The instance list lags and is read from replicas, so a list that still says
-/// "live" may be older than the one that said "leaving". Taking it at its word would
-/// send new work to a process about to end. A departure therefore stands until a
-/// newer incarnation is seen, or until no source names the process for a while.
+/// The instance list lags and is read from replicas, so a list that still says "live"
+/// may be older than the one that said "leaving". Trusting it would send new work to a
+/// process that is about to exit. A departure therefore stays in force until a newer
+/// incarnation is seen, or until no source has reported the process for some time.
 #[derive(Clone, Debug)]
 pub struct DepartureTable {
-    forget: Duration,
-    records: IndexMap<LifeKey, DepartureRecord>,
+    retention: Duration,
+    records: IndexMap<ProcessKey, DepartureRecord>,
 }
 
 impl DepartureTable {
-    /// Creates a table that forgets what was not heard of for `forget`.
+    /// Creates a table that drops departures not reported for `retention`.
     #[must_use]
-    pub fn new(forget: Duration) -> Self {
+    pub fn new(retention: Duration) -> Self {
         Self {
-            forget,
+            retention,
             records: IndexMap::new(),
         }
     }
 
-    /// Notes word that a process is leaving.
-    pub fn note_leaving(
+    /// Records a report that a process is leaving.
+    pub fn record_leaving(
         &mut self,
-        life: &LifeKey,
+        process_key: &ProcessKey,
         incarnation: Option<ProcessIncarnation>,
         now: MonoTime,
     ) {
-        if let Some(record) = self.records.get_mut(life) {
-            record.heard_at = now;
+        if let Some(record) = self.records.get_mut(process_key) {
+            record.last_contact = now;
             record.superseded &= incarnation < record.incarnation;
             record.incarnation = record.incarnation.max(incarnation);
             return;
@@ -65,34 +68,38 @@
         self.make_room();
         let record = DepartureRecord {
             incarnation,
-            heard_at: now,
+            last_contact: now,
             superseded: false,
         };
-        self.records.insert(life.clone(), record);
+        self.records.insert(process_key.clone(), record);
     }
 
-    /// Notes a row of the instance list.
-    pub fn note_row(
+    /// Applies a row of the instance list.
+    pub fn apply_row(
         &mut self,
-        life: &LifeKey,
+        process_key: &ProcessKey,
         state: InstanceState,
         incarnation: Option<ProcessIncarnation>,
         now: MonoTime,
     ) {
-        match (state, self.records.get_mut(life)) {
-            (InstanceState::Leaving, None) => self.note_leaving(life, incarnation, now),
-            (InstanceState::Leaving, Some(record)) => record.heard_at = now,
+        match (state, self.records.get_mut(process_key)) {
+            (InstanceState::Leaving, None) => self.record_leaving(process_key, incarnation, now),
+            (InstanceState::Leaving, Some(record)) => record.last_contact = now,
             (InstanceState::Live, Some(record)) if record.superseded => {
-                self.records.swap_remove(life);
+                self.records.swap_remove(process_key);
             }
-            (InstanceState::Live, Some(record)) => record.heard_at = now,
+            (InstanceState::Live, Some(record)) => record.last_contact = now,
             (InstanceState::Live, None) => {}
         }
     }
 
-    /// Notes the incarnation that a process itself reported.
-    pub fn note_incarnation(&mut self, life: &LifeKey, incarnation: ProcessIncarnation) {
-        let Some(record) = self.records.get_mut(life) else {
+    /// Records the incarnation that a process itself reported.
+    pub fn record_incarnation(
+        &mut self,
+        process_key: &ProcessKey,
+        incarnation: ProcessIncarnation,
+    ) {
+        let Some(record) = self.records.get_mut(process_key) else {
             return;
         };
         match record.incarnation {
@@ -105,16 +112,17 @@
         }
     }
 
-    /// Tells whether a process is leaving.
+    /// Returns whether a process is leaving.
     #[must_use]
-    pub fn is_leaving(&self, life: &LifeKey) -> bool {
-        self.records.get(life).is_some_and(|r| !r.superseded)
+    pub fn is_leaving(&self, process_key: &ProcessKey) -> bool {
+        self.records.get(process_key).is_some_and(|r| !r.superseded)
     }
 
-    /// Forgets what was not heard of for long.
+    /// Drops departures that have not been reported for the retention time.
     pub fn expire(&mut self, now: MonoTime) {
-        let forget = self.forget;
-        self.records.retain(|_, r| now.since(r.heard_at) < forget);
+        let retention = self.retention;
+        self.records
+            .retain(|_, r| now.since(r.last_contact) < retention);
     }
 
     /// Returns the number of departures remembered.
@@ -123,19 +131,19 @@
         self.records.len()
     }
 
-    /// Tells whether nothing is leaving.
+    /// Returns whether no departures are remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     fn make_room(&mut self) {
-        if self.records.len() < MOST_DEPARTURES {
+        if self.records.len() < MAX_DEPARTURES {
             return;
         }
-        let oldest = self.records.iter().min_by_key(|(_, r)| r.heard_at);
-        if let Some(life) = oldest.map(|(life, _)| life.clone()) {
-            self.records.swap_remove(&life);
+        let oldest = self.records.iter().min_by_key(|(_, r)| r.last_contact);
+        if let Some(process_key) = oldest.map(|(process_key, _)| process_key.clone()) {
+            self.records.swap_remove(&process_key);
         }
     }
 }
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -2,8 +2,8 @@
 
 use indexmap::IndexMap;
 
-use crate::authority::order_record::EngineWish;
-use crate::authority::orders::OrderBook;
+use crate::authority::order_record::PlannedChange;
+use crate::authority::orders::OrderManager;
 use crate::control::snapshot::ConfigView;
 use crate::membership::fleet::{FleetView, TargetView, UseState};
 use crate::names::{GroupName, TargetId};
@@ -11,23 +11,23 @@
 use crate::store::wire::InstanceKind;
 
 pub(crate) fn request_planned_changes(
-    book: &mut OrderBook,
+    manager: &mut OrderManager,
     group: &GroupName,
     groups: &IndexMap<TargetId, GroupName>,
-    plan: &IndexMap<TargetId, EngineWish>,
+    plan: &IndexMap<TargetId, PlannedChange>,
     fleet: &FleetView,
 ) {
     let mut group_changes = IndexMap::new();
-    for (target, wish) in plan {
+    for (target, change) in plan {
         let engine = fleet.targets.get(target).and_then(plan_engine);
-        let is_pending = engine.is_some_and(|e| !has_planned_state(&e, wish));
+        let is_pending = engine.is_some_and(|e| !has_planned_state(&e, change));
         if is_pending && groups.get(target) == Some(group) {
-            group_changes.insert(target.clone(), wish.clone());
+            group_changes.insert(target.clone(), change.clone());
         }
     }
-    book.keep_wishes(&group_changes);
-    for (target, wish) in group_changes {
-        book.want(target, wish);
+    manager.retain_changes(&group_changes);
+    for (target, change) in group_changes {
+        manager.request_change(target, change);
     }
 }
 
@@ -47,8 +47,8 @@
     })
 }
 
-pub(crate) fn has_planned_state(engine: &PlanEngine, wish: &EngineWish) -> bool {
-    engine.role == wish.role && engine.models == wish.models
+pub(crate) fn has_planned_state(engine: &PlanEngine, change: &PlannedChange) -> bool {
+    engine.role == change.role && engine.models == change.models
 }
 
 pub(crate) fn model_needs(config: &ConfigView) -> Vec<ModelNeed> {
--- a/tests/control_fakes/mod.rs
+++ b/tests/control_fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Small in-memory stand-ins at the ports of the control plane.
+//! In-memory fakes for the ports of the control plane.
 #![allow(dead_code)]
 
 use std::collections::VecDeque;
@@ -14,21 +14,21 @@
 };
 use pistachiowick::store::wire::InstanceRow;
 
-/// What happens to the next write.
+/// Fault injected into the next write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteFault {
-    /// It takes effect; the answer is lost.
+    /// The write takes effect; the response is lost.
     AnswerLost,
-    /// It is lost on the way; so is the answer.
+    /// Both the write and the response are lost.
     NeverArrives,
-    /// It takes effect when `land_delayed` is called; the answer is lost.
+    /// The write takes effect when `land_delayed` is called; the response is lost.
     Delayed,
-    /// The platform refuses it as busy.
+    /// The platform refuses the write as busy.
     Busy,
 }
 
 #[derive(Default)]
-pub struct PlatformBooks {
+pub struct PlatformData {
     pub objects: IndexMap<ObjectName, (ObjectVersion, Vec<u8>)>,
     older: IndexMap<ObjectName, (ObjectVersion, Vec<u8>)>,
     pub revision: u64,
@@ -41,15 +41,15 @@
     pub reads: u32,
     pub lists: u32,
     pub watches: u32,
-    /// Run before the next write is judged.
+    /// Writes by others; one is applied before each write is checked.
     pub before_write: VecDeque<ConditionalWrite>,
-    /// Delayed writes land right after the next read.
+    /// Whether delayed writes take effect right after the next read.
     pub land_after_read: bool,
 }
 
 #[derive(Clone, Default)]
 pub struct FakePlatform {
-    books: Arc<Mutex<PlatformBooks>>,
+    data: Arc<Mutex<PlatformData>>,
     changed: Arc<Notify>,
 }
 
@@ -66,8 +66,8 @@
     }
 }
 
-impl PlatformBooks {
-    pub fn take(&mut self, write: &ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
+impl PlatformData {
+    pub fn apply(&mut self, write: &ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
         let current = self
             .objects
             .get(&write.object)
@@ -87,15 +87,15 @@
     fn write(&mut self, write: ConditionalWrite) -> Result<ObjectVersion, PlatformError> {
         self.writes += 1;
         if let Some(other) = self.before_write.pop_front() {
-            let _ = self.take(&other);
+            let _ = self.apply(&other);
         }
         match self.faults.pop_front() {
             _ if self.down => Err(unavailable()),
-            None => self.take(&write),
+            None => self.apply(&write),
             Some(WriteFault::Busy) => Err(unavailable()),
             Some(WriteFault::NeverArrives) => Err(lost()),
             Some(WriteFault::AnswerLost) => {
-                let _ = self.take(&write);
+                let _ = self.apply(&write);
                 Err(lost())
             }
             Some(WriteFault::Delayed) => {
@@ -107,7 +107,7 @@
 
     pub fn land_delayed(&mut self) -> Vec<Result<ObjectVersion, PlatformError>> {
         let delayed = std::mem::take(&mut self.delayed);
-        delayed.iter().map(|write| self.take(write)).collect()
+        delayed.iter().map(|write| self.apply(write)).collect()
     }
 
     fn read(&mut self, object: &ObjectName) -> Result<Option<StoredObject>, PlatformError> {
@@ -151,8 +151,8 @@
 }
 
 impl FakePlatform {
-    pub fn books(&self) -> MutexGuard<'_, PlatformBooks> {
-        self.books.lock().unwrap()
+    pub fn data(&self) -> MutexGuard<'_, PlatformData> {
+        self.data.lock().unwrap()
     }
 
     pub fn put(&self, kind: &str, name: &str, value: Vec<u8>) -> ObjectVersion {
@@ -160,25 +160,25 @@
             kind: kind.to_owned(),
             name: name.to_owned(),
         };
-        let mut books = self.books();
-        let expected = books
+        let mut data = self.data();
+        let expected = data
             .objects
             .get(&object)
             .map_or_else(ObjectVersion::default, |o| o.0);
-        let version = books
-            .take(&ConditionalWrite {
+        let version = data
+            .apply(&ConditionalWrite {
                 object,
                 expected,
                 value,
             })
             .unwrap();
-        drop(books);
+        drop(data);
         self.changed.notify_waiters();
         version
     }
 
     pub fn set_down(&self, down: bool) {
-        self.books().down = down;
+        self.data().down = down;
     }
 
     pub fn port(&self) -> PlatformPort {
@@ -191,38 +191,38 @@
         );
         PlatformPort {
             read: Arc::new(move |object| {
-                let result = reader.books().read(&object);
+                let result = reader.data().read(&object);
                 Box::pin(async move {
                     tokio::task::yield_now().await;
                     result
                 })
             }),
             write: Arc::new(move |write| {
-                let result = writer.books().write(write);
+                let result = writer.data().write(write);
                 writer.changed.notify_waiters();
                 Box::pin(async move { result })
             }),
             list: Arc::new(move |kind: String| {
-                let mut books = lister.books();
-                books.lists += 1;
-                let result = if books.down {
+                let mut data = lister.data();
+                data.lists += 1;
+                let result = if data.down {
                     Err(unavailable())
                 } else {
-                    Ok(books.since(&kind, 0))
+                    Ok(data.since(&kind, 0))
                 };
                 Box::pin(async move { result })
             }),
             watch: Arc::new(move |query| {
                 let platform = watcher.clone();
-                platform.books().watches += 1;
+                platform.data().watches += 1;
                 Box::pin(async move { platform.watch(query).await })
             }),
             instances: Arc::new(move |()| {
-                let books = rows.books();
-                let result = if books.down {
+                let data = rows.data();
+                let result = if data.down {
                     Err(unavailable())
                 } else {
-                    Ok(books.instances.clone())
+                    Ok(data.instances.clone())
                 };
                 Box::pin(async move { result })
             }),
@@ -230,21 +230,21 @@
     }
 
     async fn watch(&self, query: WatchQuery) -> Result<ObjectBatch, PlatformError> {
-        let give_up = tokio::time::Instant::now() + query.wait;
+        let deadline = tokio::time::Instant::now() + query.wait;
         loop {
             let changed = self.changed.notified();
             {
-                let books = self.books();
-                if books.down {
+                let data = self.data();
+                if data.down {
                     return Err(unavailable());
                 }
-                let batch = books.since(&query.kind, query.since);
+                let batch = data.since(&query.kind, query.since);
                 if !batch.objects.is_empty() {
                     return Ok(batch);
                 }
             }
-            if tokio::time::timeout_at(give_up, changed).await.is_err() {
-                let revision = self.books().revision;
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
+                let revision = self.data().revision;
                 return Ok(ObjectBatch {
                     revision,
                     objects: Vec::new(),
@@ -254,7 +254,7 @@
     }
 }
 
-/// An engine port whose states come from a shared table.
+/// Engine states by address.
 pub type StateTable = Arc<Mutex<IndexMap<String, pistachiowick::targets::wire::EngineState>>>;
 
 fn not_reached() -> pistachiowick::ports::TargetError {
@@ -263,7 +263,8 @@
     }
 }
 
-/// Engines that answer with the state found under their address, and note orders.
+/// Engines that answer with the state stored under their address, and keep the orders
+/// they accept.
 #[derive(Clone, Default)]
 pub struct FakeEngines {
     pub states: StateTable,
@@ -279,16 +280,16 @@
             .insert(address.to_owned(), state);
     }
 
-    /// Takes an order as an engine does.
-    pub fn take(
+    /// Handles an order as an engine does.
+    pub fn apply(
         &self,
         address: &str,
         body: &pistachiowick::targets::wire::OrderBody,
     ) -> Result<pistachiowick::targets::wire::EngineState, pistachiowick::ports::TargetError> {
         let mut states = self.states.lock().unwrap();
         let state = states.get_mut(address).ok_or_else(not_reached)?;
-        let seen = state.last_order.as_ref().map(|mark| mark.fence);
-        if let Some(current) = seen.filter(|f| self.checks_fence && body.mark.fence < *f) {
+        let seen = state.last_order.as_ref().map(|order| order.fence);
+        if let Some(current) = seen.filter(|f| self.checks_fence && body.order_id.fence < *f) {
             return Err(pistachiowick::ports::TargetError::Fenced { current });
         }
         self.orders
@@ -297,7 +298,7 @@
             .push((address.to_owned(), body.clone()));
         state.role = body.role;
         state.models.clone_from(&body.models);
-        state.last_order = Some(body.mark.clone());
+        state.last_order = Some(body.order_id.clone());
         Ok(state.clone())
     }
 
@@ -317,14 +318,14 @@
                 Box::pin(async move { state.ok_or_else(not_reached) })
             }),
             order: Arc::new(move |call| {
-                let result = engines.take(&call.address, &call.body);
+                let result = engines.apply(&call.address, &call.body);
                 Box::pin(async move { result })
             }),
         }
     }
 }
 
-/// Settings of a daemon with times short enough for tests.
+/// Settings of a daemon with intervals short enough for tests.
 pub fn settings(id: &str, centre: &str) -> pistachiowick::settings::DaemonSettings {
     serde_json::from_value(serde_json::json!({
         "daemon_id": id,
@@ -337,13 +338,13 @@
     .unwrap()
 }
 
-/// Waits for a condition; the generous limit is for a hang, not a verdict on speed.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits for a condition; the long limit only catches a hang and does not test speed.
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..6_000 {
         if holds() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    panic!("never came about: {what}");
+    panic!("timed out waiting for: {what}");
 }
