--- a/src/requests/claimant.rs
+++ b/src/requests/claimant.rs
@@ -1,4 +1,4 @@
-//! The process that claimed a request, and whether it is still there.
+//! The daemon process that claimed a request, and whether it is still running.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use crate::membership::fleet::{FleetView, UseState};
 use crate::names::{DaemonId, ProcessIncarnation};
 
-/// One life of a daemon, as records name it.
+/// One run of a daemon process, as records name it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ClaimantLife {
-    /// Its name.
+pub struct ClaimantProcess {
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
 }
 
-impl fmt::Display for ClaimantLife {
+impl fmt::Display for ClaimantProcess {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.daemon, self.incarnation.0)
     }
 }
 
-impl ClaimantLife {
-    /// Reads the claimant of a record; `None` when it names no life of a daemon.
+impl ClaimantProcess {
+    /// Parses the claimant of a record; `None` when it names no daemon process.
     #[must_use]
     pub fn parse(claimant: &str) -> Option<Self> {
         let (daemon, incarnation) = claimant.rsplit_once('/')?;
@@ -32,48 +32,47 @@
         })
     }
 
-    /// Returns where this life stands, as far as a view of the fleet shows.
+    /// Returns the status of this process, as far as a view of the fleet shows it.
     ///
-    /// A daemon that leaves, or fails for the viewer, still counts as there.
+    /// A daemon that is leaving or suspected still counts as present.
     #[must_use]
-    pub fn standing(&self, fleet: &FleetView) -> ClaimantStanding {
+    pub fn status(&self, fleet: &FleetView) -> ClaimantStatus {
         let Some(view) = fleet.daemons.get(&self.daemon) else {
-            return ClaimantStanding::Unlisted;
+            return ClaimantStatus::Unlisted;
         };
-        // An incarnation that is not known yet is zero, and so newer than none.
+        // An incarnation that is not known yet is zero, and so never newer.
         if view.state == UseState::Gone || view.incarnation > self.incarnation {
-            return ClaimantStanding::Gone;
+            return ClaimantStatus::Gone;
         }
-        ClaimantStanding::There
+        ClaimantStatus::Present
     }
 }
 
 /// Time for which a claimant may be missing from the list before it counts as gone. A
-/// daemon takes work as soon as it has registered, and another one reads the list once
-/// a second: a caller who asked both would be told that the first is gone while it
-/// runs the request. Two reads and a slow one fit in.
-pub const UNLISTED_PATIENCE: Duration = Duration::from_secs(3);
+/// daemon accepts work as soon as it has registered, while others read the list once a
+/// second: without this, a caller who sends a request to both could be told that the
+/// first is gone while it runs the request. Allows for two reads and a slow one.
+pub const UNLISTED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where the process that claimed a request stands.
+/// Status of the process that claimed a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ClaimantStanding {
-    /// It is there.
-    There,
-    /// It has ended, or a later process bears its name.
+pub enum ClaimantStatus {
+    /// It is running.
+    Present,
+    /// It has ended, or a later process uses its name.
     Gone,
-    /// No list read so far names it: it is new, or ended long ago.
+    /// No list read so far contains it: it is new, or ended long ago.
     Unlisted,
 }
 
-impl ClaimantStanding {
-    /// Whether no end of its work is to be awaited, after it was looked for during
-    /// `looked`.
+impl ClaimantStatus {
+    /// Returns whether waiting for its result is pointless after `waited`.
     #[must_use]
-    pub fn is_final(self, looked: Duration) -> bool {
+    pub fn is_final(self, waited: Duration) -> bool {
         match self {
-            Self::There => false,
+            Self::Present => false,
             Self::Gone => true,
-            Self::Unlisted => looked >= UNLISTED_PATIENCE,
+            Self::Unlisted => waited >= UNLISTED_TIMEOUT,
         }
     }
 }
--- a/src/requests/crash_watch.rs
+++ b/src/requests/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Holds requests back whose work ended targets.
+//! Quarantines requests whose work crashed targets.
 
 use std::time::Duration;
 
@@ -12,16 +12,17 @@
 use crate::requests::traffic::TrafficContext;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Why held work is not run.
-const HELD: &str = "targets ended under each run of this request; correct it, or ask the operators";
-/// Time to come back for work that is not tried again by itself.
-const HELD_WAIT: Duration = Duration::from_secs(3_600);
-/// Ends of a target that reports no life count as one within this time.
-const LIFE_SPAN_MS: u64 = 5_000;
+/// Reason given for refusing quarantined work.
+const QUARANTINE_REASON: &str =
+    "targets crashed under each run of this request; correct it, or ask the operators";
+/// Retry time given for work that is not tried again automatically.
+const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(3_600);
+/// Crashes of a target that reports no incarnation count as one within this time.
+const UNKNOWN_INCARNATION_MS: u64 = 5_000;
 
 impl TrafficContext {
-    /// Refuses held work, except once in a while at the one daemon that tries it; true for
-    /// such a trial.
+    /// Refuses quarantined work, except for an occasional trial run by one daemon; returns
+    /// true for such a trial.
     ///
     /// # Errors
     ///
@@ -31,55 +32,55 @@
             return Ok(false);
         }
         let (work, now) = (work_of(request), clock::mono_now());
-        let tries = self.is_first_daemon();
-        match self.crashes.lock().status(work, tries, now) {
+        let may_try = self.is_first_daemon();
+        match self.crashes.lock().status(work, may_try, now) {
             WorkStatus::Allowed => Ok(false),
             WorkStatus::Trial => Ok(true),
             WorkStatus::Quarantined(next) => {
                 metrics::counter!("pistachiowick_held_refusals_total").increment(1);
                 Err(JobRefusal {
-                    reason: HELD.to_owned(),
-                    retry_after: next.unwrap_or(HELD_WAIT),
+                    reason: QUARANTINE_REASON.to_owned(),
+                    retry_after: next.unwrap_or(QUARANTINE_RETRY_AFTER),
                 })
             }
         }
     }
 
-    /// Refuses a request that has waited for a target, if its work is held by now.
+    /// Refuses a request that was waiting for a target if its work is now quarantined.
     #[must_use]
-    pub fn held_meanwhile(&self, request: &CallerRequest) -> Option<JobRefusal> {
+    pub fn recheck_quarantine(&self, request: &CallerRequest) -> Option<JobRefusal> {
         self.is_quarantined(request).then(|| JobRefusal {
-            reason: HELD.to_owned(),
-            retry_after: HELD_WAIT,
+            reason: QUARANTINE_REASON.to_owned(),
+            retry_after: QUARANTINE_RETRY_AFTER,
         })
     }
 
-    /// Whether a request's work is held.
+    /// Returns whether a request's work is quarantined.
     #[must_use]
     pub fn is_quarantined(&self, request: &CallerRequest) -> bool {
         let crashes = self.crashes.lock();
         !crashes.is_empty() && crashes.is_quarantined(work_of(request))
     }
 
-    /// Notes that a target broke its answer off and is not there to go on.
+    /// Records that a target broke off its answer and could not resume it.
     pub fn record_connection_loss(&self, request: &CallerRequest, choice: &TargetChoice) {
         let work = work_of(request);
-        let holds = {
+        let newly_quarantined = {
             let mut crashes = self.crashes.lock();
-            crashes.record_crash(work, &life_of(choice), clock::mono_now())
+            crashes.record_crash(work, &incarnation_of(choice), clock::mono_now())
         };
         log::info!(
-            "request {}: {} broke off an answer to work {work}",
+            "request {}: {} broke off its answer to work {work}",
             request.id,
             choice.target
         );
-        if holds {
+        if newly_quarantined {
             metrics::counter!("pistachiowick_works_held_total").increment(1);
-            log::warn!("work {work} is held: targets ended under its runs");
+            log::warn!("work {work} is quarantined: targets crashed while running it");
         }
     }
 
-    /// Notes that work ran to its end.
+    /// Records that work ran to completion.
     pub fn record_completion(&self, request: &CallerRequest) {
         let mut crashes = self.crashes.lock();
         if !crashes.is_empty() {
@@ -94,19 +95,19 @@
     }
 }
 
-// Whatever identity and deadline an attempt has.
+// Independent of the request's identity and deadline, so that resubmissions match.
 fn work_of(request: &CallerRequest) -> WorkDigest {
     let workspace = request.workspace().as_str().as_bytes();
     WorkDigest::of(&[workspace, &request.fingerprint()])
 }
 
-fn life_of(choice: &TargetChoice) -> TargetIncarnation {
-    let born = choice.incarnation.map_or_else(
+fn incarnation_of(choice: &TargetChoice) -> TargetIncarnation {
+    let started_at = choice.incarnation.map_or_else(
         || {
             let now = clock::unix_now().0;
-            now - now % LIFE_SPAN_MS
+            now - now % UNKNOWN_INCARNATION_MS
         },
         |incarnation| incarnation.0,
     );
-    TargetIncarnation::new(choice.target.clone(), Some(UnixTime(born)))
+    TargetIncarnation::new(choice.target.clone(), Some(UnixTime(started_at)))
 }
--- a/src/rpc/items.rs
+++ b/src/rpc/items.rs
@@ -1,4 +1,4 @@
-//! Conversions between configured items and their messages.
+//! Conversions between configuration items and their messages.
 
 use crate::config::catalogue::{
     ClassSpec, ClassTarget, HoldSpec, ItemKind, ItemName, ItemSpec, ModelChoice, ModelSpec,
@@ -9,13 +9,13 @@
 use crate::pb;
 use crate::pb::config_item::Item;
 
-/// Why a message is not an item.
+/// Why a message is not a valid item.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
-pub enum ItemFault {
-    /// The message holds no item.
+pub enum ItemError {
+    /// The message contains no item.
     #[error("item is empty; send a workspace, class, model or hold")]
     Empty,
-    /// The kind is not one of the known ones.
+    /// The kind is unknown.
     #[error("kind is {found}; send workspace, class, model or hold")]
     Kind {
         /// Number found.
@@ -32,10 +32,10 @@
 }
 
 impl TryFrom<pb::ConfigItem> for ItemSpec {
-    type Error = ItemFault;
+    type Error = ItemError;
 
     fn try_from(message: pb::ConfigItem) -> Result<Self, Self::Error> {
-        Ok(match message.item.ok_or(ItemFault::Empty)? {
+        Ok(match message.item.ok_or(ItemError::Empty)? {
             Item::Workspace(workspace) => Self::Workspace(workspace.into()),
             Item::Class(class) => Self::Class(class.try_into()?),
             Item::Model(model) => Self::Model(model.into()),
@@ -77,7 +77,7 @@
 }
 
 impl TryFrom<pb::WorkloadClass> for ClassSpec {
-    type Error = ItemFault;
+    type Error = ItemError;
 
     fn try_from(message: pb::WorkloadClass) -> Result<Self, Self::Error> {
         let target = match (message.models.is_empty(), message.service.is_empty()) {
@@ -89,7 +89,7 @@
             }),
             (models_empty, _) => {
                 let found = if models_empty { "neither" } else { "both" };
-                return Err(ItemFault::ClassTarget {
+                return Err(ItemError::ClassTarget {
                     class: message.name,
                     found,
                 });
@@ -170,18 +170,18 @@
     }
 }
 
-/// Reads an item's kind from its number in a message.
+/// Returns the item kind for its number in a message.
 ///
 /// # Errors
 ///
-/// Returns a fault for a number that names no kind.
-pub fn item_kind(number: i32) -> Result<ItemKind, ItemFault> {
+/// Returns an error for a number that names no kind.
+pub fn item_kind(number: i32) -> Result<ItemKind, ItemError> {
     match pb::ItemKind::try_from(number) {
         Ok(pb::ItemKind::Workspace) => Ok(ItemKind::Workspace),
         Ok(pb::ItemKind::Class) => Ok(ItemKind::Class),
         Ok(pb::ItemKind::Model) => Ok(ItemKind::Model),
         Ok(pb::ItemKind::Hold) => Ok(ItemKind::Hold),
-        Ok(pb::ItemKind::Unspecified) | Err(_) => Err(ItemFault::Kind { found: number }),
+        Ok(pb::ItemKind::Unspecified) | Err(_) => Err(ItemError::Kind { found: number }),
     }
 }
 
@@ -196,7 +196,7 @@
     }
 }
 
-/// Builds the message for an item as it stands.
+/// Builds the message for the current state of an item.
 #[must_use]
 pub fn item_reply(name: &ItemName, record: &ItemRecord) -> pb::ItemReply {
     pb::ItemReply {
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -374,9 +374,9 @@
     // A watch that started before a watcher's first hint still runs to its end.
     let mut started = u32::MAX;
     for _ in 0..100 {
-        let before = test_fleet.platform.books().watches;
+        let before = test_fleet.platform.data().watches;
         tokio::time::sleep(Duration::from_millis(350)).await;
-        started = test_fleet.platform.books().watches - before;
+        started = test_fleet.platform.data().watches - before;
         if started <= 4 {
             break;
         }
@@ -419,9 +419,9 @@
     let watcher = topology.local_watchers[0].clone();
     let dead = nodes.swap_remove(watcher.as_str()).unwrap();
     end(dead).await;
-    let before = test_fleet.platform.books().watches;
+    let before = test_fleet.platform.data().watches;
     wait_until("the survivors watch", || {
-        test_fleet.platform.books().watches >= before + 8
+        test_fleet.platform.data().watches >= before + 8
     })
     .await;
     let (_, node) = nodes.first().unwrap();
