--- a/src/crashes/broadcasts.rs
+++ b/src/crashes/broadcasts.rs
@@ -1,6 +1,6 @@
 //! Selects the works whose crash reports go into the next message to other daemons.
 //!
-//! A changed report goes into several messages, since a link may skip one. Works that
+//! A changed report goes into several messages, since a link may drop one. Works that
 //! crashed more than one target are also rebroadcast in rotation, once a second, for daemons
 //! that were unreachable at the time.
 
@@ -41,6 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingBroadcast {
     due: MonoTime,
+    // End of the repeats; set when the report is first sent.
     until: Option<MonoTime>,
 }
 
@@ -66,19 +67,19 @@
         self.pending.swap_remove(&work);
     }
 
-    /// Returns the works whose reports go into a message now; `repeated` are the works that
-    /// crashed more than one target and are rebroadcast.
-    pub fn select_due(&mut self, repeated: &[WorkDigest], now: MonoTime) -> Vec<WorkDigest> {
+    /// Returns the works whose reports go into a message now; `eligible` are the works that
+    /// are rebroadcast in rotation.
+    pub fn select_due(&mut self, eligible: &[WorkDigest], now: MonoTime) -> Vec<WorkDigest> {
         let mut selected = self.select_updates(now);
-        let is_waiting = self
+        let is_too_early = self
             .rebroadcast_at
             .is_some_and(|at| now.since(at) < REBROADCAST_INTERVAL);
-        if !is_waiting && !repeated.is_empty() {
+        if !is_too_early && !eligible.is_empty() {
             self.rebroadcast_at = Some(now);
-            let count = repeated.len().min(MAX_REBROADCASTS);
-            let from = self.next_rebroadcast % repeated.len();
+            let count = eligible.len().min(MAX_REBROADCASTS);
+            let from = self.next_rebroadcast % eligible.len();
             self.next_rebroadcast = from + count;
-            let rebroadcasts = repeated.iter().cycle().skip(from).take(count);
+            let rebroadcasts = eligible.iter().cycle().skip(from).take(count);
             let rebroadcasts: Vec<WorkDigest> = rebroadcasts
                 .filter(|w| !selected.contains(w))
                 .copied()
--- a/src/crashes/tracker.rs
+++ b/src/crashes/tracker.rs
@@ -18,7 +18,7 @@
 pub const MAX_CRASHES: usize = 3;
 /// Time for which work that crashed fewer targets stays suspect.
 const SUSPICION_RETENTION: Duration = Duration::from_secs(600);
-/// Time before the end of either retention in which peers are no longer notified.
+/// Time before the end of a record's retention in which it is no longer rebroadcast.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(30);
 /// Time for which quarantined work is retained after its last request.
 const QUARANTINE_RETENTION: Duration = Duration::from_secs(24 * 3_600);
@@ -41,7 +41,7 @@
     at: MonoTime,
     // Observed by this daemon, not reported by a peer.
     local: bool,
-    // Whether peers know of it.
+    // Whether it was sent to peers or received from one.
     announced: bool,
     // Whether the target turned out to be alive, or the work ran to completion.
     refuted: bool,
@@ -106,7 +106,8 @@
         announced.count() > 1 && self.age(now) + EXPIRY_MARGIN < self.retention()
     }
 
-    // Makes room for one more incarnation; false if no refuted one can be removed.
+    // Makes room for one more incarnation; returns false if there is none and no refuted
+    // incarnation to remove.
     fn make_incarnation_room(&mut self) -> bool {
         if self.crashes.len() < MAX_INCARNATIONS {
             return true;
@@ -115,7 +116,7 @@
         refuted.is_some_and(|oldest| self.crashes.shift_remove_index(oldest).is_some())
     }
 
-    // Peers know only of announced crashes.
+    // Returns a report of the crashes that were or are being announced to peers.
     fn report(&self, work: WorkDigest, now: MonoTime) -> CrashReport {
         let announced = self.crashes.iter().filter(|(_, crash)| crash.announced);
         let (refuted, crashes): (Vec<_>, Vec<_>) = announced.partition(|(_, crash)| crash.refuted);
@@ -226,22 +227,22 @@
 
     /// Records that a target completed an answer at `now`, which may refute its crashes.
     ///
-    /// If a target keeps its identifier across restarts, only an answer on a connection that
-    /// was opened before the suspected crash refutes it.
+    /// A target that reports its start time may have restarted under its old name, so only an
+    /// answer on a connection that was opened before the suspected crash refutes it.
     pub fn record_answer(
         &mut self,
         target: &TargetIncarnation,
         times: ExchangeTimes,
         now: MonoTime,
     ) {
-        let keeps_id = target.started_at().is_some();
+        let keeps_name = target.started_at().is_some();
         self.refute_crashes(target, now, |crash| {
             if !crash.local {
                 false
             } else if times.opened < crash.at {
                 times.sent > crash.at || now.since(crash.at) >= CONFIRMATION_DELAY
             } else {
-                times.sent > crash.at && !keeps_id
+                times.sent > crash.at && !keeps_name
             }
         });
     }
@@ -249,12 +250,12 @@
     /// Refutes crashes of targets that still have an entry in the store, which has been
     /// reachable without interruption since `reachable_since`.
     ///
-    /// While the store is available, the entry of a crashed target lapses within
-    /// `lapse_time`; a target whose entry is still there after that is alive.
+    /// While the store is available, the entry of a crashed target expires within
+    /// `entry_ttl`; a target whose entry is still there after that is alive.
     pub fn refute_registered(
         &mut self,
         has_entry: impl Fn(&TargetIncarnation) -> bool,
-        lapse_time: Duration,
+        entry_ttl: Duration,
         reachable_since: MonoTime,
         now: MonoTime,
     ) {
@@ -262,7 +263,7 @@
         let alive: Vec<TargetIncarnation> = alive.cloned().collect();
         for target in alive {
             self.refute_crashes(&target, now, |crash| {
-                now.since(crash.at.max(reachable_since)) >= lapse_time
+                now.since(crash.at.max(reachable_since)) >= entry_ttl
             });
         }
     }
@@ -279,9 +280,9 @@
         self.announce_refuted(work, now);
     }
 
-    /// Returns whether work may be sent now. Only the one daemon of the fleet with `may_try`
-    /// starts trials of quarantined work.
-    pub fn status(&mut self, work: WorkDigest, may_try: bool, now: MonoTime) -> WorkStatus {
+    /// Returns whether work may be sent now. Only the one daemon of the fleet with
+    /// `may_start_trial` starts trials of quarantined work.
+    pub fn status(&mut self, work: WorkDigest, may_start_trial: bool, now: MonoTime) -> WorkStatus {
         let Some(record) = self.works.get_mut(&work) else {
             return WorkStatus::Allowed;
         };
@@ -293,7 +294,7 @@
         let on_trial = record
             .trial_at
             .is_some_and(|at| now.since(at) < TRIAL_TIMEOUT);
-        if may_try && !on_trial && next.is_some_and(|at| at <= now) {
+        if may_start_trial && !on_trial && next.is_some_and(|at| at <= now) {
             record.trial_at = Some(now);
             return WorkStatus::Trial;
         }
@@ -345,10 +346,10 @@
         if self.works.is_empty() {
             return Vec::new();
         }
-        let repeated = self.works.iter();
-        let repeated = repeated.filter(|(_, record)| record.needs_rebroadcast(now));
-        let repeated: Vec<WorkDigest> = repeated.map(|(work, _)| *work).collect();
-        let due = self.broadcasts.select_due(&repeated, now);
+        let eligible = self.works.iter();
+        let eligible = eligible.filter(|(_, record)| record.needs_rebroadcast(now));
+        let eligible: Vec<WorkDigest> = eligible.map(|(work, _)| *work).collect();
+        let due = self.broadcasts.select_due(&eligible, now);
         let mut reports = Vec::new();
         for work in due {
             if let Some(record) = self.works.get_mut(&work) {
@@ -480,7 +481,8 @@
         }
     }
 
-    // Evicts an eighth at once, so that a flood of works does not sort for each new entry.
+    // Evicts an eighth at once, so that a flood of works does not cause a sort for each new
+    // entry.
     fn evict_works(&mut self) {
         let all = self.works.iter();
         let mut all: Vec<(usize, MonoTime, WorkDigest)> = all
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -34,15 +34,16 @@
 const QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(3_600);
 /// Interval at which quarantined work is compared with its records in the store.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Delay per rank before a daemon writes a record, which leaves the write to lower ranks.
+/// Delay per rank before a daemon writes a record, so that usually only the daemon with the
+/// lowest rank does.
 const WRITE_STAGGER: Duration = Duration::from_secs(1);
 /// Delay after a request that the store did not answer.
 const ERROR_DELAY: Duration = Duration::from_secs(1);
 /// Interval at which the store is checked for work that an operator released, while any is
 /// quarantined.
 const RELEASE_CHECK_INTERVAL: Duration = Duration::from_secs(20);
-/// Time without contact to the store, which is polled more often, after which its entries
-/// count as stale.
+/// Time without an answer from the store after which its entries count as stale; the store
+/// is polled more often than that.
 const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What is known of the store's record of one quarantined work.
@@ -50,6 +51,7 @@
 struct StoredWork {
     route: String,
     quarantined_at: MonoTime,
+    // Number of crashes in the record; 0 if there is none.
     crashes: usize,
 }
 
@@ -94,8 +96,8 @@
             return Ok(());
         }
         let (work, now) = (call.work(), clock::mono_now());
-        let may_try = self.rank() == 0;
-        let status = self.crashes.borrow_mut().status(work, may_try, now);
+        let may_start_trial = self.rank() == 0;
+        let status = self.crashes.borrow_mut().status(work, may_start_trial, now);
         match status {
             WorkStatus::Allowed => Ok(()),
             WorkStatus::Trial => {
@@ -163,11 +165,11 @@
         crashes.record_answer(&target.id, times, clock::mono_now());
     }
 
-    /// Records that work ran to completion. An answer without a length doesn't count: its
-    /// end may be a crash of the target.
+    /// Records that work ran to completion. An answer that states neither its length nor a
+    /// transfer encoding doesn't count: its end may be a crash of the target.
     pub fn record_completion(&self, call: &RoutedRequest, head: &HeaderMap) {
-        let framed = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
-        if framed && !self.crashes.borrow().is_empty() {
+        let states_end = head.contains_key(CONTENT_LENGTH) || head.contains_key(TRANSFER_ENCODING);
+        if states_end && !self.crashes.borrow().is_empty() {
             let mut crashes = self.crashes.borrow_mut();
             crashes.record_completion(call.work(), clock::mono_now());
         }
@@ -207,7 +209,7 @@
             route = route,
             source = source,
             targets = targets.join(" ");
-            "work is quarantined: it crashed several targets"
+            "work is quarantined: it crashed several targets; to release it, set released to true in its record in the store"
         );
         let stored_work = StoredWork {
             route: route.to_owned(),
@@ -222,7 +224,7 @@
         self.newly_quarantined.notify_waiters();
     }
 
-    /// Refutes crashes of targets whose entries show that they are alive.
+    /// Refutes crashes of targets whose entries in the store show that they are alive.
     pub(in crate::gateway) fn refute_registered_targets(&self, now: MonoTime) {
         let is_reachable = self.store_liveness.age(now) < STORE_TIMEOUT;
         let reachable_since = {
@@ -238,9 +240,9 @@
         let has_entry = |target: &TargetIncarnation| {
             view.has_target(target) && !view.missing_entries.contains_key(target)
         };
-        let lapse_time = self.settings().entry_lapse_time();
+        let entry_ttl = self.settings().entry_lapse_time();
         let mut crashes = self.crashes.borrow_mut();
-        crashes.refute_registered(has_entry, lapse_time, reachable_since, now);
+        crashes.refute_registered(has_entry, entry_ttl, reachable_since, now);
     }
 
     fn quarantine_object(&self, work: WorkDigest) -> ObjectName {
@@ -256,7 +258,7 @@
             Ok(batch) => batch.objects,
             Err(PlatformError::Refused { reason }) => {
                 log::warn!(
-                    "cannot list quarantined work, continuing without its records: {reason}"
+                    "the store refused to list the records of quarantined work, continuing without them: {reason}"
                 );
                 Vec::new()
             }
@@ -284,7 +286,8 @@
         };
         match QuarantineRecord::decode_report(name, value) {
             Ok(mut report) => {
-                // Only requests of callers extend the retention of work that is tracked here.
+                // Only requests of callers extend the retention of work that is tracked here,
+                // not the reading of its record.
                 if self.crashes.borrow().contains(report.work) {
                     report.age_ms = u64::MAX;
                 }
--- a/src/gateway/quarantine/records.rs
+++ b/src/gateway/quarantine/records.rs
@@ -35,7 +35,7 @@
 /// A record of quarantined work. The work's digest is the object's name.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineRecord {
-    /// Route on which it was received, for operators.
+    /// Route on which the work was received, for operators; empty if unknown.
     #[serde(default)]
     pub route: String,
     /// Target incarnations that crashed under it.
--- a/src/target_incarnation.rs
+++ b/src/target_incarnation.rs
@@ -54,6 +54,7 @@
     }
 }
 
+/// Writes the name, without the start time.
 impl fmt::Display for TargetIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
