--- a/src/gateway/deciding/affinity.rs
+++ b/src/gateway/deciding/affinity.rs
@@ -18,8 +18,8 @@
 /// the least recently used parts; under load, parts stay cached for tens of seconds.
 const CACHED_PART_TTL: Duration = Duration::from_secs(60);
 
-/// Share of an engine's KV cache that the index assumes to be filled with prompt parts.
-/// Parts of running prompts are counted too, so it is all of it; 45 and 140 percent gave
+/// Share of an engine's KV cache that the index assumes to be filled with prompt parts: all
+/// of it, because the parts of running prompts are counted too; 45 and 140 percent gave
 /// worse placements.
 const CACHE_SHARE_PERCENT: u64 = 100;
 
@@ -27,7 +27,7 @@
 struct CachedPart {
     tokens: u32,
     used_at: MonoTime,
-    // Whether it was prefilled or copied completely; until then it is in progress.
+    // Whether its prefill or copy is complete, so that other engines can copy it.
     ready: bool,
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl CacheIndex {
-    /// Sets the KV cache capacity of an engine, which running requests share.
+    /// Sets the KV cache capacity that is assumed for each engine; running requests share
+    /// it.
     pub fn set_capacity(&mut self, tokens: u64) {
         self.capacity_tokens = tokens * CACHE_SHARE_PERCENT / 100;
     }
--- a/src/gateway/deciding/engine_choice.rs
+++ b/src/gateway/deciding/engine_choice.rs
@@ -74,7 +74,7 @@
     pub work: TargetWork,
     /// How reliably and fast it answers.
     pub health: HealthView,
-    /// Whether another request may be sent to it.
+    /// Whether this request may be sent to it.
     pub available: bool,
 }
 
@@ -99,8 +99,8 @@
 
     fn running_ms(&self, each_ms: f64) -> f64 {
         let running = self.work.running;
-        let beyond = running.saturating_sub(self.record.slots);
-        f64::from(running) * each_ms + f64::from(beyond) * OVERLOAD_PENALTY_MS
+        let excess = running.saturating_sub(self.record.slots);
+        f64::from(running) * each_ms + f64::from(excess) * OVERLOAD_PENALTY_MS
     }
 }
 
@@ -123,7 +123,7 @@
     pub pending_prefill_tokens: u32,
     /// Shared tokens among them, which are recomputed.
     pub recomputed_tokens: u32,
-    /// Tokens of other requests that the engine prefills before.
+    /// Tokens of other requests that the engine prefills first.
     pub queued_ahead_tokens: u32,
     /// Whether it is queued behind all requests that can still meet their objective.
     pub deprioritized: bool,
@@ -151,7 +151,7 @@
 struct PrefillOption<'a> {
     engine: &'a EngineState,
     fetch_from: Option<&'a EngineState>,
-    // Expected time plus the cost to other requests; the option with the least is chosen.
+    // Expected time plus the cost to other requests; the cheapest option is chosen.
     cost_ms: f64,
     expected_ms: f64,
     own_prefill_ms: f64,
@@ -243,7 +243,9 @@
     prompt: &'a PromptShape,
     rank: u8,
     shared_tokens: u32,
+    // First home of the prompt's shared part, among engines that are not avoided.
     home: Option<&'a EngineState>,
+    // Engine from which the most leading tokens of the prompt can be copied.
     source: Option<&'a EngineState>,
 }
 
@@ -298,7 +300,8 @@
             .is_some_and(|home| home.record.id == engine.record.id);
         let weights = self.weights;
         let discount = if is_home { weights.home_discount } else { 0.0 };
-        let recompute_tokens = weights.recompute_weight * f64::from(recomputed) * (1.0 - discount);
+        let weighted_recomputed =
+            weights.recompute_weight * f64::from(recomputed) * (1.0 - discount);
         let slowdown = engine.health.slowdown;
         let waiting = engine.work.prefill_tokens_before(self.rank);
         let (latency, interference_factor, running) = if engine.is_prefill_engine() {
@@ -312,7 +315,8 @@
         let waiting_ms = f64::from(waiting) * latency.token_ms * slowdown;
         let expected_ms =
             latency.fixed_ms * slowdown + own_prefill_ms + waiting_ms + engine.health_penalty_ms();
-        let cost_to_others_ms = (own_prefill_ms + recompute_tokens * slowdown * latency.token_ms)
+        let cost_to_others_ms = (own_prefill_ms
+            + weighted_recomputed * slowdown * latency.token_ms)
             * interference_factor
             - own_prefill_ms;
         let copying_ms = f64::from(copied) * weights.copy_ms;
--- a/src/gateway/deciding/engine_model.rs
+++ b/src/gateway/deciding/engine_model.rs
@@ -47,7 +47,7 @@
     }
 
     // Values between those of known engines, which differ by a factor of eight. They
-    // weigh as much as two observations and fade within a second of load.
+    // weigh as much as two observations, so those of a second of load outweigh them.
     fn prior(self) -> LinearLatency {
         let (fixed_ms, token_ms) = match self {
             Self::RemotePrefill | Self::RemotePrefillLate => (40.0, 0.01),
--- a/src/gateway/deciding/health.rs
+++ b/src/gateway/deciding/health.rs
@@ -33,7 +33,7 @@
     Answered,
     /// The answer reported a failure or was cut off.
     Failed,
-    /// No answer: connection refused, connection reset or time-out.
+    /// No answer: connection refused, connection reset or timeout.
     Silent,
 }
 
@@ -73,7 +73,7 @@
 pub struct HealthView {
     /// Whether to use it only if no other target is available.
     pub avoided: bool,
-    /// Whether it was avoided and has not answered since.
+    /// Whether it is or was avoided and has not answered since.
     pub unverified: bool,
     /// Share of recent sends that failed.
     pub failure_rate: f64,
--- a/src/gateway/deciding/load.rs
+++ b/src/gateway/deciding/load.rs
@@ -1,4 +1,4 @@
-//! Outstanding work at targets: that of this daemon and, from their messages, of its peers.
+//! Outstanding work at targets: of this daemon and, as they report it, of its peers.
 
 use std::time::Duration;
 
@@ -91,7 +91,7 @@
 /// Outstanding work by target.
 pub type WorkByTarget = IndexMap<TargetIncarnation, TargetWork>;
 
-/// Work that was assigned to a peer and is not yet contained in its reports.
+/// Work that was placed for a request of a peer and is not yet contained in its reports.
 #[derive(Clone, Debug)]
 struct ReservedWork {
     number: u64,
@@ -180,7 +180,8 @@
         });
     }
 
-    /// Drops reservations of a peer up to the number that its report contains.
+    /// Drops reservations of a peer up to the number that its report contains. [`Self::total`]
+    /// includes them until the next [`Self::set_peer_work`] or [`Self::expire`].
     pub fn release_reservations(&mut self, daemon: &DaemonId, through: u64) {
         self.reported_through.insert(daemon.clone(), through);
         if let Some(reserved) = self.reserved.get_mut(daemon) {
--- a/src/gateway/deciding/mod.rs
+++ b/src/gateway/deciding/mod.rs
@@ -26,8 +26,8 @@
 use crate::names::{MonoTime, ServiceName};
 use crate::target_incarnation::TargetIncarnation;
 
-/// Added to the rank of a request that can no longer meet its objective.
-const LATE_RANKS: u8 = 5;
+/// Added to the rank of a deprioritised request: one that misses its objective by waiting.
+const DEPRIORITIZED_RANKS: u8 = 5;
 
 /// Engines that a decision may choose from.
 pub struct EngineCandidates<'a> {
@@ -151,7 +151,7 @@
         let service = query.choices.service();
         let choose = |rank, deprioritized| {
             let latencies = self.engines.latencies(&service, deprioritized);
-            let place = engine_choice::choose_engines(
+            let placement = engine_choice::choose_engines(
                 &self.weights,
                 &latencies,
                 &engines,
@@ -160,7 +160,7 @@
             )?;
             Some(EnginePlacement {
                 deprioritized,
-                ..place
+                ..placement
             })
         };
         let on_time = choose(query.urgency, false)?;
@@ -171,10 +171,14 @@
         if waiting_ms <= query.objective_left.as_secs_f64() * 1_000.0 {
             return Some(on_time);
         }
-        choose(query.urgency.saturating_add(LATE_RANKS).min(9), true)
+        choose(
+            query.urgency.saturating_add(DEPRIORITIZED_RANKS).min(9),
+            true,
+        )
     }
 
-    /// Chooses another prefill engine in place of the one chosen before.
+    /// Chooses another prefill engine in place of the one chosen before; `None` if the
+    /// prompt had better be prefilled on its decode engine, or no engine is available.
     #[must_use]
     pub fn choose_other_prefill_engine(
         &self,
@@ -248,15 +252,16 @@
 
 /// Difference in the share of busy slots within which targets are chosen at random.
 const TIE_RANGE: f64 = 0.3;
-/// Weight of the failure rate relative to the share of busy slots.
-const FAILURE_WEIGHT: f64 = 4.0;
+/// Cost of a target whose sends all fail, in shares of busy slots; scaled by the failure
+/// rate.
+const FAILURE_COST: f64 = 4.0;
 /// Cost of a target that recently did not answer: more than any load.
 const AVOIDED_COST: f64 = 100.0;
 
 // Cost of sending one more request: the share of busy slots plus penalties for failures.
 fn plain_cost(running: u32, slots: u32, health: HealthView) -> f64 {
     let busy_share = f64::from(running) / f64::from(slots.max(1));
-    let failure_cost = FAILURE_WEIGHT * health.failure_rate;
+    let failure_cost = FAILURE_COST * health.failure_rate;
     let avoided_cost = if health.avoided { AVOIDED_COST } else { 0.0 };
     let unverified = if health.unverified { 1.0 } else { 0.0 };
     busy_share + failure_cost + avoided_cost + unverified
--- a/src/gateway/deciding/stage_plan.rs
+++ b/src/gateway/deciding/stage_plan.rs
@@ -9,9 +9,10 @@
 use crate::names::CentreName;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Fewest decode engines to keep: they can also prefill, while a prefill engine cannot
-/// generate.
+/// Minimum number of decode engines to keep: they can also prefill, while a prefill engine
+/// cannot generate.
 const MIN_DECODE_ENGINES: usize = 2;
+
 /// Work placed on the engines of a service, per second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct WorkRate {
@@ -32,7 +33,8 @@
     pub stage: EngineStage,
 }
 
-/// Returns how many of `engines` should be prefill engines, for a given share of them.
+/// Returns how many of `engines` should be prefill engines, for a given share of them: at
+/// least one, if enough decode engines remain.
 #[must_use]
 pub fn prefill_engine_count(engines: usize, share: f64) -> usize {
     let max = engines.saturating_sub(MIN_DECODE_ENGINES);
@@ -42,7 +44,8 @@
 }
 
 /// Returns up to `at_once` changes that bring the number of prefill engines among
-/// `engines` to `desired`: the least busy engines first, spread over data centres.
+/// `engines` to `desired`: first in the data centre with the fewest engines of the new
+/// stage, and there the least busy engine.
 #[must_use]
 pub fn plan_changes(
     engines: &[Arc<TargetRecord>],
@@ -65,8 +68,8 @@
     let mut planned_changes = Vec::new();
     while planned_changes.len() < count.min(at_once) && !candidates.is_empty() {
         let key = |e: &&Arc<TargetRecord>| {
-            let same_stage = in_centre.get(&e.centre).copied().unwrap_or(0);
-            (same_stage, running(&e.id), e.id.clone())
+            let with_stage = in_centre.get(&e.centre).copied().unwrap_or(0);
+            (with_stage, running(&e.id), e.id.clone())
         };
         let Some(at) = (0..candidates.len()).min_by_key(|at| key(&candidates[*at])) else {
             break;
--- a/src/gateway/deciding/work_meter.rs
+++ b/src/gateway/deciding/work_meter.rs
@@ -3,8 +3,8 @@
 use crate::gateway::deciding::stage_plan::WorkRate;
 use crate::names::MonoTime;
 
-/// Time constant of the mean, in seconds: a swing of a few seconds is not worth a change
-/// of an engine's stage, a shift of ten seconds is.
+/// Time constant of the mean, in seconds: a change of the load that lasts a few seconds
+/// does not justify a change of an engine's stage, one that lasts ten seconds does.
 const TIME_CONSTANT_S: f64 = 6.0;
 
 /// Exponentially decaying mean rate of the work that this daemon placed.
