--- a/src/gateway/fleet_tasks/fleet_clock.rs
+++ b/src/gateway/fleet_tasks/fleet_clock.rs
@@ -10,7 +10,7 @@
 
 use crate::names::{DaemonId, MonoTime, UnixTime};
 
-/// Maximum age of a sample of another daemon's wall clock.
+/// Age from which a sample of another daemon's wall clock is dropped.
 const SAMPLE_RETENTION: Duration = Duration::from_secs(5);
 /// Minimum number of clocks, including the local one, for a median.
 const MIN_CLOCKS: usize = 3;
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -1,5 +1,5 @@
 //! Fleet tasks, which one daemon at a time performs for the fleet: reporting usage and
-//! ordering servers.
+//! ordering servers. Each server that the platform starts registers as a target.
 //!
 //! The right to act is a lease in the store. The platform does not check who acts. A holder
 //! therefore stops well before its lease expires on its own clock. A new holder starts only
@@ -38,7 +38,8 @@
 const STATE_KIND: &str = "pistachiowick-duties";
 /// Interval between checks for due work.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Daemons that contend for the lease: one may be stopped while another is partitioned.
+/// Maximum number of daemons that contend for the lease: one may be stopped while another is
+/// partitioned.
 const MAX_CONTENDERS: usize = 3;
 /// Time after the start in which the daemon does not contend, until hubs are elected.
 const STARTUP_DELAY: Duration = Duration::from_millis(3_000);
@@ -161,15 +162,15 @@
         let rank = self.gateway.task_rank(now);
         let events_tx = self.events_tx.clone();
         let contending = rank.filter(|rank| *rank < MAX_CONTENDERS);
-        self.lease.keep(contending, now, move |answer| {
+        self.lease.keep(contending, now, move |result| {
             // The receiver lives as long as the process.
-            let _ = events_tx.send(TaskEvent::Lease(answer));
+            let _ = events_tx.send(TaskEvent::Lease(result));
         });
     }
 
-    // Returns the right to act now. A daemon that takes over a released lease could act at
-    // once and release it just as quickly. The wait keeps the calls of alternating holders
-    // apart.
+    // Returns the right to act now, or `None` without a lease and, unless it is the first one
+    // ever, in its first period. A daemon that takes over a released lease could act at once
+    // and release it just as quickly. The wait keeps the calls of alternating holders apart.
     fn turn(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
         let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
             // After a late renewal, the holder only waits: its state is still valid.
@@ -203,14 +204,14 @@
 
     fn handle(&mut self, event: TaskEvent, now: MonoTime) {
         match event {
-            TaskEvent::Lease(answer) => self.lease.take(answer, now),
+            TaskEvent::Lease(result) => self.lease.take(result, now),
             TaskEvent::Usage(event) => self.usage.handle(event, now),
             TaskEvent::Servers(event) => self.servers.handle(event, now),
         }
     }
 }
 
-/// Fence of a lease that was never held before.
+/// Fence of a lease that was never held before: no calls of an earlier holder are in flight.
 const FIRST_FENCE: FenceNumber = FenceNumber(1);
 
 /// Returns the object in which a fleet task records what a successor has to know.
--- a/src/gateway/fleet_tasks/server_plan.rs
+++ b/src/gateway/fleet_tasks/server_plan.rs
@@ -1,4 +1,5 @@
-//! Plans how many targets of each kind a service should have per data centre. Free of I/O.
+//! Plans how many targets of each kind, on-demand and reclaimable, a service should have per
+//! data centre. Free of side effects.
 //!
 //! Reclaimable targets cost a fraction of the price of on-demand ones, but all of those in a
 //! data centre may be reclaimed at once, with seconds of notice. They are therefore spread
@@ -20,7 +21,8 @@
     pub on_demand: u32,
     /// Reclaimable targets that may get work.
     pub reclaimable: u32,
-    /// Reclaimable targets that will exist once the recently ordered ones have started.
+    /// Reclaimable targets that will exist once the recently ordered ones have started; 0
+    /// without a recent order.
     pub expected_reclaimable: u32,
 }
 
@@ -31,14 +33,14 @@
 /// targets by 4,500 filled that link, and departures were received 4.4 s late.
 const MAX_STEP: u32 = 100;
 
-/// Returns the number of targets of a kind to order next, out of the `current` and `desired`
+/// Returns the number of targets of a kind to order next, given the `current` and `desired`
 /// numbers and the one ordered last. A change within one step is ordered at once; for a
 /// larger one, the number stays the same while a step is in progress.
 #[must_use]
 pub fn next_step(current: u32, desired: u32, last_ordered: Option<u32>) -> u32 {
-    let fewest = current.saturating_sub(MAX_STEP);
-    let most = current.saturating_add(MAX_STEP);
-    let next = desired.clamp(fewest, most);
+    let min = current.saturating_sub(MAX_STEP);
+    let max = current.saturating_add(MAX_STEP);
+    let next = desired.clamp(min, max);
     if next == desired {
         return desired;
     }
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -1,4 +1,4 @@
-//! Orders servers where the plan differs from the running ones.
+//! Orders servers where the planned number of targets differs from the registered one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     reclaimable: bool,
 }
 
-/// Result of a call.
+/// Result of a call to the store or the platform.
 pub enum ServerEvent {
     /// The provided numbers were read.
     Read(Result<Option<StoredObject>, PlatformError>),
@@ -123,7 +123,7 @@
         let scaled = scaled_services(view).into_iter();
         let counts: IndexMap<ServiceName, u32> = scaled
             .map(|(name, _)| {
-                let count = count(view, &name);
+                let count = target_count(view, &name);
                 (name, count)
             })
             .collect();
@@ -153,7 +153,10 @@
             return;
         };
         for (name, _) in scaled {
-            provided.0.entry(name.clone()).or_insert(count(view, name));
+            provided
+                .0
+                .entry(name.clone())
+                .or_insert(target_count(view, name));
         }
         log::info!(provided = format!("{:?}", provided.0); "recording the number of targets provided by the operator");
         let write = ConditionalWrite {
@@ -223,22 +226,27 @@
             (true, desired.reclaimable, current.reclaimable),
             (false, desired.on_demand, current.on_demand),
         ];
-        kinds.into_iter().find_map(|(reclaimable, goal, count)| {
-            let key = OrderKey {
-                service: service.clone(),
-                centre: desired.centre.clone(),
-                reclaimable,
-            };
-            let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
-            let last = self.orders.get(&key);
-            let next = server_plan::next_step(count, goal, last.map(|last| last.count));
-            let due = match last {
-                None => next != count,
-                Some(last) if last.count != next => true,
-                Some(last) => next > count && now.since(last.at) > rule.boot_time + OVERDUE_TIME,
-            };
-            (due && !delayed).then_some((key, next))
-        })
+        kinds
+            .into_iter()
+            .find_map(|(reclaimable, desired_count, count)| {
+                let key = OrderKey {
+                    service: service.clone(),
+                    centre: desired.centre.clone(),
+                    reclaimable,
+                };
+                let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
+                let last = self.orders.get(&key);
+                let next =
+                    server_plan::next_step(count, desired_count, last.map(|last| last.count));
+                let due = match last {
+                    None => next != count,
+                    Some(last) if last.count != next => true,
+                    Some(last) => {
+                        next > count && now.since(last.at) > rule.boot_time + OVERDUE_TIME
+                    }
+                };
+                (due && !delayed).then_some((key, next))
+            })
     }
 
     /// Handles the result of a call.
@@ -276,7 +284,7 @@
     }
 
     fn back_off(&mut self, error: &PlatformError, now: MonoTime) {
-        log::warn!("ordering servers failed, retrying: {error}");
+        log::warn!("a call for ordering servers failed, retrying: {error}");
         self.backoff_until = now.plus(RETRY_DELAY);
     }
 }
@@ -287,7 +295,7 @@
     scaled.collect()
 }
 
-fn count(view: &FleetView, service: &ServiceName) -> u32 {
+fn target_count(view: &FleetView, service: &ServiceName) -> u32 {
     u32::try_from(view.service_targets(service).len()).unwrap_or(u32::MAX)
 }
 
@@ -324,7 +332,7 @@
         Ok(provided) => Some((version, provided)),
         Err(error) => {
             log::error!(
-                "cannot read the numbers of targets provided by the operator ({error}); no servers are ordered until the object is corrected"
+                "cannot read the numbers of targets provided by the operator ({error}); no servers are ordered until the object named provided of kind pistachiowick-duties is corrected"
             );
             None
         }
@@ -338,26 +346,27 @@
     send: impl Fn(ServerEvent) + 'static,
 ) {
     let (ports, turn) = (gateway.ports.clone(), turn.clone());
-    let desired = ServerOrder {
+    let order = ServerOrder {
         service: key.service.clone(),
         centre: key.centre.clone(),
         count,
         reclaimable: key.reclaimable,
     };
     spawn_local(async move {
-        let answer = match ports.fleet_tasks.filter(|_| turn.is_valid()) {
-            Some(duties) => (duties.order_servers)((turn.caller, desired)).await,
+        let result = match ports.fleet_tasks.filter(|_| turn.is_valid()) {
+            Some(port) => (port.order_servers)((turn.caller, order)).await,
             None => Err(PlatformError::Unavailable {
-                reason: "the lease for ordering servers expired".to_owned(),
+                reason: "the lease for fleet tasks was about to expire before the order was sent"
+                    .to_owned(),
                 retry_after: RETRY_DELAY,
             }),
         };
         log::info!(
             centre = key.centre.as_str(), reclaimable = key.reclaimable, count = count,
-            outcome = format!("{answer:?}");
+            outcome = format!("{result:?}");
             "server order call finished"
         );
         metrics::counter!("pistachiowick_server_orders_total").increment(1);
-        send(ServerEvent::Ordered(key, count, answer));
+        send(ServerEvent::Ordered(key, count, result));
     });
 }
--- a/src/gateway/fleet_tasks/usage_counts.rs
+++ b/src/gateway/fleet_tasks/usage_counts.rs
@@ -116,11 +116,11 @@
         let newest = self.local.keys().max().copied().unwrap_or(0);
         let recent = self.local.iter();
         let recent = recent.filter(|(window, _)| **window + WINDOWS_SENT > newest);
-        let cells = recent.flat_map(|(window, counts)| {
+        let updates = recent.flat_map(|(window, counts)| {
             let counts = counts.iter();
             counts.map(|(workspace, count)| (*window, workspace.clone(), *count))
         });
-        cells.collect()
+        updates.collect()
     }
 
     /// Merges the counts of another daemon. Counts of members are relayed to other hubs.
--- a/src/gateway/fleet_tasks/usage_reporter.rs
+++ b/src/gateway/fleet_tasks/usage_reporter.rs
@@ -23,7 +23,7 @@
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Result of a call.
+/// Result of a call to the store or the platform.
 pub enum UsageEvent {
     /// The ledger was read.
     Read(Result<Option<StoredObject>, PlatformError>),
@@ -156,7 +156,7 @@
         Ok(ledger) => Some((version, ledger)),
         Err(error) => {
             log::error!(
-                "cannot read the usage ledger ({error}); no usage is reported until the object is corrected"
+                "cannot read the usage ledger ({error}); no usage is reported until the object named usage of kind pistachiowick-duties is corrected"
             );
             None
         }
@@ -190,12 +190,13 @@
     let (ports, turn) = (gateway.ports.clone(), turn.clone());
     spawn_local(async move {
         let sent = match ports.fleet_tasks.filter(|_| turn.is_valid()) {
-            Some(duties) => {
+            Some(port) => {
                 let report = UsageReport { window, counts };
-                (duties.report_usage)((turn.caller, report)).await
+                (port.report_usage)((turn.caller, report)).await
             }
             None => Err(PlatformError::Unavailable {
-                reason: "the lease for reporting usage expired".to_owned(),
+                reason: "the lease for fleet tasks was about to expire before the report was sent"
+                    .to_owned(),
                 retry_after: RETRY_DELAY,
             }),
         };
