--- a/src/gateway/access.rs
+++ b/src/gateway/access.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the refusal, so that the caller does not try one engine after another.
+    /// Returns the refusal, so that the request is not tried on one engine after another.
     pub(super) fn recheck_access(&self, access: &CallerAccess) -> Result<(), Failure> {
         if self.may_still_send(access) {
             return Ok(());
@@ -58,8 +58,8 @@
 
     /// Returns whether a request may still be sent to a target on behalf of its workspace.
     ///
-    /// It may have waited for an engine or its prefill for seconds, in which its key was
-    /// revoked or this daemon was disconnected.
+    /// It may have waited for an engine or its prefill for seconds, in which its key may have
+    /// been revoked or this daemon disconnected.
     pub(super) fn may_still_send(&self, access: &CallerAccess) -> bool {
         let CallerAccess::Workspace { name, key } = access else {
             return true;
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! The fleet's retry budget, of which each daemon enforces its own share.
+//! The fleet's retry budget for each service, of which each daemon enforces its own share.
 //!
 //! A daemon may retry a fraction of the requests that it received, plus its share of a
 //! fixed allowance. No daemon's share depends on what another one does, so the sum over
@@ -11,7 +11,7 @@
 
 use crate::names::{MonoTime, ServiceName};
 
-/// Spans that a window is divided into. One more is kept, so that any window that begins
+/// Number of spans that a window is divided into. One more is kept, so that any window that begins
 /// within a span is covered completely.
 const SPANS: u64 = 10;
 /// Share of the fleet's budget that is used, since the daemons' windows are not aligned
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct SpanCounts {
-    // Counts by span number.
+    // Counts by span number: the time divided by the length of a span.
     requests: IndexMap<u64, u32>,
     retries: IndexMap<u64, u32>,
 }
--- a/src/gateway/model.rs
+++ b/src/gateway/model.rs
@@ -56,7 +56,7 @@
     pub path_prefix: String,
     /// Whether requests may be retried.
     pub retry: RetryRule,
-    /// Longest time for a request, from its arrival to the end of its answer.
+    /// Maximum time for a request, from its arrival to the end of its answer.
     pub time_limit: Duration,
     /// Latency objective of an answer, or of its first event.
     pub objective: Duration,
@@ -131,7 +131,7 @@
     pub max_per_centre: u32,
     /// Time from the order until a target serves requests.
     pub boot_time: Duration,
-    /// Price of a reclaimable target relative to a permanent one; `None` where there are
+    /// Price of a reclaimable target relative to an on-demand one; `None` where there are
     /// no reclaimable ones.
     pub reclaimable_price: Option<f64>,
     /// Price of a target by data centre.
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -29,6 +29,7 @@
 /// How long departures, and the last revision of removed entries, are remembered: longer
 /// than outdated information about them can take to arrive.
 const DEPARTURE_TTL: Duration = Duration::from_secs(120);
+
 /// Source of information about an entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EntrySource {
@@ -122,12 +123,13 @@
     departed: IndexMap<TargetIncarnation, MonoTime>,
     // Newest revision seen of each name, so that older entries are ignored.
     seen: IndexMap<TargetId, SeenRevision>,
-    // Entries added or certainly removed, for daemons that cannot reach the store.
+    // Entries added, or removed while the store was reachable, to be announced to daemons
+    // that cannot reach it.
     recent_updates: IndexMap<TargetId, RecentUpdate>,
     // Unreadable entries, with the revision that was logged.
     unreadable: IndexMap<TargetId, u64>,
     outage: StoreOutageTracker,
-    // Revision up to which this daemon itself has read all changes.
+    // Revision up to which this daemon has applied all changes of the store.
     read_through: u64,
 }
 
@@ -191,8 +193,8 @@
                 self.unreadable.swap_remove(&name);
                 self.insert_target(record, revision, source, now)
             }
-            EntryContent::Unreadable(fault) => {
-                self.ignore_unreadable(&name, revision, &fault, source);
+            EntryContent::Unreadable(error) => {
+                self.ignore_unreadable(&name, revision, &error, source);
                 false
             }
         }
@@ -419,13 +421,13 @@
         &mut self,
         name: &TargetId,
         revision: u64,
-        fault: &WireError,
+        error: &WireError,
         source: EntrySource,
     ) {
         let logged_revision = self.unreadable.insert(name.clone(), revision);
         if logged_revision != Some(revision) {
             metrics::counter!("pistachiowick_unreadable_entries_total").increment(1);
-            log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "ignored unreadable target entry, other entries stay in use; the target gets no work until it writes the entry again: {fault}");
+            log::warn!(target_id = name.as_str(), revision = revision, source = source.as_str(); "ignored unreadable target entry, other entries stay in use; the target gets no work until it writes the entry again: {error}");
         }
         self.entries.swap_remove(name);
     }
