--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -11,8 +11,8 @@
 
 use crate::names::{MonoTime, ServiceName};
 
-/// Number of spans that a window is divided into. One more is kept, so that any window that begins
-/// within a span is covered completely.
+/// Number of spans that a window is divided into. One more is kept, so that any window that
+/// begins within a span is covered completely.
 const SPANS: u64 = 10;
 /// Share of the fleet's budget that is used, since the daemons' windows are not aligned
 /// and not all retries of callers' connections are seen.
--- a/src/gateway/fleet_tasks/server_scaler.rs
+++ b/src/gateway/fleet_tasks/server_scaler.rs
@@ -226,27 +226,22 @@
             (true, desired.reclaimable, current.reclaimable),
             (false, desired.on_demand, current.on_demand),
         ];
-        kinds
-            .into_iter()
-            .find_map(|(reclaimable, desired_count, count)| {
-                let key = OrderKey {
-                    service: service.clone(),
-                    centre: desired.centre.clone(),
-                    reclaimable,
-                };
-                let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
-                let last = self.orders.get(&key);
-                let next =
-                    server_plan::next_step(count, desired_count, last.map(|last| last.count));
-                let due = match last {
-                    None => next != count,
-                    Some(last) if last.count != next => true,
-                    Some(last) => {
-                        next > count && now.since(last.at) > rule.boot_time + OVERDUE_TIME
-                    }
-                };
-                (due && !delayed).then_some((key, next))
-            })
+        kinds.into_iter().find_map(|(reclaimable, goal, count)| {
+            let key = OrderKey {
+                service: service.clone(),
+                centre: desired.centre.clone(),
+                reclaimable,
+            };
+            let delayed = self.delayed.get(&key).is_some_and(|until| now < *until);
+            let last = self.orders.get(&key);
+            let next = server_plan::next_step(count, goal, last.map(|last| last.count));
+            let due = match last {
+                None => next != count,
+                Some(last) if last.count != next => true,
+                Some(last) => next > count && now.since(last.at) > rule.boot_time + OVERDUE_TIME,
+            };
+            (due && !delayed).then_some((key, next))
+        })
     }
 
     /// Handles the result of a call.
