--- a/src/config/buckets.rs
+++ b/src/config/buckets.rs
@@ -223,7 +223,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the encoded bucket exceeds [`BUCKET_BYTES`].
+    /// Fails if the bucket cannot be encoded or exceeds [`BUCKET_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, ChangeError> {
         let value =
             serde_json::to_vec(&BucketWire::from(self)).map_err(|e| ChangeError::Invalid {
