--- a/src/authority/lease_record.rs
+++ b/src/authority/lease_record.rs
@@ -1,4 +1,4 @@
-//! The lease object of a group of engines, as the platform holds it.
+//! The lease object of a group of engines, as stored in the platform.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -9,21 +9,21 @@
 /// Kind of the lease objects.
 pub const LEASE_KIND: &str = "leases";
 
-/// What a lease object says.
+/// Contents of a lease object.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LeaseRecord {
     /// Daemon that holds or held the lease.
     pub holder: DaemonId,
-    /// Life of the holder's process.
+    /// Incarnation of the holder's process.
     pub incarnation: ProcessIncarnation,
-    /// Rises with each acquisition.
+    /// Fencing number, which rises with each acquisition.
     pub fence: FenceNumber,
-    /// Unique mark of the write.
-    pub mark: String,
-    /// Whether the holder gave it up.
+    /// Unique id of the write.
+    pub write_id: String,
+    /// Whether the holder has released the lease.
     pub released: bool,
-    /// Whether an order may still be under way after the release.
-    pub unsettled: bool,
+    /// Whether an order may still be in flight after the release.
+    pub order_in_flight: bool,
 }
 
 /// Why a lease object could not be read.
@@ -41,11 +41,12 @@
     holder: DaemonId,
     incarnation: ProcessIncarnation,
     fence: FenceNumber,
-    mark: String,
+    #[serde(rename = "mark")]
+    write_id: String,
     #[serde(default)]
     released: bool,
-    #[serde(default)]
-    unsettled: bool,
+    #[serde(default, rename = "unsettled")]
+    order_in_flight: bool,
 }
 
 impl From<&LeaseRecord> for LeaseWire {
@@ -54,9 +55,9 @@
             holder: record.holder.clone(),
             incarnation: record.incarnation,
             fence: record.fence,
-            mark: record.mark.clone(),
+            write_id: record.write_id.clone(),
             released: record.released,
-            unsettled: record.unsettled,
+            order_in_flight: record.order_in_flight,
         }
     }
 }
@@ -67,9 +68,9 @@
             holder: wire.holder,
             incarnation: wire.incarnation,
             fence: wire.fence,
-            mark: wire.mark,
+            write_id: wire.write_id,
             released: wire.released,
-            unsettled: wire.unsettled,
+            order_in_flight: wire.order_in_flight,
         }
     }
 }
@@ -81,12 +82,13 @@
         serde_json::to_vec(&LeaseWire::from(self)).unwrap_or_default()
     }
 
-    /// Reads a record from its object.
+    /// Decodes a record from its object.
     ///
     /// # Errors
     ///
-    /// Fails when the object was deleted or its value is not a lease's: a fence taken
-    /// up from nothing could fall below one that engines have seen.
+    /// Returns an error if the object was deleted or its value is not a lease record:
+    /// counting fences from zero again could yield one below those that engines have
+    /// seen.
     pub fn decode(stored: &StoredObject) -> Result<Self, LeaseRecordError> {
         let refuse = |reason: String| LeaseRecordError {
             name: stored.object.name.clone(),
--- a/src/authority/order_record.rs
+++ b/src/authority/order_record.rs
@@ -1,68 +1,70 @@
-//! The object that records a group's orders before they are sent.
+//! The object that stores a group's orders before they are sent.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
 use crate::names::{FenceNumber, GroupName, TargetId};
 use crate::ports::{ObjectName, StoredObject};
-use crate::targets::wire::{EngineRole, OrderMark};
+use crate::targets::wire::{EngineRole, OrderId};
 
 /// Kind of the order objects, and of the plan.
 pub const ORDER_KIND: &str = "orders";
 
-/// Absolute state an engine is to have.
+/// State that an engine is to have, given in full rather than as a difference.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct EngineWish {
-    /// Role to have.
+pub struct PlannedChange {
+    /// Planned role.
     pub role: EngineRole,
-    /// Models to hold.
+    /// Models to have loaded.
     pub models: Vec<String>,
-    /// Why, for operators.
+    /// Reason, for operators.
     pub reason: String,
 }
 
-/// How far a change of an engine has come.
+/// Progress of an engine's change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderPhase {
-    /// Out of use; running work finishes before the order.
+    /// The engine gets no new work; running work finishes before the order.
     Draining,
-    /// Recorded, and sent or about to be.
-    Ordered(OrderMark),
+    /// The order is stored, and sent or about to be sent.
+    Ordered(OrderId),
 }
 
 /// A change of one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderEntry {
-    /// State to have.
-    pub wish: EngineWish,
-    /// How far it has come.
+    /// Planned state.
+    pub change: PlannedChange,
+    /// Progress.
     pub phase: OrderPhase,
 }
 
-/// Orders of a group as recorded.
+/// Orders of a group as stored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct OrderRecord {
     /// Fence of the holder that wrote it.
     pub fence: FenceNumber,
-    /// Unique mark of the write.
-    pub mark: String,
+    /// Unique id of the write.
+    pub write_id: String,
     /// Number of the last order; never reused.
     pub last_order: u64,
-    /// Changes under way, at most one an engine.
+    /// Changes in progress, at most one per engine.
     pub entries: IndexMap<TargetId, OrderEntry>,
 }
 
 #[derive(Deserialize, Serialize)]
 struct EntryWire {
-    wish: EngineWish,
+    #[serde(rename = "wish")]
+    change: PlannedChange,
     #[serde(default)]
-    ordered: Option<OrderMark>,
+    ordered: Option<OrderId>,
 }
 
 #[derive(Deserialize, Serialize)]
 struct RecordWire {
     fence: FenceNumber,
-    mark: String,
+    #[serde(rename = "mark")]
+    write_id: String,
     last_order: u64,
     entries: IndexMap<TargetId, EntryWire>,
 }
@@ -72,14 +74,14 @@
         let entries = record.entries.iter().map(|(target, entry)| {
             let ordered = match &entry.phase {
                 OrderPhase::Draining => None,
-                OrderPhase::Ordered(mark) => Some(mark.clone()),
+                OrderPhase::Ordered(order_id) => Some(order_id.clone()),
             };
-            let wish = entry.wish.clone();
-            (target.clone(), EntryWire { wish, ordered })
+            let change = entry.change.clone();
+            (target.clone(), EntryWire { change, ordered })
         });
         Self {
             fence: record.fence,
-            mark: record.mark.clone(),
+            write_id: record.write_id.clone(),
             last_order: record.last_order,
             entries: entries.collect(),
         }
@@ -92,12 +94,12 @@
             let phase = entry
                 .ordered
                 .map_or(OrderPhase::Draining, OrderPhase::Ordered);
-            let wish = entry.wish;
-            (target, OrderEntry { wish, phase })
+            let change = entry.change;
+            (target, OrderEntry { change, phase })
         });
         Self {
             fence: wire.fence,
-            mark: wire.mark,
+            write_id: wire.write_id,
             last_order: wire.last_order,
             entries: entries.collect(),
         }
@@ -111,14 +113,14 @@
         serde_json::to_vec(&RecordWire::from(self)).unwrap_or_default()
     }
 
-    /// Drops the drains of an earlier holder: a drain is only a promise to order, and
-    /// who gave it is gone.
+    /// Drops the drains of an earlier holder: a drain only announces an order, and that
+    /// holder sends none any more.
     pub fn drop_drains(&mut self) {
         self.entries
             .retain(|_, entry| entry.phase != OrderPhase::Draining);
     }
 
-    /// Reads a record; `None` when the value is not one.
+    /// Decodes a record; `None` if the value is not one.
     #[must_use]
     pub fn decode(stored: &StoredObject) -> Option<Self> {
         let value = stored.value.as_deref()?;
--- a/src/authority/order_types.rs
+++ b/src/authority/order_types.rs
@@ -1,4 +1,4 @@
-//! Times, actions and news of engine changes.
+//! Durations, actions and events of engine changes.
 
 use std::time::Duration;
 
@@ -7,51 +7,54 @@
 use crate::names::{MonoTime, TargetId};
 use crate::ports::ConditionalWrite;
 
-/// Times of a change.
+/// Durations of a change.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderTimes {
-    /// Longest time an order may be under way.
-    pub flight: Duration,
+    /// Longest time that an order may be in flight.
+    pub max_flight: Duration,
     /// Time for all daemons to learn that an engine is out of use.
-    pub spread: Duration,
-    /// Longest wait for running work; the change is then given up.
-    pub drain: Duration,
+    pub propagation: Duration,
+    /// Longest wait for running work, after which the change is abandoned.
+    pub drain_timeout: Duration,
     /// Longest wait for an engine to finish a change.
-    pub change: Duration,
+    pub change_timeout: Duration,
 }
 
 impl OrderTimes {
-    /// Derives the times from those of leases and the expected length of a change.
+    /// Derives the durations from those of leases and the expected length of a change.
     #[must_use]
     pub fn new(lease: LeaseTimes, change: Duration) -> Self {
         Self {
-            flight: lease.order_flight,
-            spread: Duration::from_secs(1),
-            drain: Duration::from_secs(300),
-            change: change * 10 + Duration::from_secs(30),
+            max_flight: lease.max_order_flight,
+            propagation: Duration::from_secs(1),
+            drain_timeout: Duration::from_secs(300),
+            change_timeout: change * 10 + Duration::from_secs(30),
         }
     }
 }
 
-/// What the book wants done.
+/// An action that the order manager asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderAction {
-    /// Read the group's object; answered by [`crate::authority::orders::OrderBook::note_read`].
+    /// Read the group's object; the result goes to
+    /// [`crate::authority::orders::OrderManager::note_read`].
     Read,
-    /// Write it; answered by [`crate::authority::orders::OrderBook::note_write`].
+    /// Write it; the result goes to
+    /// [`crate::authority::orders::OrderManager::note_write`].
     Write {
-        /// Mark of the write.
-        mark: String,
+        /// Unique id of the write.
+        write_id: String,
         /// The conditional update.
         write: ConditionalWrite,
     },
-    /// Send the recorded order of an engine, if [`crate::authority::orders::OrderBook::begin_send`] still allows it.
+    /// Send the stored order of an engine, if
+    /// [`crate::authority::orders::OrderManager::begin_send`] still allows it.
     Send(TargetId),
 }
 
-/// An event of a change, for the journal.
+/// A step of an engine's change, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct OrderNews {
+pub struct OrderEvent {
     /// Engine concerned.
     pub target: TargetId,
     /// What happened and why.
@@ -61,26 +64,26 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SendState {
     Waiting,
-    Out { at: MonoTime },
-    Unsure { at: MonoTime },
-    Taken { at: MonoTime },
+    InFlight { at: MonoTime },
+    Unknown { at: MonoTime },
+    Accepted { at: MonoTime },
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum ChangeEnd {
+pub(crate) enum ChangeOutcome {
     Done,
     Failed,
     Withdrawn,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EngineSeen {
+pub(crate) struct EngineObservation {
     pub(crate) idle_at: Option<MonoTime>,
     pub(crate) taken_at: MonoTime,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct PendingWrite {
-    pub(crate) mark: String,
+    pub(crate) write_id: String,
     pub(crate) record: OrderRecord,
 }
--- a/src/control/gossip.rs
+++ b/src/control/gossip.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::config::buckets::CONFIG_KIND;
 use crate::control::state::ControlState;
-use crate::membership::{self, PeerWord};
+use crate::membership::{self, PeerUpdate};
 use crate::names::{DaemonId, MonoTime, ProcessIncarnation};
 use crate::peers::link::PeerEvent;
 use crate::peers::wire::{PeerHint, PeerMessage};
@@ -32,12 +32,13 @@
     }
 
     fn record_contact(&mut self, daemon: DaemonId, incarnation: ProcessIncarnation, leaving: bool) {
-        let update = PeerWord {
+        let update = PeerUpdate {
             daemon,
             incarnation,
             leaving,
         };
-        self.membership.note_peer(&update, clock::mono_now());
+        self.membership
+            .apply_peer_update(&update, clock::mono_now());
     }
 
     fn on_message(&mut self, from: &DaemonId, message: PeerMessage) {
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -60,7 +60,7 @@
         feeds: mpsc::UnboundedSender<FeedEvent>,
     ) -> Self {
         let settings = &inputs.settings;
-        let local_view = membership::own_view(
+        let local_view = membership::local_view(
             settings.daemon_id.clone(),
             inputs.rpc_address.to_string(),
             inputs.peer_address.to_string(),
@@ -69,7 +69,7 @@
         );
         let limits = MembershipLimits {
             forget: Duration::from_millis(settings.platform.instances_ms * FORGET_AFTER_LISTS),
-            peer_silence: Duration::from_millis(settings.peers.silence_ms),
+            peer_timeout: Duration::from_millis(settings.peers.silence_ms),
             ..MembershipLimits::default()
         };
         let locks = (0..BUCKETS).map(|_| Mutex::new(()));
@@ -113,11 +113,12 @@
             ControlEvent::TargetContacted { target, answered } => {
                 let now = clock::mono_now();
                 self.membership
-                    .note_call(&target, CallSource::Work, answered, now);
+                    .record_call(&target, CallSource::Work, answered, now);
             }
             ControlEvent::TargetLeaving { target, address } => {
                 let now = clock::mono_now();
-                self.membership.note_target_leaving(&target, &address, now);
+                self.membership
+                    .record_target_leaving(&target, &address, now);
             }
             ControlEvent::WorkAccepted {
                 model,
@@ -186,7 +187,7 @@
         let now = clock::mono_now();
         let mut updates = Vec::new();
         for stored in objects {
-            if self.authority.note_object(stored, now) {
+            if self.authority.apply_object(stored, now) {
                 updates.push(stored.clone());
             }
         }
@@ -237,12 +238,12 @@
         self.polling.swap_remove(target);
         let now = clock::mono_now();
         self.membership
-            .note_call(target, CallSource::Poll, report.is_some(), now);
+            .record_call(target, CallSource::Poll, report.is_some(), now);
         if let Some((state, age)) = report {
             self.membership.note_state(target, state, *age, now);
             let taken_at = MonoTime(now.0.saturating_sub(millis(*age)));
             self.authority.note_state(target, state, taken_at);
-            if self.authority.leads(target) {
+            if self.authority.manages(target) {
                 self.peers.add_engine_state(target, state);
             }
         }
@@ -260,7 +261,7 @@
     fn poll_engines(&mut self, now: MonoTime) {
         for (target, address) in self.membership.engines_to_poll(now) {
             let reported_by_peer =
-                self.peers.is_reported_by_peer(&target, now) && !self.authority.leads(&target);
+                self.peers.is_reported_by_peer(&target, now) && !self.authority.manages(&target);
             if reported_by_peer || !self.polling.insert(target.clone()) {
                 continue;
             }
--- a/src/gateway/fleet_tasks/mod.rs
+++ b/src/gateway/fleet_tasks/mod.rs
@@ -117,7 +117,7 @@
     let times = LeaseTimes {
         duration: lease_time,
         guard: lease_time.mul_f64(GUARD_FRACTION),
-        order_flight: lease_time.mul_f64(IN_FLIGHT_FRACTION),
+        max_order_flight: lease_time.mul_f64(IN_FLIGHT_FRACTION),
     };
     let mut tasks = FleetTasks {
         lease: LeaseManager::new(gateway.clone(), LEASE_GROUP, times),
@@ -171,7 +171,11 @@
     // once and release it just as quickly. The wait keeps the calls of alternating holders
     // apart.
     fn turn(&mut self, now: MonoTime) -> Option<FleetTaskTurn> {
-        let Some(LeaseAuthority { fence, until }) = self.lease.authority(now) else {
+        let Some(LeaseAuthority {
+            fence,
+            deadline: until,
+        }) = self.lease.authority(now)
+        else {
             // After a late renewal, the holder only waits: its state is still valid.
             if !self.lease.is_held() {
                 self.change_lease(None);
--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -59,7 +59,7 @@
         for action in self.table.tick(now) {
             self.execute(action, on_result.clone());
         }
-        for news in self.table.take_news() {
+        for news in self.table.take_changes() {
             log::info!(lease = self.group.as_str(), held = news.held, reason = news.reason.as_str(); "lease to act for the whole fleet was acquired or lost");
         }
     }
@@ -71,9 +71,9 @@
                 LeaseAction::Read(group) => {
                     LeaseCallResult::Read((store.read)(lease_object(&group)).await)
                 }
-                LeaseAction::Write { mark, write, .. } => {
-                    LeaseCallResult::Written(mark, (store.write)(write).await)
-                }
+                LeaseAction::Write {
+                    write_id, write, ..
+                } => LeaseCallResult::Written(write_id, (store.write)(write).await),
             });
         });
     }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,8 @@
-//! Merges what is known of daemons and targets into one view.
+//! Merges what several sources report about daemons and targets into one view.
 //!
-//! Sources are the instance list, which lags, the calls this daemon makes itself,
-//! what peers and targets say of themselves, and the holds of the configuration.
+//! The sources are the instance list, which lags, the outcome of this daemon's own
+//! calls, what peers and targets report about themselves, and the holds in the
+//! configuration.
 
 pub mod addressing;
 pub mod departures;
@@ -14,10 +15,10 @@
 
 use indexmap::IndexMap;
 
-use crate::membership::departures::{DepartureTable, LifeKey};
+use crate::membership::departures::{DepartureTable, ProcessKey};
 use crate::membership::fleet::{DaemonView, FleetView, UseState};
 use crate::membership::records::{
-    DaemonRecord, PresenceRecord, TargetRecord, life_of, load_report,
+    DaemonRecord, PresenceRecord, TargetRecord, load_report, process_key,
 };
 use crate::membership::suspicion::CallSource;
 use crate::names::{
@@ -26,15 +27,15 @@
 use crate::store::wire::{InstanceKind, InstanceRow, InstanceState};
 use crate::targets::wire::EngineState;
 
-/// Bounds of the merged view.
+/// Limits of the merged view.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipLimits {
-    /// Lists that must lack an instance before it counts as gone.
+    /// Number of lists in a row without an instance after which it counts as gone.
     pub absent_lists: u32,
-    /// Time after which something gone is forgotten.
+    /// Time after which an instance that is no longer listed is forgotten.
     pub forget: Duration,
-    /// Silence after which a peer is suspected.
-    pub peer_silence: Duration,
+    /// Time without contact after which a peer is suspected.
+    pub peer_timeout: Duration,
 }
 
 impl Default for MembershipLimits {
@@ -42,23 +43,23 @@
         Self {
             absent_lists: 2,
             forget: Duration::from_secs(60),
-            peer_silence: Duration::from_secs(3),
+            peer_timeout: Duration::from_secs(3),
         }
     }
 }
 
-/// What a peer says of itself.
+/// What a peer reports about itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PeerWord {
-    /// Daemon that speaks.
+pub struct PeerUpdate {
+    /// Daemon that sends the report.
     pub daemon: DaemonId,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: ProcessIncarnation,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// A change of state, for the journal.
+/// A change of state, for the decision journal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StateChange {
     /// Daemon or target concerned.
@@ -69,12 +70,12 @@
     pub after: UseState,
 }
 
-/// The merged view and what it was merged from.
+/// The merged view and its sources.
 #[derive(Clone, Debug)]
 pub struct MembershipState {
     limits: MembershipLimits,
-    own: DaemonView,
-    own_listed: bool,
+    local: DaemonView,
+    local_listed: bool,
     targets: IndexMap<TargetId, TargetRecord>,
     daemons: IndexMap<DaemonId, DaemonRecord>,
     departures: DepartureTable,
@@ -86,13 +87,13 @@
 }
 
 impl MembershipState {
-    /// Creates a view that knows only this daemon.
+    /// Creates a view that contains only this daemon.
     #[must_use]
-    pub fn new(own: DaemonView, limits: MembershipLimits) -> Self {
+    pub fn new(local: DaemonView, limits: MembershipLimits) -> Self {
         let mut state = Self {
             limits,
-            own,
-            own_listed: false,
+            local,
+            local_listed: false,
             targets: IndexMap::new(),
             daemons: IndexMap::new(),
             departures: DepartureTable::new(limits.forget),
@@ -106,28 +107,28 @@
         state
     }
 
-    /// Returns the view as last refreshed.
+    /// Returns the view as of the last refresh.
     #[must_use]
     pub fn fleet(&self) -> &Arc<FleetView> {
         &self.fleet
     }
 
-    /// Returns how many departures are remembered.
+    /// Returns the number of remembered departures.
     #[must_use]
     pub fn departures(&self) -> usize {
         self.departures.len()
     }
 
-    /// Merges an instance list; returns whether it was taken.
+    /// Merges an instance list; returns whether it was applied.
     ///
-    /// An empty list while targets are known is left out: the platform answers so
-    /// while it restarts, and obeying it would take the whole fleet out of use.
+    /// An empty list is ignored while targets are known: the platform returns one while
+    /// it restarts, and applying it would take the whole fleet out of use.
     pub fn apply_list(&mut self, rows: &[InstanceRow], now: MonoTime) -> bool {
         if rows.is_empty() && !self.targets.is_empty() {
             return false;
         }
         self.dirty = true;
-        self.age_presence();
+        self.count_absent_lists();
         for row in rows {
             match row.kind {
                 InstanceKind::Entry => self.apply_daemon(row, now),
@@ -138,7 +139,7 @@
         true
     }
 
-    fn age_presence(&mut self) {
+    fn count_absent_lists(&mut self) {
         for record in self.targets.values_mut() {
             record.presence.absent_lists += 1;
         }
@@ -150,11 +151,11 @@
     fn apply_target(&mut self, row: &InstanceRow, now: MonoTime) {
         let id = TargetId::from(row.id.as_str());
         let known = self.targets.get(&id);
-        // Another address is another process, of which nothing is known yet.
+        // Another address means another process, about which nothing is known yet.
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| TargetRecord::new(row, now));
         self.departures
-            .note_row(&life_of(row), row.state, record.incarnation, now);
+            .apply_row(&process_key(row), row.state, record.incarnation, now);
         record.presence = PresenceRecord::seen(row.state, now);
         record.view.data_centre = row.data_centre.clone();
         record.view.service = row.service.clone();
@@ -164,27 +165,27 @@
 
     fn apply_daemon(&mut self, row: &InstanceRow, now: MonoTime) {
         let id = DaemonId::from(row.id.as_str());
-        if id == self.own.id {
-            self.apply_own(row);
+        if id == self.local.id {
+            self.apply_local_row(row);
             return;
         }
         let known = self.daemons.get(&id);
         let same = known.filter(|r| r.view.address == row.address);
         let mut record = same.cloned().unwrap_or_else(|| DaemonRecord::new(row, now));
         self.departures
-            .note_row(&life_of(row), row.state, record.incarnation(), now);
+            .apply_row(&process_key(row), row.state, record.incarnation(), now);
         record.presence = PresenceRecord::seen(row.state, now);
         record.view.peer_address.clone_from(&row.peer_address);
         record.view.data_centre = row.data_centre.clone();
         self.daemons.insert(id, record);
     }
 
-    // A row that says "leaving" before any said "live" is about this daemon's
-    // previous life; obeying it would keep a restarted daemon out of use.
-    fn apply_own(&mut self, row: &InstanceRow) {
+    // A row that says "leaving" before any said "live" is about this daemon's previous
+    // incarnation; applying it would keep a restarted daemon out of use.
+    fn apply_local_row(&mut self, row: &InstanceRow) {
         match row.state {
-            InstanceState::Live => self.own_listed = true,
-            InstanceState::Leaving if self.own_listed => self.own.state = UseState::Leaving,
+            InstanceState::Live => self.local_listed = true,
+            InstanceState::Leaving if self.local_listed => self.local.state = UseState::Leaving,
             InstanceState::Leaving => {}
         }
     }
@@ -199,8 +200,8 @@
         self.changing.retain(|id, _| targets.contains_key(id));
     }
 
-    /// Notes that a call to a target failed or worked.
-    pub fn note_call(
+    /// Records whether a call to a target was answered or failed.
+    pub fn record_call(
         &mut self,
         target: &TargetId,
         source: CallSource,
@@ -208,11 +209,11 @@
         now: MonoTime,
     ) {
         if let Some(record) = self.targets.get_mut(target) {
-            self.dirty |= record.suspicion.note(source, answered, now);
+            self.dirty |= record.suspicion.record_call(source, answered, now);
         }
     }
 
-    /// Notes an engine's own report; one of another target is left out.
+    /// Applies an engine's own report; one that names another target is ignored.
     pub fn note_state(
         &mut self,
         target: &TargetId,
@@ -223,8 +224,8 @@
         let Some(record) = self.targets.get_mut(target) else {
             return;
         };
-        let older = record.incarnation.is_some_and(|i| report.incarnation < i);
-        if report.target != *target || older {
+        let is_older = record.incarnation.is_some_and(|i| report.incarnation < i);
+        if report.target != *target || is_older {
             return;
         }
         let taken_at = MonoTime(now.0.saturating_sub(millis(age)));
@@ -235,52 +236,56 @@
         }
         record.incarnation = Some(report.incarnation);
         record.view.report = Some(load_report(report, taken_at));
-        let life = record.life();
-        self.departures.note_incarnation(&life, report.incarnation);
+        let process_key = record.process_key();
+        self.departures
+            .record_incarnation(&process_key, report.incarnation);
         self.dirty |= restarted;
         self.reports_dirty = true;
     }
 
-    /// Notes what a peer says of itself.
-    pub fn note_peer(&mut self, word: &PeerWord, now: MonoTime) {
-        let Some(record) = self.daemons.get_mut(&word.daemon) else {
+    /// Applies what a peer reports about itself.
+    pub fn apply_peer_update(&mut self, update: &PeerUpdate, now: MonoTime) {
+        let Some(record) = self.daemons.get_mut(&update.daemon) else {
             return;
         };
-        if word.incarnation < record.view.incarnation {
+        if update.incarnation < record.view.incarnation {
             return;
         }
-        self.dirty |= record.view.incarnation != word.incarnation;
-        record.view.incarnation = word.incarnation;
-        record.heard_at = Some(now);
-        let life = record.life();
-        self.departures.note_incarnation(&life, word.incarnation);
-        if word.leaving {
-            self.dirty |= !self.departures.is_leaving(&life);
+        self.dirty |= record.view.incarnation != update.incarnation;
+        record.view.incarnation = update.incarnation;
+        record.last_contact = Some(now);
+        let process_key = record.process_key();
+        self.departures
+            .record_incarnation(&process_key, update.incarnation);
+        if update.leaving {
+            self.dirty |= !self.departures.is_leaving(&process_key);
             self.departures
-                .note_leaving(&life, Some(word.incarnation), now);
+                .record_leaving(&process_key, Some(update.incarnation), now);
         }
     }
 
-    /// Notes that a link to a peer ended; its silence no longer means anything.
+    /// Records that the link to a peer was closed, after which a lack of contact no
+    /// longer counts against the peer.
     pub fn forget_peer(&mut self, daemon: &DaemonId) {
         if let Some(record) = self.daemons.get_mut(daemon) {
-            record.heard_at = None;
+            record.last_contact = None;
             self.dirty = true;
         }
     }
 
-    /// Notes a peer's word that a target is leaving.
-    pub fn note_target_leaving(&mut self, target: &TargetId, address: &str, now: MonoTime) {
+    /// Records a peer's report that a target is leaving.
+    pub fn record_target_leaving(&mut self, target: &TargetId, address: &str, now: MonoTime) {
         let known = self.targets.get(target);
         let Some(record) = known.filter(|r| r.view.address == address) else {
             return;
         };
-        let (life, incarnation) = (record.life(), record.incarnation);
-        self.dirty |= !self.departures.is_leaving(&life);
-        self.departures.note_leaving(&life, incarnation, now);
+        let (process_key, incarnation) = (record.process_key(), record.incarnation);
+        self.dirty |= !self.departures.is_leaving(&process_key);
+        self.departures
+            .record_leaving(&process_key, incarnation, now);
     }
 
-    /// Takes the holds of the configuration in force.
+    /// Sets the holds of the configuration in force.
     pub fn set_holds(&mut self, holds: &IndexMap<TargetId, String>) {
         if self.holds != *holds {
             self.holds.clone_from(holds);
@@ -288,7 +293,7 @@
         }
     }
 
-    /// Takes the engines that wait for a planned change, with its reason.
+    /// Sets the engines that are out of use for a planned change, with the reason.
     pub fn set_changing(&mut self, changing: IndexMap<TargetId, String>) {
         if self.changing != changing {
             self.changing = changing;
@@ -296,22 +301,23 @@
         }
     }
 
-    /// Notes that this daemon is leaving.
+    /// Records that this daemon is leaving.
     pub fn set_stopping(&mut self) {
-        self.own.state = UseState::Leaving;
+        self.local.state = UseState::Leaving;
         self.dirty = true;
     }
 
-    /// Lets time pass: suspicions become due for a probe, peers fall silent, and
-    /// reports since the last tick enter the view together.
+    /// Updates what depends on time: suspected targets become due for a probe, peers
+    /// without recent contact become suspect, and the reports since the last tick enter
+    /// the view together.
     pub fn tick(&mut self, now: MonoTime) {
         self.dirty |= std::mem::take(&mut self.reports_dirty);
         for record in self.targets.values_mut() {
             self.dirty |= record.suspicion.tick(now);
         }
-        let silence = self.limits.peer_silence;
+        let timeout = self.limits.peer_timeout;
         for record in self.daemons.values_mut() {
-            let state = if record.is_silent(now, silence) {
+            let state = if record.is_unreachable(now, timeout) {
                 UseState::Suspect
             } else {
                 UseState::Live
@@ -321,7 +327,7 @@
         }
     }
 
-    /// Returns the engines whose state should be read now: all in the list, the
+    /// Returns the engines whose state should be read now: all listed ones, but
     /// suspected ones only when their probe is due.
     #[must_use]
     pub fn engines_to_poll(&self, now: MonoTime) -> Vec<(TargetId, String)> {
@@ -349,7 +355,9 @@
             view.state = self.target_state(record);
             fleet.targets.insert(id.clone(), view);
         }
-        fleet.daemons.insert(self.own.id.clone(), self.own.clone());
+        fleet
+            .daemons
+            .insert(self.local.id.clone(), self.local.clone());
         for (id, record) in &self.daemons {
             let mut view = record.view.clone();
             view.state = self.daemon_state(record);
@@ -363,25 +371,25 @@
     fn target_state(&self, record: &TargetRecord) -> UseState {
         let held =
             self.holds.contains_key(&record.view.id) || self.changing.contains_key(&record.view.id);
-        let own = match (held, record.suspicion.is_suspect()) {
+        let local = match (held, record.suspicion.is_suspect()) {
             (true, _) => UseState::Drained,
             (false, true) => UseState::Suspect,
             (false, false) => UseState::Live,
         };
-        own.max(self.listed_state(&record.presence, &record.life()))
+        local.max(self.listed_state(&record.presence, &record.process_key()))
     }
 
     fn daemon_state(&self, record: &DaemonRecord) -> UseState {
-        let listed = self.listed_state(&record.presence, &record.life());
+        let listed = self.listed_state(&record.presence, &record.process_key());
         record.view.state.max(listed)
     }
 
-    fn listed_state(&self, presence: &PresenceRecord, life: &LifeKey) -> UseState {
+    fn listed_state(&self, presence: &PresenceRecord, process_key: &ProcessKey) -> UseState {
         if presence.absent_lists >= self.limits.absent_lists {
             return UseState::Gone;
         }
-        let said = presence.row_state == InstanceState::Leaving;
-        if said || self.departures.is_leaving(life) {
+        let listed_leaving = presence.row_state == InstanceState::Leaving;
+        if listed_leaving || self.departures.is_leaving(process_key) {
             return UseState::Leaving;
         }
         UseState::Live
@@ -407,7 +415,7 @@
 
 /// Builds the view of this daemon itself.
 #[must_use]
-pub fn own_view(
+pub fn local_view(
     id: DaemonId,
     address: String,
     peer_address: String,
@@ -424,7 +432,7 @@
     }
 }
 
-/// Returns the age of a report by wall clock; a report from the future is fresh.
+/// Returns the age of a report by wall clock; a report from the future has age zero.
 #[must_use]
 pub fn report_age(report: &EngineState, now: UnixTime) -> Duration {
     now.since(UnixTime(report.at_ms))
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -10,7 +10,7 @@
 
 use indexmap::IndexMap;
 
-use crate::authority::order_record::EngineWish;
+use crate::authority::order_record::PlannedChange;
 use crate::decide::cost::SpeedSettings;
 use crate::names::{ModelName, MonoTime, TargetId};
 use crate::roles::capacity::{RoleCounts, capacity, demand, served_share};
@@ -47,7 +47,7 @@
         /// Engine to change.
         target: TargetId,
         /// Planned role and models.
-        wish: EngineWish,
+        change: PlannedChange,
     },
     /// Keep the roles although a change would gain a little.
     Keep {
@@ -160,12 +160,12 @@
             required_gain,
             horizon.as_secs_f64()
         );
-        let wish = EngineWish {
+        let change = PlannedChange {
             role: best.to,
             models: pool.models.to_vec(),
             reason,
         };
-        Some(PlanDecision::Change { target, wish })
+        Some(PlanDecision::Change { target, change })
     }
 
     fn report_keep(
@@ -346,13 +346,13 @@
             holders(&short.model),
             short.min_engines
         );
-        let wish = EngineWish {
+        let change = PlannedChange {
             role: engine.role,
             models,
             reason,
         };
         let target = engine.id.clone();
-        Some(PlanDecision::Change { target, wish })
+        Some(PlanDecision::Change { target, change })
     }
 }
 
--- a/src/roles/plan_store.rs
+++ b/src/roles/plan_store.rs
@@ -9,7 +9,7 @@
 
 use crate::authority::lease_groups::PLAN_GROUP;
 use crate::authority::order_record::{
-    EngineWish, OrderEntry, OrderPhase, OrderRecord, order_object,
+    OrderEntry, OrderPhase, OrderRecord, PlannedChange, order_object,
 };
 use crate::authority::order_types::OrderAction;
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
@@ -22,8 +22,8 @@
 pub struct PlanStore {
     fence: FenceNumber,
     version: ObjectVersion,
-    planned_changes: IndexMap<TargetId, EngineWish>,
-    stored: Option<IndexMap<TargetId, EngineWish>>,
+    planned_changes: IndexMap<TargetId, PlannedChange>,
+    stored: Option<IndexMap<TargetId, PlannedChange>>,
     must_read: bool,
     call_in_flight: bool,
     call_at: MonoTime,
@@ -64,19 +64,19 @@
 
     /// Returns the planned changes.
     #[must_use]
-    pub fn planned_changes(&self) -> &IndexMap<TargetId, EngineWish> {
+    pub fn planned_changes(&self) -> &IndexMap<TargetId, PlannedChange> {
         &self.planned_changes
     }
 
     /// Adds a planned change.
-    pub fn add_change(&mut self, target: TargetId, wish: EngineWish) {
-        self.planned_changes.insert(target, wish);
+    pub fn add_change(&mut self, target: TargetId, change: PlannedChange) {
+        self.planned_changes.insert(target, change);
     }
 
     /// Keeps only the planned changes for which `keep` returns true.
-    pub fn retain(&mut self, keep: impl Fn(&TargetId, &EngineWish) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&TargetId, &PlannedChange) -> bool) {
         self.planned_changes
-            .retain(|target, wish| keep(target, wish));
+            .retain(|target, change| keep(target, change));
     }
 
     /// Returns the next read or write to send, if one is due.
@@ -94,22 +94,22 @@
     fn write(&mut self) -> OrderAction {
         self.write_count += 1;
         self.call_in_flight = true;
-        let mark = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.write_count);
-        let entries = self.planned_changes.iter().map(|(target, wish)| {
+        let write_id = format!("{PLAN_GROUP}-{}-{}", self.fence.0, self.write_count);
+        let entries = self.planned_changes.iter().map(|(target, change)| {
             let entry = OrderEntry {
-                wish: wish.clone(),
+                change: change.clone(),
                 phase: OrderPhase::Draining,
             };
             (target.clone(), entry)
         });
         let record = OrderRecord {
             fence: self.fence,
-            mark: mark.clone(),
+            write_id: write_id.clone(),
             last_order: 0,
             entries: entries.collect(),
         };
         OrderAction::Write {
-            mark,
+            write_id,
             write: ConditionalWrite {
                 object: order_object(&GroupName::from(PLAN_GROUP)),
                 expected: self.version,
@@ -161,9 +161,9 @@
 
 /// Returns the engine changes in a stored record, of the plan or of a group.
 #[must_use]
-pub fn planned_changes_of(record: &OrderRecord) -> IndexMap<TargetId, EngineWish> {
+pub fn planned_changes_of(record: &OrderRecord) -> IndexMap<TargetId, PlannedChange> {
     let entries = record.entries.iter();
     entries
-        .map(|(target, entry)| (target.clone(), entry.wish.clone()))
+        .map(|(target, entry)| (target.clone(), entry.change.clone()))
         .collect()
 }
--- a/tests/control_membership.rs
+++ b/tests/control_membership.rs
@@ -7,7 +7,7 @@
 use pistachiowick::membership::addressing;
 use pistachiowick::membership::fleet::UseState;
 use pistachiowick::membership::suspicion::CallSource;
-use pistachiowick::membership::{MembershipLimits, MembershipState, PeerWord, own_view};
+use pistachiowick::membership::{MembershipLimits, MembershipState, PeerUpdate, local_view};
 use pistachiowick::names::{
     CentreName, DaemonId, MonoTime, ProcessIncarnation, ServiceName, TargetId,
 };
@@ -20,7 +20,7 @@
 const LIMITS: MembershipLimits = MembershipLimits {
     absent_lists: 2,
     forget: Duration::from_secs(60),
-    peer_silence: Duration::from_secs(3),
+    peer_timeout: Duration::from_secs(3),
 };
 
 fn row(id: &str, kind: InstanceKind, state: InstanceState) -> InstanceRow {
@@ -64,14 +64,14 @@
 }
 
 fn membership() -> MembershipState {
-    let own = own_view(
+    let local = local_view(
         DaemonId::from("me"),
         "me:1".to_owned(),
         "me:2".to_owned(),
         CentreName::from("north"),
         ProcessIncarnation(1),
     );
-    MembershipState::new(own, LIMITS)
+    MembershipState::new(local, LIMITS)
 }
 
 fn target_state(state: &mut MembershipState, id: &str) -> Option<UseState> {
@@ -86,14 +86,14 @@
     fleet.daemons.get(&DaemonId::from(id)).map(|d| d.state)
 }
 
-/// What happens to one engine, a second apart.
+/// Events of one engine, a second apart.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Live,
     Leaving,
     Absent,
     Moved,
-    Life(u64),
+    Incarnation(u64),
     Wait(u64),
 }
 
@@ -108,27 +108,27 @@
 #[case::older_list(LeavingCase {
     steps: &[Step::Live, Step::Leaving, Step::Live, Step::Live], state: Some(UseState::Leaving),
 })]
-#[case::same_life_reports(LeavingCase {
-    steps: &[Step::Life(5), Step::Leaving, Step::Live, Step::Life(5), Step::Live], state: Some(UseState::Leaving),
+#[case::same_incarnation_reports(LeavingCase {
+    steps: &[Step::Incarnation(5), Step::Leaving, Step::Live, Step::Incarnation(5), Step::Live], state: Some(UseState::Leaving),
 })]
-#[case::new_life(LeavingCase {
-    steps: &[Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Live], state: Some(UseState::Live),
+#[case::new_incarnation(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Live], state: Some(UseState::Live),
 })]
-#[case::new_life_before_the_list_follows(LeavingCase {
-    steps: &[Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Leaving], state: Some(UseState::Leaving),
+#[case::new_incarnation_before_the_list_follows(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Leaving], state: Some(UseState::Leaving),
 })]
-#[case::lagging_list_after_new_life(LeavingCase {
-    steps: &[Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Leaving, Step::Live],
+#[case::lagging_list_after_new_incarnation(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Leaving, Step::Live],
     state: Some(UseState::Live),
 })]
-#[case::new_life_leaves_too(LeavingCase {
+#[case::new_incarnation_leaves_too(LeavingCase {
     steps: &[
-        Step::Live, Step::Life(5), Step::Leaving, Step::Life(6), Step::Live, Step::Leaving, Step::Live,
+        Step::Live, Step::Incarnation(5), Step::Leaving, Step::Incarnation(6), Step::Live, Step::Leaving, Step::Live,
     ],
     state: Some(UseState::Leaving),
 })]
-#[case::late_report_of_the_old_life(LeavingCase {
-    steps: &[Step::Live, Step::Life(6), Step::Leaving, Step::Life(5), Step::Live], state: Some(UseState::Leaving),
+#[case::late_report_of_the_old_incarnation(LeavingCase {
+    steps: &[Step::Live, Step::Incarnation(6), Step::Leaving, Step::Incarnation(5), Step::Live], state: Some(UseState::Leaving),
 })]
 #[case::other_address(LeavingCase {
     steps: &[Step::Live, Step::Leaving, Step::Moved], state: Some(UseState::Live),
@@ -146,33 +146,32 @@
 #[case::back_after_being_forgotten(LeavingCase {
     steps: &[Step::Leaving, Step::Absent, Step::Wait(61), Step::Absent, Step::Live], state: Some(UseState::Live),
 })]
-/// An engine is told to leave; lists from lagging replicas, late reports and peers go on
-/// naming it live. Were any of them believed, new work would reach a process about to
-/// end and be cut. Only a newer life of the process may come back into use.
+/// An engine is leaving, but lists from lagging replicas, late reports and peers still
+/// show it as live. If any of them were believed, new work would be sent to a process
+/// that is about to exit, and be interrupted. Only a newer incarnation of the process
+/// may come back into use.
 fn leaving_beats_live(#[case] case: LeavingCase) {
     let mut state = membership();
     let mut now = MonoTime(0);
-    let keeper = engine("keeper", InstanceState::Live);
+    let other = engine("keeper", InstanceState::Live);
     for step in case.steps {
         now = now.plus(Duration::from_secs(1));
         match step {
-            Step::Live => {
-                state.apply_list(&[keeper.clone(), engine("e", InstanceState::Live)], now)
-            }
+            Step::Live => state.apply_list(&[other.clone(), engine("e", InstanceState::Live)], now),
             Step::Leaving => {
-                state.apply_list(&[keeper.clone(), engine("e", InstanceState::Leaving)], now)
+                state.apply_list(&[other.clone(), engine("e", InstanceState::Leaving)], now)
             }
-            Step::Absent => state.apply_list(std::slice::from_ref(&keeper), now),
+            Step::Absent => state.apply_list(std::slice::from_ref(&other), now),
             Step::Moved => {
                 let moved = InstanceRow {
                     address: "elsewhere:1".to_owned(),
                     ..engine("e", InstanceState::Live)
                 };
-                state.apply_list(&[keeper.clone(), moved], now)
+                state.apply_list(&[other.clone(), moved], now)
             }
-            Step::Life(incarnation) => {
+            Step::Incarnation(incarnation) => {
                 if target_state(&mut state, "e").is_none() {
-                    state.apply_list(&[keeper.clone(), engine("e", InstanceState::Live)], now);
+                    state.apply_list(&[other.clone(), engine("e", InstanceState::Live)], now);
                 }
                 let seen = report("e", *incarnation);
                 state.note_state(&TargetId::from("e"), &seen, Duration::ZERO, now);
@@ -187,10 +186,10 @@
     assert_eq!(target_state(&mut state, "e"), case.state);
 }
 
-/// The platform restarts and answers with an empty list. Obeying it would take every
-/// engine out of use at once, and every request would be refused.
+/// The platform restarts and returns an empty list. Applying it would take every engine
+/// out of use at once, and every request would be refused.
 #[test]
-fn an_empty_list_is_left_out() {
+fn an_empty_list_is_ignored() {
     let mut state = membership();
     state.apply_list(&[engine("e", InstanceState::Live)], MonoTime(1));
     for second in 2..9 {
@@ -254,7 +253,7 @@
     let mut state = membership();
     state.apply_list(&[engine("e", InstanceState::Live)], MonoTime(0));
     for (source, answered) in case.calls {
-        state.note_call(&TargetId::from("e"), *source, *answered, MonoTime(10));
+        state.record_call(&TargetId::from("e"), *source, *answered, MonoTime(10));
     }
     let expected = if case.suspect {
         UseState::Suspect
@@ -264,8 +263,8 @@
     assert_eq!(target_state(&mut state, "e"), Some(expected));
 }
 
-/// All work to a plain service fails; it has no state to read. After a wait it gets work
-/// again, one failure suspects it for twice as long, and an answer clears it.
+/// All work sent to a plain service fails, and it has no state to poll. After a wait it
+/// gets work again, and one more failure makes it suspect for twice as long.
 #[test]
 fn a_suspected_service_is_probed_with_work() {
     let mut state = membership();
@@ -275,7 +274,7 @@
         MonoTime(0),
     );
     let fail = |state: &mut MembershipState, at| {
-        state.note_call(&target, CallSource::Work, false, MonoTime(at));
+        state.record_call(&target, CallSource::Work, false, MonoTime(at));
     };
     for _ in 0..3 {
         fail(&mut state, 0);
@@ -294,9 +293,9 @@
     assert_eq!(seen, [suspect, live, suspect, live]);
 }
 
-/// An engine that answers no poll is polled ever more rarely, yet never forgotten.
+/// An engine that answers no poll is polled less and less often, but never dropped.
 #[test]
-fn a_silent_engine_is_polled_back() {
+fn an_unresponsive_engine_is_still_polled() {
     let mut state = membership();
     state.apply_list(&[engine("e", InstanceState::Live)], MonoTime(0));
     let mut polls = 0;
@@ -304,7 +303,7 @@
         let now = MonoTime(step * 100);
         if !state.engines_to_poll(now).is_empty() {
             polls += 1;
-            state.note_call(&TargetId::from("e"), CallSource::Poll, false, now);
+            state.record_call(&TargetId::from("e"), CallSource::Poll, false, now);
         }
         state.tick(now);
     }
@@ -349,29 +348,29 @@
 }
 
 struct PeerCase {
-    words: &'static [(u64, bool)],
+    updates: &'static [(u64, bool)],
     state: UseState,
     incarnation: u64,
 }
 
 #[rstest]
-#[case::live(PeerCase { words: &[(5, false)], state: UseState::Live, incarnation: 5 })]
-#[case::leaving(PeerCase { words: &[(5, true)], state: UseState::Leaving, incarnation: 5 })]
-#[case::late_word(PeerCase { words: &[(5, true), (5, false)], state: UseState::Leaving, incarnation: 5 })]
-#[case::restarted(PeerCase { words: &[(5, true), (6, false)], state: UseState::Live, incarnation: 6 })]
-#[case::late_word_of_the_old_life(PeerCase {
-    words: &[(6, false), (5, true)], state: UseState::Live, incarnation: 6,
+#[case::live(PeerCase { updates: &[(5, false)], state: UseState::Live, incarnation: 5 })]
+#[case::leaving(PeerCase { updates: &[(5, true)], state: UseState::Leaving, incarnation: 5 })]
+#[case::late_update(PeerCase { updates: &[(5, true), (5, false)], state: UseState::Leaving, incarnation: 5 })]
+#[case::restarted(PeerCase { updates: &[(5, true), (6, false)], state: UseState::Live, incarnation: 6 })]
+#[case::late_update_of_the_old_incarnation(PeerCase {
+    updates: &[(6, false), (5, true)], state: UseState::Live, incarnation: 6,
 })]
-fn peers_speak_for_one_life(#[case] case: PeerCase) {
+fn peer_updates_apply_to_one_incarnation(#[case] case: PeerCase) {
     let mut state = membership();
     state.apply_list(&[daemon("d", InstanceState::Live)], MonoTime(0));
-    for (incarnation, leaving) in case.words {
-        let word = PeerWord {
+    for (incarnation, leaving) in case.updates {
+        let update = PeerUpdate {
             daemon: DaemonId::from("d"),
             incarnation: ProcessIncarnation(*incarnation),
             leaving: *leaving,
         };
-        state.note_peer(&word, MonoTime(1));
+        state.apply_peer_update(&update, MonoTime(1));
     }
     assert_eq!(daemon_state(&mut state, "d"), Some(case.state));
     let view = &state.fleet().daemons[&DaemonId::from("d")];
@@ -379,39 +378,40 @@
 }
 
 #[test]
-fn a_silent_peer_is_suspected() {
+fn an_unreachable_peer_is_suspected() {
     let mut state = membership();
     state.apply_list(&[daemon("d", InstanceState::Live)], MonoTime(0));
-    let word = PeerWord {
+    let update = PeerUpdate {
         daemon: DaemonId::from("d"),
         incarnation: ProcessIncarnation(1),
         leaving: false,
     };
-    state.note_peer(&word, MonoTime(0));
+    state.apply_peer_update(&update, MonoTime(0));
     state.tick(MonoTime(2_999));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
     state.tick(MonoTime(3_000));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Suspect));
-    state.note_peer(&word, MonoTime(3_100));
+    state.apply_peer_update(&update, MonoTime(3_100));
     state.tick(MonoTime(3_200));
     assert_eq!(daemon_state(&mut state, "d"), Some(UseState::Live));
 }
 
-/// This daemon restarts at the same address; the list still says that its previous life
-/// is leaving. It must not take itself out of use for that, but for a later word.
+/// This daemon restarts at the same address, and the list still shows its previous
+/// incarnation as leaving. It must not take itself out of use for that, but must for a
+/// later row.
 #[rstest]
-#[case::word_about_the_previous_life(&[InstanceState::Leaving, InstanceState::Live], UseState::Live)]
-#[case::word_about_this_life(&[InstanceState::Live, InstanceState::Leaving], UseState::Leaving)]
+#[case::row_about_the_previous_incarnation(&[InstanceState::Leaving, InstanceState::Live], UseState::Live)]
+#[case::row_about_this_incarnation(&[InstanceState::Live, InstanceState::Leaving], UseState::Leaving)]
 #[case::older_list(
     &[InstanceState::Live, InstanceState::Leaving, InstanceState::Live],
     UseState::Leaving
 )]
-fn hears_the_list_about_itself(#[case] rows: &[InstanceState], #[case] state: UseState) {
-    let mut own = membership();
+fn applies_rows_about_itself(#[case] rows: &[InstanceState], #[case] state: UseState) {
+    let mut local = membership();
     for (step, row) in rows.iter().enumerate() {
-        own.apply_list(&[daemon("me", *row)], MonoTime(step as u64));
+        local.apply_list(&[daemon("me", *row)], MonoTime(step as u64));
     }
-    assert_eq!(daemon_state(&mut own, "me"), Some(state));
+    assert_eq!(daemon_state(&mut local, "me"), Some(state));
 }
 
 fn snapshot(daemons: &[(&str, &str, UseState)], stopping: bool) -> ControlSnapshot {
@@ -421,7 +421,7 @@
     };
     let mut fleet = (*snapshot.fleet).clone();
     for (id, centre, state) in daemons {
-        let mut view = own_view(
+        let mut view = local_view(
             DaemonId::from(*id),
             format!("{id}:1"),
             String::new(),
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn addressing_names_only_who_stays() {
+fn addressing_includes_only_daemons_that_stay() {
     let daemons = [
         ("me", "north", UseState::Live),
         ("near", "south", UseState::Live),
@@ -444,20 +444,20 @@
         ("leaving", "south", UseState::Leaving),
         ("gone", "south", UseState::Gone),
     ];
-    let (own, south) = (DaemonId::from("me"), CentreName::from("south"));
+    let (local, south) = (DaemonId::from("me"), CentreName::from("south"));
     let mut rng = SmallRng::seed_from_u64(1);
     for stopping in [false, true] {
         let snapshot = snapshot(&daemons, stopping);
-        let answer = addressing::locate(&snapshot, &own, Some(&south), 3_000, &mut rng);
-        let named: Vec<&str> = answer
+        let answer = addressing::locate(&snapshot, &local, Some(&south), 3_000, &mut rng);
+        let addresses: Vec<&str> = answer
             .addresses
             .iter()
             .map(|a| a.address.as_str())
             .collect();
         assert_eq!(answer.keep_ms, 3_000);
-        assert_eq!(named.contains(&"me:1"), !stopping);
-        assert!(named.contains(&"near:1") && named.contains(&"slow:1"));
-        assert!(!named.contains(&"leaving:1") && !named.contains(&"gone:1"));
+        assert_eq!(addresses.contains(&"me:1"), !stopping);
+        assert!(addresses.contains(&"near:1") && addresses.contains(&"slow:1"));
+        assert!(!addresses.contains(&"leaving:1") && !addresses.contains(&"gone:1"));
         assert_eq!(answer.addresses[0].data_centre, south);
     }
 }
@@ -473,8 +473,8 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let mut first: IndexMap<String, u32> = IndexMap::new();
     for _ in 0..4_000 {
-        let own = DaemonId::from("d0");
-        let answer = addressing::locate(&snapshot, &own, None, 1, &mut rng);
+        let local = DaemonId::from("d0");
+        let answer = addressing::locate(&snapshot, &local, None, 1, &mut rng);
         assert_eq!(answer.addresses.len(), addressing::MAX_ADDRESSES);
         *first
             .entry(answer.addresses[0].address.clone())
--- a/tests/control_peers.rs
+++ b/tests/control_peers.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_fakes::{FakeEngines, FakePlatform, until};
+use control_fakes::{FakeEngines, FakePlatform, wait_until};
 use indexmap::{IndexMap, IndexSet};
 use pistachiowick::config::catalogue::{ItemSpec, WorkspaceSpec};
 use pistachiowick::control::{
@@ -273,7 +273,7 @@
             });
             listeners.insert((*id).to_owned(), listener);
         }
-        platform.books().instances = rows;
+        platform.data().instances = rows;
         Self {
             platform,
             listeners,
@@ -369,14 +369,14 @@
     let mut test_fleet = TestFleet::new(&ids);
     let nodes = ids.map(|id| test_fleet.start(id, "secret"));
     for node in &nodes {
-        until("all reachable", || has_live_peers(node, &ids)).await;
+        wait_until("all reachable", || has_live_peers(node, &ids)).await;
     }
     // A watch that started before a watcher's first hint still runs to its end.
     let mut started = u32::MAX;
     for _ in 0..100 {
-        let before = test_fleet.platform.books().watches;
+        let before = test_fleet.platform.data().watches;
         tokio::time::sleep(Duration::from_millis(350)).await;
-        started = test_fleet.platform.books().watches - before;
+        started = test_fleet.platform.data().watches - before;
         if started <= 4 {
             break;
         }
@@ -412,22 +412,22 @@
         .map(|id| (*id, test_fleet.start(id, "secret")))
         .collect();
     for node in nodes.values() {
-        until("all reachable", || has_live_peers(node, &ids)).await;
+        wait_until("all reachable", || has_live_peers(node, &ids)).await;
     }
     let fleet = nodes["a"].control.snapshot.load().fleet.clone();
     let topology = PeerTopology::new(&fleet, &DaemonId::from("a"), 1);
     let watcher = topology.local_watchers[0].clone();
     let dead = nodes.swap_remove(watcher.as_str()).unwrap();
     end(dead).await;
-    let before = test_fleet.platform.books().watches;
-    until("the survivors watch", || {
-        test_fleet.platform.books().watches >= before + 8
+    let before = test_fleet.platform.data().watches;
+    wait_until("the survivors watch", || {
+        test_fleet.platform.data().watches >= before + 8
     })
     .await;
     let (_, node) = nodes.first().unwrap();
     change(node, "late").await;
     for node in nodes.values() {
-        until("in force", || has_workspace(node, "late")).await;
+        wait_until("in force", || has_workspace(node, "late")).await;
     }
     for (_, node) in nodes {
         end(node).await;
@@ -446,7 +446,7 @@
     ];
     let stranger = test_fleet.start("stranger", "guess");
     for node in &nodes {
-        until("peers reachable", || has_live_peers(node, &["a", "b"])).await;
+        wait_until("peers reachable", || has_live_peers(node, &["a", "b"])).await;
     }
     for node in &nodes {
         assert!(!has_live_peers(node, &["stranger"]));
@@ -468,7 +468,7 @@
     let mut test_fleet = TestFleet::new(&ids);
     let nodes = ["a", "b"].map(|id| test_fleet.start(id, "secret"));
     for node in &nodes {
-        until("peers reachable", || has_live_peers(node, &["a", "b"])).await;
+        wait_until("peers reachable", || has_live_peers(node, &["a", "b"])).await;
     }
     let request = |peer: &str, text: &str| {
         (nodes[0].peers.request)((DaemonId::from(peer), text.as_bytes().to_vec()))
@@ -499,7 +499,7 @@
     let mut test_fleet = TestFleet::new(&ids);
     let nodes = ids.map(|id| test_fleet.start(id, "secret"));
     for node in &nodes {
-        until("peers reachable", || has_live_peers(node, &ids)).await;
+        wait_until("peers reachable", || has_live_peers(node, &ids)).await;
     }
     let (done, _stopped) = oneshot::channel();
     nodes[0]
@@ -507,7 +507,7 @@
         .events
         .send(ControlEvent::Stop { done })
         .unwrap();
-    until("leaving", || {
+    wait_until("leaving", || {
         let snapshot = nodes[1].control.snapshot.load();
         snapshot.fleet.daemons[&DaemonId::from("a")].state == UseState::Leaving
     })
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -109,12 +109,12 @@
         for decision in planner.plan(&fleet, &[], &mix, in_progress.len(), now) {
             match decision {
                 PlanDecision::Keep { .. } => run.keeps += 1,
-                PlanDecision::Change { target, wish } => {
+                PlanDecision::Change { target, change } => {
                     run.changes += 1;
                     run.log.push((second, target.clone()));
                     let engine = fleet.iter_mut().find(|e| e.id == target).unwrap();
                     engine.usable = false;
-                    in_progress.push((second + 3, target, wish.role));
+                    in_progress.push((second + 3, target, change.role));
                 }
             }
         }
@@ -380,11 +380,11 @@
         assert!(decisions.is_empty(), "{decisions:?}");
         return;
     };
-    let [PlanDecision::Change { target, wish }] = decisions.as_slice() else {
+    let [PlanDecision::Change { target, change }] = decisions.as_slice() else {
         panic!("{decisions:?}");
     };
     assert_eq!(
-        (target.as_str(), wish.models.as_slice()),
+        (target.as_str(), change.models.as_slice()),
         (
             name,
             &case
