--- a/src/requests/owner_cache.rs
+++ b/src/requests/owner_cache.rs
@@ -1,4 +1,4 @@
-//! The owners of shards, kept for one version of the fleet.
+//! Cache of shard owners for one version of the fleet.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -8,30 +8,30 @@
 use crate::membership::fleet::{FleetView, UseState};
 use crate::names::DaemonId;
 
-/// Owners found for one version of the fleet.
+/// Shard owners for one version of the fleet.
 #[derive(Debug, Default)]
-struct FoundOwners {
+struct CachedOwners {
     version: u64,
     owners: IndexMap<u32, Option<DaemonId>>,
 }
 
 /// Finds the owner of a shard among the live daemons, once per version of the fleet:
-/// hashing each of hundreds of daemons for each write would cost more than the write.
+/// hashing hundreds of daemons for each write would cost more than the write.
 #[derive(Debug, Default)]
 pub struct OwnerCache {
-    found: Mutex<FoundOwners>,
+    cached: Mutex<CachedOwners>,
 }
 
 impl OwnerCache {
     /// Returns the owner of a shard; `None` when no daemon is live.
     pub fn owner(&self, shard: u32, fleet: &FleetView) -> Option<DaemonId> {
-        let mut found = self.found.lock().unwrap_or_else(PoisonError::into_inner);
-        // Any other version counts: a thread may come with a view older than the last.
-        if found.version != fleet.version {
-            found.version = fleet.version;
-            found.owners.clear();
+        let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+        // Also for a lower version: a thread may pass a view older than the last one.
+        if cached.version != fleet.version {
+            cached.version = fleet.version;
+            cached.owners.clear();
         }
-        let owner = found.owners.entry(shard);
+        let owner = cached.owners.entry(shard);
         owner.or_insert_with(|| live_owner(shard, fleet)).clone()
     }
 }
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -1,10 +1,10 @@
-//! Runs a request that may not be repeated: recorded first, dispatched at most once.
+//! Runs a non-repeatable request: recorded first, dispatched at most once.
 //!
-//! Where each "not run" comes from:
-//! - before a claim, of a key never sent before: nobody else can have claimed it;
-//! - before a claim, of a key sent before: the key is closed in the record first;
-//! - after a claim: only on proof that the one dispatch did not reach its target or
-//!   was turned away.
+//! When "not run" may be reported:
+//! - before a claim, for a first submission of a key: nobody else can have claimed it;
+//! - before a claim, for a resubmitted key: the key is closed in its record first;
+//! - after a claim: only on proof that the single dispatch did not reach its target or
+//!   was refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,22 +20,22 @@
 use crate::intents::{AnswerRecord, IntentKey, RecordView};
 use crate::requests::answer::AnswerSummary;
 use crate::requests::answer_sink::{AnswerSink, FinalOutcome};
-use crate::requests::attempt::{AttemptFault, AttemptState};
-use crate::requests::claimant::ClaimantLife;
+use crate::requests::attempt::{AttemptFailure, AttemptState};
+use crate::requests::claimant::ClaimantProcess;
 use crate::requests::dispatch::JobSlot;
 use crate::requests::request::CallerRequest;
 use crate::requests::run_call::{call_service, deliver};
 use crate::requests::traffic::{RequestProgress, TrafficContext, until_cancelled};
 
-/// How long a reply is awaited past the caller's deadline, to record it.
-const RECORD_PATIENCE: Duration = Duration::from_secs(60);
-/// First and longest waits between looks at another daemon's claim.
-const FIRST_LOOK: Duration = Duration::from_millis(100);
-const LONGEST_LOOK: Duration = Duration::from_secs(2);
-/// When a caller with an open outcome is asked to come back.
+/// Time to wait for a reply after the caller's deadline, in order to record it.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(60);
+/// First and longest waits between lookups of another daemon's claim.
+const FIRST_LOOKUP_WAIT: Duration = Duration::from_millis(100);
+const MAX_LOOKUP_WAIT: Duration = Duration::from_secs(2);
+/// Retry time given to a caller whose request has no outcome yet.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs a request to its outcome.
+/// Runs a request to its final outcome.
 pub async fn run(
     context: &Arc<TrafficContext>,
     request: &CallerRequest,
@@ -50,32 +50,32 @@
         match context.intents.lookup(key, false).await {
             Ok(RecordView::Absent) => {}
             Ok(record) => return from_record(context, request, sink, record, 0).await,
-            Err(error) => return unknown(format!("its record cannot be read: {error}")),
+            Err(error) => return unknown(format!("the record cannot be read: {error}")),
         }
     }
     let (slot, permit) = match obtain_permit(context, request, key, sink, &mut cancelled).await {
         Ok(granted) => granted,
         Err(outcome) => return outcome,
     };
-    // A call that was sent cannot be stopped; a stream can.
-    let (came, listening) = match &request.pool {
-        PoolKey::Service(_) => (context.stop_listening(cancelled), None),
+    // A call that was sent to a service cannot be stopped; a stream can.
+    let (already_cancelled, cancel_receiver) = match &request.pool {
+        PoolKey::Service(_) => (context.close_cancellation(cancelled), None),
         PoolKey::Model(_) => {
-            let came = *cancelled.borrow();
-            (came, Some(cancelled))
+            let already_cancelled = *cancelled.borrow();
+            (already_cancelled, Some(cancelled))
         }
     };
-    if came {
+    if already_cancelled {
         permit.release();
         return FinalOutcome::Cancelled;
     }
     let waited = clock::mono_now().since(request.arrived);
     progress.queueing.get_or_insert(waited);
-    sink.note_dispatched();
-    match listening {
+    sink.record_dispatch();
+    match cancel_receiver {
         None => {
             let token = context.token(request, Some(&slot.choice), 1);
-            sink.accepted(token, 1, &slot.choice.target).await;
+            sink.send_accepted(token, 1, &slot.choice.target).await;
             run_on_service(context, request, sink, slot, permit).await
         }
         Some(cancelled) => {
@@ -102,7 +102,7 @@
         }
     };
     let token = context.token(request, None, 0);
-    sink.accepted(token, 0, &"".into()).await;
+    sink.send_accepted(token, 0, &"".into()).await;
     let waited = tokio::select! {
         granted = ticket.wait() => granted,
         () = until_cancelled(cancelled) => {
@@ -131,21 +131,26 @@
             reason,
             retry_after,
             key_may_exist,
-        } => Err(after_giving_up(request, reason, retry_after, key_may_exist)),
+        } => Err(after_abandoned_claim(
+            request,
+            reason,
+            retry_after,
+            key_may_exist,
+        )),
         ClaimResult::Invalid { reason } => Err(invalid(request, reason)),
     }
 }
 
-/// This daemon's claim is given up for good. Whether the key ran is certain only if
-/// nobody else can have claimed it.
-fn after_giving_up(
+/// Returns the outcome after this daemon has abandoned its claim for good. It is certain
+/// that the key did not run only if nobody else can have claimed it.
+fn after_abandoned_claim(
     request: &CallerRequest,
     reason: String,
     retry_after: Duration,
     key_may_exist: bool,
 ) -> FinalOutcome {
     if key_may_exist && !request.submit.first_submission {
-        return unknown(format!("its record is not certain: {reason}"));
+        return unknown(format!("the state of its record is not certain: {reason}"));
     }
     FinalOutcome::NotRun {
         reason,
@@ -165,8 +170,8 @@
 
 /// Refuses a request that this daemon has not claimed.
 ///
-/// A key sent before may be in the hands of a daemon that is paused just now, and
-/// "not run" would turn false when it wakes. Closing the key first makes its
+/// A resubmitted key may be held by a daemon that is currently paused, and "not run"
+/// would become false when it resumes. Closing the key first makes that daemon's
 /// conditional update fail, so the refusal stays true.
 async fn refuse(
     context: &TrafficContext,
@@ -195,9 +200,11 @@
         Ok(record @ RecordView::Answered { .. }) => {
             from_record(context, request, sink, record, 0).await
         }
-        // Not waited for: this daemon was to turn the request away.
+        // Not awaited, because this daemon was about to refuse the request.
         Ok(_) => unknown("another daemon has claimed the key".to_owned()),
-        Err(error) => unknown(format!("{reason}, and its record is not certain: {error}")),
+        Err(error) => unknown(format!(
+            "{reason}, and the state of its record is not certain: {error}"
+        )),
     }
 }
 
@@ -216,7 +223,7 @@
     }
 }
 
-/// Makes the one call in a task of its own, which records its end also when the
+/// Makes the single call in a separate task, which records the result even if the
 /// caller's deadline passes first.
 async fn run_on_service(
     context: &Arc<TrafficContext>,
@@ -228,20 +235,20 @@
     let (reply, ended) = oneshot::channel();
     let call = call_and_record(Arc::clone(context), request.clone(), slot, permit);
     tokio::spawn(async move {
-        // The receiver is gone once the deadline has passed; the record was the point.
+        // The receiver is gone once the deadline has passed; the result is recorded anyway.
         let _ = reply.send(call.await);
     });
     match tokio::time::timeout(request.time_left(), ended).await {
         Ok(Ok(Ok(data))) => deliver(sink, 1, data).await,
-        Ok(Ok(Err(fault))) => {
-            if !fault.may_have_run {
-                sink.note_not_run();
+        Ok(Ok(Err(failure))) => {
+            if !failure.may_have_run {
+                sink.record_not_run();
             }
-            from_fault(fault)
+            from_failure(failure)
         }
-        Ok(Err(_)) => unknown("the daemon is going down".to_owned()),
+        Ok(Err(_)) => unknown("the daemon is shutting down".to_owned()),
         Err(_) => unknown(format!(
-            "no reply before the deadline; ask for its outcome after {} ms",
+            "no reply before the deadline; query its outcome after {} ms",
             RETRY_AFTER.as_millis()
         )),
     }
@@ -252,13 +259,13 @@
     request: CallerRequest,
     slot: JobSlot,
     permit: DispatchPermit,
-) -> Result<Vec<u8>, AttemptFault> {
-    // Past the caller's deadline too: a planned stop waits for the reply, since no
-    // other daemon can learn it.
+) -> Result<Vec<u8>, AttemptFailure> {
+    // Registered beyond the caller's deadline: a graceful shutdown waits for the reply,
+    // since no other daemon can obtain it.
     let (_guard, _) = context.register(&request.id);
     let dispatched = permit.dispatch();
-    let patience = request.time_left() + RECORD_PATIENCE;
-    let ended = call_service(&context, &request, &slot.choice, patience).await;
+    let timeout = request.time_left() + RECORD_TIMEOUT;
+    let ended = call_service(&context, &request, &slot.choice, timeout).await;
     slot.finish(JobMeasurement::default());
     match ended {
         Ok(data) => {
@@ -266,8 +273,8 @@
             Ok(data)
         }
         Err(error) => {
-            record_fault(dispatched, UndeliveredProof::from_error(&error));
-            Err(AttemptFault::from(&error))
+            record_failure(dispatched, UndeliveredProof::from_error(&error));
+            Err(AttemptFailure::from(&error))
         }
     }
 }
@@ -286,8 +293,8 @@
     let mut state = AttemptState::new(context, request, sink, progress, 0);
     let ended = tokio::select! {
         ended = state.run(&choice, 1) => ended,
-        () = until_cancelled(&mut cancelled) => Err(stopped("cancelled after its dispatch")),
-        () = tokio::time::sleep(request.time_left()) => Err(stopped("the deadline passed")),
+        () = until_cancelled(&mut cancelled) => Err(stopped("cancelled after dispatch")),
+        () = tokio::time::sleep(request.time_left()) => Err(stopped("the deadline passed after dispatch")),
     };
     let measure = state.measure(ended.is_ok());
     slot.finish(measure);
@@ -304,22 +311,22 @@
                 reason: String::new(),
             }
         }
-        Err(fault) => {
-            if !fault.may_have_run {
-                // The one dispatch was noted before its call; the engine turned it away.
-                sink.note_not_run();
+        Err(failure) => {
+            if !failure.may_have_run {
+                // The single dispatch was recorded before its call, and the engine refused it.
+                sink.record_not_run();
             }
-            record_fault(dispatched, fault.proof);
-            from_fault(fault)
+            record_failure(dispatched, failure.proof);
+            from_failure(failure)
         }
     }
 }
 
-fn stopped(reason: &str) -> AttemptFault {
-    AttemptFault {
+fn stopped(reason: &str) -> AttemptFailure {
+    AttemptFailure {
         may_have_run: true,
         proof: None,
-        cut: false,
+        connection_lost: false,
         reason: reason.to_owned(),
         retry_after: Duration::ZERO,
     }
@@ -334,26 +341,26 @@
     });
 }
 
-/// Records how a dispatch without an answer ended.
-fn record_fault(dispatched: DispatchedClaim, proof: Option<UndeliveredProof>) {
+/// Records the result of a dispatch without an answer.
+fn record_failure(dispatched: DispatchedClaim, proof: Option<UndeliveredProof>) {
     match proof {
         Some(proof) => dispatched.not_run(proof),
-        // Dropping the claim records that its end was lost.
+        // Dropping the claim records that its result is unknown.
         None => drop(dispatched),
     }
 }
 
-fn from_fault(fault: AttemptFault) -> FinalOutcome {
-    if fault.may_have_run {
-        return unknown(fault.reason);
+fn from_failure(failure: AttemptFailure) -> FinalOutcome {
+    if failure.may_have_run {
+        return unknown(failure.reason);
     }
     FinalOutcome::NotRun {
-        reason: fault.reason,
-        retry_after: fault.retry_after,
+        reason: failure.reason,
+        retry_after: failure.retry_after,
     }
 }
 
-/// Answers a caller who comes back for a request whose stream is gone.
+/// Answers a caller who resumes a request whose stream no longer exists.
 pub async fn recorded_outcome(
     context: &TrafficContext,
     request: &CallerRequest,
@@ -365,35 +372,35 @@
     };
     match claimed_or_closed(context, request, key).await {
         Ok(record) => from_record(context, request, sink, record, offset).await,
-        Err(error) => unknown(format!("its record cannot be read: {error}")),
+        Err(error) => unknown(format!("the record cannot be read: {error}")),
     }
 }
 
-/// Waits for the claim of a request that was accepted, and closes its key when none
-/// comes: the daemon that accepted it may still claim it, or may have died before.
-/// Left open, the key could only be called unknown.
+/// Waits until an accepted request is claimed, and closes its key if that does not
+/// happen: the daemon that accepted it may still claim it, or may have crashed before.
+/// Without closing the key, its outcome could only be reported as unknown.
 async fn claimed_or_closed(
     context: &TrafficContext,
     request: &CallerRequest,
     key: &IntentKey,
 ) -> Result<RecordView, LookupError> {
-    let patience = request.time_left() / 2;
-    let begun = clock::mono_now();
-    let mut wait = FIRST_LOOK;
+    let timeout = request.time_left() / 2;
+    let started = clock::mono_now();
+    let mut wait = FIRST_LOOKUP_WAIT;
     loop {
         let record = context.intents.lookup(key, false).await?;
         if record != RecordView::Absent {
             return Ok(record);
         }
-        if clock::mono_now().since(begun) + wait > patience {
+        if clock::mono_now().since(started) + wait > timeout {
             return context.intents.lookup(key, true).await;
         }
         tokio::time::sleep(wait).await;
-        wait = (wait * 2).min(LONGEST_LOOK);
+        wait = (wait * 2).min(MAX_LOOKUP_WAIT);
     }
 }
 
-/// Answers from the record of a key that somebody claimed before.
+/// Answers from the record of a key that was claimed earlier.
 async fn from_record(
     context: &TrafficContext,
     request: &CallerRequest,
@@ -401,32 +408,32 @@
     mut record: RecordView,
     offset: u64,
 ) -> FinalOutcome {
-    let begun = clock::mono_now();
-    let mut wait = FIRST_LOOK;
+    let started = clock::mono_now();
+    let mut wait = FIRST_LOOKUP_WAIT;
     while let RecordView::Intended { claimant, .. } = &record {
-        let looked = clock::mono_now().since(begun);
-        let gone = is_gone(context, claimant, looked).then(|| claimant.clone());
+        let waited = clock::mono_now().since(started);
+        let gone = is_gone(context, claimant, waited).then(|| claimant.clone());
         if gone.is_none() {
             if wait >= request.time_left() {
                 break;
             }
             tokio::time::sleep(wait).await;
-            wait = (wait * 2).min(LONGEST_LOOK);
+            wait = (wait * 2).min(MAX_LOOKUP_WAIT);
         }
         let Some(key) = &request.intent else { break };
-        // Also after the claimant was seen gone: it may have recorded its end between
-        // the last look and its stop.
+        // Also after the claimant was found gone: it may have recorded its result between
+        // the last lookup and its exit.
         record = match context.intents.lookup(key, false).await {
             Ok(found) => found,
-            Err(error) => return unknown(format!("its record cannot be read: {error}")),
+            Err(error) => return unknown(format!("the record cannot be read: {error}")),
         };
         if let (Some(claimant), RecordView::Intended { .. }) = (gone, &record) {
-            return unknown(format!("{claimant} dispatched it and is gone"));
+            return unknown(format!("{claimant} dispatched the request and is gone"));
         }
     }
     match record {
         RecordView::NotRun => FinalOutcome::NotRun {
-            reason: "the key was closed without running; use a new one".to_owned(),
+            reason: "the key was closed before the request ran; use a new one".to_owned(),
             retry_after: Duration::ZERO,
         },
         RecordView::Answered {
@@ -435,26 +442,27 @@
             result,
         } => {
             let token = context.token(request, None, 0);
-            sink.accepted(token, 0, &"".into()).await;
+            sink.send_accepted(token, 0, &"".into()).await;
             from_answer(sink, length, &digest, result, offset).await
         }
-        RecordView::Absent => unknown("its record has expired".to_owned()),
-        RecordView::Intended { claimant, .. } => unknown(format!("{claimant} has dispatched it")),
-        RecordView::Unknown => unknown("its target's answer was lost".to_owned()),
+        RecordView::Absent => unknown("the record of the request has expired".to_owned()),
+        RecordView::Intended { claimant, .. } => unknown(format!("dispatched by {claimant}")),
+        RecordView::Unknown => unknown("the target's answer was lost".to_owned()),
     }
 }
 
-/// Tells whether a record's claimant is gone, so that no end of it is to be awaited.
+/// Returns whether a record's claimant is gone, so that waiting for its result is
+/// pointless.
 ///
-/// Without this, a caller of a crashed daemon would hear nothing until the deadline.
-/// A claimant that is only cut off looks the same and may record its answer later.
-/// "Unknown" stays true even so, since it denies nothing; nobody dispatches the
-/// request again, and whoever asks after that gets the answer from the record.
-fn is_gone(context: &TrafficContext, claimant: &str, looked: Duration) -> bool {
+/// Without this, a caller of a crashed daemon would get no reply until the deadline.
+/// A partitioned claimant looks the same and may record its answer later. "Unknown"
+/// is still true then, since it rules nothing out; nobody dispatches the request
+/// again, and later queries get the answer from the record.
+fn is_gone(context: &TrafficContext, claimant: &str, waited: Duration) -> bool {
     let snapshot = context.control.snapshot.load();
-    // Before the first whole list, everybody would count as gone.
-    let life = ClaimantLife::parse(claimant).filter(|_| snapshot.ready);
-    life.is_some_and(|l| l.standing(&snapshot.fleet).is_final(looked))
+    // Before the first complete list, every claimant would count as gone.
+    let process = ClaimantProcess::parse(claimant).filter(|_| snapshot.ready);
+    process.is_some_and(|p| p.status(&snapshot.fleet).is_final(waited))
 }
 
 async fn from_answer(
@@ -472,7 +480,7 @@
             length,
             digest: digest.try_into().ok(),
         },
-        reason: "answered before; the answer was too large to be kept with the record".to_owned(),
+        reason: "answered before; the answer was too large to store in the record".to_owned(),
     }
 }
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -1,4 +1,4 @@
-//! One daemon: its parts wired together, its start and its graceful shutdown.
+//! One daemon: assembly of its components, startup and graceful shutdown.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -43,38 +43,40 @@
 use crate::telemetry::{self, Telemetry};
 use crate::tls;
 
-/// Decisions kept for `explain`.
-const JOURNAL_LENGTH: usize = 10_000;
-/// Connections accepted and not yet taken over by the server.
-const CONNECTIONS_AHEAD: usize = 64;
-/// Longest wait for the leases to be handed over.
-const HAND_OVER_TIME: Duration = Duration::from_secs(5);
-/// Least wait for the ends of claims to be recorded.
-const RECORD_TIME: Duration = Duration::from_secs(10);
-/// Time between looks at whether the last request has ended.
-const FINISH_CHECK: Duration = Duration::from_millis(20);
+/// Number of decisions kept for `explain`.
+const JOURNAL_CAPACITY: usize = 10_000;
+/// Number of connections accepted but not yet handed to the server.
+const MAX_PENDING_CONNECTIONS: usize = 64;
+/// Timeout of each of these shutdown steps: handing over the leases, closing the server
+/// and stopping the scheduler.
+const STOP_STEP_TIMEOUT: Duration = Duration::from_secs(5);
+/// Minimum time allowed for recording the results of claims.
+const MIN_RECORD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which the end of the last request is checked, and pause after a failed
+/// accept.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A daemon that serves.
+/// A running daemon.
 pub struct RunningDaemon {
-    /// Address for callers and operators.
+    /// Listen address for callers and operators.
     pub rpc: SocketAddr,
-    /// Address of health and metrics pages.
+    /// Listen address for health checks and metrics.
     pub admin: SocketAddr,
-    /// Address for other daemons.
+    /// Listen address for other daemons.
     pub peer: SocketAddr,
     context: Arc<TrafficContext>,
     closing: watch::Sender<bool>,
     ended: watch::Sender<bool>,
-    serving: JoinHandle<()>,
-    pumping: JoinHandle<()>,
+    server_task: JoinHandle<()>,
+    scheduling: JoinHandle<()>,
     _admin: AdminServer,
 }
 
-/// Serves until `stop` resolves, then shuts down gracefully.
+/// Runs a daemon until `stop` resolves, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// Returns what kept the daemon from starting.
+/// Returns an error if the daemon cannot start.
 pub async fn run_daemon(
     settings: DaemonSettings,
     started: impl FnOnce(&RunningDaemon),
@@ -91,8 +93,8 @@
 ///
 /// # Errors
 ///
-/// Returns what kept it from starting: an address in use, a certificate that cannot
-/// be read, no HTTP client.
+/// Returns an error if the daemon cannot start: an address is in use, a certificate is
+/// unreadable, or the HTTP client cannot be created.
 pub async fn start_daemon(settings: DaemonSettings) -> Result<RunningDaemon> {
     tls::install_provider();
     let settings = Arc::new(settings);
@@ -102,8 +104,9 @@
         .wrap_err_with(|| format!("cannot listen on listen.peer {}", settings.listen.peer))?;
     let peer = peer_listener.local_addr()?;
     let incarnation = clock::new_incarnation();
-    let platform = platform_port(&settings.platform).wrap_err("cannot call the platform")?;
-    let journal = DecisionJournal::new(JOURNAL_LENGTH);
+    let platform =
+        platform_port(&settings.platform).wrap_err("cannot set up the platform client")?;
+    let journal = DecisionJournal::new(JOURNAL_CAPACITY);
     let crashes = SharedCrashTracker::default();
     let control = start_control(ControlInputs {
         settings: Arc::clone(&settings),
@@ -130,11 +133,11 @@
         crashes,
     )?;
     let (closing, _) = watch::channel(false);
-    let serving = serve(&context, listener, incarnation, &closing)?;
+    let server_task = serve(&context, listener, incarnation, &closing)?;
     let dispatcher = context.dispatcher.clone();
     let (ended, _) = watch::channel(false);
-    let pumping = tokio::spawn(dispatcher.run(until_closed(ended.subscribe())));
-    log::info!("daemon {} serves on {rpc}", settings.daemon_id);
+    let scheduling = tokio::spawn(dispatcher.run(until_closed(ended.subscribe())));
+    log::info!("daemon {} is serving on {rpc}", settings.daemon_id);
     Ok(RunningDaemon {
         rpc,
         admin: admin.address,
@@ -142,87 +145,88 @@
         context,
         closing,
         ended,
-        serving,
-        pumping,
+        server_task,
+        scheduling,
         _admin: admin,
     })
 }
 
 impl RunningDaemon {
-    /// Tells whether a whole configuration and instance list have been seen.
+    /// Returns whether a complete configuration and instance list have been received.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.context.control.snapshot.load().ready
     }
 
-    /// Returns what the daemon's parts share, for embedding and tests.
+    /// Returns the shared state of the daemon's components, for embedding and tests.
     #[must_use]
     pub fn context(&self) -> &Arc<TrafficContext> {
         &self.context
     }
 
-    /// Shuts down gracefully: cuts no request.
+    /// Shuts down gracefully, without interrupting any request.
     ///
-    /// The daemon leaves the addressing first and goes on serving for as long as
-    /// callers keep an answer that names it; only then does it turn new work away,
-    /// and it ends once the last request has, and the end of each is recorded.
+    /// The daemon first withdraws its address and continues to serve for as long as
+    /// callers may cache it; only then does it refuse new work. It exits once the last
+    /// request has ended and all results are recorded.
     pub async fn stop(mut self) {
         let settings = Arc::clone(&self.context.settings);
         let (done, handed_over) = oneshot::channel();
-        // A control thread that is gone holds no leases and names no addresses.
+        // A control thread that has ended holds no leases and publishes no addresses.
         let _ = self
             .context
             .control
             .events
             .send(ControlEvent::Stop { done });
-        let _ = tokio::time::timeout(HAND_OVER_TIME, handed_over).await;
+        let _ = tokio::time::timeout(STOP_STEP_TIMEOUT, handed_over).await;
         let keep = Duration::from_millis(u64::from(settings.shutdown.keep_ms));
         tokio::time::sleep(keep).await;
         self.context.closing.store(true, Ordering::Relaxed);
         let finish = Duration::from_millis(settings.shutdown.finish_ms);
-        let begun = Instant::now();
+        let started = Instant::now();
         if tokio::time::timeout(finish, self.finish()).await.is_err() {
             let left = self.context.running_count();
             log::warn!("stopping with {left} requests running; raise shutdown.finish_ms");
         }
-        // The end of a claim is recorded after its caller has the answer. One left
-        // out would tell whoever asks for the key again that its outcome is unknown.
-        let rest = finish.saturating_sub(begun.elapsed()).max(RECORD_TIME);
+        // The result of a claim is recorded after its caller has the answer. If it were
+        // lost, a later query for the key would be told that the outcome is unknown.
+        let rest = finish
+            .saturating_sub(started.elapsed())
+            .max(MIN_RECORD_TIMEOUT);
         if !self.context.intents.drain(rest).await {
             log::warn!(
-                "stopping before the end of every claim is recorded; raise shutdown.finish_ms"
+                "stopping before the result of every claim is recorded; raise shutdown.finish_ms"
             );
         }
         self.ended.send_replace(true);
-        let _ = tokio::time::timeout(HAND_OVER_TIME, &mut self.pumping).await;
+        let _ = tokio::time::timeout(STOP_STEP_TIMEOUT, &mut self.scheduling).await;
         self.context.control.end();
         log::info!("daemon {} stopped", settings.daemon_id);
     }
 
-    /// Ends at once, as a crash would: running requests are cut, leases left to expire.
+    /// Stops immediately, like a crash: running requests are cut off, leases left to expire.
     pub fn kill(self) {
-        self.serving.abort();
-        self.pumping.abort();
+        self.server_task.abort();
+        self.scheduling.abort();
         self.context.control.end();
     }
 
     /// Waits for the last request, closes the listener and its connections, and waits
-    /// for what came meanwhile.
+    /// for requests that arrived meanwhile.
     ///
-    /// Callers who come back are served while others still run. Without the second
-    /// wait, one who came just before the close would lose the answer to the end of
-    /// the process.
+    /// Resumed requests are served while others still run. Without the second wait, one
+    /// that arrived just before the close would lose its answer when the process exits.
     async fn finish(&mut self) {
-        self.idle().await;
+        self.wait_until_idle().await;
         self.closing.send_replace(true);
-        // A caller that reads nothing more must not hold the stop up.
-        let _ = tokio::time::timeout(HAND_OVER_TIME, &mut self.serving).await;
-        self.idle().await;
+        // A caller that no longer reads must not delay the shutdown.
+        let _ = tokio::time::timeout(STOP_STEP_TIMEOUT, &mut self.server_task).await;
+        self.wait_until_idle().await;
     }
 
-    async fn idle(&self) {
+    async fn wait_until_idle(&self) {
         while self.context.running_count() > 0 {
-            tokio::time::sleep(FINISH_CHECK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -262,7 +266,7 @@
         incarnation,
         unix_now: Arc::new(clock::unix_now),
     };
-    let link = record_link(settings, &control, &peers);
+    let link = intent_link(settings, &control, &peers);
     let intents = IntentStore::with_link(&inputs, &link);
     let dispatcher = JobDispatcher::new(scheduler, control.clone(), journal.clone());
     let context = Arc::new(TrafficContext {
@@ -282,24 +286,25 @@
         closing: AtomicBool::new(false),
         settings: Arc::clone(settings),
     });
-    // Set once, here; a failure would mean that this line ran twice.
+    // Set only here; a failure would mean that this line ran twice.
     let _ = traffic.set(Arc::downgrade(&context));
     Ok(context)
 }
 
-/// Finds the owner of a shard among the live daemons and reaches it by the links.
-fn record_link(
+/// Creates the link that finds the owner of a shard among the live daemons and calls it
+/// over the links between daemons.
+fn intent_link(
     settings: &Arc<DaemonSettings>,
     control: &ControlHandle,
     peers: &PeerHandle,
 ) -> IntentLink {
-    let own = settings.daemon_id.clone();
+    let local = settings.daemon_id.clone();
     let snapshot = control.snapshot.clone();
     let owners = OwnerCache::default();
     IntentLink {
         owner: Arc::new(move |shard| {
             let owner = owners.owner(shard, &snapshot.load().fleet);
-            owner.filter(|daemon| *daemon != own)
+            owner.filter(|daemon| *daemon != local)
         }),
         call: records_link(peers),
     }
@@ -314,14 +319,15 @@
     let limits = &context.settings.limits;
     let requests = RequestsService::new(Arc::clone(context), incarnation);
     let operations = OperationsService::new(Arc::clone(context));
-    // After a pause, the submissions of callers who have given up since are read at
-    // once, each with its reset. Beyond the library's usual 20 that counts as an
-    // attack, and closing the connection would cut every other answer on it. A pause
-    // in which more are given up than a connection has streams still does so.
-    let given_up = usize::try_from(limits.streams_per_connection).ok();
+    // After a pause of this process, submissions that callers have abandoned meanwhile
+    // are read all at once, each with its reset. Above the library's default of 20 this
+    // counts as an attack, and closing the connection would cut off every other answer
+    // on it. This still happens if more requests are abandoned during a pause than a
+    // connection has streams.
+    let max_resets = usize::try_from(limits.streams_per_connection).ok();
     let mut server = Server::builder()
         .max_concurrent_streams(limits.streams_per_connection)
-        .http2_max_pending_accept_reset_streams(given_up);
+        .http2_max_pending_accept_reset_streams(max_resets);
     if let Some(tls) = &context.settings.listen.tls {
         let identity = Identity::from_pem(&tls.certificate_pem, &tls.key_pem);
         server = server
@@ -333,27 +339,27 @@
         .add_service(
             OperationsServer::new(operations).max_decoding_message_size(limits.message_bytes),
         );
-    let first_bytes = Duration::from_millis(limits.header_ms);
-    let connections = accept_connections(listener, first_bytes, closing.subscribe());
+    let first_byte_timeout = Duration::from_millis(limits.header_ms);
+    let connections = accept_connections(listener, first_byte_timeout, closing.subscribe());
     let closed = until_closed(closing.subscribe());
     Ok(tokio::spawn(async move {
         let served = router.serve_with_incoming_shutdown(connections, closed);
         if let Err(error) = served.await {
-            log::error!("serving callers ended: {error}");
+            log::error!("the server for callers and operators failed: {error}");
         }
     }))
 }
 
-/// Accepts connections and passes on those that send something in time.
+/// Accepts connections and forwards those that send a first byte in time.
 ///
-/// Without the wait for the first byte, connections opened and left silent would
-/// each hold a server task for good.
+/// Without waiting for the first byte, each idle connection would hold a server task
+/// indefinitely.
 fn accept_connections(
     listener: TcpListener,
-    first_bytes: Duration,
+    first_byte_timeout: Duration,
     closing: watch::Receiver<bool>,
 ) -> ReceiverStream<std::io::Result<TcpStream>> {
-    let (ready, connections) = mpsc::channel(CONNECTIONS_AHEAD);
+    let (ready, connections) = mpsc::channel(MAX_PENDING_CONNECTIONS);
     tokio::spawn(async move {
         let closed = until_closed(closing);
         tokio::pin!(closed);
@@ -363,25 +369,29 @@
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
-                // Out of descriptors, most likely: a pause lets some be freed.
-                tokio::time::sleep(FINISH_CHECK).await;
+                // Most likely out of file descriptors: wait for some to be freed.
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             };
-            tokio::spawn(pass_on(stream, first_bytes, ready.clone()));
+            tokio::spawn(forward_connection(
+                stream,
+                first_byte_timeout,
+                ready.clone(),
+            ));
         }
     });
     ReceiverStream::new(connections)
 }
 
-async fn pass_on(
+async fn forward_connection(
     stream: TcpStream,
-    first_bytes: Duration,
+    first_byte_timeout: Duration,
     ready: mpsc::Sender<std::io::Result<TcpStream>>,
 ) {
     let _ = stream.set_nodelay(true);
-    let peeked = tokio::time::timeout(first_bytes, stream.peek(&mut [0])).await;
+    let peeked = tokio::time::timeout(first_byte_timeout, stream.peek(&mut [0])).await;
     if matches!(peeked, Ok(Ok(read)) if read > 0) {
-        // A closed channel means the server is going down.
+        // A closed channel means that the server is shutting down.
         let _ = ready.send(Ok(stream)).await;
     }
 }
@@ -394,6 +404,6 @@
 }
 
 async fn until_closed(mut closing: watch::Receiver<bool>) {
-    // A dropped sender means the daemon is gone, which closes as well.
+    // A dropped sender means that the daemon is gone, which counts as closed.
     let _ = closing.wait_for(|closing| *closing).await;
 }
