--- a/src/authority/lease.rs
+++ b/src/authority/lease.rs
@@ -54,8 +54,7 @@
     /// Sets the groups that this daemon is a candidate for, with its rank in each; rank
     /// 0 should hold the lease.
     ///
-    /// The lease of a group that is missing is released if held, and the group is then
-    /// forgotten.
+    /// A group that `ranks` lacks is forgotten, after its lease has been released if held.
     pub fn set_groups(&mut self, ranks: &IndexMap<GroupName, usize>, now: MonoTime) {
         for (group, rank) in ranks {
             let lease = self.groups.entry(group.clone()).or_default();
@@ -92,7 +91,7 @@
         millis(self.times.guard)
     }
 
-    /// Gives up a group's lease because an engine has seen a later fence.
+    /// Gives up a group's lease because an engine or the stored orders have a later fence.
     pub fn give_up(&mut self, group: &GroupName, seen: FenceNumber, now: MonoTime) {
         let duration = self.times.duration;
         let Some(lease) = self.groups.get_mut(group) else {
@@ -210,8 +209,8 @@
         }
     }
 
-    // Much longer than a lease, so that a daemon that joins and leaves repeatedly moves
-    // no lease.
+    // How long an outranked holder keeps its lease: much longer than a lease lasts, so that
+    // a daemon that joins and leaves repeatedly moves no lease.
     fn handover_wait(&self) -> Duration {
         self.times.duration * 10
     }
--- a/src/authority/lease_groups.rs
+++ b/src/authority/lease_groups.rs
@@ -74,8 +74,9 @@
 /// Returns the groups that a daemon is a candidate for, with its rank in each.
 ///
 /// The candidates are daemons of the group's data centre, in rendezvous order. Daemons
-/// of other data centres are candidates only if it has none, all alike, because no
-/// latencies are known by which to prefer the near ones.
+/// of other data centres are candidates only if it has none, and for [`PLAN_GROUP`]. They
+/// are ranked regardless of their data centre, because no latencies are known by which to
+/// prefer the near ones.
 #[must_use]
 pub fn local_ranks(
     fleet: &FleetView,
--- a/src/authority/lease_record.rs
+++ b/src/authority/lease_record.rs
@@ -16,7 +16,8 @@
     pub holder: DaemonId,
     /// Incarnation of the holder's process.
     pub incarnation: ProcessIncarnation,
-    /// Fencing number, which rises with each acquisition.
+    /// Fence: a number that rises with each acquisition, so that engines can refuse orders
+    /// of earlier holders.
     pub fence: FenceNumber,
     /// Unique id of the write.
     pub write_id: String,
--- a/src/authority/lease_state.rs
+++ b/src/authority/lease_state.rs
@@ -80,8 +80,8 @@
     pub(crate) expires_at: MonoTime,
 }
 
-// A write that was sent. The lease counts from before that: counted from the response,
-// it would outlast the time that other daemons wait before they take over.
+// A write that was sent. The lease's duration counts from `sent_at`: counted from the
+// response, the lease would outlast the time that other daemons wait before they take over.
 #[derive(Clone, Debug)]
 pub(crate) struct SentWrite {
     pub(crate) write_id: String,
@@ -100,12 +100,16 @@
     pub(crate) call_deadline: MonoTime,
     pub(crate) call_in_flight: bool,
     pub(crate) must_read: bool,
+    // Whether a write of this daemon may have taken effect without its knowledge.
     pub(crate) unknown_writes: bool,
     pub(crate) next_read_at: MonoTime,
     pub(crate) next_write_at: MonoTime,
     pub(crate) next_acquire_at: MonoTime,
+    // Highest fence seen by an engine or in stored orders; the next acquisition uses a later
+    // one.
     pub(crate) min_fence: FenceNumber,
     pub(crate) releasing: bool,
     pub(crate) order_in_flight: bool,
+    // Since when this daemon has not been the first candidate.
     pub(crate) outranked_since: Option<MonoTime>,
 }
--- a/src/authority/mod.rs
+++ b/src/authority/mod.rs
@@ -41,8 +41,8 @@
 const GROUPS_INTERVAL: Duration = Duration::from_millis(500);
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_CHANGE_AGE: Duration = Duration::from_secs(600);
-// After this time, a drain whose lease holder has failed no longer keeps an engine out
-// of use.
+// After this time, a drain or stored order no longer keeps its engine out of use; its
+// lease holder may have failed.
 const MAX_DRAIN_AGE: Duration = Duration::from_secs(400);
 
 /// Inputs of the decisions.
@@ -50,7 +50,7 @@
 pub struct AuthorityInputs<'a> {
     /// Targets and daemons.
     pub fleet: &'a FleetView,
-    /// Configuration in force.
+    /// Applied configuration.
     pub config: &'a ConfigView,
     /// Forecast of the workload mix.
     pub mix: &'a MixForecast,
--- a/src/authority/orders.rs
+++ b/src/authority/orders.rs
@@ -1,8 +1,8 @@
 //! Carries out changes of a group's engines under a lease.
 //!
 //! Each change is stored in the group's object by conditional update before its order
-//! is sent, gives the engine's whole state, and has an identity. An engine has at most
-//! one change at a time. A holder that has lost its lease gets a conflict on its
+//! is sent, gives the engine's whole state, and its order has a unique id. An engine has
+//! at most one change at a time. A holder that has lost its lease gets a conflict on its
 //! update, because a successor writes the object first, and engines that check fences
 //! refuse its orders.
 //!
@@ -165,7 +165,7 @@
             None => false,
             Some(SendState::Waiting) => true,
             Some(SendState::InFlight { .. } | SendState::Accepted { .. }) => false,
-            // Sent again with the same identity once no earlier copy can be in flight.
+            // Sent again with the same id once no earlier copy can be in flight.
             Some(SendState::Unknown { at }) => {
                 let observed_at = self.observations.get(target).map(|o| o.taken_at);
                 let no_copies_at = at.plus(self.times.max_flight);
