--- a/src/membership/addressing.rs
+++ b/src/membership/addressing.rs
@@ -15,7 +15,7 @@
 /// One address a caller may use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AddressEntry {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Data centre of the daemon.
     pub data_centre: CentreName,
--- a/src/membership/fleet.rs
+++ b/src/membership/fleet.rs
@@ -13,7 +13,7 @@
     /// Receives new work.
     #[default]
     Live,
-    /// Calls from this daemon fail; probed before it gets new work.
+    /// Calls from this daemon to the target failed, or a linked daemon was out of contact.
     Suspect,
     /// Out of use by an operator's hold or for a planned change.
     Drained,
@@ -52,7 +52,8 @@
     pub in_flight: u32,
     /// Prompt tokens still to be prefilled.
     pub prefill_backlog_tokens: u64,
-    /// Output tokens of accepted requests that are still to be generated.
+    /// Maximum number of output tokens of accepted requests that are still to be
+    /// generated.
     pub decode_backlog_tokens: u64,
     /// KV cache in use, in tokens.
     pub kv_used_tokens: u64,
@@ -69,7 +70,7 @@
     pub id: TargetId,
     /// Engine or service.
     pub kind: InstanceKind,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Data centre it runs in.
     pub data_centre: CentreName,
@@ -96,7 +97,7 @@
     pub data_centre: CentreName,
     /// Incarnation of its process; zero while unknown.
     pub incarnation: ProcessIncarnation,
-    /// Whether callers may be sent there.
+    /// Whether callers may be given its address.
     pub state: UseState,
 }
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! Merges what several sources report about daemons and targets into one view.
 //!
 //! The sources are the instance list, which lags, the outcome of this daemon's own
-//! calls, what peers and targets report about themselves, and the holds in the
+//! calls, what peers and targets report about themselves, and the operators' holds in the
 //! configuration.
 
 pub mod addressing;
@@ -285,7 +285,7 @@
             .record_leaving(&process_key, incarnation, now);
     }
 
-    /// Sets the holds of the configuration in force.
+    /// Sets the operators' holds of the applied configuration.
     pub fn set_holds(&mut self, holds: &IndexMap<TargetId, String>) {
         if self.holds != *holds {
             self.holds.clone_from(holds);
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -100,8 +100,8 @@
     /// Ends a suspicion whose time is over; returns whether the target's state changed.
     ///
     /// A suspicion raised by failed work ends when its probe is due, because only new
-    /// work can show that the target handles work again. One more failure raises the
-    /// suspicion for twice as long.
+    /// work can show that the target handles work again. After one more failure the target
+    /// is suspected again, for twice as long, up to `MAX_PROBE_DELAY`.
     pub fn tick(&mut self, now: MonoTime) -> bool {
         let Some(active) = self.active else {
             return false;
