--- a/src/targets/call.rs
+++ b/src/targets/call.rs
@@ -8,14 +8,14 @@
 use crate::names::FenceNumber;
 use crate::ports::TargetError;
 
-/// Time-out for opening a connection; after it, a target counts as not reached.
+/// Timeout for opening a connection; after it, a target counts as not reached.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Header with the time after which a target may be tried again, in milliseconds.
 const RETRY_AFTER_HEADER: &str = "retry-after-ms";
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Body of a refusal by a target that is leaving.
 const LEAVING_BODY: &str = "leaving";
-/// Time-out for the body of a refusal, and maximum number of characters kept of it.
+/// Timeout for the body of a refusal, and maximum number of characters kept of it.
 const REASON_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_REASON_CHARS: usize = 200;
 
--- a/src/targets/wire.rs
+++ b/src/targets/wire.rs
@@ -33,9 +33,9 @@
     pub workspace: WorkspaceName,
     /// Model to use.
     pub model: ModelName,
-    /// Adapter; empty for none.
+    /// Adapter of the model; empty for none.
     pub adapter: String,
-    /// Version; empty for the one loaded.
+    /// Version of the model; empty for the one loaded.
     pub version: String,
     /// Priority; 0 is the most urgent.
     pub priority: u32,
@@ -127,8 +127,8 @@
     pub fence: FenceNumber,
 }
 
-/// An order that gives the engine's whole state: `POST /v1/orders`. An order with an
-/// old fence is answered with 409.
+/// An order that gives the engine's whole state: `POST /v1/orders`. An order with a
+/// lower fence than the engine has accepted is answered with 409.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderBody {
     /// Identity; the same order sent twice has one effect.
@@ -147,13 +147,13 @@
 pub struct CacheEvent {
     /// Number of the event; gaps mean lost events.
     pub sequence: u64,
-    /// Shared prefix concerned.
+    /// Name of the shared part concerned.
     pub prefix: String,
     /// Tokens now cached of it; 0 after eviction.
     pub tokens: u32,
 }
 
-/// Cache events since a number: `GET /v1/cache-events?since=N`.
+/// Cache events after number N: `GET /v1/cache-events?since=N`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CacheEvents {
     /// Events in order.
