--- a/src/control/authority_ports.rs
+++ b/src/control/authority_ports.rs
@@ -24,7 +24,7 @@
     pub engines: EnginePort,
     /// Timeout of a platform call.
     pub call_timeout: Duration,
-    /// Longest time that an order may be in transit.
+    /// Longest time that an order may be in flight.
     pub order_flight: Duration,
     /// Channel for the results.
     pub feeds: mpsc::UnboundedSender<FeedEvent>,
--- a/src/control/changes.rs
+++ b/src/control/changes.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    // Applies the change here before any caller learns that it was accepted.
+    // Applies the change on this daemon before any caller learns that it was accepted.
     fn await_confirmations(&mut self, revision: u64, stored: StoredObject, reply: ChangeReply) {
         let (bucket, version) = (stored.object.name.clone(), stored.version);
         self.apply_config(&[stored], false, None);
@@ -161,7 +161,8 @@
         self.answer_confirmed_changes(now);
     }
 
-    /// Answers changes that all live daemons have confirmed or whose wait has expired.
+    /// Answers changes that all daemons in `peer_ids` have confirmed or whose wait
+    /// has expired; while no peer is reachable, answers all at once.
     pub(crate) fn answer_confirmed_changes(&mut self, now: MonoTime) {
         for pending in std::mem::take(&mut self.confirmations) {
             let peer_ids = self.peer_ids();
--- a/src/control/feeds.rs
+++ b/src/control/feeds.rs
@@ -61,7 +61,7 @@
     Written {
         /// Originator of the write.
         tag: CallTag,
-        /// Unique mark of the write.
+        /// Unique id of the write.
         mark: String,
         /// The write that was sent.
         write: ConditionalWrite,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -43,7 +43,7 @@
     pub revision: u64,
     /// Number of daemons known to have applied the change, including this one.
     pub confirmed: u32,
-    /// Live daemons that did not confirm the change before the timeout.
+    /// Daemons, neither leaving nor gone, that did not confirm the change before the timeout.
     pub unconfirmed: Vec<String>,
 }
 
@@ -150,7 +150,7 @@
     pub incarnation: ProcessIncarnation,
     /// Seed for all random choices of the control thread.
     pub seed: u64,
-    /// Record of work that crashed targets, which is sent to peers.
+    /// Tracker of work that crashed targets; its reports are sent to peers.
     pub crashes: SharedCrashTracker,
 }
 
--- a/src/control/peer_exchange.rs
+++ b/src/control/peer_exchange.rs
@@ -1,5 +1,5 @@
-//! Exchange with peers in the control thread: sends, receives and forwards hints and
-//! objects.
+//! Exchange with peers in the control thread: sends, receives and forwards hints (periodic
+//! reports of a daemon's state) and platform objects.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 const MAX_APPLIED_VERSIONS: usize = 512;
 /// Age up to which a report shows that its engine is alive.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
-/// Time after a reported crash from which a report of the same incarnation refutes it.
+/// How long after a reported crash a report of the same incarnation starts to refute it.
 const REFUTATION_DELAY: Duration = Duration::from_secs(5);
 const MAX_WORKSPACES: usize = 8_192;
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns a receiver of whether this daemon has to watch the platform itself.
+    /// Returns a channel that shows whether this daemon has to watch the platform itself.
     #[must_use]
     pub fn watching(&self) -> watch::Receiver<bool> {
         self.watching.subscribe()
@@ -130,7 +130,7 @@
         self.applied.insert(stored.object.name.clone(), entry);
     }
 
-    /// Records the state of an engine that this daemon leads for the next hint.
+    /// Records for the next hint the state of an engine whose lease this daemon holds.
     pub fn add_engine_state(&mut self, target: &TargetId, state: &EngineState) {
         self.engines.insert(target.clone(), state.clone());
     }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -207,8 +207,8 @@
             config: self.config.view(),
             mix: &self.mix,
         };
-        // Until the instance list has been received, every engine looks gone and every
-        // peer dead.
+        // Until the instance list has been received, the fleet seems to consist of this
+        // daemon only.
         if self.list_received && self.config_complete {
             for action in self.authority.tick(inputs, now) {
                 self.ports.execute(action, &mut self.authority, &fleet);
