--- a/src/peers/handshake.rs
+++ b/src/peers/handshake.rs
@@ -1,4 +1,6 @@
 //! Mutual authentication by a shared secret when a link is set up.
+//!
+//! The caller is here the daemon that connects, the listener the one that accepts.
 
 use futures_util::{SinkExt, StreamExt};
 use hmac::{Hmac, Mac};
--- a/src/peers/link.rs
+++ b/src/peers/link.rs
@@ -69,7 +69,8 @@
 /// A command from the control thread to the links.
 #[derive(Debug)]
 pub enum PeerCommand {
-    /// Keep outgoing links to exactly these daemons; incoming links are unaffected.
+    /// Dial these daemons whenever there is no link to them. Existing links to others stay
+    /// until they fail.
     Links(IndexSet<DaemonId>),
     /// Send a message to those of the given daemons that are linked.
     Send {
@@ -87,7 +88,7 @@
     Ready(mpsc::UnboundedSender<PeerCommand>),
     /// A link is up.
     Up(DaemonId, ProcessIncarnation),
-    /// The last link to a daemon is down.
+    /// The newest link to a daemon is down.
     Down(DaemonId),
     /// A message was received.
     Message(DaemonId, Box<PeerMessage>),
@@ -324,7 +325,7 @@
         number
     }
 
-    // Returns whether this was the latest link to the peer.
+    // Returns whether this was the newest link to the peer.
     fn remove_link(&self, peer: &DaemonId, number: u64) -> bool {
         let mut state = self.lock();
         let newest = state.links.get(peer).is_some_and(|l| l.number == number);
@@ -460,8 +461,8 @@
         }
     }
 
-    // Returns the send queue of the link to a peer. A missing link is set up on demand and
-    // kept for `ON_DEMAND_LINK_TIME`.
+    // Returns the send queue of the link to a peer. A missing link is set up on demand,
+    // and again if it fails within `ON_DEMAND_LINK_TIME`.
     async fn outbox(&self, peer: &DaemonId) -> Option<mpsc::Sender<Message>> {
         let deadline = Instant::now() + LINK_TIMEOUT;
         loop {
--- a/src/peers/requests.rs
+++ b/src/peers/requests.rs
@@ -7,9 +7,10 @@
 use crate::peers::link::{PeerError, PeerHandle, PeerHandler};
 use crate::requests::traffic::TrafficContext;
 
-/// Kind of an operation on records, sent to the owner of their shard.
+/// Kind of an operation on a shard's records, sent to the shard's owner
+/// ([`crate::intents::link`]).
 const RECORDS: u8 = 0;
-/// Kind of a cancellation, sent to the daemon that runs the request.
+/// Kind of a cancellation, sent to the daemon that accepted the request.
 const CANCEL: u8 = 1;
 /// Reply of a daemon that has cancelled the request.
 const STOPPED: &[u8] = &[1];
--- a/src/peers/state.rs
+++ b/src/peers/state.rs
@@ -1,8 +1,10 @@
 //! Link topology, forwarding of hints, and the state accumulated from peers' hints.
 //!
-//! Every daemon links to the watchers of its data centre; watchers also link to the
-//! watchers of the other data centres. Watchers forward hints between the two, so that a
-//! hint reaches each daemon over at most three links and no daemon links to all others.
+//! Watchers are the daemons that watch the platform for their data centre. Every daemon
+//! links to the watchers of its data centre; watchers also link to the watchers of the other
+//! data centres. Watchers forward hints within their data centre and between it and the
+//! others, so that a hint reaches each daemon over at most three links and no daemon links
+//! to all others.
 
 use std::time::Duration;
 
--- a/src/peers/wire.rs
+++ b/src/peers/wire.rs
@@ -30,7 +30,7 @@
     pub costs: IndexMap<WorkspaceName, f64>,
     /// Versions of the configuration buckets it applied recently.
     pub applied: Vec<(String, ObjectVersion)>,
-    /// States of the engines it leads.
+    /// States of the engines whose leases it holds.
     pub engines: Vec<EngineState>,
     /// Reports of work that crashed targets, sent in rotation
     /// ([`crate::crashes::broadcasts`]).
