--- a/src/config/checks.rs
+++ b/src/config/checks.rs
@@ -1,6 +1,7 @@
 //! Validation of changed items, by themselves and against the other items.
 //!
-//! A workspace and its classes are checked against their common bucket, which is reliable.
+//! A workspace and its classes are checked against their common bucket, on which the write
+//! is conditional, so this check is never outdated.
 //! Models are checked against this daemon's view, which may be seconds old: a class can
 //! outlive its model, and admission then refuses its requests.
 
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -173,7 +173,8 @@
 ///
 /// A read without the mark does not prove that nothing was written: the write may still be
 /// in transit. It can take effect only on the version it expects, so a newer version
-/// without the mark rules it out. Until then the same write is sent again; whichever of the
+/// without the mark rules it out, if the marks of all changes since are still listed. While
+/// the version is unchanged, the same write is sent again; whichever of the
 /// two takes effect first makes the other one fail.
 fn lost_write_outcome(write: &LostWrite, found: &BucketRead, mark: &str) -> WriteOutcome {
     if let Some(sequence) = found.bucket.sequence_of(mark) {
