--- a/src/ports.rs
+++ b/src/ports.rs
@@ -167,7 +167,7 @@
 pub struct TargetCall<B> {
     /// IP address and port.
     pub address: String,
-    /// Timeout for the first byte of the answer.
+    /// Timeout for the header of the response.
     pub timeout: Duration,
     /// Request body.
     pub body: B,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP client for the platform's object service.
+//! HTTP client for the platform's object service and instance list.
 
 pub mod http;
 pub mod wire;
