--- a/src/intents/driver.rs
+++ b/src/intents/driver.rs
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Reads both clocks. Called only after the event that the time is used for, so that a
-    /// pause of the process cannot make a key look younger than the copy of the shard that
-    /// it is checked against.
+    /// Reads both clocks. Must be called after the event that the time is used for, never
+    /// before: if the process paused in between, a key's age would be computed for a time
+    /// before the copy of the shard was read, and the key would look too young.
     fn now(&self) -> WriterTime {
         WriterTime {
             mono: MonoTime(millis(self.started.elapsed())),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns whether an operation goes to the shard's owner. While this daemon cannot reach
+    /// Returns whether an operation is to be sent to the shard's owner. While this daemon cannot reach
     /// the platform, nothing is forwarded, and the local writer refuses claims at once.
     fn is_forwarded(&self, op: &ShardOp) -> bool {
         !self.writer.is_down(self.now()) && self.forward.accepts(op)
--- a/src/intents/link.rs
+++ b/src/intents/link.rs
@@ -33,10 +33,10 @@
 
 const LINK_VERSION: u8 = 1;
 
-/// Why operations were not executed by the owner.
+/// Why the owner did not confirm operations; it may have executed them nevertheless.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum LinkError {
-    /// The other daemon did not answer.
+    /// No reply arrived.
     #[error("the owner of the shard did not answer ({reason}); write the shard directly")]
     NoReply {
         /// What happened.
--- a/src/intents/mod.rs
+++ b/src/intents/mod.rs
@@ -1,5 +1,10 @@
-//! The ledger of run-once requests, which may be executed at most once: pure logic, one
-//! value per shard.
+//! The ledger of non-repeatable requests, which may be executed at most once: pure logic,
+//! one value per shard.
+//!
+//! An intent is the record of such a request, written before its dispatch. A daemon claims
+//! the request's key, dispatches the request once the claim is stored, and then closes the
+//! entry with the outcome. Settling closes a key that nobody has claimed, so that it can
+//! never run.
 //!
 //! A shard's ledger is one object of the platform and changes only by conditional
 //! update. An entry exists from before the dispatch until its key is too old to be
@@ -29,12 +34,12 @@
 use crate::names::{UnixTime, millis};
 use crate::settings::IntentSettings;
 
-/// Divisor of the shard size for the reserve on top of it: once claims are refused, it is
-/// left for settling keys and closing entries.
+/// The shard size divided by this is the reserve on top of the shard size. Once claims are
+/// refused, the reserve is left for settling keys and closing entries.
 const SETTLE_RESERVE_DIVISOR: usize = 16;
 
-/// Divisor of the shard size; with less than this share free, expired entries are dropped
-/// before operations are applied.
+/// While less than the shard size divided by this is free, expired entries are dropped
+/// before operations are applied, not after.
 const NEARLY_FULL_DIVISOR: usize = 8;
 
 /// Maximum encoded size in bytes of an entry without target, claimant and result.
@@ -46,7 +51,8 @@
 /// Limits that must be the same on every daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LedgerLimits {
-    /// How long records of a key are kept.
+    /// Keys are accepted until they are this old less `skew`, and their records kept until
+    /// they are this old plus twice `skew`.
     pub retention: Duration,
     /// Maximum difference between two daemons' wall clocks.
     pub skew: Duration,
@@ -246,7 +252,8 @@
     /// Closes an abandoned claim that another daemon may still record for the claimant.
     ///
     /// An absent key is closed regardless of its age by this daemon's clock, as the other
-    /// daemon's clock may still accept it. At or below the horizon no daemon accepts it.
+    /// daemon's clock may still accept it. A key at or below the horizon is accepted by no
+    /// daemon and needs no entry.
     pub fn void(&mut self, key: &IntentKey, claim: ClaimId, limits: &LedgerLimits) -> CloseOutcome {
         let id = key.entry_id();
         if self.entries.contains_key(&id) {
--- a/src/intents/ops.rs
+++ b/src/intents/ops.rs
@@ -148,9 +148,11 @@
 
 /// Outcome of applying an operation to the local copy of the shard.
 pub(crate) enum OpOutcome {
-    /// Decided by the copy; if the copy has unconfirmed changes, once their write is confirmed.
+    /// Decided by the copy. If the copy has changes that the platform has not confirmed, the
+    /// result is sent only once their write is confirmed.
     Decided(Option<OpResult>),
-    /// Decided, but the copy must be read again first, as it is older than the operation.
+    /// This would be the result, but the copy is older than the operation: first the shard
+    /// must be read again, or a write of the copy confirmed.
     Stale(Option<OpResult>),
     /// Decided once the platform confirms the write.
     Changed(Option<OpResult>),
@@ -275,9 +277,11 @@
     outcome
 }
 
-/// Does not rely on the claim's absence while the shard has a version that a write with
-/// a lost response expected: that write may still take effect after the read. Writing the
-/// shard again resolves this, as only one of two writes with the same expected version
+/// Returns the outcome of releasing an abandoned claim.
+///
+/// That the claim is missing proves nothing while the shard still has the version that a
+/// write with a lost response expected: that write may take effect after the read. Writing
+/// the shard again resolves this, as only one of two writes with the same expected version
 /// succeeds.
 fn release_outcome(
     outcome: CloseOutcome,
--- a/src/intents/queue.rs
+++ b/src/intents/queue.rs
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Queues the close of an abandoned claim if the claim may still be recorded.
+    /// Queues the close of an abandoned claim if the claim may still be recorded. Does nothing
+    /// for operations that are not claims.
     ///
     /// A claim of another daemon is dropped and never closed: that daemon may have written
     /// the claim itself, been granted it and dispatched the request.
--- a/src/intents/records.rs
+++ b/src/intents/records.rs
@@ -1,4 +1,4 @@
-//! Records of run-once requests, and their keys.
+//! Records of non-repeatable requests, and their keys.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 /// Maximum length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// Identity of a run-once request.
+/// Identity of a non-repeatable request.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct IntentKey {
     /// Workspace of the caller.
@@ -84,7 +84,7 @@
     pub result: Option<Vec<u8>>,
 }
 
-/// State of a run-once request.
+/// State of a non-repeatable request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum IntentState {
     /// Claimed for dispatch; whether it ran is not known.
--- a/src/intents/store.rs
+++ b/src/intents/store.rs
@@ -1,4 +1,4 @@
-//! The store of run-once records: keeps the ledgers of all shards in the platform.
+//! The store of the records of non-repeatable requests: keeps the ledgers of all shards in the platform.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -34,7 +34,7 @@
 /// Returns the time of the wall clock.
 pub type UnixClock = Arc<dyn Fn() -> UnixTime + Send + Sync>;
 
-/// A request for the permission to run a request once.
+/// What is needed to claim the permission to run a request once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IntentClaim {
     /// Identity of the request.
@@ -63,13 +63,14 @@
         /// Whether another claim of the key may exist.
         ///
         /// Always true, as the key may have been sent before: a read without a record proves
-        /// nothing, as the write of the other claim may still be in flight. For such a key
-        /// only [`IntentStore::lookup`] with `settle` guarantees "not run".
+        /// nothing, as the write of the other claim may still be in flight. For a key that
+        /// may have been sent before, only [`IntentStore::lookup`] with `settle` guarantees
+        /// "not run".
         key_may_exist: bool,
     },
     /// The key, or the request sent under it, is not acceptable.
     Invalid {
-        /// The fault and its remedy.
+        /// The error and its remedy.
         reason: String,
     },
 }
@@ -80,7 +81,7 @@
     /// The key is not acceptable.
     #[error("{reason}")]
     Invalid {
-        /// The fault and its remedy.
+        /// The error and its remedy.
         reason: String,
     },
     /// The record cannot be read or settled at present.
@@ -107,7 +108,7 @@
     pub unix_now: UnixClock,
 }
 
-/// The records of run-once requests.
+/// The records of non-repeatable requests.
 #[derive(Clone)]
 pub struct IntentStore {
     shards: Arc<Vec<mpsc::UnboundedSender<ShardMessage>>>,
--- a/src/intents/writer.rs
+++ b/src/intents/writer.rs
@@ -61,6 +61,7 @@
     down_reason: String,
     lost_calls: u32,
     conflicts: u32,
+    /// Claims that were granted and not closed since, to detect a second grant.
     granted: IndexSet<ClaimId>,
     actions: Vec<WriterAction>,
     random: SmallRng,
