--- a/src/requests/answer.rs
+++ b/src/requests/answer.rs
@@ -144,6 +144,7 @@
         Self {
             request,
             attempt: 0,
+            // Lines are ignored until the first attempt begins.
             state: AttemptState::Broken,
             start: offset,
             delivered: offset,
--- a/src/requests/answer_sink.rs
+++ b/src/requests/answer_sink.rs
@@ -41,7 +41,7 @@
     },
     /// The caller cancelled it.
     Cancelled,
-    /// The deadline passed after it had started.
+    /// The deadline passed after a target may have run it.
     Expired,
 }
 
@@ -129,7 +129,7 @@
         self.may_have_run
     }
 
-    /// Notifies the caller of acceptance, or of a new token.
+    /// Notifies the caller of acceptance, and of each attempt with its new token.
     pub async fn send_accepted(&self, token: String, attempt: u32, target: &TargetId) {
         let accepted = pb::Accepted {
             request_id: self.request_id.to_string(),
--- a/src/requests/attempt.rs
+++ b/src/requests/attempt.rs
@@ -18,7 +18,7 @@
 use crate::requests::traffic::{RequestProgress, SIDE_CALL_TIMEOUT, TrafficContext};
 use crate::targets::wire::GenerateBody;
 
-/// Shortest timeout for the next line.
+/// Minimum timeout for the next line; the multiples below are added to it.
 const MIN_LINE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Multiples of the expected token gap and first-token time after which an engine counts
 /// as stuck.
@@ -45,7 +45,7 @@
 /// Why a stream was not followed to its end.
 #[derive(Clone, Debug)]
 struct StreamBreak {
-    // Whether the engine ended the stream rather than this daemon.
+    // Whether the engine, not this daemon, ended the stream.
     connection_lost: bool,
     reason: String,
 }
@@ -139,7 +139,8 @@
         self.conclude(choice, result)
     }
 
-    // If resuming failed as well, the engine counts as crashed.
+    // An engine that broke off the stream and could not resume it counts as crashed. One that
+    // sent no line in time, or an invalid one, does not.
     fn conclude(
         &self,
         choice: &TargetChoice,
@@ -185,7 +186,8 @@
         self.conclude(choice, result)
     }
 
-    /// Returns the measurements of the last attempt.
+    /// Returns the measurements of the last attempt; `whole` says whether the answer is
+    /// complete.
     #[must_use]
     pub fn measure(&self, whole: bool) -> JobMeasurement {
         let meter = &self.meter;
@@ -322,6 +324,7 @@
 
     fn body(&self, choice: &TargetChoice, attempt: u32) -> GenerateBody {
         let submit = &self.request.submit;
+        // The engine's name for it has the form MODEL@VERSION+ADAPTER.
         let (model, version) = choice.model.split_once('@').unwrap_or((&choice.model, ""));
         let version = version.split('+').next().unwrap_or_default();
         GenerateBody {
--- a/src/requests/claimant.rs
+++ b/src/requests/claimant.rs
@@ -48,10 +48,11 @@
     }
 }
 
-/// Time for which a claimant may be missing from the list before it counts as gone. A
-/// daemon accepts work as soon as it has registered, while others read the list once a
-/// second: without this, a caller who sends a request to both could be told that the
-/// first is gone while it runs the request. Allows for two reads and a slow one.
+/// Time for which a claimant may be missing from the list of daemons before it counts as
+/// gone. A daemon accepts work as soon as it has registered, while others read the list once
+/// a second: without this, a caller who sends a request to a new daemon and to another could
+/// be answered by the other that the new one is gone while it runs the request. The time
+/// allows for two reads and a slow one.
 pub const UNLISTED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Status of the process that claimed a request.
@@ -61,7 +62,7 @@
     Present,
     /// It has ended, or a later process uses its name.
     Gone,
-    /// No list read so far contains it: it is new, or ended long ago.
+    /// No list of daemons read so far contains it: it is new, or ended long ago.
     Unlisted,
 }
 
--- a/src/requests/crash_watch.rs
+++ b/src/requests/crash_watch.rs
@@ -1,4 +1,5 @@
-//! Quarantines requests whose work crashed targets.
+//! Quarantines requests whose work crashed targets. Requests of one workspace with the same
+//! content are the same work.
 
 use std::time::Duration;
 
@@ -62,7 +63,7 @@
         !crashes.is_empty() && crashes.is_quarantined(work_of(request))
     }
 
-    /// Records that a target broke off its answer and could not resume it.
+    /// Records that a target broke off its answer and could not resume it, or sent none.
     pub fn record_connection_loss(&self, request: &CallerRequest, choice: &TargetChoice) {
         let work = work_of(request);
         let newly_quarantined = {
--- a/src/requests/dispatch.rs
+++ b/src/requests/dispatch.rs
@@ -46,6 +46,7 @@
     pub number: JobNumber,
     grant: oneshot::Receiver<GrantReply>,
     dispatcher: JobDispatcher,
+    /// Whether dropping the ticket does nothing any more.
     settled: bool,
 }
 
@@ -55,6 +56,7 @@
     pub choice: TargetChoice,
     number: JobNumber,
     dispatcher: JobDispatcher,
+    /// Whether dropping the slot does nothing any more.
     settled: bool,
 }
 
@@ -130,8 +132,8 @@
             target: choice.target.clone(),
             answered: !matches!(error, Some(TargetError::NotDelivered { .. })),
         });
-        // The instance list lags, and is not updated while the platform is down; a
-        // leaving target would keep receiving work that it refuses.
+        // The instance list lags, and is not updated while the platform is down: without
+        // this report, a leaving target would keep receiving work that it refuses.
         if matches!(error, Some(TargetError::Refused { leaving: true, .. })) {
             self.report(ControlEvent::TargetLeaving {
                 target: choice.target.clone(),
--- a/src/requests/request.rs
+++ b/src/requests/request.rs
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Returns a digest of class and body, which reveals a key reused for other content.
+    /// Returns a digest of the request's content (class, model, adapter, version, prompt and
+    /// output limit), which reveals a key reused for other content.
     #[must_use]
     pub fn fingerprint(&self) -> [u8; 16] {
         let submit = &self.submit;
--- a/src/requests/run_call.rs
+++ b/src/requests/run_call.rs
@@ -19,7 +19,7 @@
 use crate::requests::traffic::{RequestProgress, TrafficContext, until_cancelled};
 use crate::targets::wire::ServiceBody;
 
-/// Largest number of instances tried for one request.
+/// Maximum number of targets tried for one request.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Runs a request to its final outcome.
--- a/src/requests/run_once.rs
+++ b/src/requests/run_once.rs
@@ -170,7 +170,7 @@
 
 /// Refuses a request that this daemon has not claimed.
 ///
-/// A resubmitted key may be held by a daemon that is currently paused, and "not run"
+/// A daemon that is currently paused may be about to claim a resubmitted key, and "not run"
 /// would become false when it resumes. Closing the key first makes that daemon's
 /// conditional update fail, so the refusal stays true.
 async fn refuse(
@@ -200,7 +200,7 @@
         Ok(record @ RecordView::Answered { .. }) => {
             from_record(context, request, sink, record, 0).await
         }
-        // Not awaited, because this daemon was about to refuse the request.
+        // Its outcome is not awaited, because this daemon was about to refuse the request.
         Ok(_) => unknown("another daemon has claimed the key".to_owned()),
         Err(error) => unknown(format!(
             "{reason}, and the state of its record is not certain: {error}"
@@ -400,7 +400,8 @@
     }
 }
 
-/// Answers from the record of a key that was claimed earlier.
+/// Answers from the record of a key that was claimed or closed earlier; first waits for the
+/// outcome of a claim that is still open.
 async fn from_record(
     context: &TrafficContext,
     request: &CallerRequest,
@@ -421,8 +422,8 @@
             wait = (wait * 2).min(MAX_LOOKUP_WAIT);
         }
         let Some(key) = &request.intent else { break };
-        // Also after the claimant was found gone: it may have recorded its result between
-        // the last lookup and its exit.
+        // Looked up again even if the claimant was found gone: it may have recorded its result
+        // between the last lookup and its exit.
         record = match context.intents.lookup(key, false).await {
             Ok(found) => found,
             Err(error) => return unknown(format!("the record cannot be read: {error}")),
--- a/src/requests/run_stream.rs
+++ b/src/requests/run_stream.rs
@@ -16,7 +16,7 @@
     RequestProgress, SIDE_CALL_TIMEOUT, TrafficContext, until_cancelled,
 };
 
-/// Largest number of engines tried for one request.
+/// Maximum number of engines tried for one request.
 const MAX_ATTEMPTS: u32 = 5;
 
 /// Address of the engine that runs the request, so that it can be cancelled there.
--- a/src/requests/traffic.rs
+++ b/src/requests/traffic.rs
@@ -159,7 +159,7 @@
     /// Cancels a request of this daemon; returns true if a run here can still be stopped.
     ///
     /// A run that cannot be stopped, such as a call already sent to a service, has dropped
-    /// its receiver: its caller must not be told that it was stopped.
+    /// its receiver: its caller must not receive the reply "stopped".
     #[must_use]
     pub fn cancel_local(&self, request_id: &RequestId) -> bool {
         let running = lock(&self.running);
@@ -172,7 +172,7 @@
     /// Stops accepting a cancel; returns true if one has already arrived.
     ///
     /// Holds the lock that a cancel takes: a later cancel finds no receiver, so that no
-    /// caller is told "stopped" about a request that continues.
+    /// caller receives the reply "stopped" for a request that continues.
     #[must_use]
     pub fn close_cancellation(&self, cancelled: watch::Receiver<bool>) -> bool {
         let _running = lock(&self.running);
