--- a/src/rpc/requests.rs
+++ b/src/rpc/requests.rs
@@ -85,7 +85,8 @@
         let token = opened.map_err(|error| Status::invalid_argument(error.to_string()))?;
         if token.workspace != *workspace {
             // Meant to match the reply to a forged token: a workspace must not learn
-            // whether another's token is genuine.
+            // whether another's token is genuine. The two still differ, as a forged token is
+            // refused with `InvalidArgument`.
             let text = "the resume token is not valid for this workspace; check key and token";
             return Err(Status::permission_denied(text));
         }
@@ -216,8 +217,8 @@
     /// Cancels a request at the daemon that handles it.
     ///
     /// To that daemon, cancelling only at the engine would look like a lost engine: it
-    /// would continue elsewhere, and the caller would be told "stopped" and then be
-    /// answered. The engine is asked only if that daemon is gone, and never for a
+    /// would continue elsewhere, and the caller would receive the reply "stopped" and then
+    /// an answer. The engine is called only if that daemon is gone, and never for a
     /// non-repeatable request, whose outcome would stay unknown.
     async fn cancel_running(&self, token: &ResumeToken) -> bool {
         let context = &self.context;
--- a/src/server.rs
+++ b/src/server.rs
@@ -52,8 +52,8 @@
 const STOP_STEP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Minimum time allowed for recording the results of claims.
 const MIN_RECORD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Interval at which the end of the last request is checked, and pause after a failed
-/// accept.
+/// Interval at which a shutdown checks whether the last request has ended, and pause after a
+/// failed accept.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running daemon.
@@ -164,11 +164,12 @@
         &self.context
     }
 
-    /// Shuts down gracefully, without interrupting any request.
+    /// Shuts down gracefully, without interrupting any request that ends within
+    /// `shutdown.finish_ms`.
     ///
     /// The daemon first withdraws its address and continues to serve for as long as
     /// callers may cache it; only then does it refuse new work. It exits once the last
-    /// request has ended and all results are recorded.
+    /// request has ended and all results are recorded, or the time for this has passed.
     pub async fn stop(mut self) {
         let settings = Arc::clone(&self.context.settings);
         let (done, handed_over) = oneshot::channel();
@@ -189,7 +190,7 @@
             log::warn!("stopping with {left} requests running; raise shutdown.finish_ms");
         }
         // The result of a claim is recorded after its caller has the answer. If it were
-        // lost, a later query for the key would be told that the outcome is unknown.
+        // lost, a later query for the key would be answered that the outcome is unknown.
         let rest = finish
             .saturating_sub(started.elapsed())
             .max(MIN_RECORD_TIMEOUT);
@@ -320,7 +321,7 @@
     let requests = RequestsService::new(Arc::clone(context), incarnation);
     let operations = OperationsService::new(Arc::clone(context));
     // After a pause of this process, submissions that callers have abandoned meanwhile
-    // are read all at once, each with its reset. Above the library's default of 20 this
+    // are read all at once, each with its HTTP/2 stream reset. Above the library's default of 20 this
     // counts as an attack, and closing the connection would cut off every other answer
     // on it. This still happens if more requests are abandoned during a pause than a
     // connection has streams.
