--- a/src/intents/driver.rs
+++ b/src/intents/driver.rs
@@ -157,8 +157,9 @@
         }
     }
 
-    /// Returns whether an operation is to be sent to the shard's owner. While this daemon cannot reach
-    /// the platform, nothing is forwarded, and the local writer refuses claims at once.
+    /// Returns whether an operation is to be sent to the shard's owner. While this daemon
+    /// cannot reach the platform, nothing is forwarded, and the local writer refuses claims
+    /// at once.
     fn is_forwarded(&self, op: &ShardOp) -> bool {
         !self.writer.is_down(self.now()) && self.forward.accepts(op)
     }
--- a/src/intents/store.rs
+++ b/src/intents/store.rs
@@ -1,4 +1,5 @@
-//! The store of the records of non-repeatable requests: keeps the ledgers of all shards in the platform.
+//! The store of the records of non-repeatable requests: keeps the ledgers of all shards in
+//! the platform.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
