--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -40,10 +40,10 @@
 /// Messages to the control thread.
 #[derive(Debug)]
 pub enum ControlInput {
-    /// A target is no longer at its address.
+    /// A target announced its departure or is no longer at its address.
     TargetDeparted(TargetIncarnation),
     /// Another daemon reported entries that were created or removed.
-    EntryNotes(Vec<EntryUpdate>),
+    EntryUpdates(Vec<EntryUpdate>),
     /// Another daemon sent a configuration.
     PeerConfig {
         /// Revision of the configuration object in the store.
@@ -117,9 +117,9 @@
     routes: Option<Arc<RouteTable>>,
     config_source: Option<(u64, Arc<[u8]>)>,
     targets_known: bool,
-    own_record_seen: bool,
+    local_record_seen: bool,
     store_liveness: Arc<StoreLiveness>,
-    // Revision of a configuration that could not be decoded and is not in force here.
+    // Revision of the newest configuration that could not be decoded and is not in force here.
     rejected_revision: Option<u64>,
 }
 
@@ -152,7 +152,7 @@
         routes: None,
         config_source: None,
         targets_known: false,
-        own_record_seen: false,
+        local_record_seen: false,
         store_liveness: setup.store_liveness,
         rejected_revision: None,
     };
@@ -163,7 +163,7 @@
         let changed = tokio::select! {
             message = inbox.recv() => match message {
                 Some(ControlInput::TargetDeparted(id)) => state.note_departed(&id),
-                Some(ControlInput::EntryNotes(notes)) => state.apply_entry_notes(notes),
+                Some(ControlInput::EntryUpdates(updates)) => state.apply_entry_updates(updates),
                 Some(ControlInput::PeerConfig { revision, value }) => {
                     state.apply_config_value(revision, &value)
                 }
@@ -184,7 +184,8 @@
                     let _ = relay.send(objects);
                 }
                 let changed = event.is_some_and(|event| state.apply(event, EntrySource::Store));
-                if state.has_lost_own_record(&record_sender.borrow().id) {
+                if state.has_lost_local_record(&record_sender.borrow().id) {
+                    // Makes `maintain_record` write it again.
                     record_sender.send_modify(|_| {});
                 }
                 changed
@@ -215,13 +216,15 @@
         true
     }
 
-    fn apply_entry_notes(&mut self, notes: Vec<EntryUpdate>) -> bool {
+    fn apply_entry_updates(&mut self, updates: Vec<EntryUpdate>) -> bool {
         let now = clock::mono_now();
         let mut changed = false;
-        for note in notes {
-            changed |= match note.value {
-                None => self.registry.apply_removal(&note.name, note.revision, now),
-                Some(value) => self.apply_created(&note.name, note.revision, value.into_vec()),
+        for update in updates {
+            changed |= match update.value {
+                None => self
+                    .registry
+                    .apply_removal(&update.name, update.revision, now),
+                Some(value) => self.apply_created(&update.name, update.revision, value.into_vec()),
             };
         }
         changed
@@ -244,11 +247,11 @@
         let now = clock::mono_now();
         let change = self.decode_target(object);
         let name = change.name.clone();
-        let begins = self.registry.apply(change, source, now);
-        if let Some(value) = object.value.as_ref().filter(|_| begins) {
+        let is_start = self.registry.apply(change, source, now);
+        if let Some(value) = object.value.as_ref().filter(|_| is_start) {
             self.registry.note_added(&name, value, now);
         }
-        begins
+        is_start
     }
 
     // Logged repeatedly: only the last seconds of a busy daemon's log may be kept.
@@ -292,10 +295,10 @@
     }
 
     // Returns whether this daemon's record was seen before and is now missing.
-    fn has_lost_own_record(&mut self, own: &DaemonId) -> bool {
-        let present = self.members.contains(own);
-        let lost = self.own_record_seen && !present;
-        self.own_record_seen = present;
+    fn has_lost_local_record(&mut self, local: &DaemonId) -> bool {
+        let present = self.members.contains(local);
+        let lost = self.local_record_seen && !present;
+        self.local_record_seen = present;
         lost
     }
 
@@ -430,7 +433,7 @@
             targets_known: self.targets_known,
             config_source: self.config_source.clone(),
             departed: self.registry.departed().cloned().collect(),
-            entry_notes: self.registry.recent_updates().cloned().collect(),
+            entry_updates: self.registry.recent_updates().cloned().collect(),
             missing_entries: self
                 .registry
                 .missing_entries()
@@ -483,5 +486,5 @@
             }
         }
     }
-    log::error!(attempts = MAX_RECORD_ATTEMPTS; "gave up writing this daemon's record until its next change; other daemons will discover this daemon late");
+    log::error!(attempts = MAX_RECORD_ATTEMPTS; "gave up writing this daemon's record until its next change; other daemons may not know this daemon until then, check that the store accepts writes");
 }
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -24,12 +24,13 @@
     pub targets: TargetsByService,
     /// Whether the targets have been listed at least once.
     pub targets_known: bool,
-    /// Revision and value of that configuration, to be sent to daemons with an older one.
+    /// Revision and value of the configuration in `routes`, to be sent to daemons with an older
+    /// one.
     pub config_source: Option<(u64, Arc<[u8]>)>,
-    /// Targets that recently announced their departure.
+    /// Targets that recently announced their departure or were found gone from their address.
     pub departed: Vec<TargetIncarnation>,
-    /// Entries of targets that were recently created or are recently known to be gone.
-    pub entry_notes: Vec<RecentUpdate>,
+    /// Entries of targets that were recently created or found to be gone.
+    pub entry_updates: Vec<RecentUpdate>,
     /// Targets without an entry that still get work.
     pub missing_entries: IndexMap<TargetIncarnation, MissingEntry>,
     /// Daemons with a record in the store, this one included.
--- a/src/gateway/peers/mod.rs
+++ b/src/gateway/peers/mod.rs
@@ -60,7 +60,9 @@
 #[derive(Clone)]
 struct OutgoingStatus {
     hint: Message,
+    // Summary of the local data centre, for other hubs.
     centre: Option<Message>,
+    // Summary of the whole fleet, for members.
     fleet: Option<Message>,
 }
 
@@ -181,15 +183,15 @@
     fn due_entries(&self, role: &PeerRole) -> Vec<EntryUpdate> {
         let view = self.view();
         let mut broadcasts = self.entry_broadcasts.borrow_mut();
-        let mut changes = broadcasts.due_changes(&view.entry_notes, clock::mono_now());
+        let mut changes = broadcasts.due_changes(&view.entry_updates, clock::mono_now());
         if *role != PeerRole::Mesh {
             changes.retain(|change| change.value.is_none());
         }
         changes
     }
 
-    // Builds the messages of this interval. Newly cached parts are sent once, to all daemons
-    // that this one has a link to.
+    // Builds the messages of this interval. Newly cached parts are in the messages of one
+    // interval only, which go to all daemons that this one has a link to.
     fn outgoing_status(&self, role: &PeerRole) -> OutgoingStatus {
         let hint = self.hint(role);
         let (centre, fleet) = match role {
@@ -233,10 +235,10 @@
             .broadcasts(whole_fleet)
             .due_members(status);
         members.push(hub::local_status(hint));
-        let counts = |id: &DaemonId| whole_fleet || *id == hint.from || direct.contains(id);
+        let is_covered = |id: &DaemonId| whole_fleet || *id == hint.from || direct.contains(id);
         // Placements made from now on get a higher number than this summary contains.
         let placed_through = self.announce_placements();
-        let work = self.core.borrow().load.sum_with(counts);
+        let work = self.core.borrow().load.sum_with(is_covered);
         PeerSummary {
             from: hint.from.clone(),
             incarnation: hint.incarnation,
@@ -385,11 +387,13 @@
     fn apply_entry_changes(&self, mut changes: Vec<EntryUpdate>) {
         let view = self.view();
         let is_kept =
-            |change: &EntryUpdate| view.entry_notes.iter().any(|kept| kept.update == *change);
+            |change: &EntryUpdate| view.entry_updates.iter().any(|kept| kept.update == *change);
         changes.retain(|change| !is_kept(change));
         if !changes.is_empty() {
             // The control thread runs until the process ends.
-            let _ = self.control_inputs.send(ControlInput::EntryNotes(changes));
+            let _ = self
+                .control_inputs
+                .send(ControlInput::EntryUpdates(changes));
         }
     }
 
