--- a/src/gateway/peers/placing.rs
+++ b/src/gateway/peers/placing.rs
@@ -67,13 +67,15 @@
     }
 }
 
-/// Sends placement requests to another daemon and matches the responses.
+/// Sends placement requests to another daemon and matches the responses. Other requests and
+/// responses between daemons are sent through it too, as it has the queues of the links.
 #[derive(Debug, Default)]
 pub struct PlacementClient {
     // Daemon that chooses for this one; `None` if this one chooses by itself.
     placement_hub: Option<DaemonId>,
     links: IndexMap<DaemonId, mpsc::UnboundedSender<Message>>,
     last_number: u64,
+    // Number of the last request whose response was used.
     used_through: u64,
     waiting: IndexMap<u64, oneshot::Sender<Option<PlacedEngines>>>,
     retry_at: Option<MonoTime>,
@@ -123,7 +125,7 @@
     }
 
     /// Sends a placement request and returns its number and the receiver of the response;
-    /// `None` if no other daemon chooses for this one, or it cannot be asked now.
+    /// `None` if no other daemon chooses for this one, or no request can be sent to it now.
     pub fn send_request(
         &mut self,
         request: PlacementRequest,
@@ -165,15 +167,15 @@
 }
 
 impl Gateway {
-    /// Chooses the engines for a request: asks the hub, and chooses locally if it does not
-    /// respond or returns no engines that are known here.
+    /// Chooses the engines for a request: sends a placement request to the hub, and chooses
+    /// locally if it does not respond or returns no engines that are known here.
     pub async fn place_request(
         &self,
         call: &RoutedRequest,
         history: &SendHistory,
     ) -> Option<EnginePlacement> {
         match self.request_placement(call, history).await {
-            Some(place) => Some(place),
+            Some(placement) => Some(placement),
             None => self.place_locally(call, history),
         }
     }
@@ -183,11 +185,11 @@
         call: &RoutedRequest,
         history: &SendHistory,
     ) -> Option<EnginePlacement> {
-        let place = self.place(call, history)?;
+        let placement = self.place(call, history)?;
         if let Some(prompt) = &call.caller.prompt {
-            self.queue_placement(prompt, &place);
+            self.queue_placement(prompt, &placement);
         }
-        Some(place)
+        Some(placement)
     }
 
     async fn request_placement(
@@ -202,14 +204,14 @@
             .borrow_mut()
             .send_request(request, now)?;
         let response = timeout(RESPONSE_TIMEOUT, response).await;
-        let mut placing = self.placement_client.borrow_mut();
+        let mut client = self.placement_client.borrow_mut();
         let Ok(Ok(engines)) = response else {
-            placing.record_timeout(number, clock::mono_now());
+            client.record_timeout(number, clock::mono_now());
             metrics::counter!("pistachiowick_place_questions_total", "outcome" => "silence")
                 .increment(1);
             return None;
         };
-        placing.record_use(number);
+        client.record_use(number);
         metrics::counter!("pistachiowick_place_questions_total", "outcome" => "answered")
             .increment(1);
         self.resolve(call, &engines?)
@@ -290,14 +292,14 @@
             urgency: request.urgency,
             objective_left: Duration::from_millis(u64::from(request.objective_left_ms)),
         };
-        let place = self.core.borrow().place(&query, clock::mono_now());
-        if let Some(place) = &place {
-            self.count_placement(request, &prompt, place);
-            self.queue_placement(&prompt, place);
+        let placement = self.core.borrow().place(&query, clock::mono_now());
+        if let Some(placement) = &placement {
+            self.count_placement(request, &prompt, placement);
+            self.queue_placement(&prompt, placement);
         }
         let response = PeerMessage::PlacementResponse(PlacementResponse {
             number: request.number,
-            engines: place.map(|place| PlacedEngines::from(&place)),
+            engines: placement.map(|placement| PlacedEngines::from(&placement)),
         });
         // A requester whose link is not up yet chooses by itself.
         self.placement_client
@@ -306,23 +308,23 @@
     }
 
     /// Queues a placement of this daemon for the other hubs, if it is a hub.
-    pub fn queue_placement(&self, prompt: &PromptShape, place: &EnginePlacement) {
+    pub fn queue_placement(&self, prompt: &PromptShape, placement: &EnginePlacement) {
         if !self.hubs.borrow().is_hub() {
             return;
         }
-        let prefill_engine = place
+        let prefill_engine = placement
             .prefill_engine
             .as_ref()
-            .unwrap_or(&place.decode_engine);
-        let decode_engine = place
+            .unwrap_or(&placement.decode_engine);
+        let decode_engine = placement
             .prefill_engine
             .as_ref()
-            .map(|_| place.decode_engine.id.clone());
+            .map(|_| placement.decode_engine.id.clone());
         self.placements.borrow_mut().push(PlacementRecord {
             prefill_engine: prefill_engine.id.clone(),
             decode_engine,
-            rank: place.rank,
-            pending_prefill_tokens: place.pending_prefill_tokens,
+            rank: placement.rank,
+            pending_prefill_tokens: placement.pending_prefill_tokens,
             parts: prompt.parts.iter().map(|p| (p.key, p.tokens)).collect(),
         });
         self.placements_changed.notify_one();
@@ -358,17 +360,17 @@
         }
         let now = clock::mono_now();
         let mut core = self.core.borrow_mut();
-        let numbered = (&batch.from, batch.number);
+        let batch_id = (&batch.from, batch.number);
         for record in &batch.placements {
             core.load.reserve(
-                numbered,
+                batch_id,
                 &record.prefill_engine,
                 (record.rank, record.pending_prefill_tokens),
                 now,
             );
             if let Some(decode_engine) = &record.decode_engine {
                 core.load
-                    .reserve(numbered, decode_engine, (record.rank, 0), now);
+                    .reserve(batch_id, decode_engine, (record.rank, 0), now);
             }
             core.note_parts(&record.prefill_engine, &parts_of(&record.parts), false, now);
         }
@@ -379,24 +381,28 @@
         &self,
         request: &PlacementRequest,
         prompt: &PromptShape,
-        place: &EnginePlacement,
+        placement: &EnginePlacement,
     ) {
         let now = clock::mono_now();
-        let prefill_engine = place
+        let prefill_engine = placement
             .prefill_engine
             .as_ref()
-            .unwrap_or(&place.decode_engine);
+            .unwrap_or(&placement.decode_engine);
         let mut core = self.core.borrow_mut();
         let requester = (&request.from, request.number);
         core.load.reserve(
             requester,
             &prefill_engine.id,
-            (place.rank, place.pending_prefill_tokens),
+            (placement.rank, placement.pending_prefill_tokens),
             now,
         );
-        if place.prefill_engine.is_some() {
-            core.load
-                .reserve(requester, &place.decode_engine.id, (place.rank, 0), now);
+        if placement.prefill_engine.is_some() {
+            core.load.reserve(
+                requester,
+                &placement.decode_engine.id,
+                (placement.rank, 0),
+                now,
+            );
         }
         core.note_parts(&prefill_engine.id, &prompt.parts, false, now);
     }
@@ -428,21 +434,24 @@
 }
 
 impl From<&EnginePlacement> for PlacedEngines {
-    fn from(place: &EnginePlacement) -> Self {
+    fn from(placement: &EnginePlacement) -> Self {
         Self {
-            prefill_engine: place
+            prefill_engine: placement
                 .prefill_engine
                 .as_ref()
                 .map(|prefill_engine| prefill_engine.id.clone()),
-            decode_engine: place.decode_engine.id.clone(),
-            fetch_from: place.fetch_from.as_ref().map(|holder| holder.id.clone()),
-            rank: place.rank,
-            expected_ms: place.expected_ms,
-            own_prefill_ms: place.own_prefill_ms,
-            pending_prefill_tokens: place.pending_prefill_tokens,
-            recomputed_tokens: place.recomputed_tokens,
-            queued_ahead_tokens: place.queued_ahead_tokens,
-            deprioritized: place.deprioritized,
+            decode_engine: placement.decode_engine.id.clone(),
+            fetch_from: placement
+                .fetch_from
+                .as_ref()
+                .map(|holder| holder.id.clone()),
+            rank: placement.rank,
+            expected_ms: placement.expected_ms,
+            own_prefill_ms: placement.own_prefill_ms,
+            pending_prefill_tokens: placement.pending_prefill_tokens,
+            recomputed_tokens: placement.recomputed_tokens,
+            queued_ahead_tokens: placement.queued_ahead_tokens,
+            deprioritized: placement.deprioritized,
         }
     }
 }
