--- a/src/gateway/peers/feeding.rs
+++ b/src/gateway/peers/feeding.rs
@@ -3,10 +3,10 @@
 //!
 //! In a fleet with hubs one hub watches the store, the other hubs rely on it, and the
 //! members of a data centre rely on their hub. A daemon watches the store itself when the
-//! daemons that it relies on have not reached the store for a part of the time in which a
-//! change has to be in force. Calls to the store are priced, and all daemons share their
-//! quota: in a fleet of 195 daemons, a watching hub in each data centre and a start in
-//! which all daemons listed everything took 290 calls a second on a day with failures.
+//! daemons that it relies on have not reached the store for a fraction of the time within
+//! which a change has to be in force. Calls to the store are priced, and all daemons share
+//! their quota: with a hub that watches in each data centre, and a start in which all daemons
+//! listed everything, a fleet of 195 daemons made 290 calls a second on a day with failures.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 pub struct FeedState {
     /// Whether a hub relays the objects that it reads.
     pub subscribed: bool,
-    /// Whether a hub did so until recently enough that no change can be overdue.
+    /// Whether a hub relayed them so recently that no change can be overdue.
     pub current: bool,
     /// Whether the hub is reachable, even if it cannot reach the store.
     pub hub_reachable: bool,
@@ -73,11 +73,11 @@
 /// Time after which the request for a hub's store snapshot is sent again.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Decides when a member may stop watching the store itself.
+/// Decides when a daemon may stop watching the store itself and rely on a hub.
 ///
 /// Objects that a hub relayed earlier may have been lost or ignored here, for instance
 /// while this daemon was cut off and watched the store itself: a target that announced its
-/// departure in that time would get work until it exits. The member therefore requests the
+/// departure in that time would get work until it exits. The daemon therefore requests the
 /// hub's snapshot, and relies on the hub from the response to its latest request on.
 #[derive(Debug, Default)]
 pub struct FeedSubscription {
@@ -163,15 +163,16 @@
     }
 }
 
-/// Objects of the store as this daemon last read them, for members that connect.
+/// Objects of the store as this daemon last read them or received them from a hub, for daemons
+/// that connect.
 #[derive(Debug, Default)]
 pub struct StoreSnapshot {
     feeds: IndexMap<Feed, IndexMap<String, (u64, Vec<u8>)>>,
 }
 
 impl StoreSnapshot {
-    /// Applies objects that were read; returns those to relay to daemons that had the same
-    /// objects before.
+    /// Applies objects that were read or received; returns those to relay to daemons that had
+    /// the same objects before.
     ///
     /// A listing in which nothing is missing is relayed as the objects that changed: a
     /// complete one fills a slow link for a part of a second, once for each member.
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Whether objects of all kinds were read.
+    /// Whether it has objects of all kinds.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let all = [Feed::Config, Feed::Targets, Feed::Daemons];
@@ -243,8 +244,8 @@
         let mut all = self.all();
         let digests = self.digests();
         all.retain(|objects| {
-            let own = digests.iter().find(|(feed, _)| *feed == objects.feed);
-            own.is_none_or(|own| !known.contains(own))
+            let local = digests.iter().find(|(feed, _)| *feed == objects.feed);
+            local.is_none_or(|local| !known.contains(local))
         });
         all
     }
@@ -292,18 +293,18 @@
     /// thread of a change.
     pub(super) fn update_watch_mode(&self, role: &PeerRole, now: MonoTime) {
         let view = self.view();
-        let bounds = self.settings().relay_timeouts();
-        let (store_source, timeout) = match role {
+        let timeouts = self.settings().relay_timeouts();
+        let (candidate, timeout) = match role {
             PeerRole::Mesh => (None, Duration::ZERO),
-            PeerRole::Member(hub) => (Some(hub.clone()), bounds.member_timeout),
+            PeerRole::Member(hub) => (Some(hub.clone()), timeouts.member_timeout),
             PeerRole::Hub => {
-                let store_source = self.hubs.borrow().store_hub(
+                let candidate = self.hubs.borrow().store_hub(
                     &self.daemon,
                     &view.daemons,
                     &self.peers.borrow(),
                     now,
                 );
-                (store_source, bounds.hub_timeout)
+                (candidate, timeouts.hub_timeout)
             }
         };
         let hub_reachable = match role {
@@ -311,7 +312,7 @@
             PeerRole::Hub | PeerRole::Mesh => false,
         };
         let hubs = self.hubs.borrow();
-        let source = store_source.filter(|hub| hubs.has_recent_store(hub, timeout, now));
+        let source = candidate.filter(|hub| hubs.has_recent_store(hub, timeout, now));
         self.subscribe(source.as_ref(), now);
         let mut feed_subscription = self.feed_subscription.borrow_mut();
         feed_subscription.record_store_contact(source.and_then(|hub| hubs.store_contact(&hub)));
@@ -319,23 +320,28 @@
             subscribed: feed_subscription.is_subscribed(),
             current: feed_subscription.is_current(timeout, now),
             hub_reachable,
-            starting: self.starting(role, view.daemons.is_empty(), now),
+            starting: self.startup_mode(role, view.daemons.is_empty(), now),
         };
-        let duty = choose_watch_mode(role, state);
-        if self.watch_mode.replace(duty) != duty {
-            log::info!(duty = format!("{duty:?}"), role = role.as_str(); "store watch mode changed");
+        let mode = choose_watch_mode(role, state);
+        if self.watch_mode.replace(mode) != mode {
+            log::info!(duty = format!("{mode:?}"), role = role.as_str(); "store watch mode changed");
             // The control thread runs until the process ends.
-            let _ = self.control_inputs.send(ControlInput::WatchMode(duty));
+            let _ = self.control_inputs.send(ControlInput::WatchMode(mode));
         }
     }
 
     // Returns the watch mode of the first seconds. As long as no record is known, it is not
     // known either whether the fleet has hubs.
-    fn starting(&self, role: &PeerRole, nobody_known: bool, now: MonoTime) -> Option<WatchMode> {
+    fn startup_mode(
+        &self,
+        role: &PeerRole,
+        no_daemon_known: bool,
+        now: MonoTime,
+    ) -> Option<WatchMode> {
         let first = self.settings().first_start;
         let timeout = match role {
             PeerRole::Member(_) => HUB_WAIT_TIMEOUT,
-            _ if first || nobody_known => DISCOVERY_TIME,
+            _ if first || no_daemon_known => DISCOVERY_TIME,
             _ => Duration::ZERO,
         };
         let is_starting = now.since(self.started) < timeout;
--- a/src/gateway/peers/hub.rs
+++ b/src/gateway/peers/hub.rs
@@ -5,8 +5,9 @@
 //! to each of its members and to each other hub. Only hubs watch the store and relay its
 //! changes.
 //!
-//! One hub watches the store for the others. They take over when they receive nothing of
-//! the store from it for a part of the time in which a change has to be in force.
+//! One hub watches the store for the others. Another hub watches the store itself when the
+//! first one had no response from it for a fraction of the time within which a change has to
+//! be in force (`RelayTimeouts`).
 //!
 //! There is no consensus: each daemon selects the first reachable daemon of its data centre
 //! as its hub. A daemon that others have selected acts as a hub.
@@ -74,7 +75,9 @@
 pub struct HubSelector {
     role: Option<PeerRole>,
     hub_since: Option<(DaemonId, MonoTime)>,
+    // Until when daemons are not selected as hub, as they did not respond.
     skipped: IndexMap<DaemonId, MonoTime>,
+    // When daemons last sent a hint here, which they do if they selected this one as hub.
     last_hints: IndexMap<DaemonId, MonoTime>,
     // When hubs had their last response from the store.
     store_contact: IndexMap<DaemonId, MonoTime>,
@@ -283,11 +286,14 @@
     from_members: Vec<CachedPartsUpdate>,
     // The same, reported by other hubs, for members.
     from_hubs: Vec<CachedPartsUpdate>,
+    // Schedule of the status of members, for other hubs.
     hub_broadcasts: MemberBroadcasts,
+    // Schedule of the status of all daemons, for members.
     fleet_broadcasts: MemberBroadcasts,
 }
 
-/// Most updates that wait for the next message; a daemon that is no hub relays none.
+/// Most updates that wait for the next message; beyond that, all that wait are dropped. A
+/// daemon that is no hub queues updates too, but sends none.
 const MAX_RELAYED: usize = 4_096;
 
 impl RelayQueue {
@@ -340,7 +346,7 @@
     }
 }
 
-/// Subtracts a daemon's own work, as it last reported it, from a sum that contains it.
+/// Subtracts the local work, as last sent to the hub, from a sum that contains it.
 pub fn subtract(sum: &mut WorkByTarget, local: &WorkByTarget) {
     for (target, work) in local {
         if let Some(total) = sum.get_mut(target) {
--- a/src/gateway/peers/links.rs
+++ b/src/gateway/peers/links.rs
@@ -188,8 +188,8 @@
 }
 
 async fn send_snapshot(gateway: &Gateway, link: &mut Link) -> bool {
-    let stock = gateway.store_snapshot.borrow().all();
-    for objects in stock {
+    let feeds = gateway.store_snapshot.borrow().all();
+    for objects in feeds {
         if !send(link, PeerMessage::Objects(objects).encode()).await {
             return false;
         }
