--- a/src/gateway/peers/freshness.rs
+++ b/src/gateway/peers/freshness.rs
@@ -1,4 +1,4 @@
-//! Until when a daemon's configuration is confirmed to be the newest one.
+//! When a daemon's configuration was last confirmed to be the newest one.
 //!
 //! Only the store can confirm it, and only few daemons read the store. These report the age
 //! of the store's response. A receiver subtracts that age from a time on its own clock that
@@ -25,7 +25,8 @@
     pub clock: MonoTime,
 }
 
-/// Age of a daemon's configuration, as reported to another daemon.
+/// How long ago a daemon's configuration was confirmed to be the newest, as reported to another
+/// daemon.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ConfigFreshness {
     /// The sender's clock.
@@ -38,9 +39,10 @@
     pub echo: Option<ClockEcho>,
 }
 
-/// Tracks until when the local configuration is confirmed, by messages of other daemons.
+/// Tracks when messages of other daemons last confirmed the local configuration.
 #[derive(Debug, Default)]
 pub struct FreshnessTracker {
+    // Incarnation and clock of each daemon, as last received from it.
     clocks: IndexMap<DaemonId, (u64, MonoTime)>,
     confirmed_at: Option<MonoTime>,
 }
@@ -74,14 +76,15 @@
         let Some(age_ms) = report.age_ms.filter(|_| report.version <= local_version) else {
             return;
         };
-        let is_own = |echo: &&ClockEcho| (&echo.daemon, echo.incarnation) == local;
-        if let Some(echo) = report.echo.as_ref().filter(is_own) {
+        let is_local = |echo: &&ClockEcho| (&echo.daemon, echo.incarnation) == local;
+        if let Some(echo) = report.echo.as_ref().filter(is_local) {
             let at = MonoTime(echo.clock.0.saturating_sub(age_ms));
             self.confirmed_at = self.confirmed_at.max(Some(at));
         }
     }
 
-    /// Returns until when other daemons confirmed the local configuration as the newest.
+    /// Returns the last time at which other daemons confirmed the local configuration as the
+    /// newest one.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<MonoTime> {
         self.confirmed_at
@@ -89,7 +92,7 @@
 }
 
 impl Gateway {
-    /// Returns until when the local configuration is confirmed as the newest one.
+    /// Returns the last time at which the local configuration was confirmed as the newest one.
     ///
     /// If read before the configuration itself, the value holds for that configuration too.
     #[must_use]
--- a/src/gateway/peers/wire.rs
+++ b/src/gateway/peers/wire.rs
@@ -111,12 +111,12 @@
     PlacementResponse(PlacementResponse),
     /// Placements of a hub since its last announcement.
     Placements(PlacementBatch),
-    /// The age of a hub's configuration, for one receiver.
+    /// How long ago a hub's configuration was confirmed to be the newest, for one receiver.
     #[serde(rename = "Proof")]
     Freshness(FreshnessUpdate),
 }
 
-/// Age of a hub's configuration, for one receiver.
+/// How long ago a hub's configuration was confirmed to be the newest, for one receiver.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FreshnessUpdate {
     /// The hub.
@@ -169,7 +169,7 @@
     pub incarnation: u64,
     /// Number of the request within that incarnation.
     pub number: u64,
-    /// Digests of the requester's own objects.
+    /// Digests of the objects that the requester has.
     pub known: Vec<(Feed, u64)>,
 }
 
