--- a/src/gateway/peers/entry_broadcasts.rs
+++ b/src/gateway/peers/entry_broadcasts.rs
@@ -32,10 +32,10 @@
     pub fn due_changes(&mut self, updates: &[RecentUpdate], now: MonoTime) -> Vec<EntryUpdate> {
         let is_recent = |at: MonoTime| now.since(at) < FULL_INTERVAL;
         let is_full = !self.last_full_at.is_some_and(is_recent);
-        let longest = if is_full { RETENTION_TIME } else { REPEAT_TIME };
+        let max_age = if is_full { RETENTION_TIME } else { REPEAT_TIME };
         let fresh = updates
             .iter()
-            .filter(|update| now.since(update.at) < longest);
+            .filter(|update| now.since(update.at) < max_age);
         let (mut due, additions): (Vec<&RecentUpdate>, Vec<&RecentUpdate>) =
             fresh.partition(|update| update.update.value.is_none());
         if is_full {
--- a/src/gateway/peers/link_queue.rs
+++ b/src/gateway/peers/link_queue.rs
@@ -46,11 +46,11 @@
 
     /// Creates the queue of a link on which changes of objects are sent.
     #[must_use]
-    pub fn open<W>(
+    pub fn open<S>(
         &self,
-        status: watch::Receiver<W>,
+        status: watch::Receiver<S>,
         urgent: mpsc::UnboundedReceiver<M>,
-    ) -> LinkQueue<W, M> {
+    ) -> LinkQueue<S, M> {
         let changes = (self.config.subscribe(), self.records.subscribe());
         LinkQueue {
             status,
@@ -78,17 +78,20 @@
 
 /// Messages that wait to be sent on a link.
 #[derive(Debug)]
-pub struct LinkQueue<W, M> {
-    status: watch::Receiver<W>,
+pub struct LinkQueue<S, M> {
+    status: watch::Receiver<S>,
+    // Requests and responses, which are sent before changes.
     urgent: mpsc::UnboundedReceiver<M>,
+    // Changes of the configuration, and of targets and daemons.
     changes: Option<(broadcast::Receiver<M>, broadcast::Receiver<M>)>,
+    // Messages sent since the last status message.
     since_status: usize,
 }
 
-impl<W, M: Clone> LinkQueue<W, M> {
+impl<S, M: Clone> LinkQueue<S, M> {
     /// Creates the queue of a link on which no changes of objects are sent.
     #[must_use]
-    pub fn without_changes(status: watch::Receiver<W>, urgent: mpsc::UnboundedReceiver<M>) -> Self {
+    pub fn without_changes(status: watch::Receiver<S>, urgent: mpsc::UnboundedReceiver<M>) -> Self {
         Self {
             status,
             urgent,
@@ -98,7 +101,7 @@
     }
 
     /// Returns the latest status message.
-    pub fn status(&mut self) -> watch::Ref<'_, W> {
+    pub fn status(&mut self) -> watch::Ref<'_, S> {
         self.status.borrow_and_update()
     }
 
--- a/src/gateway/peers/member_broadcasts.rs
+++ b/src/gateway/peers/member_broadcasts.rs
@@ -2,8 +2,8 @@
 //!
 //! With the status of each daemon in each message, the traffic of a hub grows with the
 //! square of the fleet: at 300 daemons in three data centres it was 16 of the 22 MB that a
-//! hub sent per second. Changes that receivers act on are sent at once; that a daemon is
-//! still reachable is sent in rotation.
+//! hub sent per second. Changes that receivers act on are sent at once; an unchanged status,
+//! which only shows that the daemon is still reachable, is sent in rotation.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
--- a/src/gateway/peers/peer_table.rs
+++ b/src/gateway/peers/peer_table.rs
@@ -27,8 +27,9 @@
     rate: WorkRate,
     leaving: bool,
     config_version: u64,
+    // Since when it runs an older configuration than this daemon.
     behind_since: Option<MonoTime>,
-    // Whether it was received through a hub.
+    // Whether this status was received through a hub.
     relayed: bool,
     // Whether the daemon reported for others too, as a hub.
     is_hub: bool,
@@ -59,6 +60,7 @@
     statuses: IndexMap<DaemonId, PeerStatus>,
     // Since when a daemon's record is known.
     known_since: IndexMap<DaemonId, MonoTime>,
+    // Newly cached prompt parts for the next hint.
     pending: Vec<CachedPartsUpdate>,
 }
 
@@ -121,17 +123,17 @@
 
     /// Returns the engines whose stage other daemons are changing.
     pub fn changing(&self, now: MonoTime) -> impl Iterator<Item = &TargetIncarnation> {
-        let alive = self.statuses.values();
-        let alive = alive.filter(move |state| state.is_fresh(now));
-        alive.flat_map(|state| &state.changing)
+        let reachable = self.statuses.values();
+        let reachable = reachable.filter(move |state| state.is_fresh(now));
+        reachable.flat_map(|state| &state.changing)
     }
 
     /// Returns the rate of work that the other reachable daemons place on engines.
     #[must_use]
     pub fn work_rate(&self, now: MonoTime) -> WorkRate {
-        let alive = self.statuses.values();
-        let alive = alive.filter(|state| state.is_fresh(now));
-        alive.fold(WorkRate::default(), |sum, state| WorkRate {
+        let reachable = self.statuses.values();
+        let reachable = reachable.filter(|state| state.is_fresh(now));
+        reachable.fold(WorkRate::default(), |sum, state| WorkRate {
             prefill_tokens: sum.prefill_tokens + state.rate.prefill_tokens,
             decode_tokens: sum.decode_tokens + state.rate.decode_tokens,
         })
