--- a/src/gateway/lease_upkeep.rs
+++ b/src/gateway/lease_upkeep.rs
@@ -59,8 +59,8 @@
         for action in self.table.tick(now) {
             self.execute(action, on_result.clone());
         }
-        for news in self.table.take_changes() {
-            log::info!(lease = self.group.as_str(), held = news.held, reason = news.reason.as_str(); "lease to act for the whole fleet was acquired or lost");
+        for change in self.table.take_changes() {
+            log::info!(lease = self.group.as_str(), held = change.held, reason = change.reason.as_str(); "lease to act for the whole fleet was acquired or lost");
         }
     }
 
@@ -79,11 +79,11 @@
     }
 
     /// Processes the result of a store call.
-    pub fn take(&mut self, answer: LeaseCallResult, now: MonoTime) {
-        match answer {
+    pub fn take(&mut self, call: LeaseCallResult, now: MonoTime) {
+        match call {
             LeaseCallResult::Read(result) => self.table.note_read(&self.group, &result, now),
-            LeaseCallResult::Written(mark, result) => {
-                self.table.note_write(&self.group, &mark, &result, now);
+            LeaseCallResult::Written(write_id, result) => {
+                self.table.note_write(&self.group, &write_id, &result, now);
             }
         }
     }
--- a/src/gateway/stage_control.rs
+++ b/src/gateway/stage_control.rs
@@ -104,7 +104,7 @@
     loop {
         tokio::select! {
             _ = ticks.next() => controller.tick(clock::mono_now()),
-            Some(event) = events.recv() => controller.take(event, clock::mono_now()),
+            Some(event) = events.recv() => controller.handle(event, clock::mono_now()),
         }
     }
 }
@@ -135,17 +135,17 @@
             (planned || has_changes) && rank < LEASE_CONTENDERS && !self.gateway.stopping.get();
         let event_sender = self.event_sender.clone();
         self.lease
-            .keep(contends.then_some(rank), now, move |answer| {
+            .keep(contends.then_some(rank), now, move |result| {
                 // The receiver ends only with the process.
-                let _ = event_sender.send(StageEvent::Lease(answer));
+                let _ = event_sender.send(StageEvent::Lease(result));
             });
         let has_authority = self.lease.authority(now).is_some();
         self.authority_since = has_authority.then(|| self.authority_since.unwrap_or(now));
     }
 
-    fn take(&mut self, event: StageEvent, now: MonoTime) {
+    fn handle(&mut self, event: StageEvent, now: MonoTime) {
         match event {
-            StageEvent::Lease(answer) => self.lease.take(answer, now),
+            StageEvent::Lease(result) => self.lease.take(result, now),
             StageEvent::Ordered(id, stage, result) => self.note_ordered(&id, stage, &result, now),
         }
     }
@@ -157,7 +157,7 @@
         result: &Result<OrderOutcome, SendError>,
         now: MonoTime,
     ) {
-        log::info!(target_id = id.as_str(), stage = format!("{stage:?}"), outcome = format!("{result:?}"); "ordered an engine to change its stage");
+        log::info!(target_id = id.as_str(), stage = format!("{stage:?}"), outcome = format!("{result:?}"); "attempt to order an engine to change its stage ended");
         metrics::counter!("pistachiowick_stage_orders_total").increment(1);
         let Some(change) = self.changes.get_mut(id) else {
             return;
@@ -264,9 +264,9 @@
             change.in_flight = true;
             let (gateway, event_sender) = (self.gateway.clone(), self.event_sender.clone());
             let (engine, stage, fence) = (engine.clone(), change.stage, authority.fence);
-            let until = authority.deadline;
+            let deadline = authority.deadline;
             spawn_local(async move {
-                let result = gateway.order_stage(&engine, stage, fence, until).await;
+                let result = gateway.order_stage(&engine, stage, fence, deadline).await;
                 // The receiver ends only with the process.
                 let _ = event_sender.send(StageEvent::Ordered(engine.id.clone(), stage, result));
             });
@@ -308,7 +308,7 @@
         engine: &TargetRecord,
         stage: EngineStage,
         fence: FenceNumber,
-        until: MonoTime,
+        deadline: MonoTime,
     ) -> Result<OrderOutcome, SendError> {
         let report = self.fetch_report(engine).await?;
         if report.started_at.is_some() && report.started_at != engine.id.started_at() {
@@ -324,7 +324,7 @@
                 "another order is in progress".to_owned(),
             ));
         }
-        if clock::mono_now().plus(CALL_TIMEOUT) >= until {
+        if clock::mono_now().plus(CALL_TIMEOUT) >= deadline {
             return Err(SendError::NotSent("the lease is about to end".to_owned()));
         }
         let order = EngineOrder {
@@ -350,9 +350,9 @@
         engine: &TargetRecord,
         query: TargetQuery,
     ) -> Result<(http::response::Parts, bytes::Bytes), SendError> {
-        let until = Instant::now() + CALL_TIMEOUT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let request = query_request(engine, query);
-        let mut link = HttpConnection::open(engine.address, until).await?;
-        client::call(&mut link, &request, MAX_REPORT_BYTES, until).await
+        let mut connection = HttpConnection::open(engine.address, deadline).await?;
+        client::call(&mut connection, &request, MAX_REPORT_BYTES, deadline).await
     }
 }
--- a/src/gateway/store_contact.rs
+++ b/src/gateway/store_contact.rs
@@ -23,7 +23,7 @@
     returned_at: Option<MonoTime>,
 }
 
-/// Tracks outages of the store by the results of calls to it.
+/// Tracks outages of the store by the results of this daemon's calls to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutageTracker {
     answered_at: Option<MonoTime>,
@@ -64,8 +64,8 @@
             returned_at,
         } = self.outage?;
         let return_bound = returned_at.unwrap_or(now).plus(ENTRY_RETURN_TIME);
-        let until = return_bound.min(failed_at.plus(RETURN_WINDOW));
-        (now < until).then_some(until)
+        let deadline = return_bound.min(failed_at.plus(RETURN_WINDOW));
+        (now < deadline).then_some(deadline)
     }
 
     /// Returns the time since the last failed call that indicated an outage.
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -81,7 +81,7 @@
     Changed(Feed, Vec<StoredObject>),
     /// A call that was started at this time has failed.
     Failed(MonoTime),
-    /// Earlier events contain everything that the store held of the configuration at this time.
+    /// Earlier events contain the configuration as it was in the store at this time.
     Confirmed(MonoTime),
     /// Earlier events contain all changes of targets' entries up to this revision.
     TargetsThrough(u64),
@@ -273,7 +273,7 @@
     // Waits until the store has answered after the given time.
     async fn answered_after(&self, moment: MonoTime) {
         let mut answered = self.config_answered.subscribe();
-        // The sender lives as long as this.
+        // The sender lives as long as `self`.
         let _ = answered
             .wait_for(|at| at.is_some_and(|at| at > moment))
             .await;
@@ -409,8 +409,8 @@
     }
 
     // In a fleet with hubs, a member polls only the configuration until the store answers. A
-    // pause ends when the mode changes: the next hub is a member in a long pause, and until
-    // it ended, nobody in its data centre would notice that the store is back.
+    // pause ends when the mode changes: a member that becomes the hub may be in a long pause,
+    // and until it ended, no daemon of its data centre would notice that the store is back.
     async fn pause_after_failure(&mut self, backoff: &mut Duration, started: Instant) {
         let watch_mode = *self.watch_mode.borrow();
         let is_member = matches!(watch_mode, WatchMode::WithoutHub | WatchMode::BesideHub);
@@ -470,13 +470,13 @@
     }
 }
 
-/// Waits like [`sleep_with_backoff`], less the time that the failed call took: a call that hung already
-/// was a pause.
+/// Waits like [`sleep_with_backoff`], less the time that the failed call took: a call that
+/// hung already was a pause.
 async fn sleep_after_failure(started: Instant, backoff: &mut Duration, max: Duration) {
-    let mut left = backoff
+    let mut remaining = backoff
         .saturating_sub(started.elapsed())
         .max(INITIAL_BACKOFF);
-    sleep_with_backoff(&mut left, max).await;
+    sleep_with_backoff(&mut remaining, max).await;
     *backoff = (*backoff * 2).min(max);
 }
 
