--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -66,17 +66,17 @@
     pub peers: RefCell<PeerTable>,
     /// Time at which the configuration was last confirmed to be the newest one.
     pub freshness: RefCell<FreshnessTracker>,
-    /// Usage counted locally and by peers, and true time.
+    /// Usage counted locally and by peers, and fleet time.
     pub fleet_tasks: RefCell<UsageMeter>,
-    /// Client for placement requests to hubs.
+    /// Client for placement requests to the hub, with the queues of all links.
     pub placement_client: RefCell<PlacementClient>,
     /// Placements that this daemon has made as a hub.
     pub placements: RefCell<PlacementOutbox>,
-    /// Wakes up the task that reports new placements to the other hubs.
+    /// Wakes up the task that announces new placements to the other hubs.
     pub placements_changed: Notify,
-    /// Hubs that placements are reported to.
+    /// Hubs that placements are announced to.
     pub other_hubs: RefCell<Vec<DaemonId>>,
-    /// Which daemons are hubs, and of which members.
+    /// Selects the hub of this data centre and decides this daemon's role.
     pub hubs: RefCell<HubSelector>,
     /// Whether this daemon relies on a hub for the store's objects, and on which.
     pub feed_subscription: RefCell<FeedSubscription>,
@@ -84,13 +84,13 @@
     pub relay_queue: RefCell<RelayQueue>,
     /// Broadcast schedule of entry changes.
     pub entry_broadcasts: RefCell<EntryBroadcasts>,
-    /// Work observed by local sends, to be reported to the hub.
+    /// Results of local sends, to be reported to the hub.
     pub observed_results: RefCell<ObservedResults>,
     /// Local work as last sent to other daemons.
     pub last_sent_work: RefCell<WorkByTarget>,
-    /// Objects of the store as last read, for a hub to relay.
+    /// Objects of the store as last read or received, for a hub to relay.
     pub store_snapshot: RefCell<StoreSnapshot>,
-    /// Senders of the store's changes to the links to members.
+    /// Senders of the store's changes to a hub's links to members and other hubs.
     pub feed_changes: ChangeSenders<Message>,
     /// How this daemon follows the store.
     pub watch_mode: Cell<WatchMode>,
@@ -141,7 +141,7 @@
 
     /// Notifies the control thread that a target is no longer at its address.
     pub fn notify_departed(&self, target: &TargetIncarnation) {
-        // The control thread ends only with the process.
+        // The control thread runs until the process ends.
         let _ = self
             .control_inputs
             .send(ControlInput::TargetDeparted(target.clone()));
@@ -284,7 +284,7 @@
             .is_ok_and(|r| r.incarnation == record.incarnation);
         if same_incarnation {
             let removed = (self.ports.remove)((object, stored.version)).await;
-            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "removal of the record of a daemon that is gone");
+            log::info!(daemon = record.id.as_str(), removed = removed.is_ok(); "tried to remove the record of a daemon that is gone");
         }
     }
 
@@ -319,7 +319,7 @@
     pub settings_path: String,
 }
 
-/// Runs a gateway until it is told to stop and its requests have ended.
+/// Runs a gateway until it is signalled to stop and its requests have ended.
 ///
 /// # Errors
 ///
@@ -393,19 +393,19 @@
 // Callers that still use this address are served, with `Connection: close`; the others
 // have received a new directory answer by the time the port closes.
 async fn stop_gracefully(gateway: &Gateway, close: &watch::Sender<bool>, grace: Duration) {
-    let began = tokio::time::Instant::now();
+    let stop_started = tokio::time::Instant::now();
     log::info!(grace_ms = grace.as_millis() as u64; "stopping after running requests have ended");
     gateway.stopping.set(true);
-    // The control thread ends only with the process.
+    // The control thread runs until the process ends.
     let _ = gateway.control_inputs.send(ControlInput::Stopping);
-    let latest = began + grace.saturating_sub(EXIT_MARGIN);
-    tokio::time::sleep_until((began + ACCEPT_AFTER_STOP).min(latest)).await;
+    let latest = stop_started + grace.saturating_sub(EXIT_MARGIN);
+    tokio::time::sleep_until((stop_started + ACCEPT_AFTER_STOP).min(latest)).await;
     close.send_replace(true);
     while gateway.open_connections.get() > 0 && tokio::time::Instant::now() < latest {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
     let unfinished = gateway.open_connections.get();
-    log::info!(unfinished = unfinished, took_ms = began.elapsed().as_millis() as u64; "stopped");
+    log::info!(unfinished = unfinished, took_ms = stop_started.elapsed().as_millis() as u64; "stopped");
 }
 
 fn start_control(setup: ControlSetup) -> Result<ControlThread, DaemonError> {
@@ -417,7 +417,7 @@
 
 fn build_record(
     settings: &GatewaySettings,
-    listeners: &[PageListener],
+    listeners: &[OpenListener],
     peers: &TcpListener,
     incarnation: u64,
 ) -> DaemonRecord {
@@ -438,7 +438,7 @@
     }
 }
 
-struct PageListener {
+struct OpenListener {
     listener: TcpListener,
     kind: ListenerKind,
 }
@@ -446,7 +446,7 @@
 async fn open_listeners(
     settings: &GatewaySettings,
     metrics: &PrometheusHandle,
-) -> Result<Vec<PageListener>, DaemonError> {
+) -> Result<Vec<OpenListener>, DaemonError> {
     let addresses = &settings.listen;
     let pages = || ListenerKind::Pages(metrics.clone());
     let configured = [
@@ -459,7 +459,7 @@
     for (name, address, kind) in configured {
         if let Some(address) = address {
             let listener = listen(name, address).await?;
-            listeners.push(PageListener { listener, kind });
+            listeners.push(OpenListener { listener, kind });
         }
     }
     Ok(listeners)
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Removes all records before a full listing is taken in.
+    /// Removes all records before a full listing is applied.
     pub fn clear(&mut self) {
         self.records.clear();
     }
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -212,7 +212,7 @@
     pub fence: FenceNumber,
 }
 
-/// Requests that began in a window of true time, counted by workspace.
+/// Requests that started in a window of fleet time, counted by workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageReport {
     /// Number of the window.
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -104,9 +104,10 @@
 /// Times for which daemons rely on each other for changes of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RelayTimeouts {
-    /// Time without contact to the store after which a member follows the store itself.
+    /// Age of its hub's last response from the store from which on a member follows the store
+    /// itself.
     pub member_timeout: Duration,
-    /// Time without contact to the store after which a hub follows the store itself.
+    /// The same for a hub that relies on another hub.
     pub hub_timeout: Duration,
 }
 
@@ -115,7 +116,8 @@
 /// transit time of a request.
 const KEY_VALIDITY_FRACTION: f64 = 0.9;
 /// Longest wait of the watch by which a daemon that follows the store itself confirms its
-/// keys, as a fraction of that time: at most two waits pass between two confirmations.
+/// keys, as a fraction of the revocation time: at most two waits pass between two
+/// confirmations.
 const CONFIRM_WATCH_FRACTION: f64 = 0.3;
 /// The same for a hub, whose confirmation takes up to three more hops of 0.2 s each.
 const HUB_CONFIRM_WATCH_FRACTION: f64 = 0.12;
@@ -213,7 +215,7 @@
     pub centre: CentreName,
     /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// First and last port for connections between daemons.
+    /// First and last port for internal use: the first for other daemons, the second for metrics.
     pub internal_ports: (u16, u16),
     /// Address of the object store.
     pub store: SocketAddr,
