--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -30,7 +30,8 @@
 use crate::target_incarnation::TargetIncarnation;
 use crate::timer::TimerService;
 
-/// Interval at which expired records of ended entries and incarnations are dropped.
+/// Interval at which the registry drops missing entries that did not reappear in time, and old
+/// departures and entry updates.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval at which targets that get work without an entry are reported.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
@@ -65,7 +66,7 @@
     pub ports: GatewayPorts,
     /// Cell that the fleet view is published in.
     pub cell: FleetCell,
-    /// Records when the store last answered.
+    /// Records when the store last answered and last confirmed the configuration.
     pub store_liveness: Arc<StoreLiveness>,
     /// This daemon's record.
     pub record: DaemonRecord,
@@ -294,7 +295,7 @@
         self.apply(event, EntrySource::Hub)
     }
 
-    // Returns whether this daemon's record was seen before and is now missing.
+    // Returns whether this daemon's record was known before and is missing now.
     fn has_lost_local_record(&mut self, local: &DaemonId) -> bool {
         let present = self.members.contains(local);
         let lost = self.local_record_seen && !present;
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -62,7 +62,7 @@
     pub pool: Rc<RefCell<ConnectionPool>>,
     /// State that decisions are based on.
     pub core: RefCell<DecisionCore>,
-    /// The other daemons.
+    /// Status of the other daemons.
     pub peers: RefCell<PeerTable>,
     /// Time at which the configuration was last confirmed to be the newest one.
     pub freshness: RefCell<FreshnessTracker>,
@@ -96,7 +96,7 @@
     pub watch_mode: Cell<WatchMode>,
     /// When this daemon started.
     pub started: MonoTime,
-    /// When the store last answered.
+    /// When the store last answered and last confirmed the configuration.
     pub store_liveness: Arc<StoreLiveness>,
     /// Identifies this run of the daemon among all runs under its name.
     pub incarnation: u64,
@@ -158,7 +158,9 @@
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// A socket or a thread could not be created.
-    #[error("cannot start {what}: {error}; free the address or raise the limit")]
+    #[error(
+        "cannot start {what}: {error}; free the address or name one of this instance, or raise the limit of threads and open files"
+    )]
     Start {
         /// What could not be started.
         what: String,
--- a/src/gateway/peers/peer_table.rs
+++ b/src/gateway/peers/peer_table.rs
@@ -65,7 +65,7 @@
 }
 
 impl PeerTable {
-    /// Queues prompt parts that an engine has cached, or prefills, for the next hint. Parts
+    /// Queues prompt parts that an engine has cached, or is prefilling, for the next hint. Parts
     /// of a single request are included, as they evict shared ones from the engine's cache.
     pub fn note_cached(&mut self, engine: &TargetIncarnation, parts: &[PromptPart], ready: bool) {
         self.pending.push(CachedPartsUpdate {
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -70,7 +70,7 @@
     pub time_left: Duration,
     /// How to process it.
     pub mode: SendMode,
-    /// Last event already delivered, for a stream that is resumed.
+    /// Number of the last event already delivered, for a stream that is resumed.
     pub resume_after: Option<u64>,
     /// Engine from which cached prompt parts are copied before the prefill.
     pub fetch_from: Option<SocketAddr>,
--- a/src/gateway/store_follow.rs
+++ b/src/gateway/store_follow.rs
@@ -130,7 +130,7 @@
     /// Follows the store for itself because its hub, though reachable, has no contact to the
     /// store either.
     BesideHub,
-    /// Follows the store for itself and for the members of its data centre.
+    /// Follows the store for itself, the members of its data centre and the other hubs.
     ForOthers,
     /// Does not follow the store: a hub relays what it reads.
     Fed,
@@ -303,7 +303,7 @@
     pub events: mpsc::UnboundedSender<StoreEvent>,
     /// Current mode of following the store.
     pub watch_mode: watch::Receiver<WatchMode>,
-    /// Records when the store last answered.
+    /// Records when the store last answered and last confirmed the configuration.
     pub store_liveness: Arc<StoreLiveness>,
     /// Longest waits of the configuration watch.
     pub config_waits: ConfigWatchWaits,
