--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -70,7 +70,7 @@
     pub time_left: Duration,
     /// How to process it.
     pub mode: SendMode,
-    /// Last event already delivered, for a stream that is resumed.
+    /// Number of the last event already delivered, for a stream that is resumed.
     pub resume_after: Option<u64>,
     /// Engine from which cached prompt parts are copied before the prefill.
     pub fetch_from: Option<SocketAddr>,
@@ -212,7 +212,7 @@
     pub fence: FenceNumber,
 }
 
-/// Requests that began in a window of true time, counted by workspace.
+/// Requests that started in a window of fleet time, counted by workspace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageReport {
     /// Number of the window.
