--- a/src/roles/capacity.rs
+++ b/src/roles/capacity.rs
@@ -4,8 +4,11 @@
 use crate::roles::mix::{MIX_BINS, WorkAmount, WorkBins};
 use crate::targets::wire::EngineRole;
 
+/// Bisection steps when searching the capacity.
 const SEARCH_STEPS: u32 = 24;
+/// Largest capacity returned, as a multiple of the mix.
 const MAX_SCALE: f64 = 64.0;
+/// Capacity, as a multiple of the mix, at which all work is expected to be served in time.
 const HEADROOM: f64 = 1.25;
 
 /// Number of engines by role.
--- a/src/roles/mix.rs
+++ b/src/roles/mix.rs
@@ -14,11 +14,18 @@
 /// Number of kinds of work, by prefill share.
 pub const MIX_BINS: usize = 8;
 
+/// Streams among which the base time of a decode step is divided.
 const TYPICAL_BATCH: f64 = 16.0;
+/// Short window of the averages.
 const FAST_WINDOW_S: f64 = 10.0;
+/// Long window of the averages.
 const SLOW_WINDOW_S: f64 = 60.0;
+/// Part of the difference between the short and the long mean that is added to the short
+/// one as the trend.
 const TREND_WEIGHT: f64 = 0.5;
+/// Standard errors from which a difference between the means counts as a change.
 const SIGNIFICANT_DEVIATIONS: f64 = 3.0;
+/// Maximum number of models tracked; work of further ones is ignored.
 const MAX_MODELS: usize = 256;
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -163,15 +170,15 @@
             recent: mix.fast,
             ..MixRates::default()
         };
-        let recent = if mix.is_within_noise() { 0.0 } else { 0.5 };
+        let recent_weight = if mix.is_within_noise() { 0.0 } else { 0.5 };
         // In the beginning the mean covers fewer seconds than the window.
         let (slow_s, fast_s) = (
             SLOW_WINDOW_S.min(self.age_s / 2.0),
             FAST_WINDOW_S.min(self.age_s / 2.0),
         );
-        rates.error = mix.error(slow_s).max(recent * mix.error(fast_s));
+        rates.error = mix.error(slow_s).max(recent_weight * mix.error(fast_s));
         for (bin, (fast, slow)) in mix.fast.iter().zip(&mix.slow).enumerate() {
-            rates.steady[bin] = weighted_mean(*slow, *fast, recent);
+            rates.steady[bin] = weighted_mean(*slow, *fast, recent_weight);
             rates.expected[bin] = extrapolate(*fast, *slow);
         }
         rates
@@ -194,16 +201,17 @@
 }
 
 fn extrapolate(fast: WorkAmount, slow: WorkAmount) -> WorkAmount {
-    let step = |fast: f64, slow: f64| (fast + TREND_WEIGHT * (fast - slow)).clamp(0.0, 2.0 * fast);
+    let projected =
+        |fast: f64, slow: f64| (fast + TREND_WEIGHT * (fast - slow)).clamp(0.0, 2.0 * fast);
     WorkAmount {
-        prefill: step(fast.prefill, slow.prefill),
-        decode: step(fast.decode, slow.decode),
+        prefill: projected(fast.prefill, slow.prefill),
+        decode: projected(fast.decode, slow.decode),
     }
 }
 
 impl ModelMix {
-    // Whether the difference between the short and the long mean is within the standard
-    // error of the short one.
+    // Whether the short and the long mean differ by less than `SIGNIFICANT_DEVIATIONS`
+    // standard errors of the short one.
     fn is_within_noise(&self) -> bool {
         let shares = prefill_share(&self.fast).zip(prefill_share(&self.slow));
         let Some((fast, slow)) = shares else {
@@ -218,9 +226,9 @@
     }
 
     fn update(&mut self, seconds: f64, fast: f64, slow: f64) {
-        if let Some(now) = prefill_share(&self.pending) {
-            let recent_share = prefill_share(&self.fast).unwrap_or(now);
-            let deviation = (now - recent_share).powi(2);
+        if let Some(share) = prefill_share(&self.pending) {
+            let recent_share = prefill_share(&self.fast).unwrap_or(share);
+            let deviation = (share - recent_share).powi(2);
             self.variance += slow * (deviation - self.variance);
         }
         for bin in 0..MIX_BINS {
@@ -239,7 +247,7 @@
         return *bins;
     };
     let target = (share + by).clamp(0.0, 1.0);
-    let factor = |target: f64, now: f64| if now > 0.0 { target / now } else { 1.0 };
+    let factor = |target: f64, current: f64| if current > 0.0 { target / current } else { 1.0 };
     bins.map(|work| WorkAmount {
         prefill: work.prefill * factor(target, share),
         decode: work.decode * factor(1.0 - target, 1.0 - share),
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -2,8 +2,8 @@
 //!
 //! A role change is worthwhile if it gains more within the horizon than the engine's time
 //! out of service costs. Several rules keep the plan stable near that threshold: the gain
-//! must exist for the recent, the steady and the expected mix and within the error of the
-//! steady mix, it must exceed a minimum share of the work served, and an engine that
+//! must exist for the recent, the steady and the expected mix, and for a steady mix that
+//! is off by its error in either direction; it must exceed a minimum share of the work served, and an engine that
 //! changed is not changed again within the horizon.
 
 use std::time::Duration;
@@ -19,9 +19,13 @@
 use crate::targets::wire::EngineRole;
 
 const ROLES: [EngineRole; 3] = [EngineRole::Prefill, EngineRole::Mixed, EngineRole::Decode];
+/// Minimum gain of a role change, as a share of the work served within the horizon.
 const MIN_GAIN_SHARE: f64 = 0.03;
+/// Minimum relative gain in capacity under [`RolePolicy::FollowMix`].
 const FOLLOW_MIX_MIN_GAIN: f64 = 0.001;
+/// Standard errors by which the steady mix may be off.
 const ERROR_MARGIN: f64 = 3.0;
+/// Minimum time between two reports that the roles of a pool are kept.
 const KEEP_REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
 /// An engine as the planner sees it.
@@ -115,7 +119,7 @@
         if max_new_changes == 0 {
             return Vec::new();
         }
-        if let Some(decision) = self.place_model(engines, needs, now) {
+        if let Some(decision) = self.plan_model_load(engines, needs, now) {
             return vec![decision];
         }
         if self.policy.roles == RolePolicy::Fixed || !mix.is_settled() {
@@ -220,14 +224,20 @@
         let rates = &pool.rates;
         let follows_mix = self.policy.roles == RolePolicy::FollowMix;
         let margin = ERROR_MARGIN * rates.error;
-        let (more, less) = (
+        let (more_prefill, less_prefill) = (
             shift_prefill_share(&rates.steady, margin),
             shift_prefill_share(&rates.steady, -margin),
         );
         let mixes: &[&WorkBins] = if follows_mix {
             &[&rates.recent]
         } else {
-            &[&rates.recent, &rates.steady, &rates.expected, &more, &less]
+            &[
+                &rates.recent,
+                &rates.steady,
+                &rates.expected,
+                &more_prefill,
+                &less_prefill,
+            ]
         };
         let gains = mixes.iter().map(|mix| self.gain(pool.counts, after, mix));
         let gain = gains.fold(f64::INFINITY, f64::min);
@@ -244,7 +254,8 @@
         }
     }
 
-    // Engine-seconds of work served in time that a role change adds within the horizon.
+    // Engine-seconds of work served in time that a role change adds within the horizon; under
+    // `FollowMix`, the added capacity as a multiple of the mix.
     fn gain(&self, before: RoleCounts, after: RoleCounts, mix: &WorkBins) -> f64 {
         let speeds = &self.policy.speeds;
         let (old, new) = (capacity(before, mix, speeds), capacity(after, mix, speeds));
@@ -255,11 +266,11 @@
                 0.0
             };
         }
-        let useful = self
+        let useful_ms = self
             .policy
             .role_horizon_ms
             .saturating_sub(self.policy.role_change_ms);
-        let seconds = useful as f64 / 1_000.0;
+        let seconds = useful_ms as f64 / 1_000.0;
         (served_share(new) - served_share(old)) * demand(mix) * seconds
     }
 
@@ -305,7 +316,7 @@
 
     // Loads a model that too few engines have on the least loaded engine that can unload
     // one of its own models; failing that, on the engine with the fewest models.
-    fn place_model(
+    fn plan_model_load(
         &mut self,
         engines: &[PlanEngine],
         needs: &[ModelNeed],
--- a/src/roles/plan_inputs.rs
+++ b/src/roles/plan_inputs.rs
@@ -10,6 +10,8 @@
 use crate::roles::plan::{ModelNeed, PlanEngine};
 use crate::store::wire::InstanceKind;
 
+/// Requests the planned changes that the engines of one group still lack, and withdraws
+/// the group's other requests.
 pub(crate) fn request_planned_changes(
     manager: &mut OrderManager,
     group: &GroupName,
@@ -31,10 +33,13 @@
     }
 }
 
+/// Returns the engines of the fleet that the planner may consider.
 pub(crate) fn plan_engines(fleet: &FleetView) -> Vec<PlanEngine> {
     fleet.targets.values().filter_map(plan_engine).collect()
 }
 
+/// Returns an engine as the planner sees it; `None` if it is no engine, has not reported
+/// or is leaving.
 pub(crate) fn plan_engine(target: &TargetView) -> Option<PlanEngine> {
     let report = target.report.as_ref()?;
     let is_plannable = target.kind == InstanceKind::Engine && target.state < UseState::Leaving;
@@ -47,10 +52,12 @@
     })
 }
 
+/// Returns whether an engine already has the planned role and models.
 pub(crate) fn has_planned_state(engine: &PlanEngine, change: &PlannedChange) -> bool {
     engine.role == change.role && engine.models == change.models
 }
 
+/// Returns the configured minimum number of engines of each model.
 pub(crate) fn model_needs(config: &ConfigView) -> Vec<ModelNeed> {
     let models = config.models.values();
     models
--- a/src/roles/plan_store.rs
+++ b/src/roles/plan_store.rs
@@ -15,6 +15,7 @@
 use crate::names::{FenceNumber, GroupName, MonoTime, TargetId};
 use crate::ports::{ConditionalWrite, ObjectVersion, PlatformError, StoredObject};
 
+/// Pause after a failed read or write.
 const CALL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The stored plan during one term of the plan's lease.
@@ -26,7 +27,7 @@
     stored: Option<IndexMap<TargetId, PlannedChange>>,
     must_read: bool,
     call_in_flight: bool,
-    call_at: MonoTime,
+    next_call_at: MonoTime,
     write_count: u64,
     fenced_by: Option<FenceNumber>,
 }
@@ -43,7 +44,7 @@
             stored: None,
             must_read: true,
             call_in_flight: false,
-            call_at: MonoTime(0),
+            next_call_at: MonoTime(0),
             write_count: 0,
             fenced_by: None,
         }
@@ -81,7 +82,7 @@
 
     /// Returns the next read or write to send, if one is due.
     pub fn tick(&mut self, now: MonoTime) -> Option<OrderAction> {
-        if self.call_in_flight || now < self.call_at {
+        if self.call_in_flight || now < self.next_call_at {
             return None;
         }
         if self.must_read {
@@ -126,12 +127,12 @@
     ) {
         self.call_in_flight = false;
         let Ok(found) = result else {
-            self.call_at = now.plus(CALL_RETRY_DELAY);
+            self.next_call_at = now.plus(CALL_RETRY_DELAY);
             return;
         };
         let version = found.as_ref().map_or(ObjectVersion(0), |s| s.version);
         if version < self.version {
-            self.call_at = now.plus(CALL_RETRY_DELAY);
+            self.next_call_at = now.plus(CALL_RETRY_DELAY);
             return;
         }
         self.must_read = false;
@@ -151,7 +152,7 @@
         // The plan may have changed during the write, so the stored one is read back.
         self.must_read = true;
         if let Err(PlatformError::Unavailable { .. }) = result {
-            self.call_at = now.plus(CALL_RETRY_DELAY);
+            self.next_call_at = now.plus(CALL_RETRY_DELAY);
         }
         if let Ok(version) = result {
             self.version = *version;
