--- a/src/decide/candidates.rs
+++ b/src/decide/candidates.rs
@@ -1,6 +1,6 @@
 //! Targets by pool, in an order that splits each pool into a prefill and a decode side.
 //!
-//! Everything that admission and placement query about a pool is computed once per view
+//! Everything that admission and placement need to know about a pool is computed once per view
 //! of the fleet, so that neither iterates over the pool for each request.
 
 use indexmap::{IndexMap, IndexSet};
@@ -94,7 +94,7 @@
     pub fn live(&self) -> usize {
         let live = &self.pool.live_before;
         match (live.get(self.first), live.get(self.end)) {
-            (Some(before), Some(until)) => until - before,
+            (Some(before), Some(through_last)) => through_last - before,
             _ => 0,
         }
     }
--- a/src/decide/cost.rs
+++ b/src/decide/cost.rs
@@ -14,7 +14,7 @@
 const CORRECTION_RANGE: (f64, f64) = (0.2, 5.0);
 /// Share of the maximum output expected before a class has been observed.
 const DEFAULT_OUTPUT_SHARE: f64 = 0.7;
-/// Maximum number of classes kept; the one added first is evicted.
+/// Maximum number of pairs of workspace and class kept; the one added first is evicted.
 const MAX_CLASSES: usize = 20_000;
 
 /// Initial estimates of an engine's speed, which observations correct.
@@ -130,7 +130,8 @@
         tokens / rate * self.correction(target).prefill
     }
 
-    /// Returns the seconds between output tokens of a stream beside `others` more.
+    /// Returns the seconds between output tokens of a stream that runs beside `others` other
+    /// streams.
     #[must_use]
     pub fn token_gap_seconds(&self, target: &TargetId, role: EngineRole, others: f64) -> f64 {
         let batch_ms = (others + 1.0) * self.speeds.token_per_stream_ms;
--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -1,8 +1,8 @@
 //! Queue of the requests for one pool of targets: weighted fair queueing between
 //! workspaces, most urgent request first within a workspace.
 //!
-//! Each workspace has a virtual time that advances by cost divided by weight as its
-//! requests are placed. Workspaces within one quantum of the lowest virtual time compete
+//! Each workspace has a lane: its queued requests, and a virtual time that advances by
+//! cost divided by weight as requests are placed. Workspaces within one quantum of the lowest virtual time compete
 //! by priority and slack; the others wait. So urgency decides in the short term, and the
 //! shares decide over a few quanta.
 //!
@@ -90,10 +90,13 @@
     limit: VirtualTime,
     /// Requests by latest start.
     by_start: BTreeMap<(MonoTime, JobNumber), QueuedJob>,
+    /// Total cost of the queued requests.
     queued_cost: f64,
+    /// Total weight of the lanes with requests.
     busy_weight: f64,
     quantum: f64,
     fair: bool,
+    /// Highest value so far of the lowest virtual time. Idle lanes start again from it.
     floor: f64,
 }
 
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -145,6 +145,7 @@
 }
 
 /// Chooses a target for the request, or returns `None` when no target can take it.
+/// `cursor` is the position of the round-robin policy.
 #[must_use]
 pub fn choose_target(
     need: &PlacementNeed,
@@ -231,7 +232,8 @@
     Some(*cursor % count)
 }
 
-/// Draws candidates at random, so that daemons with the same outdated view do not all
+/// Returns all targets of a small pool side. Of a larger one, draws candidates at random,
+/// perhaps some of them twice, so that daemons with the same outdated view do not all
 /// choose the same target, and adds the engines that have the shared prefix cached.
 fn candidates<'a>(
     need: &PlacementNeed,
@@ -286,6 +288,7 @@
         uncached: 0.0,
         first_token_s: 0.0,
         token_gap_s: 0.0,
+        // Services have no time estimate: this ranks them by requests in flight.
         finish_s: load,
         delay_s: 0.0,
     })
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -5,6 +5,7 @@
 
 /// Maximum number of saved retries; they let a daemon with few requests still retry.
 const MAX_SAVED: f64 = 20.0;
+/// Saved retries of a daemon that has just started.
 const INITIAL_SAVED: f64 = 5.0;
 
 /// Retries currently allowed.
--- a/src/decide/scheduler.rs
+++ b/src/decide/scheduler.rs
@@ -1,8 +1,9 @@
 //! Admission, queueing and placement of one daemon's requests, without I/O or clock.
 //!
 //! Every call is given the time and returns the actions that the dispatcher has to carry
-//! out. A request refused here has certainly not run: requests in this queue have been
-//! sent to no target.
+//! out. A request refused here has not run unless an earlier attempt did: those queued by
+//! [`Scheduler::retry`] have been sent before, and the caller of the scheduler keeps
+//! track of that.
 
 use std::time::Duration;
 
@@ -85,7 +86,7 @@
 pub enum ScheduleAction {
     /// Send the request to its target.
     Start(JobGrant),
-    /// Refuse a queued request, which has not run.
+    /// Refuse a queued request. It has not run unless an earlier attempt did.
     Refuse(JobNumber, JobRefusal),
 }
 
@@ -324,7 +325,7 @@
                 let is_prefilling = report.prefill_backlog_tokens > 0;
                 self.costs.observe_prefill_activity(id, is_prefilling);
                 if let Some(local) = self.local.get_mut(id) {
-                    // The new report no longer counts these, so it needs no correction.
+                    // Requests that ended before the new report was taken are not counted in it.
                     local.ended.retain(|(_, ended)| *ended > report.taken_at);
                 }
             }
@@ -350,11 +351,11 @@
         if self.index.is_usable(&spec.need.pool) {
             return Ok(());
         }
-        let what = match &spec.need.pool {
+        let reason = match &spec.need.pool {
             PoolKey::Model(model) => format!("no available engine has model {model} loaded"),
             PoolKey::Service(service) => format!("no instance of service {service} is available"),
         };
-        Err(self.refusal(what, 2.0))
+        Err(self.refusal(reason, 2.0))
     }
 
     fn check_deadline(
@@ -364,11 +365,11 @@
         now: MonoTime,
     ) -> Result<(), JobRefusal> {
         let wait_s = self.expected_wait(spec, now) * WAIT_MARGIN;
-        let ready_at = now.plus(Duration::from_secs_f64(wait_s));
-        if ready_at <= queued.latest_start {
+        let start_at = now.plus(Duration::from_secs_f64(wait_s));
+        if start_at <= queued.latest_start {
             return Ok(());
         }
-        let late_s = (millis(ready_at.since(queued.latest_start))) as f64 / 1_000.0;
+        let late_s = (millis(start_at.since(queued.latest_start))) as f64 / 1_000.0;
         let reason = format!(
             "the deadline cannot be met: after a wait of about {wait_s:.2} s, the request \
              would start {late_s:.2} s too late"
@@ -403,19 +404,20 @@
             PoolKey::Model(_) => 1.0,
             PoolKey::Service(_) => self.policy.service_in_flight as f64,
         };
+        // Above 0, since costs are divided by it.
         (live as f64 * per_target / self.live_daemons as f64).max(0.05)
     }
 
     fn queued_job(&mut self, spec: &JobSpec) -> QueuedJob {
         self.next_number += 1;
         let service_s = self.min_service_seconds(spec);
-        let latest_ms = millis(Duration::from_secs_f64(service_s));
+        let service_ms = millis(Duration::from_secs_f64(service_s));
         QueuedJob {
             number: JobNumber(self.next_number),
             workspace: spec.workspace.clone(),
             weight: spec.weight,
             priority: spec.priority,
-            latest_start: MonoTime(spec.deadline.0.saturating_sub(latest_ms)),
+            latest_start: MonoTime(spec.deadline.0.saturating_sub(service_ms)),
             cost: self.expected_cost(spec),
         }
     }
@@ -600,11 +602,11 @@
         self.index.side(&key.pool, key.side, share)
     }
 
-    fn refusal(&self, reason: String, after_s: f64) -> JobRefusal {
-        let after = Duration::from_secs_f64(after_s.max(0.0));
+    fn refusal(&self, reason: String, retry_after_s: f64) -> JobRefusal {
+        let retry_after = Duration::from_secs_f64(retry_after_s.max(0.0));
         JobRefusal {
             reason,
-            retry_after: after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
+            retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 }
--- a/src/decide/shares.rs
+++ b/src/decide/shares.rs
@@ -11,8 +11,11 @@
 
 use crate::names::{MonoTime, WorkspaceName};
 
+/// Window over which the rates of cost are averaged.
 const RATE_WINDOW_S: f64 = 30.0;
+/// Maximum factor by which a weight is raised or lowered.
 const MAX_CORRECTION: f64 = 8.0;
+/// Rate in engine-seconds per second below which a workspace counts as inactive.
 const MIN_RATE: f64 = 1e-4;
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
