--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -7,7 +7,8 @@
 
 /// Most addresses in a response; callers ignore any beyond these.
 pub const MAX_ADDRESSES: usize = 64;
-/// Fewest daemons of the caller's data centre for which others are left out.
+/// Minimum number of daemons in the caller's data centre for daemons elsewhere to be left
+/// out.
 const MIN_LOCAL_DAEMONS: usize = 2;
 
 /// Returns the addresses for a caller in `centre`: those of the daemons there, or of all
--- a/src/gateway/entry.rs
+++ b/src/gateway/entry.rs
@@ -28,6 +28,7 @@
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
 
+/// Smallest read buffer that the HTTP library accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// Longest time for which callers may cache a directory response. Kept short so that
 /// callers soon leave a daemon that stops; each expiry costs a caller one more request.
@@ -75,15 +76,15 @@
     kind: ListenerKind,
     mut closing: watch::Receiver<bool>,
 ) {
-    let _open = matches!(kind, ListenerKind::Callers).then(|| ConnectionCount::begin(&gateway));
+    let _count = matches!(kind, ListenerKind::Callers).then(|| ConnectionCount::begin(&gateway));
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("connection closed before its first request: {error}");
+        log::debug!("cannot set TCP_NODELAY on a new connection, which is closed: {error}");
         return;
     }
     let view = gateway.view();
     let limits = view.routes.as_ref().map(|routes| routes.limits);
-    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
-    let head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let max_head_bytes = limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
     let header_timeout = limits.map_or(DEFAULT_HEADER_TIMEOUT, |limits| limits.header_timeout);
     let timer = Rc::new(HeaderTimer::default());
     let (connection_gateway, connection_timer) = (gateway.clone(), timer.clone());
@@ -102,15 +103,15 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(head_bytes.max(MIN_BUFFER_BYTES));
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(max_head_bytes.max(MIN_BUFFER_BYTES));
     let connection = builder.serve_connection(
         TokioIo::new(TimedStream::new(stream, timer.clone())),
         service,
     );
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = timer.timed_out(header_timeout) => {
             log::info!(limit_ms = header_timeout.as_millis() as u64; "connection closed: the caller did not send a complete request head within the limit");
             return;
@@ -120,7 +121,7 @@
             connection.as_mut().await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::debug!("caller's connection closed with an error: {error}");
     }
 }
@@ -136,8 +137,9 @@
         }
         Either::Right(frames) => {
             let guard = AnswerEndGuard(timer);
+            // The closure owns the guard, which is therefore dropped with the stream.
             let frames: FrameStream = Box::pin(frames.inspect(move |_| {
-                let _held = &guard;
+                let _captured = &guard;
             }));
             Either::Right(StreamBody::new(frames))
         }
@@ -145,6 +147,7 @@
     Response::from_parts(head, body)
 }
 
+// Notifies the timer, when dropped, that the answer was sent.
 struct AnswerEndGuard(Rc<HeaderTimer>);
 
 impl Drop for AnswerEndGuard {
@@ -199,11 +202,11 @@
     }
     match (gateway.ports.wire.decode_directory_query)(request.uri()) {
         None => Failure::new(FailureKind::NoRoute, "no such page").reply(),
-        Some(question) => {
+        Some(query) => {
             let view = gateway.view();
             let addresses = directory::addresses_for(
                 &view.daemons,
-                &question.centre,
+                &query.centre,
                 |id| gateway.is_usable(id),
                 |id| gateway.daemon_confirms_keys(id),
             );
--- a/src/gateway/event_split.rs
+++ b/src/gateway/event_split.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// A longer event counts as malformed.
+/// Largest event, in bytes; a longer one counts as malformed.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Whole events and the id of the last one.
--- a/src/gateway/journal.rs
+++ b/src/gateway/journal.rs
@@ -110,19 +110,19 @@
     let mut reported = 0;
     while let Ok(line) = queue.recv() {
         let mut batch = 1;
-        let mut wrote = out.write_all(&line);
+        let mut result = out.write_all(&line);
         while let Ok(line) = queue.try_recv() {
             batch += 1;
-            wrote = wrote.and_then(|()| out.write_all(&line));
+            result = result.and_then(|()| out.write_all(&line));
         }
-        let lost = counts.dropped.load(Ordering::Relaxed);
-        if lost > reported {
-            reported = lost;
-            let line = format!("{{\"message\":\"log lines dropped\",\"count\":{lost}}}\n");
-            wrote = wrote.and_then(|()| out.write_all(line.as_bytes()));
+        let dropped = counts.dropped.load(Ordering::Relaxed);
+        if dropped > reported {
+            reported = dropped;
+            let line = format!("{{\"message\":\"log lines dropped\",\"count\":{dropped}}}\n");
+            result = result.and_then(|()| out.write_all(line.as_bytes()));
         }
         // If standard output is closed, there is nowhere to report the error.
-        let _ = wrote.and_then(|()| out.flush());
+        let _ = result.and_then(|()| out.flush());
         counts.written.fetch_add(batch, Ordering::Release);
     }
 }
--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -56,7 +56,7 @@
         let current = self.settings();
         if !updated.same_identity(&current) {
             log::warn!(
-                "changed settings ignored: a daemon's name, addresses and store change only with a restart"
+                "changed settings ignored: a daemon's name, addresses and store change only with a restart; restart the daemon to apply them"
             );
             return;
         }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -113,9 +113,9 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error("{reason}")]
 pub struct Failure {
-    /// What failed.
+    /// Kind of the failure.
     pub kind: FailureKind,
-    /// What happened, and the remedy.
+    /// What happened, and what the caller can do.
     pub reason: String,
     /// When to retry, if the request was refused.
     pub retry_after: Option<Duration>,
