--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -134,8 +134,8 @@
     /// Whether a target ran the request or may have run it. If so, the caller must not be
     /// told that it has not run, whatever later targets answer.
     pub may_have_run: bool,
-    /// Whether an engine has prefilled the prompt for another one. That is free once;
-    /// afterwards it takes a retry from the fleet's budget.
+    /// Whether an engine has prefilled the prompt for another one. The first such prefill
+    /// takes no retry from the fleet's budget; each later one does.
     pub prompt_prefilled: bool,
 }
 
@@ -173,7 +173,8 @@
 }
 
 impl InFlightGuard {
-    /// Counts a request of a rank with `pending_prefill_tokens` to prefill.
+    /// Counts a request of prefill rank `rank` (0 is prefilled first) with
+    /// `pending_prefill_tokens` to prefill.
     pub fn begin(
         gateway: &Rc<Gateway>,
         target: &TargetIncarnation,
--- a/src/gateway/client.rs
+++ b/src/gateway/client.rs
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the request was not sent or may have run.
+    /// Returns an error that states whether the request was not sent or may have run.
     pub async fn send(
         &mut self,
         request: &OutgoingRequest,
@@ -239,7 +239,7 @@
 ///
 /// # Errors
 ///
-/// Returns whether the request was not sent or may have run.
+/// Returns an error that states whether the request was not sent or may have run.
 pub async fn call(
     connection: &mut HttpConnection,
     request: &OutgoingRequest,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -31,11 +31,12 @@
 const NOT_READY_WAIT: Duration = Duration::from_millis(250);
 /// Largest answer of a plain service, in bytes; it is buffered until complete.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Time after which an unanswered idempotent request is sent to another target, as a
-/// multiple of the route's latency objective: it is late by then, and can still be served
-/// before its deadline.
-const HEDGE_AFTER_OBJECTIVES: u32 = 3;
-/// Most targets of one request that may be unreachable or misdirect it.
+/// Time after which an unanswered idempotent request is cancelled and sent to another
+/// target, as a multiple of the route's latency objective: it is late by then, and can
+/// still be served before its deadline.
+const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 3;
+/// Maximum number of targets, per request, that are unreachable or at which it arrives
+/// misdirected.
 const MAX_UNSENT_ATTEMPTS: usize = 3;
 
 impl Gateway {
@@ -184,6 +185,7 @@
             if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
                 self.record_start(&call.access);
             }
+            // After a send that may have run, a later refusal must not become the answer.
             if !(history.may_have_run && attempt.did_not_run()) {
                 last = attempt.into_result(call);
             }
@@ -202,7 +204,7 @@
     ) -> PlainOutcome {
         let sent = Instant::now();
         let deadline = if can_retry {
-            sent + call.route.objective * HEDGE_AFTER_OBJECTIVES
+            sent + call.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES
         } else {
             call.deadline
         };
@@ -238,13 +240,13 @@
             SendOutcome::Refused(reason) => return PlainOutcome::Refused(reason),
             SendOutcome::WrongTarget => {
                 return PlainOutcome::Misdirected(format!(
-                    "{} no longer has its address",
+                    "another target answered at the address of {}",
                     target.id
                 ));
             }
             SendOutcome::WrongWork => {
                 return PlainOutcome::Misdirected(format!(
-                    "{} no longer does this kind of work",
+                    "{} now does another kind of work",
                     target.id
                 ));
             }
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -25,14 +25,14 @@
 
 /// Retry time after a refusal by an engine.
 pub(super) const ENGINE_BUSY_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Largest failure answer of an engine that is forwarded, in bytes.
+/// Largest failure answer of an engine that is forwarded to the caller, in bytes.
 const MAX_FAILURE_BYTES: usize = 1 << 20;
 /// Callers abandon a stream without a first event after the longest of this time and the
-/// two multiples below; users of the service state all three values.
+/// two multiples below. All three values were stated by the users of the service.
 const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
-/// In latency objectives of the route.
+/// The same, as a multiple of the route's latency objective.
 const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
-/// In gap objectives of the route.
+/// The same, as a multiple of the route's gap objective.
 const CALLER_TIMEOUT_GAPS: u32 = 8;
 /// Share of the caller's time-out that a request may wait for other requests. Its own
 /// prefill time is not counted; otherwise the largest prompts would be refused first.
@@ -41,7 +41,8 @@
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(900);
 
 impl Gateway {
-    /// Runs a generation request until the head of its answer.
+    /// Runs a generation request up to the head of its answer; the body is forwarded as it
+    /// arrives.
     ///
     /// # Errors
     ///
@@ -93,9 +94,9 @@
             return place;
         }
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
-        let decode_engine = self.with_choices(call, history, |choices| {
+        let decode_engine = self.with_candidates(call, history, |candidates| {
             let core = self.core.borrow();
-            core.choose_decode_engine(&choices, &prompt, urgency, clock::mono_now())
+            core.choose_decode_engine(&candidates, &prompt, urgency, clock::mono_now())
         });
         place.decode_engine = decode_engine.unwrap_or(place.decode_engine);
         place
@@ -103,9 +104,10 @@
 
     fn record_placement(&self, call: &RoutedRequest, place: &EnginePlacement) {
         let now = clock::mono_now();
-        let written = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
+        let output_tokens = call.caller.prompt.as_ref().map_or(0, |p| p.output_tokens);
         let mut core = self.core.borrow_mut();
-        core.work.note(place.pending_prefill_tokens, written, now);
+        core.work
+            .note(place.pending_prefill_tokens, output_tokens, now);
         let prefill_engine = place
             .prefill_engine
             .as_ref()
@@ -207,7 +209,8 @@
             }
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
                 history.unreached.push(decode_engine.id.clone());
-                let reason = "the engine left its address or changed its stage; retry later";
+                let reason =
+                    "the engine is no longer at its address or has changed its stage; retry later";
                 let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
                 // This send arrived at a target, so the next one is a retry.
                 return if self.may_retry(call) {
@@ -240,13 +243,14 @@
             .record(ratio);
     }
 
-    // The size leaves out other work that the decode engine starts between placement and
-    // send, since the next placement will not know such work either.
+    // Returns the work that the time to the first event is recorded for. The tokens of a
+    // prefill leave out other work that the engine received between placement and send,
+    // since the next placement will not know such work either.
     fn timed_work(&self, place: &EnginePlacement, was_prefilled: bool) -> Option<TimedWork> {
         let decode_engine = &place.decode_engine;
         if !was_prefilled {
-            let chosen = place.prefill_engine.is_none();
-            return chosen.then(|| place.timed_prefill(decode_engine));
+            let prefill_was_planned = place.prefill_engine.is_none();
+            return prefill_was_planned.then(|| place.timed_prefill(decode_engine));
         }
         let core = self.core.borrow();
         let waiting = core
@@ -361,14 +365,14 @@
     #[must_use]
     pub fn place(&self, call: &RoutedRequest, history: &SendHistory) -> Option<EnginePlacement> {
         let prompt = call.prompt();
-        self.with_choices(call, history, |choices| {
-            let order = PlacementQuery {
-                choices,
+        self.with_candidates(call, history, |candidates| {
+            let query = PlacementQuery {
+                choices: candidates,
                 prompt: &prompt,
                 urgency: call.route.urgency,
                 objective_left: call.objective_left(),
             };
-            self.core.borrow().place(&order, clock::mono_now())
+            self.core.borrow().place(&query, clock::mono_now())
         })
     }
 
@@ -376,8 +380,8 @@
     #[must_use]
     pub fn changing(&self) -> Vec<TargetIncarnation> {
         let peers = self.peers.borrow();
-        let own = self.local_stage_changes.borrow();
-        let all = peers.changing(clock::mono_now()).chain(own.iter());
+        let local = self.local_stage_changes.borrow();
+        let all = peers.changing(clock::mono_now()).chain(local.iter());
         all.cloned().collect()
     }
 
@@ -390,7 +394,7 @@
         eligible.cloned().collect()
     }
 
-    pub(super) fn with_choices<T>(
+    pub(super) fn with_candidates<T>(
         &self,
         call: &RoutedRequest,
         history: &SendHistory,
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -30,10 +30,10 @@
 const MAX_PREFILL_ATTEMPTS: u32 = 2;
 
 impl Gateway {
-    // Prefills the prompt on another engine if the placement says so. The first prefill
-    // that an engine accepts is not a retry. Any send after a failed one is, including
-    // the run itself: without a retry left the request is refused, since otherwise failing
-    // prefill engines would make the fleet send every request twice.
+    // Prefills the prompt on another engine if the placement names one. The first prefill
+    // that an engine accepts is not a retry. Any send after a failed one is a retry,
+    // including the run itself: without a retry left the request is refused, since
+    // otherwise failing prefill engines would make the fleet send every request twice.
     pub(super) async fn prefill_remotely(
         self: &Rc<Self>,
         call: &Rc<RoutedRequest>,
@@ -73,14 +73,14 @@
         call: &RoutedRequest,
         tried: &[TargetIncarnation],
     ) -> Option<Arc<TargetRecord>> {
-        let choices = EngineCandidates {
+        let candidates = EngineCandidates {
             engines: &self.eligible(call.view.service_targets(&call.service.name)),
             changing: &self.changing(),
             excluded: tried,
         };
         let (prompt, urgency) = (call.prompt(), call.route.urgency);
         let core = self.core.borrow();
-        core.choose_other_prefill_engine(&choices, &prompt, urgency, clock::mono_now())
+        core.choose_other_prefill_engine(&candidates, &prompt, urgency, clock::mono_now())
     }
 
     async fn send_prefill(
@@ -119,7 +119,7 @@
             if place
                 .prefill_engine
                 .as_ref()
-                .is_some_and(|r| r.id == prefill_engine.id)
+                .is_some_and(|planned| planned.id == prefill_engine.id)
             {
                 self.note_time(&place.timed_prefill(prefill_engine), sent.elapsed());
             }
@@ -138,7 +138,7 @@
             SendOutcome::Answered(answer) => answer,
             SendOutcome::NotSent(_) => return PrefillResult::NotSent,
             SendOutcome::WrongTarget | SendOutcome::WrongWork => {
-                let reason = "left its address or changed its stage";
+                let reason = "is no longer at its address or has changed its stage";
                 return PrefillResult::Failed(format!("{} {reason}", prefill_engine.id));
             }
             SendOutcome::Refused(reason) | SendOutcome::Unclear(reason) => {
@@ -152,8 +152,8 @@
                 prefill_engine.id, answer.head.status
             ));
         }
-        let read = client::read_body(answer.body, MAX_PREFILL_ANSWER_BYTES, deadline).await;
-        let body = match read {
+        let received = client::read_body(answer.body, MAX_PREFILL_ANSWER_BYTES, deadline).await;
+        let body = match received {
             Ok(body) => body,
             Err(error) => {
                 self.record_body_error(call, prefill_engine, &error);
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -32,7 +32,7 @@
 /// Largest answer to the release of a KV cache handle, in bytes.
 const MAX_RELEASE_ANSWER_BYTES: usize = 16 * 1024;
 
-/// Connections that a daemon may always open to one target.
+/// Number of connections that a daemon may open to one target however small its share is.
 const MIN_CONNECTIONS: u32 = 2;
 
 /// Outcome of a send.
@@ -76,12 +76,12 @@
     pub body: Incoming,
     /// Connection that the answer arrives on.
     pub connection: PooledConnection,
-    /// Times from which to tell whether the answer shows that the target is alive.
+    /// Times of the exchange, which decide whether the answer shows that the target is alive.
     pub times: ExchangeTimes,
 }
 
-/// A connection in use. If dropped before [`PooledConnection::return_to_pool`], it is closed, so that
-/// the target sees that the request was abandoned.
+/// A connection in use. If dropped before [`PooledConnection::return_to_pool`], it is
+/// closed, so that the target sees that the request was abandoned.
 #[derive(Debug)]
 pub struct PooledConnection {
     inner: Option<HttpConnection>,
@@ -156,7 +156,7 @@
             return SendOutcome::NotSent(format!("{} is leaving or gone", target.id));
         }
         if self.is_quarantined(plan.call) {
-            return SendOutcome::NotSent("its work is quarantined".to_owned());
+            return SendOutcome::NotSent("the work of the request is quarantined".to_owned());
         }
         if !self.may_still_send(&order.access) {
             return SendOutcome::NotSent(
@@ -169,9 +169,9 @@
         let sent = clock::mono_now();
         let outcome = tokio::select! {
             outcome = self.send_over_connection(&mut connection, &request, plan) => outcome,
-            // If the target has not started the request yet, cancelling it spares the target.
+            // If the target has not started the request yet, cancelling it can prevent a crash.
             () = self.until_quarantined(plan.call) => {
-                return SendOutcome::Unclear("cancelled: its work was quarantined meanwhile".to_owned());
+                return SendOutcome::Unclear("cancelled: the work of the request was quarantined during the send".to_owned());
             }
         };
         let outcome = match outcome {
@@ -210,6 +210,7 @@
                 }
             }
         }
+        // The number of open connections already includes this one.
         if self.pool.borrow().open(&connection.record.id)
             > self.connection_share(&connection.record)
         {
@@ -250,25 +251,28 @@
         (connection, sent): (PooledConnection, MonoTime),
     ) -> SendOutcome {
         let (head, body) = response.into_parts();
-        let marks = (self.ports.wire.decode_answer)(head.status, &head.headers);
-        let answered_id = marks.request_id.as_deref();
+        let metadata = (self.ports.wire.decode_answer)(head.status, &head.headers);
+        let answered_id = metadata.request_id.as_deref();
         if answered_id.is_some_and(|answered| answered != call.caller.id) {
             return SendOutcome::Unclear(format!(
                 "{} sent the answer of another request",
                 target.id
             ));
         }
-        if marks.misdirected {
+        if metadata.misdirected {
             // An engine in another stage refuses in the same way as another target at its
-            // address, but it has not departed: marking it departed left it idle for minutes.
-            let other_target = marks.answered_by.is_some_and(|by| by != *target.id.name());
+            // address, but it has not departed: when it was marked as departed, it stayed idle for
+            // minutes.
+            let other_target = metadata
+                .answered_by
+                .is_some_and(|by| by != *target.id.name());
             return if other_target {
                 SendOutcome::WrongTarget
             } else {
                 SendOutcome::WrongWork
             };
         }
-        if marks.not_run {
+        if metadata.not_run {
             // The connection is closed instead of reading the refusal's body.
             return SendOutcome::Refused(format!(
                 "{} refused the request with status {}",
@@ -277,7 +281,7 @@
         }
         // Answers to callers must be signed; the answer to a prefill stays in this daemon.
         let is_run = order.mode != SendMode::Prefill;
-        if is_run && head.status.is_success() && !marks.signed {
+        if is_run && head.status.is_success() && !metadata.signed {
             return SendOutcome::Unclear(format!("{} sent an unsigned answer", target.id));
         }
         let times = ExchangeTimes {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -22,8 +22,8 @@
 use crate::gateway::reply::{AnswerTruncated, FrameStream};
 use crate::gateway::sending::{SendOutcome, TargetAnswer};
 
-/// Silence of an engine after which a resumable stream is resumed on another one, in gap
-/// objectives. Callers time out after two seconds or more.
+/// Silence of an engine after which a resumable stream is resumed on another one, as a
+/// multiple of the gap objective. Callers time out later, after two seconds or more.
 const STALL_TIMEOUT_GAPS: u32 = 4;
 /// Gap objective of routes that state none.
 const DEFAULT_GAP_OBJECTIVE: Duration = Duration::from_millis(300);
@@ -49,7 +49,7 @@
     history: SendHistory,
     in_flight: Option<InFlightGuard>,
     first_event_timer: FirstEventTimer,
-    first_event: Option<Instant>,
+    first_event_at: Option<Instant>,
     ended: bool,
 }
 
@@ -59,6 +59,7 @@
     Ended,
     // The engine closed the connection.
     Cut(String),
+    // The stream cannot go on for another reason.
     Broken(String),
     OutOfTime,
 }
@@ -86,7 +87,7 @@
             history,
             in_flight: Some(in_flight),
             first_event_timer,
-            first_event: None,
+            first_event_at: None,
             ended: false,
         }
     }
@@ -160,7 +161,7 @@
             .route
             .gap_objective
             .unwrap_or(DEFAULT_GAP_OBJECTIVE);
-        let wait = match self.first_event {
+        let wait = match self.first_event_at {
             Some(_) => gap * STALL_TIMEOUT_GAPS,
             None => (gap * STALL_TIMEOUT_GAPS).max(self.call.route.objective * 2),
         };
@@ -178,8 +179,8 @@
                 RelayStep::Partial
             };
         };
-        if self.first_event.is_none() {
-            self.first_event = Some(Instant::now());
+        if self.first_event_at.is_none() {
+            self.first_event_at = Some(Instant::now());
             self.gateway.record_start(&self.call.access);
             if let Some(timed) = self.first_event_timer.timed.take() {
                 self.gateway
@@ -266,7 +267,7 @@
     fn log_end(&self, outcome: &'static str) {
         metrics::counter!("pistachiowick_gateway_answers_total", "outcome" => outcome).increment(1);
         let first_ms = self
-            .first_event
+            .first_event_at
             .map_or(0, |at| (at - self.call.arrived).as_millis() as u64);
         log::info!(
             request = self.call.caller.id.as_str(),
