--- a/src/roles/capacity.rs
+++ b/src/roles/capacity.rs
@@ -90,12 +90,13 @@
 fn fits(counts: RoleCounts, mix: &WorkBins, speeds: &SpeedSettings, scale: f64) -> bool {
     let roles = [EngineRole::Prefill, EngineRole::Mixed, EngineRole::Decode];
     let mut free = roles.map(|role| (role, counts.of(role) as f64));
-    let mut first = 0;
+    let mut current = 0;
     for bin in (0..MIX_BINS).rev() {
         let work = mix[bin].times(scale);
+        // Part of this kind of work that no engine has taken yet.
         let mut left = 1.0;
         while left > 1e-9 && work.total() > 0.0 {
-            let Some((role, seconds)) = free.get_mut(first) else {
+            let Some((role, seconds)) = free.get_mut(current) else {
                 return false;
             };
             let needed = seconds_on(*role, work, speeds) * left;
@@ -104,7 +105,7 @@
                 left = 0.0;
             } else {
                 left -= left * *seconds / needed;
-                first += 1;
+                current += 1;
             }
         }
     }
--- a/src/roles/mix.rs
+++ b/src/roles/mix.rs
@@ -153,10 +153,10 @@
         let seconds = elapsed.as_secs_f64();
         self.age_s += seconds;
         // Before its window has passed, a rate is the plain mean since the start.
-        let fast = new_weight(seconds, FAST_WINDOW_S.min(self.age_s));
-        let slow = new_weight(seconds, SLOW_WINDOW_S.min(self.age_s));
+        let fast_weight = new_weight(seconds, FAST_WINDOW_S.min(self.age_s));
+        let slow_weight = new_weight(seconds, SLOW_WINDOW_S.min(self.age_s));
         for mix in self.models.values_mut() {
-            mix.update(seconds, fast, slow);
+            mix.update(seconds, fast_weight, slow_weight);
         }
     }
 
@@ -225,16 +225,16 @@
         (self.variance / (2.0 * window_s.max(0.5))).sqrt()
     }
 
-    fn update(&mut self, seconds: f64, fast: f64, slow: f64) {
+    fn update(&mut self, seconds: f64, fast_weight: f64, slow_weight: f64) {
         if let Some(share) = prefill_share(&self.pending) {
             let recent_share = prefill_share(&self.fast).unwrap_or(share);
             let deviation = (share - recent_share).powi(2);
-            self.variance += slow * (deviation - self.variance);
+            self.variance += slow_weight * (deviation - self.variance);
         }
         for bin in 0..MIX_BINS {
             let rate = self.pending[bin].times(1.0 / seconds);
-            self.fast[bin] = weighted_mean(self.fast[bin], rate, fast);
-            self.slow[bin] = weighted_mean(self.slow[bin], rate, slow);
+            self.fast[bin] = weighted_mean(self.fast[bin], rate, fast_weight);
+            self.slow[bin] = weighted_mean(self.slow[bin], rate, slow_weight);
         }
         self.pending = WorkBins::default();
     }
--- a/src/roles/plan.rs
+++ b/src/roles/plan.rs
@@ -3,8 +3,8 @@
 //! A role change is worthwhile if it gains more within the horizon than the engine's time
 //! out of service costs. Several rules keep the plan stable near that threshold: the gain
 //! must exist for the recent, the steady and the expected mix, and for a steady mix that
-//! is off by its error in either direction; it must exceed a minimum share of the work served, and an engine that
-//! changed is not changed again within the horizon.
+//! is off by its error in either direction; it must exceed a minimum share of the work
+//! served; and an engine that changed is not changed again within the horizon.
 
 use std::time::Duration;
 
@@ -326,36 +326,36 @@
             let holding = engines.iter().filter(|engine| has_model(engine, model));
             holding.count()
         };
-        let short = needs
+        let lacking = needs
             .iter()
             .find(|need| holders(&need.model) < need.min_engines)?;
-        let spare = |label: &String| {
+        let can_unload = |label: &String| {
             let need = needs.iter().find(|need| names_model(label, &need.model));
             need.is_none_or(|n| holders(&n.model) > n.min_engines.max(1))
         };
         let candidates = engines.iter().filter(|engine| {
-            engine.usable && !has_model(engine, &short.model) && self.may_change(engine, now)
+            engine.usable && !has_model(engine, &lacking.model) && self.may_change(engine, now)
         });
         let engine = candidates.min_by_key(|engine| {
-            let spares = engine.models.iter().any(spare);
+            let can_unload_one = engine.models.iter().any(can_unload);
             (
-                !spares,
+                !can_unload_one,
                 engine.models.len(),
                 engine.in_flight,
                 engine.id.clone(),
             )
         })?;
         let mut models = engine.models.clone();
-        if let Some(position) = models.iter().position(spare) {
+        if let Some(position) = models.iter().position(can_unload) {
             models.remove(position);
         }
-        models.push(short.model.to_string());
+        models.push(lacking.model.to_string());
         self.changed_at.insert(engine.id.clone(), now);
         let reason = format!(
             "{} is loaded on {} engines, at least {} required",
-            short.model,
-            holders(&short.model),
-            short.min_engines
+            lacking.model,
+            holders(&lacking.model),
+            lacking.min_engines
         );
         let change = PlannedChange {
             role: engine.role,
--- a/src/roles/work_mix.rs
+++ b/src/roles/work_mix.rs
@@ -18,15 +18,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlacementRate {
     placed_cost: f64,
-    at: MonoTime,
+    updated_at: MonoTime,
     waiting_since: Option<MonoTime>,
 }
 
 impl PlacementRate {
     /// Adds the cost of placed work in engine-seconds.
     pub fn add(&mut self, cost: f64, now: MonoTime) {
-        self.placed_cost = self.placed_cost * decay_factor(self.at, now) + cost;
-        self.at = now;
+        self.placed_cost = self.placed_cost * decay_factor(self.updated_at, now) + cost;
+        self.updated_at = now;
     }
 
     /// Records whether requests are queued.
@@ -46,13 +46,13 @@
         if waited < HALF_LIFE {
             return None;
         }
-        let placed_cost = self.placed_cost * decay_factor(self.at, now);
+        let placed_cost = self.placed_cost * decay_factor(self.updated_at, now);
         Some(placed_cost * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64())
     }
 }
 
-fn decay_factor(at: MonoTime, now: MonoTime) -> f64 {
-    let halves = now.since(at).as_secs_f64() / HALF_LIFE.as_secs_f64();
+fn decay_factor(since: MonoTime, now: MonoTime) -> f64 {
+    let halves = now.since(since).as_secs_f64() / HALF_LIFE.as_secs_f64();
     0.5_f64.powf(halves)
 }
 
@@ -61,7 +61,7 @@
 pub struct WorkMix {
     prefill: f64,
     decode: f64,
-    at: MonoTime,
+    updated_at: MonoTime,
 }
 
 impl WorkMix {
@@ -103,9 +103,9 @@
     }
 
     fn decay(&mut self, now: MonoTime) {
-        let left = decay_factor(self.at, now);
+        let left = decay_factor(self.updated_at, now);
         self.prefill *= left;
         self.decode *= left;
-        self.at = now;
+        self.updated_at = now;
     }
 }
