--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -2,9 +2,9 @@
 //! workspaces, most urgent request first within a workspace.
 //!
 //! Each workspace has a lane: its queued requests, and a virtual time that advances by
-//! cost divided by weight as requests are placed. Workspaces within one quantum of the lowest virtual time compete
-//! by priority and slack; the others wait. So urgency decides in the short term, and the
-//! shares decide over a few quanta.
+//! cost divided by weight as requests are placed. Workspaces within one quantum of the
+//! lowest virtual time compete by priority and latest start; the others wait. So urgency
+//! decides in the short term, and the shares decide over a few quanta.
 //!
 //! No operation iterates over all workspaces or all requests: lanes with requests are
 //! ordered by virtual time, and those that compete also by their first request.
