--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -153,7 +153,7 @@
 
     async fn forward_plain(self: &Rc<Self>, call: &RoutedRequest) -> Result<Reply, Failure> {
         let mut history = SendHistory::default();
-        let mut started = false;
+        let mut start_recorded = false;
         let mut last = Err(Failure::refused(
             "no target of the service is available; retry later",
             NOT_READY_WAIT,
@@ -166,11 +166,11 @@
                 PlainOutcome::FailedWhole(_) | PlainOutcome::Unclear(_) => {
                     history.sent.push(target.id.clone());
                     history.may_have_run = true;
-                    can_retry && self.may_retry(call)
+                    can_retry && self.take_retry(call)
                 }
                 PlainOutcome::Refused(_) => {
                     history.sent.push(target.id.clone());
-                    history.may_send(call) && self.may_retry(call)
+                    history.may_send(call) && self.take_retry(call)
                 }
                 PlainOutcome::NotSent(_) => {
                     history.unreached.push(target.id.clone());
@@ -179,10 +179,10 @@
                 // Another target received the request, so the next send is a retry.
                 PlainOutcome::Misdirected(_) => {
                     history.unreached.push(target.id.clone());
-                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_retry(call)
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.take_retry(call)
                 }
             };
-            if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
+            if !attempt.did_not_run() && !std::mem::replace(&mut start_recorded, true) {
                 self.record_start(&call.access);
             }
             // After a send that may have run, a later refusal must not become the answer.
@@ -219,7 +219,7 @@
     /// Takes a retry from the budget for a request that has time left and is not quarantined.
     /// Returns whether it may be sent again.
     #[must_use]
-    pub fn may_retry(&self, call: &RoutedRequest) -> bool {
+    pub fn take_retry(&self, call: &RoutedRequest) -> bool {
         if self.is_quarantined(call) {
             return false;
         }
--- a/src/gateway/generate.rs
+++ b/src/gateway/generate.rs
@@ -167,7 +167,7 @@
             if let Some(handle) = &mut handle {
                 handle.forget();
             }
-            if self.may_retry(call) {
+            if self.take_retry(call) {
                 timed = None;
                 let fetch_from = Some(place.prefill_engine.as_deref().unwrap_or(decode_engine));
                 outcome = self
@@ -213,7 +213,7 @@
                     "the engine is no longer at its address or has changed its stage; retry later";
                 let failure = Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER);
                 // This send arrived at a target, so the next one is a retry.
-                return if self.may_retry(call) {
+                return if self.take_retry(call) {
                     Started::Retry(failure)
                 } else {
                     Started::Failed(failure)
@@ -228,7 +228,7 @@
         history.sent.push(decode_engine.id.clone());
         let refused = failure.retry_after.is_some();
         let can_retry = refused || call.route.retry.may_retry();
-        if can_retry && history.may_send(call) && self.may_retry(call) {
+        if can_retry && history.may_send(call) && self.take_retry(call) {
             return Started::Retry(failure);
         }
         Started::Failed(failure)
--- a/src/gateway/head_clock.rs
+++ b/src/gateway/head_clock.rs
@@ -78,7 +78,7 @@
 }
 
 impl TimedStream {
-    /// Wraps `inner`.
+    /// Wraps a caller's connection.
     #[must_use]
     pub fn new(inner: TcpStream, timer: Rc<HeaderTimer>) -> Self {
         Self { inner, timer }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -70,7 +70,7 @@
 
     /// Returns the number of open connections to a target, busy and idle.
     #[must_use]
-    pub fn open(&self, target: &TargetIncarnation) -> u32 {
+    pub fn open_count(&self, target: &TargetIncarnation) -> u32 {
         let busy = self.busy.get(target).copied().unwrap_or(0);
         let idle = self.idle.get(target).map_or(0, Vec::len);
         busy + u32::try_from(idle).unwrap_or(u32::MAX)
--- a/src/gateway/reading.rs
+++ b/src/gateway/reading.rs
@@ -43,7 +43,7 @@
         let Some(mut prefill_engine) = place.prefill_engine.clone() else {
             return Ok(None);
         };
-        if history.prompt_prefilled && !self.may_retry(call) {
+        if history.prompt_prefilled && !self.take_retry(call) {
             return Ok(None);
         }
         let mut tried: Vec<TargetIncarnation> = Vec::new();
@@ -54,7 +54,7 @@
                     return Ok(Some(handle));
                 }
                 PrefillResult::NotSent => {}
-                PrefillResult::Failed(reason) if !self.may_retry(call) => {
+                PrefillResult::Failed(reason) if !self.take_retry(call) => {
                     return Err(Failure::refused(reason, ENGINE_BUSY_RETRY_AFTER));
                 }
                 PrefillResult::Failed(_) => {}
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -211,7 +211,7 @@
             }
         }
         // The number of open connections already includes this one.
-        if self.pool.borrow().open(&connection.record.id)
+        if self.pool.borrow().open_count(&connection.record.id)
             > self.connection_share(&connection.record)
         {
             return Err(SendError::NotSent(format!(
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -220,7 +220,7 @@
         let Some(place) = self.gateway.place(&self.call, &self.history) else {
             return false;
         };
-        if !self.gateway.may_retry(&self.call) {
+        if !self.gateway.take_retry(&self.call) {
             return false;
         }
         let engine = place.decode_engine;
