--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -31,11 +31,12 @@
 const NOT_READY_WAIT: Duration = Duration::from_millis(250);
 /// Largest answer of a plain service, in bytes; it is buffered until complete.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Time after which an unanswered idempotent request is sent to another target, as a
-/// multiple of the route's latency objective: it is late by then, and can still be served
-/// before its deadline.
-const HEDGE_AFTER_OBJECTIVES: u32 = 3;
-/// Most targets of one request that may be unreachable or misdirect it.
+/// Time after which an unanswered idempotent request is cancelled and sent to another
+/// target, as a multiple of the route's latency objective: it is late by then, and can
+/// still be served before its deadline.
+const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 3;
+/// Maximum number of targets, per request, that are unreachable or at which it arrives
+/// misdirected.
 const MAX_UNSENT_ATTEMPTS: usize = 3;
 
 impl Gateway {
@@ -152,7 +153,7 @@
 
     async fn forward_plain(self: &Rc<Self>, call: &RoutedRequest) -> Result<Reply, Failure> {
         let mut history = SendHistory::default();
-        let mut started = false;
+        let mut start_recorded = false;
         let mut last = Err(Failure::refused(
             "no target of the service is available; retry later",
             NOT_READY_WAIT,
@@ -165,11 +166,11 @@
                 PlainOutcome::FailedWhole(_) | PlainOutcome::Unclear(_) => {
                     history.sent.push(target.id.clone());
                     history.may_have_run = true;
-                    can_retry && self.may_retry(call)
+                    can_retry && self.take_retry(call)
                 }
                 PlainOutcome::Refused(_) => {
                     history.sent.push(target.id.clone());
-                    history.may_send(call) && self.may_retry(call)
+                    history.may_send(call) && self.take_retry(call)
                 }
                 PlainOutcome::NotSent(_) => {
                     history.unreached.push(target.id.clone());
@@ -178,12 +179,13 @@
                 // Another target received the request, so the next send is a retry.
                 PlainOutcome::Misdirected(_) => {
                     history.unreached.push(target.id.clone());
-                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.may_retry(call)
+                    history.unreached.len() < MAX_UNSENT_ATTEMPTS && self.take_retry(call)
                 }
             };
-            if !attempt.did_not_run() && !std::mem::replace(&mut started, true) {
+            if !attempt.did_not_run() && !std::mem::replace(&mut start_recorded, true) {
                 self.record_start(&call.access);
             }
+            // After a send that may have run, a later refusal must not become the answer.
             if !(history.may_have_run && attempt.did_not_run()) {
                 last = attempt.into_result(call);
             }
@@ -202,7 +204,7 @@
     ) -> PlainOutcome {
         let sent = Instant::now();
         let deadline = if can_retry {
-            sent + call.route.objective * HEDGE_AFTER_OBJECTIVES
+            sent + call.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES
         } else {
             call.deadline
         };
@@ -217,7 +219,7 @@
     /// Takes a retry from the budget for a request that has time left and is not quarantined.
     /// Returns whether it may be sent again.
     #[must_use]
-    pub fn may_retry(&self, call: &RoutedRequest) -> bool {
+    pub fn take_retry(&self, call: &RoutedRequest) -> bool {
         if self.is_quarantined(call) {
             return false;
         }
@@ -238,13 +240,13 @@
             SendOutcome::Refused(reason) => return PlainOutcome::Refused(reason),
             SendOutcome::WrongTarget => {
                 return PlainOutcome::Misdirected(format!(
-                    "{} no longer has its address",
+                    "another target answered at the address of {}",
                     target.id
                 ));
             }
             SendOutcome::WrongWork => {
                 return PlainOutcome::Misdirected(format!(
-                    "{} no longer does this kind of work",
+                    "{} now does another kind of work",
                     target.id
                 ));
             }
--- a/src/roles/capacity.rs
+++ b/src/roles/capacity.rs
@@ -4,8 +4,11 @@
 use crate::roles::mix::{MIX_BINS, WorkAmount, WorkBins};
 use crate::targets::wire::EngineRole;
 
+/// Bisection steps when searching the capacity.
 const SEARCH_STEPS: u32 = 24;
+/// Largest capacity returned, as a multiple of the mix.
 const MAX_SCALE: f64 = 64.0;
+/// Capacity, as a multiple of the mix, at which all work is expected to be served in time.
 const HEADROOM: f64 = 1.25;
 
 /// Number of engines by role.
@@ -87,12 +90,13 @@
 fn fits(counts: RoleCounts, mix: &WorkBins, speeds: &SpeedSettings, scale: f64) -> bool {
     let roles = [EngineRole::Prefill, EngineRole::Mixed, EngineRole::Decode];
     let mut free = roles.map(|role| (role, counts.of(role) as f64));
-    let mut first = 0;
+    let mut current = 0;
     for bin in (0..MIX_BINS).rev() {
         let work = mix[bin].times(scale);
+        // Part of this kind of work that no engine has taken yet.
         let mut left = 1.0;
         while left > 1e-9 && work.total() > 0.0 {
-            let Some((role, seconds)) = free.get_mut(first) else {
+            let Some((role, seconds)) = free.get_mut(current) else {
                 return false;
             };
             let needed = seconds_on(*role, work, speeds) * left;
@@ -101,7 +105,7 @@
                 left = 0.0;
             } else {
                 left -= left * *seconds / needed;
-                first += 1;
+                current += 1;
             }
         }
     }
